--- /dev/null
+++ b/spoolcourse/control/machines/early_deletion.py
@@ -0,0 +1,169 @@
+"""Early deletion of silent machines that hold replicas of services.
+
+A replica may run elsewhere only once its former attempt is proven gone. For a machine that died
+without a notice the lease proves that, after more than `lease_s`. A deletion that the cloud has
+confirmed is a proof too, and it can be had sooner. The price of a mistake is a healthy machine
+and all work on it, so only machines qualify whose silence nothing else explains.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from spoolcourse.control.fleet.roster import Machine, Roster
+from spoolcourse.control.jobs.works import Attempt, Work
+from spoolcourse.wire.messages import RANKS, Build, fits
+from spoolcourse.wire.settings import Workers
+
+# The longest silence of a worker that lost one report: a whole report period, then the time-out
+# of that report, then the pause before it tries the next controller.
+REPORT_JITTER = 1.25  # reports are sent every `report_s`, give or take a quarter
+REPORT_TIMEOUT_S = 4.0
+RETRY_PAUSE_S = 1.0
+TRANSIT_S = 0.5  # for reports on their way, and for this process to get round to them
+# From here on a worker counts as late when the question is whether many are.
+LATE_S = 1.0
+# More late workers than that in a zone: the zone is cut off, or this controller is.
+LATE_SHARE = 0.25
+# Deletions under way at once; they bound what a mistake can cost.
+DELETIONS_SHARE = 0.05
+DELETIONS_LEAST = 2
+
+
+@dataclass(slots=True)
+class _Zones:
+    """How many workers of each zone have been heard of, and how many of them are late."""
+
+    heard: Counter[str]
+    late: Counter[str]
+
+    def troubled(self, zone: str) -> bool:
+        return self.late[zone] > max(1, LATE_SHARE * self.heard[zone])
+
+    @property
+    def all_troubled(self) -> bool:
+        late, heard = self.late.total(), self.heard.total()
+        return late > max(1, LATE_SHARE * heard)
+
+
+class EarlyDeletion:
+    """Chooses machines to be deleted for the sake of the replicas on them."""
+
+    def __init__(
+        self,
+        registry: Roster,
+        workers: Workers,
+        clock: Callable[[], float],
+        machine_types: Callable[[], dict[str, Build]],
+    ) -> None:
+        self._registry = registry
+        self._clock = clock
+        self._machine_types = machine_types
+        one_period_s = REPORT_JITTER * workers.report_s
+        self.late_s = one_period_s + LATE_S
+        self.silence_s = one_period_s + REPORT_TIMEOUT_S + RETRY_PAUSE_S + TRANSIT_S
+
+    def due(self) -> set[str]:
+        """Names of machines to be deleted now; a leader without a valid lease must not ask."""
+        now = self._clock()
+        candidates = [m for m in self._registry.machines.values() if self._is_silent(m, now)]
+        if not candidates:
+            return set()
+        zones = self._late_workers(now)
+        if zones.all_troubled:
+            return set()
+        chosen: set[str] = set()
+        budget = self._budget()
+        for machine in candidates:
+            replicas = _replicas(machine)
+            if len(chosen) >= budget or zones.troubled(machine.yard or ""):
+                continue
+            if replicas and all(self._has_place_elsewhere(replica, now) for replica in replicas):
+                chosen.add(machine.id)
+        return chosen
+
+    def _is_silent(self, machine: Machine, now: float) -> bool:
+        return (
+            machine.confirmed
+            and not machine.silent_proof
+            and not machine.deleting
+            and now - machine.spoke_at > self.silence_s
+        )
+
+    def _late_workers(self, now: float) -> _Zones:
+        zones = _Zones(Counter(), Counter())
+        for machine in self._registry.machines.values():
+            if machine.heard_at is None or machine.listed == "failed":
+                continue
+            zone = machine.yard or ""
+            zones.heard[zone] += 1
+            if now - machine.spoke_at > self.late_s:
+                zones.late[zone] += 1
+        return zones
+
+    def _budget(self) -> int:
+        machines = self._registry.machines.values()
+        under_way = sum(1 for machine in machines if machine.deleting and _replicas(machine))
+        most = max(DELETIONS_LEAST, int(DELETIONS_SHARE * len(machines)))
+        return max(0, most - under_way)
+
+    def _has_place_elsewhere(self, replica: Attempt, now: float) -> bool:
+        """Whether a machine that is up can take the replica, once this attempt is gone. Work of
+        lower rank does not count: it is stopped for a replica."""
+        work = replica.work
+        types = self._machine_types()
+        for machine in self._registry.machines.values():
+            if machine.id == replica.machine or not machine.placeable:
+                continue
+            machine_type = types.get(machine.build or "")
+            if machine_type is None or now - machine.spoke_at > self.late_s:
+                continue
+            if self._may_run_on(work, machine, machine_type) and self._zone_takes(replica, machine):
+                return True
+        return False
+
+    @staticmethod
+    def _may_run_on(work: Work, machine: Machine, machine_type: Build) -> bool:
+        sub = work.record.sub
+        if not fits(sub, machine_type) or (machine.loaner and not sub.loaners):
+            return False
+        if sub.yard not in (None, machine.yard):
+            return False
+        rank = RANKS.index(sub.rank)
+        staying = [
+            attempt.work.record.sub
+            for attempt in machine.attempts.values()
+            if RANKS.index(attempt.work.record.sub.rank) <= rank
+        ]
+        return (
+            sum(other.vcpus for other in staying) + sub.vcpus <= machine_type.vcpus
+            and sum(other.gpus for other in staying) + sub.gpus <= machine_type.gpus
+            and sum(other.memoryGb for other in staying) + sub.memoryGb <= machine_type.memoryGb
+        )
+
+    def _zone_takes(self, replica: Attempt, machine: Machine) -> bool:
+        """Zone rules, with all attempts but the replica's own counted."""
+        sub = replica.work.record.sub
+        zones = Counter(
+            host.yard
+            for attempt in replica.work.attempts.values()
+            if attempt is not replica
+            and (host := self._registry.machines.get(attempt.machine)) is not None
+        )
+        if sub.oneZone and any(zone != machine.yard for zone in zones):
+            return False
+        most_in_a_zone = -(-sub.pieces // 2)
+        return not sub.scatter or zones[machine.yard] < most_in_a_zone
+
+
+def _replicas(machine: Machine) -> list[Attempt]:
+    """Replicas of live services that may be running there."""
+    return [
+        attempt
+        for attempt in machine.attempts.values()
+        if attempt.work.record.sub.standing
+        and not attempt.work.record.aborted
+        and not attempt.never_sent
+    ]
--- a/spoolcourse/control/machines/keeper.py
+++ b/spoolcourse/control/machines/keeper.py
@@ -16,6 +16,7 @@
 from spoolcourse.control.machines.cancelled import Cancelled
 from spoolcourse.control.machines.cloud import DELETE_MAX, Cloud, CloudError, NoCapacity
 from spoolcourse.control.machines.demand import Demand
+from spoolcourse.control.machines.early_deletion import EarlyDeletion
 from spoolcourse.control.net import Net, NetError
 from spoolcourse.policy.keys import KEYS, Policy
 from spoolcourse.wire.messages import Build, Host, Malformed, Report, parse
@@ -66,6 +67,7 @@
         self._cancelled = Cancelled(
             roster.works, params.workers, params.skew_ms / 1000, clock, wall
         )
+        self._early = EarlyDeletion(roster, params.workers, clock, builds)
         self._hires = 0
         self.demand = Demand(KEYS["keep_s"].high)
         # Machines that were there before the service first ran: the operators chose to
@@ -279,11 +281,14 @@
         # hold goes all the same; nobody else may be there to see to it.
         leads = self._may_rent()
         isolated, overdue = self.isolated() or not leads, self._cancelled.overdue()
+        early: set[str] = set() if isolated else self._early.due()
         names = []
         spare = -self.short(now)
         self.mark_surplus(now)
         for machine in self._roster.machines.values():
             reason = self._reason(machine, now, isolated, overdue)
+            if reason is None and machine.id in early:
+                reason = "it is silent, and replicas wait for a proof that they are gone"
             if reason is None and leads and self._idle(machine, now):
                 cpus = self._cpus(machine)
                 if machine.surplus or cpus <= spare:
--- /dev/null
+++ b/tests/test_early_deletion.py
@@ -0,0 +1,242 @@
+"""Silent machines with replicas are deleted before their lease runs out, within bounds."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any
+
+from tests.fakes.clock import play
+from tests.fakes.world import World, job
+from tests.test_services import served, service
+
+LEASE_PROOF_S = 11.0  # the lease of 10 s, and what must be added to be certain
+
+
+async def begin(machines: str = "aabb", **fields: Any) -> World:
+    """A service whose replicas run, on machines in the zones that `machines` spells."""
+    world = World()
+    world.cloud.run_s = lambda task: 10_000.0
+    world.cloud.capacity = len(machines)
+    for zone in machines:
+        world.cloud.add(zone)
+    await asyncio.sleep(1)
+    await world.up()  # what is there at the very first start is never returned for being idle
+    await asyncio.sleep(5)
+    body = service(**{"pieces": 2, "scatter": True} | fields)
+    assert (await world.submit(body)).status == 201
+    await served(world, 1, body["pieces"])
+    await asyncio.sleep(4)
+    return world
+
+
+def home(world: World, replica: int = 0) -> str:
+    """The machine that a replica runs on."""
+    name = f"job-000001/{replica}"
+    return next(
+        w.name
+        for w in world.cloud.workers.values()
+        if any(t.on and t.name == name for t in w.tasks.values())
+    )
+
+
+def deletions(world: World) -> list[str]:
+    """Names that the cloud has been asked to delete, in order."""
+    asked: list[str] = []
+
+    def note(src: str, dst: str, method: str, path: str, body: Any) -> None:
+        if path == "/hosts/delete":
+            asked.extend(body["spindles"])
+
+    world.wire.filters.insert(0, note)
+    return asked
+
+
+def refused_reports(world: World, name: str) -> Any:
+    """No controller takes the machine's reports; it tries again each second."""
+
+    def check(src: str, dst: str, *rest: Any) -> str | None:
+        return "503" if src == name else None
+
+    world.wire.filters.append(check)
+    return check
+
+
+async def restarted_after(world: World, replica: int = 0) -> float:
+    """How long it takes until the replica has been started once more."""
+    before = len(world.cloud.starts)
+    return await world.until(
+        lambda: any(n == f"job-000001/{replica}" for _, n, _ in world.cloud.starts[before:]), 40
+    )
+
+
+def test_the_replica_of_a_machine_that_died_runs_again_before_its_lease_is_over() -> None:
+    async def story() -> None:
+        world = await begin()
+        asked, lost = deletions(world), home(world)
+        world.cloud.workers[lost].die()  # the cloud goes on listing it
+        assert await restarted_after(world) < LEASE_PROOF_S - 1.0
+        assert asked[0] == lost and world.cloud.broken == []
+
+    play(story())
+
+
+def test_no_machine_is_deleted_for_one_lost_report() -> None:
+    async def story() -> None:
+        world = await begin()
+        asked, name = deletions(world), home(world)
+
+        def lose_reports(src: str, dst: str, *rest: Any) -> str | None:
+            return "cut" if src == name else None
+
+        for _ in range(3):
+            world.wire.filters.append(lose_reports)
+            await asyncio.sleep(1.9)  # one report falls into it
+            world.wire.filters.remove(lose_reports)
+            await asyncio.sleep(12)
+        assert asked == [] and len(world.cloud.starts) == 2
+
+    play(story())
+
+
+def test_no_machine_is_deleted_while_its_zone_is_cut_off() -> None:
+    async def story() -> None:
+        world = await begin("aabbb", pieces=4)
+        asked = deletions(world)
+        for name, worker in world.cloud.workers.items():
+            if worker.host["yard"] == "b":
+                world.cut_off(name)
+        cuts = list(world.wire.filters[1:])
+        await asyncio.sleep(9)
+        for cut in cuts:
+            world.wire.filters.remove(cut)
+        await asyncio.sleep(10)
+        # Whoever lost two reports in a row has lost its lease as well; but nothing is deleted.
+        assert asked == [] and world.cloud.broken == []
+
+    play(story())
+
+
+def test_a_leader_that_hears_nobody_deletes_nobody() -> None:
+    async def story() -> None:
+        world = await begin()
+        asked, leader = deletions(world), str(world.leader)
+        world.wire.filters.append(
+            lambda src, dst, *rest: (
+                "cut" if dst == f"{leader}:80" or (src == leader and dst.startswith("m-")) else None
+            )
+        )
+        await asyncio.sleep(9)
+        world.wire.filters.pop()
+        await asyncio.sleep(10)
+        assert asked == [] and len(world.cloud.starts) == 2
+
+    play(story())
+
+
+def test_no_machine_is_deleted_early_whose_replicas_have_no_other_place() -> None:
+    async def story() -> None:
+        world = await begin("ab", yard=None)
+        asked, lost = deletions(world), home(world)
+        world.cloud.workers[lost].die()
+        await asyncio.sleep(9.5)
+        assert asked == []
+        assert await served(world, 1, 2, 90) and world.cloud.broken == []
+
+    play(story())
+
+
+def test_only_so_many_deletions_are_under_way_at_once() -> None:
+    async def story() -> None:
+        world = await begin("aaaaaaaabbbbbbbb", pieces=8, vcpus=4.0)
+        world.wire.filters.append(
+            lambda src, dst, method, path, body: "hold" if path == "/hosts/delete" else None
+        )
+        asked = deletions(world)
+        homes = {home(world, replica) for replica in range(8)}
+        by_zone = [
+            sorted(n for n in homes if world.cloud.workers[n].host["yard"] == zone)[:2]
+            for zone in ("a", "b")
+        ]
+        lost = [name for names in by_zone for name in names]
+        assert len(lost) >= 3
+        for name in lost:
+            world.cloud.workers[name].die()
+        await asyncio.sleep(LEASE_PROOF_S - 1.0)
+        assert len(set(asked)) == 2
+        world.wire.filters.clear()
+        await served(world, 1, 8, 60)
+        assert world.cloud.broken == []
+
+    play(story())
+
+
+def test_a_cut_ends_in_the_moment_of_the_deletion() -> None:
+    # The machine is heard again while its deletion is on its way: it gets no new work, and its
+    # replica starts elsewhere only once the deletion is confirmed.
+    async def story() -> None:
+        world = await begin()
+        asked, name = deletions(world), home(world)
+        cut = refused_reports(world, name)
+        world.wire.filters.append(
+            lambda src, dst, method, path, body: "hold" if path == "/hosts/delete" else None
+        )
+        await world.until(lambda: asked, 12)
+        world.wire.filters.remove(cut)
+        await world.submit(job(2, pieces=8))
+        await asyncio.sleep(6)
+        assert len([s for s in world.cloud.starts if s[1] == "job-000001/0"]) == 1
+        assert not [s for s in world.cloud.starts if s[1].startswith("job-000002") and s[2] == name]
+        await world.wire.release()
+        assert name not in world.cloud.workers
+        await world.until(lambda: len(world.cloud.on_machines("job-000001")) == 2, 30)
+        assert world.cloud.broken == []
+
+    play(story())
+
+
+def test_a_deletion_is_carried_out_late_under_a_leader_that_does_not_know_of_it() -> None:
+    async def story() -> None:
+        world = await begin()
+        asked, name = deletions(world), home(world)
+        world.cloud.run_s = lambda task: 10_000.0 if "job-000001" in task else 10.0
+        cut = refused_reports(world, name)
+
+        def hold(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
+            return "hold" if path == "/hosts/delete" else None
+
+        world.wire.filters.append(hold)
+        await world.until(lambda: asked, 12)
+        world.kill(str(world.leader))
+        world.wire.filters.remove(cut)
+        world.wire.filters.remove(hold)
+        await world.until(lambda: world.leader, 20)
+        await world.submit(job(2, pieces=12), str(world.leader))
+        await asyncio.sleep(8)  # the machine came back within its lease and is given work
+        assert name in world.cloud.workers
+        await world.wire.release()
+        assert name not in world.cloud.workers
+        await served(world, 1, 2, 60)
+        await world.finish(2, 120)
+        assert world.cloud.broken == []
+
+    play(story())
+
+
+def test_two_zones_are_in_trouble_one_after_the_other() -> None:
+    async def story() -> None:
+        world = await begin("aaaabbbb", pieces=4)
+        for zone in ("a", "b", "a"):
+            names = [n for n, w in world.cloud.workers.items() if w.host["yard"] == zone]
+            for name in names:
+                world.cut_off(name)
+            cuts = world.wire.filters[-len(names) :]
+            dead = next(n for n, w in world.cloud.workers.items() if w.host["yard"] != zone)
+            world.cloud.workers[dead].die()
+            await asyncio.sleep(14)
+            for cut in cuts:
+                world.wire.filters.remove(cut)
+            await asyncio.sleep(1)
+        await served(world, 1, 4, 60)
+        assert world.cloud.broken == []
+
+    play(story())
