--- a/spoolcourse/control/machines/early_deletion.py
+++ b/spoolcourse/control/machines/early_deletion.py
@@ -13,18 +13,15 @@
 from dataclasses import dataclass
 
 from spoolcourse.control.fleet.roster import Machine, Roster
-from spoolcourse.control.jobs.works import Attempt, Work
-from spoolcourse.wire.messages import RANKS, Build, fits
+from spoolcourse.control.jobs.works import Attempt
+from spoolcourse.control.machines.replica_places import REPORT_JITTER, ReplicaPlaces
 from spoolcourse.wire.settings import Workers
 
 # The longest silence of a worker that lost one report: a whole report period, then the time-out
 # of that report, then the pause before it tries the next controller.
-REPORT_JITTER = 1.25  # reports are sent every `report_s`, give or take a quarter
 REPORT_TIMEOUT_S = 4.0
 RETRY_PAUSE_S = 1.0
 TRANSIT_S = 0.5  # for reports on their way, and for this process to get round to them
-# From here on a worker counts as late when the question is whether many are.
-LATE_S = 1.0
 # More late workers than that in a zone: the zone is cut off, or this controller is.
 LATE_SHARE = 0.25
 # Deletions under way at once; they bound what a mistake can cost.
@@ -54,15 +51,14 @@
     def __init__(
         self,
         registry: Roster,
+        places: ReplicaPlaces,
         workers: Workers,
         clock: Callable[[], float],
-        machine_types: Callable[[], dict[str, Build]],
     ) -> None:
         self._registry = registry
+        self._places = places
         self._clock = clock
-        self._machine_types = machine_types
         one_period_s = REPORT_JITTER * workers.report_s
-        self.late_s = one_period_s + LATE_S
         self.silence_s = one_period_s + REPORT_TIMEOUT_S + RETRY_PAUSE_S + TRANSIT_S
 
     def due(self) -> set[str]:
@@ -80,7 +76,7 @@
             replicas = _replicas(machine)
             if len(chosen) >= budget or zones.troubled(machine.yard or ""):
                 continue
-            if replicas and all(self._has_place_elsewhere(replica, now) for replica in replicas):
+            if replicas and all(map(self._places.has_place_elsewhere, replicas)):
                 chosen.add(machine.id)
         return chosen
 
@@ -99,7 +95,7 @@
                 continue
             zone = machine.yard or ""
             zones.heard[zone] += 1
-            if now - machine.spoke_at > self.late_s:
+            if now - machine.spoke_at > self._places.late_s:
                 zones.late[zone] += 1
         return zones
 
@@ -109,54 +105,6 @@
         most = max(DELETIONS_LEAST, int(DELETIONS_SHARE * len(machines)))
         return max(0, most - under_way)
 
-    def _has_place_elsewhere(self, replica: Attempt, now: float) -> bool:
-        """Whether a machine that is up can take the replica, once this attempt is gone. Work of
-        lower rank does not count: it is stopped for a replica."""
-        work = replica.work
-        types = self._machine_types()
-        for machine in self._registry.machines.values():
-            if machine.id == replica.machine or not machine.placeable:
-                continue
-            machine_type = types.get(machine.build or "")
-            if machine_type is None or now - machine.spoke_at > self.late_s:
-                continue
-            if self._may_run_on(work, machine, machine_type) and self._zone_takes(replica, machine):
-                return True
-        return False
-
-    @staticmethod
-    def _may_run_on(work: Work, machine: Machine, machine_type: Build) -> bool:
-        sub = work.record.sub
-        if not fits(sub, machine_type) or (machine.loaner and not sub.loaners):
-            return False
-        if sub.yard not in (None, machine.yard):
-            return False
-        rank = RANKS.index(sub.rank)
-        staying = [
-            attempt.work.record.sub
-            for attempt in machine.attempts.values()
-            if RANKS.index(attempt.work.record.sub.rank) <= rank
-        ]
-        return (
-            sum(other.vcpus for other in staying) + sub.vcpus <= machine_type.vcpus
-            and sum(other.gpus for other in staying) + sub.gpus <= machine_type.gpus
-            and sum(other.memoryGb for other in staying) + sub.memoryGb <= machine_type.memoryGb
-        )
-
-    def _zone_takes(self, replica: Attempt, machine: Machine) -> bool:
-        """Zone rules, with all attempts but the replica's own counted."""
-        sub = replica.work.record.sub
-        zones = Counter(
-            host.yard
-            for attempt in replica.work.attempts.values()
-            if attempt is not replica
-            and (host := self._registry.machines.get(attempt.machine)) is not None
-        )
-        if sub.oneZone and any(zone != machine.yard for zone in zones):
-            return False
-        most_in_a_zone = -(-sub.pieces // 2)
-        return not sub.scatter or zones[machine.yard] < most_in_a_zone
-
 
 def _replicas(machine: Machine) -> list[Attempt]:
     """Replicas of live services that may be running there."""
--- a/spoolcourse/control/machines/keeper.py
+++ b/spoolcourse/control/machines/keeper.py
@@ -17,6 +17,7 @@
 from spoolcourse.control.machines.cloud import DELETE_MAX, Cloud, CloudError, NoCapacity
 from spoolcourse.control.machines.demand import Demand
 from spoolcourse.control.machines.early_deletion import EarlyDeletion
+from spoolcourse.control.machines.replica_places import ReplicaPlaces
 from spoolcourse.control.net import Net, NetError
 from spoolcourse.policy.keys import KEYS, Policy
 from spoolcourse.wire.messages import Build, Host, Malformed, Report, parse
@@ -67,7 +68,8 @@
         self._cancelled = Cancelled(
             roster.works, params.workers, params.skew_ms / 1000, clock, wall
         )
-        self._early = EarlyDeletion(roster, params.workers, clock, builds)
+        self.places = ReplicaPlaces(roster, params.workers, clock, builds)
+        self._early = EarlyDeletion(roster, self.places, params.workers, clock)
         self._hires = 0
         self.demand = Demand(KEYS["keep_s"].high)
         # Machines that were there before the service first ran: the operators chose to
--- /dev/null
+++ b/spoolcourse/control/machines/replica_places.py
@@ -0,0 +1,83 @@
+"""Whether another machine can take a replica of a service, once the replica here is gone.
+
+Asked before something is done that costs a replica its machine: an early deletion, or a move on
+a termination notice.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+
+from spoolcourse.control.fleet.roster import Machine, Roster
+from spoolcourse.control.jobs.works import Attempt, Work
+from spoolcourse.wire.messages import RANKS, Build, fits
+from spoolcourse.wire.settings import Workers
+
+REPORT_JITTER = 1.25  # reports are sent every `report_s`, give or take a quarter
+LATE_S = 1.0  # for a report on its way, and for this process to get round to it
+
+
+class ReplicaPlaces:
+    """Looks for machines that are up, were heard of lately and have room for a replica."""
+
+    def __init__(
+        self,
+        registry: Roster,
+        workers: Workers,
+        clock: Callable[[], float],
+        machine_types: Callable[[], dict[str, Build]],
+    ) -> None:
+        self._registry = registry
+        self._clock = clock
+        self._machine_types = machine_types
+        self.late_s = REPORT_JITTER * workers.report_s + LATE_S
+
+    def has_place_elsewhere(self, replica: Attempt) -> bool:
+        """Whether some other machine takes the replica under the rules of any start. Work of
+        lower rank does not count: it is stopped for a replica."""
+        now = self._clock()
+        types = self._machine_types()
+        for machine in self._registry.machines.values():
+            if machine.id == replica.machine or not machine.placeable:
+                continue
+            machine_type = types.get(machine.build or "")
+            if machine_type is None or now - machine.spoke_at > self.late_s:
+                continue
+            if _takes(machine, machine_type, replica.work) and self._zone_takes(replica, machine):
+                return True
+        return False
+
+    def _zone_takes(self, replica: Attempt, machine: Machine) -> bool:
+        """Zone rules, with all attempts but the replica's own counted."""
+        sub = replica.work.record.sub
+        zones = Counter(
+            host.yard
+            for attempt in replica.work.attempts.values()
+            if attempt is not replica
+            and (host := self._registry.machines.get(attempt.machine)) is not None
+        )
+        if sub.oneZone and any(zone != machine.yard for zone in zones):
+            return False
+        most_in_a_zone = -(-sub.pieces // 2)
+        return not sub.scatter or zones[machine.yard] < most_in_a_zone
+
+
+def _takes(machine: Machine, machine_type: Build, work: Work) -> bool:
+    """Whether the job may run there, and what stays leaves room for one task of it."""
+    sub = work.record.sub
+    if not fits(sub, machine_type) or (machine.loaner and not sub.loaners):
+        return False
+    if sub.yard not in (None, machine.yard):
+        return False
+    rank = RANKS.index(sub.rank)
+    staying = [
+        attempt.work.record.sub
+        for attempt in machine.attempts.values()
+        if RANKS.index(attempt.work.record.sub.rank) <= rank
+    ]
+    return (
+        sum(other.vcpus for other in staying) + sub.vcpus <= machine_type.vcpus
+        and sum(other.gpus for other in staying) + sub.gpus <= machine_type.gpus
+        and sum(other.memoryGb for other in staying) + sub.memoryGb <= machine_type.memoryGb
+    )
--- a/spoolcourse/control/placement/backfill.py
+++ b/spoolcourse/control/placement/backfill.py
@@ -27,6 +27,10 @@
 
 RESERVED_MAX = 64  # pieces of the head that are protected
 
+# A machine that would do, the best first: group, seconds of fetching, replicas of the same service
+# there, free CPUs (or less them), and its number.
+_Choice = tuple[int, float, int, float, int]
+
 
 class _Guard(Room):
     """What is kept for the head on one node from a point in time on."""
@@ -129,7 +133,7 @@
 
     def _place(self, index: int, job: Job, wanted: int) -> int:
         zones = self._zones(job)
-        choices: list[tuple[int, float, float, int]] = []
+        choices: list[_Choice] = []
         fetch_blocked = False
         for number in self._open:
             node = self.s.nodes[number]
@@ -150,22 +154,25 @@
             group = node.rare + 2 * node.surplus
             if job.claim and delay > 0.0:
                 group += 4  # people wait: an image at hand counts most
-            choices.append((group, delay, free, number))
+            # Replicas of a service lie on different machines where that costs nothing, so that
+            # the loss of one machine takes one of them.
+            beside = job.replicas_on.get(number, 0)
+            choices.append((group, delay, beside, free, number))
         choices.sort()
         if job.one_zone and not job.held and choices:
             self._narrow(job, choices, wanted)
         placed = 0
         # Machines that must fetch the image get one piece each at first: the fetches run
         # side by side, and the more machines have an image, the sooner its next job starts.
-        for _, delay, _, number in choices:
+        for _, delay, _, _, number in choices:
             if placed >= wanted:
                 break
-            whole = delay == 0.0 or self.s.nodes[number].surplus
+            whole = (delay == 0.0 or self.s.nodes[number].surplus) and not job.service
             placed += self._put(index, job, number, wanted - placed if whole else 1)
-        for _, delay, _, number in choices:
+        for _, delay, _, _, number in choices:
             if placed >= wanted:
                 break
-            if delay > 0.0:
+            if delay > 0.0 or job.service:
                 placed += self._put(index, job, number, wanted - placed)
         if placed:
             self._open = [n for n in self._open if self._roomy(self.s.nodes[n])]
@@ -176,14 +183,14 @@
                 self._closed_zones |= zones
         return placed
 
-    def _narrow(self, job: Job, choices: list[tuple[int, float, float, int]], want: int) -> None:
+    def _narrow(self, job: Job, choices: list[_Choice], want: int) -> None:
         """Keep the zone that takes most of the job."""
         room: dict[int, int] = {}
         for *_, number in choices:
             node = self.s.nodes[number]
             room[node.zone] = room.get(node.zone, 0) + node.fit(job)
         best = max(room, key=lambda zone: (min(room[zone], want), -zone))
-        choices[:] = [c for c in choices if self.s.nodes[c[3]].zone == best]
+        choices[:] = [c for c in choices if self.s.nodes[c[-1]].zone == best]
 
     def _put(self, index: int, job: Job, number: int, wanted: int) -> int:
         node = self.s.nodes[number]
--- a/spoolcourse/control/placement/model.py
+++ b/spoolcourse/control/placement/model.py
@@ -106,6 +106,8 @@
     rank: int = 2
     claim: bool = False  # tasks may be stopped for it
     guaranteed: bool = False  # it fits into its team's guarantee
+    replicas_on: dict[int, int] = field(default_factory=dict)  # of a service: node, how many
+    service: bool = False
     ordinary_at: float = 0.0  # from then on ordinary machines may be rented for it
 
     def takes(self, build: int, loaner: bool) -> bool:
--- a/spoolcourse/control/placement/snapshot.py
+++ b/spoolcourse/control/placement/snapshot.py
@@ -216,6 +216,12 @@
             ordinary_at=self._ordinary_at(work),
         )
         job.claim = job.guaranteed or sub.standing or sub.lane in self._prompt_lanes
+        job.service = sub.standing
+        if sub.standing:
+            for attempt in work.attempts.values():
+                number = number_of.get(attempt.machine)
+                if number is not None:
+                    job.replicas_on[number] = job.replicas_on.get(number, 0) + 1
         if work.bad_machines:
             bad = [m for m, until in work.bad_machines.items() if until > now]
             job.avoid = frozenset(number_of[m] for m in bad if m in number_of)
--- a/spoolcourse/control/reign.py
+++ b/spoolcourse/control/reign.py
@@ -466,8 +466,12 @@
         sub = attempt.work.record.sub
         if sub.standing:
             # Its next place is ready sooner than its machine is proven gone, so it moves; but
-            # one replica at a time, and none while another is missing, as long as there is time.
-            late = left < 2 * self._params.workers.report_s + 1.0 or attempt.work.all_running
+            # one replica at a time, none while another is missing or while there is nowhere to
+            # go to, as long as there is time.
+            last_moment = left < 2 * self._params.workers.report_s + 1.0
+            late = last_moment or (
+                attempt.work.all_running and self.keeper.places.has_place_elsewhere(attempt)
+            )
         elif sub.markEveryS > 0:
             late = left < sub.markCostS + 2 * self._params.workers.report_s + 1.0
         else:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -208,3 +208,24 @@
     one = job(8, 2.0, one_zone=True, ordinary_at=0.0)
     hires = plan_hires([(one, 8)], [], [here, there], 100.0, [1000.0])
     assert [(h.offer.zone, h.count) for h in hires] == [(0, 2)]
+
+
+def test_replicas_of_a_service_lie_on_different_machines_where_that_costs_nothing() -> None:
+    def snapshot(*nodes: Node, pending: int = 2, on: dict[int, int] | None = None) -> Snapshot:
+        service = Job(pending, 2.0, 0.0, 2.0, 0, 1.0, 0, float("inf"))
+        service.service, service.replicas_on = True, on or {}
+        return Snapshot(0.0, [service], list(nodes), [Team(100.0, 0.0)], 1, 2, 16)
+
+    def node(cached: bool = True, cpus: float = 8.0) -> Node:
+        return Node(0, 0, False, cpus, 0.0, 32.0, 8.0, 1.0, images={0} if cached else set())
+
+    plan = place(snapshot(node(cpus=4.0), node()))
+    assert sorted((d.node, d.count) for d in plan.decisions) == [(0, 1), (1, 1)]
+    plan = place(snapshot(node(cpus=4.0), node(), pending=1, on={0: 1}))
+    assert [(d.node, d.count) for d in plan.decisions] == [(1, 1)]
+    # An image at hand counts more: a replica there is up sooner.
+    plan = place(snapshot(node(), node(cached=False), pending=1, on={0: 1}))
+    assert [(d.node, d.count) for d in plan.decisions] == [(0, 1)]
+    # With one machine all of them go there.
+    plan = place(snapshot(node(), pending=3))
+    assert sum(d.count for d in plan.decisions) == 3
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -183,6 +183,38 @@
     play(story())
 
 
+def test_on_a_notice_a_replica_stays_until_it_has_somewhere_to_go() -> None:
+    async def story() -> None:
+        world = World()
+        world.cloud.run_s = lambda task: 10_000.0
+        world.cloud.capacity = 2
+        for yard in ("a", "b"):
+            world.cloud.add(yard)
+        await asyncio.sleep(1)
+        await world.up()
+        await asyncio.sleep(5)
+        # Each machine is taken by one replica: there is no room for a second one.
+        assert (await world.submit(service(vcpus=8.0))).status == 201
+        await served(world)
+        worker = world.cloud.workers[world.cloud.starts[0][2]]
+        began = world.now()
+
+        def notice(left: float) -> None:
+            worker.recall = left
+            worker._changed.set()
+
+        while world.now() - began < 20.0:
+            notice(25.0 - (world.now() - began))
+            await asyncio.sleep(0.5)
+            assert len(world.cloud.on_machines("job-000001")) == 2
+        world.cloud.capacity = 3
+        world.cloud.add("a")
+        await world.until(lambda: len(world.cloud.starts) == 3, 20)
+        assert world.cloud.broken == []
+
+    play(story())
+
+
 def test_a_service_lives_through_a_change_of_leader_and_an_outage() -> None:
     async def story() -> None:
         world = await begin()
