--- a/spoolcourse/control/fleet/courier.py
+++ b/spoolcourse/control/fleet/command_dispatcher.py
@@ -10,7 +10,7 @@
 import asyncio
 import logging
 
-from spoolcourse.control.fleet.roster import Machine, Roster, start_order
+from spoolcourse.control.fleet.worker_registry import Machine, WorkerRegistry, start_order
 from spoolcourse.control.net import Net, NetError
 from spoolcourse.wire.messages import Malformed, Report, parse
 
@@ -22,10 +22,10 @@
 SPARE = 0.15  # of the sockets, for users, peers and what is under way
 
 
-class Courier:
-    def __init__(self, net: Net, roster: Roster, sockets: int = 0) -> None:
+class CommandDispatcher:
+    def __init__(self, net: Net, registry: WorkerRegistry, sockets: int = 0) -> None:
         self._net = net
-        self._roster = roster
+        self._registry = registry
         self._sockets = sockets
         self.wake = asyncio.Event()
         self._busy: dict[str, asyncio.Task[None]] = {}
@@ -35,7 +35,7 @@
             while True:
                 await self.wake.wait()
                 self.wake.clear()
-                for machine in self._roster.due(self._busy):
+                for machine in self._registry.due(self._busy):
                     if len(self._busy) >= AT_ONCE:
                         break  # whoever comes back sees to the rest
                     task = asyncio.get_running_loop().create_task(self._send(machine))
@@ -50,14 +50,14 @@
         workers' and users' new connections would fail."""
         if not self._sockets:
             return True
-        return 2 * len(self._roster.machines) < self._sockets * (1 - SPARE)
+        return 2 * len(self._registry.machines) < self._sockets * (1 - SPARE)
 
     async def _send(self, machine: Machine) -> None:
         try:
-            attempts = self._roster.take_fresh_starts(machine)
+            attempts = self._registry.take_fresh_starts(machine)
             shift = machine.shift
-            orders = self._roster.take_halts(machine) + [start_order(a) for a in attempts]
-            body = {"baton": self._roster.term, "shift": shift, "orders": orders}
+            orders = self._registry.take_halts(machine) + [start_order(a) for a in attempts]
+            body = {"baton": self._registry.term, "shift": shift, "orders": orders}
             try:
                 reply = await self._net.call(
                     machine.address,
@@ -76,9 +76,9 @@
             if reply.status in (200, 409) and report.spindle == machine.id:
                 for attempt in attempts:
                     attempt.loose = None
-                self._roster.observe(report)
+                self._registry.observe(report)
         finally:
             held_back = len(self._busy) >= AT_ONCE
             self._busy.pop(machine.id, None)
-            if held_back or machine.id in self._roster.errands:
+            if held_back or machine.id in self._registry.errands:
                 self.wake.set()
--- a/spoolcourse/control/fleet/roster.py
+++ b/spoolcourse/control/fleet/worker_registry.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from spoolcourse.control.jobs.works import Attempt, Work, Works
-from spoolcourse.control.leadership.currency import DRIFT
+from spoolcourse.control.jobs.job_queue import Attempt, JobQueue, JobState
+from spoolcourse.control.leadership.renewal_deadline import DRIFT
 from spoolcourse.wire.messages import Piece, Report, split_piece
 
 log = logging.getLogger(__name__)
@@ -81,12 +81,12 @@
         )
 
 
-class Roster:
+class WorkerRegistry:
     """All machines of the term."""
 
     def __init__(
         self,
-        works: Works,
+        works: JobQueue,
         term: int,
         lease_s: float,
         clock: Callable[[], float],
@@ -365,7 +365,7 @@
         self.drop(attempt)
 
     @staticmethod
-    def _replica_ended(work: Work, now: float) -> None:
+    def _replica_ended(work: JobState, now: float) -> None:
         """A service that keeps ending must not eat up the machines; people wait for it, so
         its pause is short, and over for good once a replica has run well for a while."""
         work.failures += 1
@@ -527,7 +527,7 @@
         return None
 
 
-def _grace(work: Work) -> float:
+def _grace(work: JobState) -> float:
     sub = work.record.sub
     return sub.markCostS + 1.0 if sub.markEveryS > 0 else 0.0
 
--- a/spoolcourse/control/jobs/book.py
+++ b/spoolcourse/control/jobs/job_index.py
@@ -19,7 +19,7 @@
     job_key,
     split_progress,
 )
-from spoolcourse.control.store.mirror import Mirror
+from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.messages import Submission
 
 FINALS_KEPT = 20_000
@@ -30,17 +30,17 @@
     """The job's record fits into no value of the state service."""
 
 
-class Book:
+class JobIndex:
     """Live jobs, and the most recent final states."""
 
-    def __init__(self, client: StoreClient, mirror: Mirror) -> None:
+    def __init__(self, client: StoreClient, watch_cache: WatchCache) -> None:
         self._client = client
-        self._mirror = mirror
+        self._watch_cache = watch_cache
         self.live: dict[str, JobRecord] = {}
         self.counts: dict[str, dict[int, tuple[int, int]]] = {}  # per chunk: done, held
         self.cancellations = Cancellations()
         self._finals: OrderedDict[str, dict[str, Any]] = OrderedDict()
-        mirror.listen(self._on_change)
+        watch_cache.listen(self._on_change)
 
     def _on_change(self, key: str, value: Any, stamp: int) -> None:
         if key.startswith(JOB):
@@ -131,7 +131,7 @@
         record = self.live.get(found.job)
         if record is not None and not record.aborted:
             aborted = replace(record, aborted_at=found.at)
-            self._mirror.apply(job_key(found.job), aborted.value(), found.stamp)
+            self._watch_cache.apply(job_key(found.job), aborted.value(), found.stamp)
 
     async def withdraw(self, job: str, at: float) -> bool:
         """Mark a live job aborted; False if it changed meanwhile (look again).
@@ -153,8 +153,8 @@
             entry = await self._client.get(key)
             if entry is None or entry.value != value:
                 raise
-            self._mirror.apply(key, entry.value, entry.stamp)
+            self._watch_cache.apply(key, entry.value, entry.stamp)
             return True
         if outcome.ok:
-            self._mirror.apply(key, value, outcome.ledger)
+            self._watch_cache.apply(key, value, outcome.ledger)
         return outcome.ok
--- a/spoolcourse/control/jobs/works.py
+++ b/spoolcourse/control/jobs/job_queue.py
@@ -17,7 +17,7 @@
 class Attempt:
     """One attempt at a piece. It exists until it is proven gone."""
 
-    work: Work
+    work: JobState
     piece: int
     number: int
     machine: str
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Work:
+class JobState:
     """A live job while this node leads."""
 
     record: JobRecord
@@ -158,17 +158,17 @@
             piece += 1
 
 
-class Works:
+class JobQueue:
     """All live jobs of the term, with the chunks that wait to be saved."""
 
     def __init__(self, chunk_pieces: int | None = None) -> None:
         self._chunk_pieces = chunk_pieces
-        self.jobs: dict[str, Work] = {}
+        self.jobs: dict[str, JobState] = {}
         self.dirty: dict[tuple[str, int], Chunk] = {}
         # Those of the dirty ones that hold back starts: they are written first. Results
         # can wait, for the workers keep them until they are durable.
         self.starting: dict[tuple[str, int], Chunk] = {}
-        self.finished: dict[str, Work] = {}
+        self.finished: dict[str, JobState] = {}
         self.on_dirty: Callable[[], None] = lambda: None
         # Attempts that outlive their job: a piece that an earlier attempt completed elsewhere
         # may still run. They count against their team until they are proven gone.
@@ -177,7 +177,7 @@
     def left_over(self) -> list[Attempt]:
         return list(self._outliving.values())
 
-    def touch(self, work: Work, chunk: Chunk) -> int:
+    def touch(self, work: JobState, chunk: Chunk) -> int:
         chunk.version += 1
         self.dirty[work.id, chunk.index] = chunk
         self.on_dirty()
@@ -188,7 +188,7 @@
         self.dirty.pop((job, index), None)
         self.starting.pop((job, index), None)
 
-    def assign(self, work: Work, piece: int, machine: str, number: int, now: float) -> Attempt:
+    def assign(self, work: JobState, piece: int, machine: str, number: int, now: float) -> Attempt:
         if piece in work.attempts or work.is_done(piece) or work.record.aborted:
             raise ValueError(f"{work.id}/{piece} is not free to start")
         chunk = work.chunk(piece)
@@ -199,7 +199,7 @@
         work.requeued.discard(piece)
         return attempt
 
-    def adopt(self, work: Work, piece: int, machine: str, number: int, now: float) -> Attempt:
+    def adopt(self, work: JobState, piece: int, machine: str, number: int, now: float) -> Attempt:
         """Take over an attempt that the records or a report show; it may be anywhere."""
         chunk = work.chunk(piece)
         version = chunk.version
@@ -227,7 +227,7 @@
             work.requeued.add(attempt.piece)
         self.check(work)
 
-    def complete(self, work: Work, piece: int) -> None:
+    def complete(self, work: JobState, piece: int) -> None:
         """The piece's result exists. Its attempt, if it is the one that ended, is dropped
         by the caller. A replica of a service has none, however it ended."""
         if work.record.sub.standing or work.is_done(piece):
@@ -239,23 +239,25 @@
         self.touch(work, chunk)
         self.check(work)
 
-    def check(self, work: Work) -> None:
+    def check(self, work: JobState) -> None:
         if work.finished and not work.final:
             self.finished[work.id] = work
             self.on_dirty()
 
-    def add(self, record: JobRecord, now: float) -> Work:
+    def add(self, record: JobRecord, now: float) -> JobState:
         work = self._begin(record, now)
         self.check(work)
         return work
 
-    def _begin(self, record: JobRecord, now: float) -> Work:
-        work = self.jobs[record.sub.id] = Work(record, waiting_since=now, cancelled_known_at=now)
+    def _begin(self, record: JobRecord, now: float) -> JobState:
+        work = self.jobs[record.sub.id] = JobState(
+            record, waiting_since=now, cancelled_known_at=now
+        )
         if self._chunk_pieces is not None and record.chunk > self._chunk_pieces:
             work.held_most = self._chunk_pieces
         return work
 
-    def remove(self, work: Work) -> None:
+    def remove(self, work: JobState) -> None:
         work.final = True
         for attempt in work.attempts.values():
             self._outliving[work.id, attempt.piece] = attempt
@@ -266,7 +268,7 @@
 
     def restore(
         self, record: JobRecord, now: float, saved: dict[int, tuple[Progress, int]]
-    ) -> Work:
+    ) -> JobState:
         """Rebuild from the records; attempts are open until their machines have spoken."""
         work = self._begin(record, now)
         for index, (progress, stamp) in saved.items():
--- a/spoolcourse/control/jobs/writer.py
+++ b/spoolcourse/control/jobs/writer.py
@@ -15,11 +15,11 @@
 
 import orjson
 
-from spoolcourse.control.jobs.works import Chunk, Work, Works
+from spoolcourse.control.jobs.job_queue import Chunk, JobQueue, JobState
 from spoolcourse.control.leadership.election import Office
 from spoolcourse.control.store.client import Delete, Outcome, Put, Refused, StoreClient, Unclear
 from spoolcourse.control.store.keys import TERM, final_key, job_key, progress_key
-from spoolcourse.control.store.mirror import Mirror
+from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.messages import RANKS
 
 log = logging.getLogger(__name__)
@@ -32,14 +32,14 @@
     def __init__(
         self,
         client: StoreClient,
-        mirror: Mirror,
-        works: Works,
+        watch_cache: WatchCache,
+        works: JobQueue,
         office: Office,
         depose: Callable[[str], None],
         on_saved: Callable[[], None],
     ) -> None:
         self._client = client
-        self._mirror = mirror
+        self._watch_cache = watch_cache
         self._works = works
         self._office = office
         self._depose = depose
@@ -88,7 +88,7 @@
     async def _save(self, keys: list[tuple[str, int]]) -> None:
         conditions = {TERM: self._office.stamp}
         ops: list[Put | Delete] = []
-        taken: list[tuple[Work, Chunk, int, Put]] = []
+        taken: list[tuple[JobState, Chunk, int, Put]] = []
         size = 0
         for job, index in keys:
             work = self._works.jobs.get(job)
@@ -135,7 +135,7 @@
             chunk.saved = version
             if chunk.version == version:
                 self._works.forget(work.id, chunk.index)
-            self._mirror.apply(put.key, put.value, outcome.ledger)
+            self._watch_cache.apply(put.key, put.value, outcome.ledger)
         self._on_saved()
 
     async def _finish_one(self) -> None:
@@ -165,10 +165,10 @@
                 await self._after_conflict(outcome)
                 return
             self._works.remove(work)
-            self._mirror.apply(final_key(work.id), value, outcome.ledger)
-            self._mirror.apply(key, None, outcome.ledger)
+            self._watch_cache.apply(final_key(work.id), value, outcome.ledger)
+            self._watch_cache.apply(key, None, outcome.ledger)
             for chunk in saved[:room]:
-                self._mirror.apply(progress_key(work.id, chunk.index), None, outcome.ledger)
+                self._watch_cache.apply(progress_key(work.id, chunk.index), None, outcome.ledger)
             log.info("%s is %s", work.id, stage)
             self._on_saved()
             await self.sweep([progress_key(work.id, c.index) for c in saved[room:]])
@@ -184,7 +184,7 @@
                 await self._after_conflict(outcome)
                 return
             for key in part:
-                self._mirror.apply(key, None, outcome.ledger)
+                self._watch_cache.apply(key, None, outcome.ledger)
 
     async def _commit(self, conditions: dict[str, int], ops: list[Put | Delete]) -> Outcome:
         try:
@@ -192,7 +192,7 @@
         except Unclear:
             # It may have been carried out, or may still be. Look; the same conditions
             # make sure that it and the next try can't both be carried out.
-            if not await self._mirror.sync():
+            if not await self._watch_cache.sync():
                 raise
             self._adopt()
             raise
@@ -202,20 +202,20 @@
             self._depose("a write was refused: the term has passed")
             raise Refused("deposed")
         log.debug("write conflict: %s", outcome.failed)
-        if not await self._mirror.sync():
+        if not await self._watch_cache.sync():
             raise Refused("no sync after a conflict")
         self._adopt()
 
     def _adopt(self) -> None:
         """Take over the stamps, and finished jobs, that the synced mirror shows."""
         for job, work in list(self._works.jobs.items()):
-            stamp = self._mirror.stamp(job_key(job))
+            stamp = self._watch_cache.stamp(job_key(job))
             if stamp == 0 and job in self._works.finished:
                 self._works.remove(work)
                 self._on_saved()
                 continue
             for chunk in work.chunks.values():
-                entry = self._mirror.get(progress_key(job, chunk.index))
+                entry = self._watch_cache.get(progress_key(job, chunk.index))
                 if entry is not None and entry.stamp != chunk.stamp:
                     chunk.stamp = entry.stamp
                     if entry.value == chunk.progress.value():
--- a/spoolcourse/control/reign.py
+++ b/spoolcourse/control/leader_term.py
@@ -11,28 +11,28 @@
 
 import orjson
 
-from spoolcourse.control.fleet.courier import Courier
-from spoolcourse.control.fleet.roster import Roster
-from spoolcourse.control.jobs.book import Book
+from spoolcourse.control.fleet.command_dispatcher import CommandDispatcher
+from spoolcourse.control.fleet.worker_registry import WorkerRegistry
+from spoolcourse.control.jobs.job_index import JobIndex
+from spoolcourse.control.jobs.job_queue import Attempt, JobQueue, JobState
 from spoolcourse.control.jobs.records import JobRecord, Progress, chunk_pieces
-from spoolcourse.control.jobs.works import Attempt, Work, Works
 from spoolcourse.control.jobs.writer import Writer
-from spoolcourse.control.leadership.currency import Currency
+from spoolcourse.control.leadership.cancellation_query import CancellationQuery
 from spoolcourse.control.leadership.election import Leadership, Office
-from spoolcourse.control.leadership.inquiry import Inquiry
-from spoolcourse.control.leadership.level import Level
+from spoolcourse.control.leadership.feature_level import FeatureLevel
+from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
 from spoolcourse.control.load import Load
+from spoolcourse.control.machines.autoscaler import FleetAutoscaler, Kind
 from spoolcourse.control.machines.cloud import Cloud
-from spoolcourse.control.machines.keeper import Keeper, Kind
 from spoolcourse.control.machines.planner import Offer, plan_hires, top_up
 from spoolcourse.control.net import Net, Reply, later
 from spoolcourse.control.placement.backfill import place
 from spoolcourse.control.placement.model import Plan, Snapshot
 from spoolcourse.control.placement.preempt import choose_victims
-from spoolcourse.control.placement.snapshot import Surveyor
+from spoolcourse.control.placement.snapshot_builder import SnapshotBuilder
 from spoolcourse.control.store.client import Put, Refused, StoreClient, Unclear
 from spoolcourse.control.store.keys import BASE, JOB, PROGRESS, TERM, split_progress
-from spoolcourse.control.store.mirror import Mirror
+from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.policy.keys import PolicySource
 from spoolcourse.wire.messages import Build, Host, Report
 from spoolcourse.wire.settings import Params, Seed
@@ -40,14 +40,14 @@
 log = logging.getLogger(__name__)
 
 
-class Reign:
+class LeaderTerm:
     def __init__(
         self,
         office: Office,
         leadership: Leadership,
         client: StoreClient,
-        mirror: Mirror,
-        book: Book,
+        watch_cache: WatchCache,
+        job_index: JobIndex,
         net: Net,
         cloud: Cloud,
         seeds: list[Seed],
@@ -62,8 +62,8 @@
         self._seeds = seeds
         self._office = office
         self._leadership = leadership
-        self._mirror = mirror
-        self._book = book
+        self._watch_cache = watch_cache
+        self._job_index = job_index
         self._params = params
         self._policy_source = policy_source
         policy = self._policy = policy_source.initial()
@@ -72,15 +72,15 @@
         self._builds = builds
         self._wall = wall
         self._clock = asyncio.get_running_loop().time
-        self.currency = Currency(params.workers)
+        self.renewal_deadline = RenewalDeadline(params.workers)
         self._renews = True
-        self._inquiry = Inquiry(
+        self._cancellation_query = CancellationQuery(
             net,
             seeds,
             office,
-            mirror,
-            book,
-            self.currency,
+            watch_cache,
+            job_index,
+            self.renewal_deadline,
             self._clock,
             leadership.depose,
         )
@@ -88,8 +88,8 @@
         self._heard_direct = self._clock()
         self._wake = asyncio.Event()
         self.ready = asyncio.Event()
-        self.works = Works(chunk_pieces(params.state.least.value_kb))
-        self.roster = Roster(
+        self.works = JobQueue(chunk_pieces(params.state.least.value_kb))
+        self.registry = WorkerRegistry(
             self.works,
             office.term,
             params.workers.lease_s,
@@ -98,14 +98,18 @@
             self._over,
             self._wake.set,
         )
-        self.roster.disk_gb = self._disk_gb
-        self.roster.quiet_s = params.workers.quiet_s
-        self.courier = Courier(net, self.roster, params.machine_limits.sockets)
-        self.writer = Writer(client, mirror, self.works, office, leadership.depose, self._on_saved)
-        self.keeper = Keeper(
+        self.registry.disk_gb = self._disk_gb
+        self.registry.quiet_s = params.workers.quiet_s
+        self.command_dispatcher = CommandDispatcher(
+            net, self.registry, params.machine_limits.sockets
+        )
+        self.writer = Writer(
+            client, watch_cache, self.works, office, leadership.depose, self._on_saved
+        )
+        self.autoscaler = FleetAutoscaler(
             net,
             cloud,
-            self.roster,
+            self.registry,
             policy,
             builds,
             self._clock,
@@ -113,11 +117,11 @@
             params,
             wall,
         )
-        self._surveyor = Surveyor(self.works, self.roster, params, policy)
-        self.keeper.is_rare = lambda build: self._surveyor.is_rare(build, self._clock())
-        self.keeper.base = self._base
-        self.keeper.on_list = self._store_base
-        self.keeper.on_summary = self._log_waiting
+        self._snapshot_builder = SnapshotBuilder(self.works, self.registry, params, policy)
+        self.autoscaler.is_rare = lambda build: self._snapshot_builder.is_rare(build, self._clock())
+        self.autoscaler.base = self._base
+        self.autoscaler.on_list = self._store_base
+        self.autoscaler.on_summary = self._log_waiting
         self._client = client
         self._tasks: list[asyncio.Task[None]] = []
         self._why: dict[str, str] = {}
@@ -126,8 +130,12 @@
 
     def start(self) -> None:
         self._spawn(self._take_over())
-        self._spawn(self._inquiry.run())
-        self._spawn(Level(self._net, self._client, self._mirror, self._seeds, self._office).run())
+        self._spawn(self._cancellation_query.run())
+        self._spawn(
+            FeatureLevel(
+                self._net, self._client, self._watch_cache, self._seeds, self._office
+            ).run()
+        )
 
     def stop(self) -> None:
         for task in self._tasks:
@@ -146,22 +154,22 @@
             self._leadership.depose("a loop failed")
 
     async def _take_over(self) -> None:
-        while not await self._mirror.sync():
+        while not await self._watch_cache.sync():
             await asyncio.sleep(0.1)
         now = self._clock()
         saved: dict[str, dict[int, tuple[Progress, int]]] = {}
         orphans = []
-        for entry in self._mirror.below(PROGRESS):
+        for entry in self._watch_cache.below(PROGRESS):
             job, chunk = split_progress(entry.key)
-            if job in self._book.live:
+            if job in self._job_index.live:
                 saved.setdefault(job, {})[chunk] = (Progress.from_value(entry.value), entry.stamp)
             else:
                 orphans.append(entry.key)
-        for job, record in self._book.live.items():
+        for job, record in self._job_index.live.items():
             work = self.works.restore(record, now, saved.get(job, {}))
             work.waiting_since = now - max(0.0, self._wall() - record.at)
             for attempt in work.attempts.values():
-                self.roster.link(attempt)
+                self.registry.link(attempt)
         log.info(
             "term %d: took over %d jobs, %d attempts to find",
             self._office.term,
@@ -170,10 +178,10 @@
         )
         self.ready.set()
         self._spawn(self.writer.run())
-        self._spawn(self.courier.run())
-        self._spawn(self.keeper.list_loop())
-        self._spawn(self.keeper.rent_loop())
-        self._spawn(self.keeper.return_loop())
+        self._spawn(self.command_dispatcher.run())
+        self._spawn(self.autoscaler.list_loop())
+        self._spawn(self.autoscaler.rent_loop())
+        self._spawn(self.autoscaler.return_loop())
         self._spawn(self._pass_loop())
         self._spawn(self._drain_loop())
         if orphans:
@@ -187,7 +195,7 @@
 
     def _on_saved(self) -> None:
         self._wake.set()
-        self.courier.wake.set()
+        self.command_dispatcher.wake.set()
 
     # -- what may be done ---------------------------------------------------------------
 
@@ -195,8 +203,8 @@
         return self._leadership.valid()
 
     def _may_renew(self) -> bool:
-        self.currency.synced(self._mirror.synced_at)
-        may = self.currency.may_renew(self._clock())
+        self.renewal_deadline.synced(self._watch_cache.synced_at)
+        may = self.renewal_deadline.may_renew(self._clock())
         if may != self._renews:
             self._renews = may
             log.warning(
@@ -208,15 +216,17 @@
 
     def _over(self, job: str) -> bool:
         """True if the job can't be live: every start was preceded by its record."""
-        return self.ready.is_set() and job not in self._book.live and job not in self.works.jobs
+        return (
+            self.ready.is_set() and job not in self._job_index.live and job not in self.works.jobs
+        )
 
     def _base(self) -> frozenset[str]:
-        entry = self._mirror.get(BASE)
+        entry = self._watch_cache.get(BASE)
         return frozenset(entry.value["machines"]) if entry is not None else frozenset()
 
     async def _store_base(self, hosts: list[Host]) -> None:
         """Once and for all, at the first list that any leader ever gets."""
-        if self._mirror.get(BASE) is not None:
+        if self._watch_cache.get(BASE) is not None:
             return
         names = [h.id for h in hosts if not h.loaners and h.stage == "running"]
         value = {"machines": names if self._office.term == 1 else []}
@@ -229,7 +239,7 @@
             log.info("the fleet found at the start is not noted yet: %s", exc)
             return
         if outcome.ok:
-            self._mirror.apply(BASE, value, outcome.ledger)
+            self._watch_cache.apply(BASE, value, outcome.ledger)
 
     def _disk_gb(self, build: str) -> float:
         known = self._builds().get(build)
@@ -259,7 +269,7 @@
         if not key.startswith(JOB) or not self.ready.is_set():
             return
         job = key[len(JOB) :]
-        record = self._book.live.get(job)
+        record = self._job_index.live.get(job)
         work = self.works.jobs.get(job)
         if record is None:
             return
@@ -269,17 +279,17 @@
             self._update(work, record)
         self._wake.set()
 
-    def _update(self, work: Work, record: JobRecord) -> None:
+    def _update(self, work: JobState, record: JobRecord) -> None:
         was_aborted = work.record.aborted
         work.record = record
         if record.aborted and not was_aborted:
             work.cancelled_known_at = self._clock()
             for attempt in list(work.attempts.values()):
                 if attempt.never_sent:
-                    self.roster.drop(attempt)  # never sent, and won't be
+                    self.registry.drop(attempt)  # never sent, and won't be
                 else:
-                    self.roster.halt(attempt)
-            self.courier.wake.set()
+                    self.registry.halt(attempt)
+            self.command_dispatcher.wake.set()
             self.works.check(work)
 
     # -- workers ------------------------------------------------------------------------
@@ -297,10 +307,10 @@
         if not self._may_renew():
             # What others have confirmed as cancelled must be gone in time, though this node
             # can't hear of it: from here on the leases run out.
-            self.roster.overhear(report)
+            self.registry.overhear(report)
             return later("may not know of cancellations")
         with self._load.spent("report"):
-            orders = self.roster.accept(report)
+            orders = self.registry.accept(report)
         if direct and orders is not None:
             self._heard_direct = self._clock()
         if orders is None:
@@ -356,28 +366,28 @@
         if not builds:
             return
         with self._load.spent("snapshot"):
-            snapshot = self._surveyor.take(now, builds)
+            snapshot = self._snapshot_builder.take(now, builds)
         held = sum(w.record.sub.vcpus * len(w.attempts) for w in self.works.jobs.values())
         room = [team.cpus for team in snapshot.teams]
         with self._load.spent("place"):
             plan = place(snapshot)
         self.passes += 1
-        self._why = {self._surveyor.works[i].id: why for i, why in plan.why.items()}
+        self._why = {self._snapshot_builder.works[i].id: why for i, why in plan.why.items()}
         missing = sum(snapshot.jobs[i].cpus * count for i, count in plan.unplaced.items())
         placed = sum(snapshot.jobs[d.job].cpus * d.count for d in plan.decisions)
         wanted = held + placed + missing
-        self.keeper.demand.note(now, wanted)
+        self.autoscaler.demand.note(now, wanted)
         self._refresh_policy(snapshot, wanted)
         for decision in plan.decisions:
-            work = self._surveyor.works[decision.job]
-            machine = self._surveyor.machines[decision.node]
+            work = self._snapshot_builder.works[decision.job]
+            machine = self._snapshot_builder.machines[decision.node]
             chosen = list(islice(work.candidates(), decision.count))
             for piece in chosen:
                 self._attempts += 1
                 number = (self._office.term << 24) + self._attempts
                 attempt = self.works.assign(work, piece, machine.id, number, now)
-                attempt.first = work.id in self._surveyor.unbegun
-                self.roster.link(attempt)
+                attempt.first = work.id in self._snapshot_builder.unbegun
+                self.registry.link(attempt)
             log.debug("%s: %d pieces to %s", work.id, len(chosen), machine.id)
         with self._load.spent("stop"):
             self._stop_for_claims(snapshot, plan)
@@ -385,13 +395,13 @@
 
     def _stop_for_claims(self, snapshot: Snapshot, plan: Plan) -> None:
         chosen = choose_victims(snapshot, plan, self._policy.preempt_patience_s)
-        for attempt in self._surveyor.attempts(chosen) if chosen else ():
+        for attempt in self._snapshot_builder.attempts(chosen) if chosen else ():
             log.info("%s/%d: stopped to make room", attempt.work.id, attempt.piece)
             if attempt.never_sent:
-                self.roster.drop(attempt)
+                self.registry.drop(attempt)
             else:
-                self.roster.halt(attempt)
-                self.courier.wake.set()
+                self.registry.halt(attempt)
+                self.command_dispatcher.wake.set()
 
     def _plan_machines(
         self,
@@ -401,15 +411,15 @@
         now: float,
         builds: dict[str, Build],
     ) -> None:
-        if self.keeper.wanted or self.keeper.renting:
+        if self.autoscaler.wanted or self.autoscaler.renting:
             return
-        short = self.keeper.short(now)
+        short = self.autoscaler.short(now)
         if not plan.unplaced and short <= 0:
             return
         offers = [
             Offer(
-                self._surveyor.builds.of(b.name),
-                self._surveyor.zones.of(yard),
+                self._snapshot_builder.builds.of(b.name),
+                self._snapshot_builder.zones.of(yard),
                 loaner,
                 b.vcpus,
                 b.gpus,
@@ -421,25 +431,25 @@
             for yard in b.yards
             if yard in self._params.zones
             for loaner in (True, False)
-            if self.keeper.open_for_hire(Kind(b.name, yard, loaner))
+            if self.autoscaler.open_for_hire(Kind(b.name, yard, loaner))
         ]
         demand = [(snapshot.jobs[i], count) for i, count in plan.unplaced.items()]
         hires = plan_hires(demand, snapshot.nodes, offers, now, room)
         short -= sum(h.count * h.offer.cpus for h in hires)
         hires += top_up(short, offers)
         if hires:
-            self.keeper.wanted = [
+            self.autoscaler.wanted = [
                 (
                     Kind(
-                        self._surveyor.builds.names[h.offer.build],
-                        self._surveyor.zones.names[h.offer.zone],
+                        self._snapshot_builder.builds.names[h.offer.build],
+                        self._snapshot_builder.zones.names[h.offer.zone],
                         h.offer.loaner,
                     ),
                     h.count,
                 )
                 for h in hires
             ]
-            self.keeper.wake.set()
+            self.autoscaler.wake.set()
 
     # -- machines about to be taken -------------------------------------------------------
 
@@ -447,7 +457,7 @@
         while True:
             await asyncio.sleep(0.5)
             now = self._clock()
-            for machine in list(self.roster.machines.values()):
+            for machine in list(self.registry.machines.values()):
                 if machine.recall_at is None:
                     continue
                 left = machine.recall_at - now
@@ -461,7 +471,7 @@
             return
         if attempt.stage == "assigned":
             if attempt.never_sent:
-                self.roster.drop(attempt)
+                self.registry.drop(attempt)
             return
         sub = attempt.work.record.sub
         if sub.standing:
@@ -470,12 +480,12 @@
             # go to, as long as there is time.
             last_moment = left < 2 * self._params.workers.report_s + 1.0
             late = last_moment or (
-                attempt.work.all_running and self.keeper.places.has_place_elsewhere(attempt)
+                attempt.work.all_running and self.autoscaler.places.has_place_elsewhere(attempt)
             )
         elif sub.markEveryS > 0:
             late = left < sub.markCostS + 2 * self._params.workers.report_s + 1.0
         else:
             elapsed = now - attempt.since if attempt.stage == "running" else 0.0
-            late = self._surveyor.estimate(attempt.work) - elapsed > 1.5 * left
+            late = self._snapshot_builder.estimate(attempt.work) - elapsed > 1.5 * left
         if late:
-            self.roster.halt(attempt)
+            self.registry.halt(attempt)
--- a/spoolcourse/control/leadership/inquiry.py
+++ b/spoolcourse/control/leadership/cancellation_query.py
@@ -11,13 +11,13 @@
 
 import msgspec
 
-from spoolcourse.control.jobs.book import Book
 from spoolcourse.control.jobs.cancellations import Cancellation
-from spoolcourse.control.leadership.currency import Currency
+from spoolcourse.control.jobs.job_index import JobIndex
 from spoolcourse.control.leadership.election import Office
+from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
 from spoolcourse.control.net import Net, NetError
 from spoolcourse.control.store.keys import TERM
-from spoolcourse.control.store.mirror import Mirror
+from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.messages import Malformed, parse
 from spoolcourse.wire.settings import Seed
 
@@ -29,7 +29,7 @@
 TIMEOUT_S = 1.0
 
 
-class Testimony(msgspec.Struct, frozen=True):
+class CancellationReply(msgspec.Struct, frozen=True):
     """What a controller answers. `cancelled` is null if it may have forgotten some."""
 
     term: int
@@ -37,67 +37,67 @@
     cancelled: list[Cancellation] | None
 
 
-def testify(book: Book, mirror: Mirror, query: str) -> dict[str, Any]:
+def answer_query(job_index: JobIndex, watch_cache: WatchCache, query: str) -> dict[str, Any]:
     """The answer to a leader that knows everything up to the revision it names."""
     name, _, text = query.partition("=")
     if name != "beyond" or not text.isascii() or not text.isdigit():
         raise Malformed("beyond: a revision is needed")
-    term = mirror.get(TERM)
-    told = Testimony(
+    term = watch_cache.get(TERM)
+    told = CancellationReply(
         term.value["term"] if term is not None else 0,
-        mirror.synced_at > float("-inf"),
-        book.cancellations.beyond(int(text)),
+        watch_cache.synced_at > float("-inf"),
+        job_index.cancellations.beyond(int(text)),
     )
     found: dict[str, Any] = msgspec.to_builtins(told)
     return found
 
 
-class Inquiry:
+class CancellationQuery:
     def __init__(
         self,
         net: Net,
         seeds: list[Seed],
         office: Office,
-        mirror: Mirror,
-        book: Book,
-        currency: Currency,
+        watch_cache: WatchCache,
+        job_index: JobIndex,
+        renewal_deadline: RenewalDeadline,
         clock: Callable[[], float],
         depose: Callable[[str], None],
     ) -> None:
         self._net = net
         self._seeds = seeds
         self._office = office
-        self._mirror = mirror
-        self._book = book
-        self._currency = currency
+        self._watch_cache = watch_cache
+        self._job_index = job_index
+        self._renewal_deadline = renewal_deadline
         self._clock = clock
         self._depose = depose
 
     async def run(self) -> None:
         while True:
             await asyncio.sleep(PERIOD_S)
-            if self._clock() - self._mirror.synced_at > LATE_S:
+            if self._clock() - self._watch_cache.synced_at > LATE_S:
                 await self.ask()
 
     async def ask(self) -> None:
         asked = self._clock()
-        path = f"{PATH}?beyond={self._mirror.ledger}"
+        path = f"{PATH}?beyond={self._watch_cache.ledger}"
         told = await asyncio.gather(*(self._ask(seed, path) for seed in self._seeds))
-        for testimony in told:
-            if testimony is not None and testimony.term > self._office.term:
-                self._depose(f"a peer knows of term {testimony.term}")
+        for reply in told:
+            if reply is not None and reply.term > self._office.term:
+                self._depose(f"a peer knows of term {reply.term}")
                 return
-        for testimony in told:
-            for found in (testimony and testimony.cancelled) or ():
-                self._book.learn_cancelled(found)
-        self._currency.vouched(
+        for reply in told:
+            for found in (reply and reply.cancelled) or ():
+                self._job_index.learn_cancelled(found)
+        self._renewal_deadline.vouched(
             asked, [t is not None and t.informed and t.cancelled is not None for t in told]
         )
 
-    async def _ask(self, seed: Seed, path: str) -> Testimony | None:
+    async def _ask(self, seed: Seed, path: str) -> CancellationReply | None:
         try:
             reply = await self._net.call(seed.endpoint, "GET", path, timeout=TIMEOUT_S)
-            return parse(reply.data, Testimony) if reply.status == 200 else None
+            return parse(reply.data, CancellationReply) if reply.status == 200 else None
         except (NetError, Malformed) as exc:
             log.debug("%s does not say what it knows of cancellations: %s", seed.label, exc)
             return None
--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -14,10 +14,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from spoolcourse.control.leadership.currency import DRIFT
+from spoolcourse.control.leadership.renewal_deadline import DRIFT
 from spoolcourse.control.store.client import LeaseGone, Put, Refused, StoreClient, Unclear
 from spoolcourse.control.store.keys import LEADER, TERM
-from spoolcourse.control.store.mirror import Mirror
+from spoolcourse.control.store.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
 
@@ -37,13 +37,13 @@
     def __init__(
         self,
         client: StoreClient,
-        mirror: Mirror,
+        watch_cache: WatchCache,
         label: str,
         run_id: str,
         ttl_s: float = 2.5,
     ) -> None:
         self._client = client
-        self._mirror = mirror
+        self._watch_cache = watch_cache
         self._label = label
         self._run_id = run_id
         self._ttl_s = ttl_s
@@ -54,18 +54,18 @@
         self._deposed = asyncio.Event()
         self.on_elected: Callable[[Office], None] = lambda office: None
         self.on_deposed: Callable[[], None] = lambda: None
-        mirror.listen(self._on_change)
+        watch_cache.listen(self._on_change)
 
     @property
     def foreman(self) -> str | None:
         """The label of the leader as far as this node knows."""
-        entry = self._mirror.get(LEADER)
+        entry = self._watch_cache.get(LEADER)
         return entry.value["label"] if entry else None
 
     @property
     def informed(self) -> bool:
         """Whether this node would have heard of a change of leader by now."""
-        silence = asyncio.get_running_loop().time() - self._mirror.synced_at
+        silence = asyncio.get_running_loop().time() - self._watch_cache.synced_at
         return silence < 2 * self._ttl_s
 
     def valid(self) -> bool:
@@ -94,20 +94,20 @@
     async def run(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            await self._mirror.loaded.wait()
+            await self._watch_cache.loaded.wait()
             if self.office is not None:
                 await self._lead()
                 continue
             self._changed.clear()
-            entry = self._mirror.get(LEADER)
+            entry = self._watch_cache.get(LEADER)
             if entry is not None and not self._is_former_self(entry.value):
                 # Wake for a change; look again now and then in case the watch hangs.
                 try:
                     async with asyncio.timeout(self._ttl_s):
                         await self._changed.wait()
                 except TimeoutError:
-                    if loop.time() - self._mirror.synced_at > self._ttl_s:
-                        await self._mirror.sync()
+                    if loop.time() - self._watch_cache.synced_at > self._ttl_s:
+                        await self._watch_cache.sync()
                 continue
             try:
                 await self._stand()
@@ -122,9 +122,9 @@
 
     async def _stand(self) -> None:
         loop = asyncio.get_running_loop()
-        if not await self._mirror.sync():
+        if not await self._watch_cache.sync():
             raise Unclear("the state service did not answer")
-        entry, term = self._mirror.get(LEADER), self._mirror.get(TERM)
+        entry, term = self._watch_cache.get(LEADER), self._watch_cache.get(TERM)
         if entry is not None and not self._is_former_self(entry.value):
             return
         number = (term.value["term"] if term else 0) + 1
@@ -146,7 +146,7 @@
                 urgent=True,
             )
             if not outcome.ok:
-                await self._mirror.sync()
+                await self._watch_cache.sync()
                 return
             stamp = outcome.ledger
         except Unclear:
@@ -155,8 +155,8 @@
             if found is None or found.value != tenure:
                 raise
             stamp = found.stamp
-        self._mirror.apply(LEADER, claim, stamp)
-        self._mirror.apply(TERM, tenure, stamp)
+        self._watch_cache.apply(LEADER, claim, stamp)
+        self._watch_cache.apply(TERM, tenure, stamp)
         self.office = Office(number, stamp, lease)
         self.terms += 1
         self._deposed.clear()
--- a/spoolcourse/control/leadership/level.py
+++ b/spoolcourse/control/leadership/feature_level.py
@@ -14,7 +14,7 @@
 from spoolcourse.control.net import Net, NetError
 from spoolcourse.control.store.client import Put, Refused, StoreClient, Unclear
 from spoolcourse.control.store.keys import LEVEL, TERM
-from spoolcourse.control.store.mirror import Mirror
+from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.settings import Seed
 
 log = logging.getLogger(__name__)
@@ -28,26 +28,31 @@
     return {"level": STANDING}
 
 
-def all_new(mirror: Mirror) -> bool:
+def all_new(watch_cache: WatchCache) -> bool:
     """Whether this node has seen it noted."""
-    entry = mirror.get(LEVEL)
+    entry = watch_cache.get(LEVEL)
     return entry is not None and entry.value["level"] >= STANDING
 
 
-class Level:
+class FeatureLevel:
     """The leader's loop; it ends once it is noted."""
 
     def __init__(
-        self, net: Net, client: StoreClient, mirror: Mirror, seeds: list[Seed], office: Office
+        self,
+        net: Net,
+        client: StoreClient,
+        watch_cache: WatchCache,
+        seeds: list[Seed],
+        office: Office,
     ) -> None:
         self._net = net
         self._client = client
-        self._mirror = mirror
+        self._watch_cache = watch_cache
         self._seeds = seeds
         self._office = office
 
     async def run(self) -> None:
-        while not all_new(self._mirror):
+        while not all_new(self._watch_cache):
             if all(await asyncio.gather(*(self._knows(seed) for seed in self._seeds))):
                 await self._note()
             await asyncio.sleep(PERIOD_S)
@@ -63,14 +68,14 @@
 
     async def _note(self) -> None:
         value = {"level": STANDING}
-        conditions = {LEVEL: self._mirror.stamp(LEVEL), TERM: self._office.stamp}
+        conditions = {LEVEL: self._watch_cache.stamp(LEVEL), TERM: self._office.stamp}
         try:
             outcome = await self._client.txn(conditions, [Put(LEVEL, value)])
         except (Refused, Unclear) as exc:
             log.info("that all controllers are new is not noted yet: %s", exc)
             return
         if outcome.ok:
-            self._mirror.apply(LEVEL, value, outcome.ledger)
+            self._watch_cache.apply(LEVEL, value, outcome.ledger)
             log.info("all controllers are new: services are taken")
         else:
-            await self._mirror.sync()
+            await self._watch_cache.sync()
--- a/spoolcourse/control/leadership/currency.py
+++ b/spoolcourse/control/leadership/renewal_deadline.py
@@ -19,7 +19,7 @@
 MARGIN_S = 1.5  # for the worker to end what it has, and whatever else takes its time
 
 
-class Currency:
+class RenewalDeadline:
     def __init__(self, workers: Workers) -> None:
         self.window_s = workers.cancel_s * (1 - DRIFT) - workers.lease_s * (1 + DRIFT) - MARGIN_S
         self.known_to = float("-inf")
--- a/spoolcourse/control/machines/keeper.py
+++ b/spoolcourse/control/machines/autoscaler.py
@@ -11,7 +11,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from spoolcourse.control.fleet.roster import Machine, Roster
+from spoolcourse.control.fleet.worker_registry import Machine, WorkerRegistry
 from spoolcourse.control.load import SUMMARY_S
 from spoolcourse.control.machines.cancelled import Cancelled
 from spoolcourse.control.machines.cloud import DELETE_MAX, Cloud, CloudError, NoCapacity
@@ -43,12 +43,12 @@
     pause: float
 
 
-class Keeper:
+class FleetAutoscaler:
     def __init__(
         self,
         net: Net,
         cloud: Cloud,
-        roster: Roster,
+        registry: WorkerRegistry,
         policy: Policy,
         builds: Callable[[], dict[str, Build]],
         clock: Callable[[], float],
@@ -58,7 +58,7 @@
     ) -> None:
         self._net = net
         self._cloud = cloud
-        self._roster = roster
+        self._registry = registry
         self._policy = policy
         self._builds = builds
         self._clock = clock
@@ -66,10 +66,10 @@
         self._workers = params.workers
         self._list_lag_s = params.cloud.list_lag_s
         self._cancelled = Cancelled(
-            roster.works, params.workers, params.skew_ms / 1000, clock, wall
+            registry.works, params.workers, params.skew_ms / 1000, clock, wall
         )
-        self.places = ReplicaPlaces(roster, params.workers, clock, builds)
-        self._early = EarlyDeletion(roster, self.places, params.workers, clock)
+        self.places = ReplicaPlaces(registry, params.workers, clock, builds)
+        self._early = EarlyDeletion(registry, self.places, params.workers, clock)
         self._hires = 0
         self.demand = Demand(KEYS["keep_s"].high)
         # Machines that were there before the service first ran: the operators chose to
@@ -101,9 +101,9 @@
 
     def take_list(self, hosts: list[Host], now: float) -> None:
         for host in hosts:
-            if host.id in self._roster.buried:
+            if host.id in self._registry.buried:
                 continue
-            machine = self._roster.machine(host.id)
+            machine = self._registry.machine(host.id)
             if host.stage == "running" and machine.listed != "running":
                 machine.running_at = now
             machine.listed = host.stage
@@ -128,7 +128,7 @@
             m
             for h in hosts
             if h.stage == "running"
-            and (m := self._roster.machines.get(h.id)) is not None
+            and (m := self._registry.machines.get(h.id)) is not None
             and not m.confirmed
             and not m.silent_proof  # it has spoken under it, and will come by itself
             and m.address
@@ -146,13 +146,13 @@
         try:
             shown = await self._net.call(machine.address, "GET", "/show", timeout=1.0, keep=False)
             report = parse(shown.data, Report)
-            body = {"baton": self._roster.term, "shift": report.shift, "orders": []}
+            body = {"baton": self._registry.term, "shift": report.shift, "orders": []}
             reply = await self._net.call(
                 machine.address, "POST", "/orders", body, timeout=1.0, keep=False
             )
             report = parse(reply.data, Report)
             if report.spindle == machine.id:
-                self._roster.observe(report)
+                self._registry.observe(report)
         except (NetError, Malformed) as exc:
             log.debug("%s: baton not raised: %s", machine.id, exc)
 
@@ -176,7 +176,7 @@
     async def _rent(self, kind: Kind, count: int) -> None:
         # The name holds the term, so no other leader uses it, nor does this one again.
         self._hires += 1
-        name = f"t{self._roster.term}-{self._hires}"
+        name = f"t{self._registry.term}-{self._hires}"
         for _ in range(3):
             asked = self._clock()
             try:
@@ -189,9 +189,9 @@
                 await asyncio.sleep(0.5)
                 continue
             for machine_name in names:
-                if machine_name in self._roster.buried:
+                if machine_name in self._registry.buried:
                     continue
-                machine = self._roster.machine(machine_name)
+                machine = self._registry.machine(machine_name)
                 machine.build, machine.yard, machine.loaner = kind.build, kind.yard, kind.loaner
                 machine.rented_at = asked
                 if machine.heard_at is None:
@@ -224,7 +224,7 @@
     def _log_fleet(self) -> None:
         """What is there and what it does, for the operators."""
         found: dict[tuple[str, bool], list[float]] = {}
-        for m in self._roster.machines.values():
+        for m in self._registry.machines.values():
             row = found.setdefault((m.build or "?", bool(m.loaner)), [0, 0, 0.0, 0.0, 0, 0])
             row[0] += 1
             row[1] += m.heard_at is None
@@ -250,7 +250,7 @@
         logged_at = float("-inf")
         while True:
             await asyncio.sleep(1.0)
-            self._roster.expire()
+            self._registry.expire()
             if log.isEnabledFor(logging.INFO) and self._clock() - logged_at > SUMMARY_S:
                 logged_at = self._clock()
                 self._log_fleet()
@@ -259,20 +259,22 @@
             if not names:
                 continue
             for name in names:
-                self._roster.machines[name].deleting = True
+                self._registry.machines[name].deleting = True
             try:
                 await self._cloud.delete(names)
             except (CloudError, NoCapacity) as exc:
                 log.info("deletion: %s", exc)
                 continue
             for name in names:
-                self._roster.gone(name)
+                self._registry.gone(name)
 
     def isolated(self) -> bool:
         """Most machines silent at once: more likely we are cut off than they are dead."""
-        known = [m for m in self._roster.machines.values() if m.heard_at is not None]
+        known = [m for m in self._registry.machines.values() if m.heard_at is not None]
         quiet = sum(
-            1 for m in known if not m.confirmed or m.deaf_since is not None or self._roster.quiet(m)
+            1
+            for m in known
+            if not m.confirmed or m.deaf_since is not None or self._registry.quiet(m)
         )
         return len(known) >= 3 and quiet * 2 > len(known)
 
@@ -287,7 +289,7 @@
         names = []
         spare = -self.short(now)
         self.mark_surplus(now)
-        for machine in self._roster.machines.values():
+        for machine in self._registry.machines.values():
             reason = self._reason(machine, now, isolated, overdue)
             if reason is None and machine.id in early:
                 reason = "it is silent, and replicas wait for a proof that they are gone"
@@ -348,7 +350,7 @@
         size = {build.name: build.vcpus for build in self._builds().values()}  # asked every pass
         return sum(
             size.get(m.build or "", 0.0)
-            for m in self._roster.machines.values()
+            for m in self._registry.machines.values()
             if m.placeable or (m.heard_at is None and not m.deleting and m.listed != "failed")
         )
 
@@ -362,7 +364,7 @@
         base = self.base()
         ordinary = [
             m
-            for m in self._roster.machines.values()
+            for m in self._registry.machines.values()
             if m.loaner is False and m.placeable and m.id not in base
         ]
         # Those already marked stay marked if possible: they have run emptier since.
--- a/spoolcourse/control/machines/cancelled.py
+++ b/spoolcourse/control/machines/cancelled.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Callable
 
-from spoolcourse.control.fleet.roster import Machine
-from spoolcourse.control.jobs.works import Works
+from spoolcourse.control.fleet.worker_registry import Machine
+from spoolcourse.control.jobs.job_queue import JobQueue
 from spoolcourse.wire.settings import Workers
 
 SHARE = 0.4  # of `cancel_s`: its tasks should have ended by then, and a deletion may need retries
@@ -18,7 +18,7 @@
 class Cancelled:
     def __init__(
         self,
-        works: Works,
+        works: JobQueue,
         workers: Workers,
         skew_s: float,
         clock: Callable[[], float],
--- a/spoolcourse/control/machines/early_deletion.py
+++ b/spoolcourse/control/machines/early_deletion.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from spoolcourse.control.fleet.roster import Machine, Roster
-from spoolcourse.control.jobs.works import Attempt
+from spoolcourse.control.fleet.worker_registry import Machine, WorkerRegistry
+from spoolcourse.control.jobs.job_queue import Attempt
 from spoolcourse.control.machines.replica_places import REPORT_JITTER, ReplicaPlaces
 from spoolcourse.wire.settings import Workers
 
@@ -50,7 +50,7 @@
 
     def __init__(
         self,
-        registry: Roster,
+        registry: WorkerRegistry,
         places: ReplicaPlaces,
         workers: Workers,
         clock: Callable[[], float],
--- a/spoolcourse/control/machines/replica_places.py
+++ b/spoolcourse/control/machines/replica_places.py
@@ -9,8 +9,8 @@
 from collections import Counter
 from collections.abc import Callable
 
-from spoolcourse.control.fleet.roster import Machine, Roster
-from spoolcourse.control.jobs.works import Attempt, Work
+from spoolcourse.control.fleet.worker_registry import Machine, WorkerRegistry
+from spoolcourse.control.jobs.job_queue import Attempt, JobState
 from spoolcourse.wire.messages import RANKS, Build, fits
 from spoolcourse.wire.settings import Workers
 
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        registry: Roster,
+        registry: WorkerRegistry,
         workers: Workers,
         clock: Callable[[], float],
         machine_types: Callable[[], dict[str, Build]],
@@ -63,7 +63,7 @@
         return not sub.scatter or zones[machine.yard] < most_in_a_zone
 
 
-def _takes(machine: Machine, machine_type: Build, work: Work) -> bool:
+def _takes(machine: Machine, machine_type: Build, work: JobState) -> bool:
     """Whether the job may run there, and what stays leaves room for one task of it."""
     sub = work.record.sub
     if not fits(sub, machine_type) or (machine.loaner and not sub.loaners):
--- a/spoolcourse/control/placement/backfill.py
+++ b/spoolcourse/control/placement/backfill.py
@@ -46,7 +46,7 @@
             return PLENTY
         return self.fit(job)
 
-    def book(self, job: Job, end: float, count: int) -> None:
+    def job_index(self, job: Job, end: float, count: int) -> None:
         if end > self.at + EPSILON:
             self.use(job, count)
 
@@ -208,7 +208,7 @@
         if count < 1:
             return 0
         if guard is not None:
-            guard.book(job, end, count)
+            guard.job_index(job, end, count)
         if job.image_gb > 0 and job.image not in node.images and job.image not in node.pulling:
             node.pulling[job.image] = job.image_gb
             self._fetches[node.zone] += 1
--- a/spoolcourse/control/placement/snapshot.py
+++ b/spoolcourse/control/placement/snapshot_builder.py
@@ -5,10 +5,10 @@
 import logging
 from math import inf
 
-from spoolcourse.control.fleet.roster import Machine, Roster
-from spoolcourse.control.jobs.works import Attempt, Work, Works
+from spoolcourse.control.fleet.worker_registry import Machine, WorkerRegistry
+from spoolcourse.control.jobs.job_queue import Attempt, JobQueue, JobState
 from spoolcourse.control.placement.model import Job, Node, Snapshot, Team
-from spoolcourse.control.placement.sights import Index, Sights
+from spoolcourse.control.placement.snapshot_cache import Index, SnapshotCache
 from spoolcourse.policy.keys import Policy
 from spoolcourse.wire.messages import RANKS, Build, fits
 from spoolcourse.wire.settings import Params
@@ -16,27 +16,27 @@
 log = logging.getLogger(__name__)
 
 
-class Surveyor:
+class SnapshotBuilder:
     """Builds snapshots; keeps the indices."""
 
     def __init__(
         self,
-        works: Works,
-        roster: Roster,
+        works: JobQueue,
+        registry: WorkerRegistry,
         params: Params,
         policy: Policy,
     ) -> None:
         self._works = works
-        self._roster = roster
+        self._registry = registry
         self._team_settings = params.teams
         self._prompt_lanes = {o.lane for o in params.objectives if o.kind in ("wait", "up")}
         self._policy = policy
         self.teams = Index([t.name for t in params.teams])
         self.zones = Index(params.zones)
         self.builds = Index()
-        self._sights = Sights(self.teams, self.zones, self.builds, self.estimate)
-        self._images = self._sights.images
-        self.works: list[Work] = []
+        self._snapshot_cache = SnapshotCache(self.teams, self.zones, self.builds, self.estimate)
+        self._images = self._snapshot_cache.images
+        self.works: list[JobState] = []
         self.machines: list[Machine] = []
         self._rare_until: dict[str, float] = {}
         self._boot_s = 0.0
@@ -54,7 +54,7 @@
     def is_rare(self, build: str, now: float) -> bool:
         return self._rare_until.get(build, 0.0) > now
 
-    def estimate(self, work: Work) -> float:
+    def estimate(self, work: JobState) -> float:
         """How long a task of it runs; a service has no end."""
         sub = work.record.sub
         return inf if sub.standing else sub.expectS or self._policy.default_estimate_s
@@ -89,7 +89,7 @@
                 w.order,
             )
         )
-        self._sights.judge(self._within, self._works.jobs)
+        self._snapshot_cache.judge(self._within, self._works.jobs)
         for work in self._works.jobs.values():
             sub = work.record.sub
             team = room[self.teams.of(sub.crew)]
@@ -106,10 +106,10 @@
         self._mark_rare(now, builds)
         self._boot_s = max((b.startupS for b in builds.values()), default=0.0)
         rare_types = {name for name in builds if self.is_rare(name, now)}
-        self._sights.keep(self._roster.machines)
+        self._snapshot_cache.keep(self._registry.machines)
         nodes: list[Node] = []
         number_of: dict[str, int] = {}
-        for machine in self._roster.machines.values():
+        for machine in self._registry.machines.values():
             build = builds.get(machine.build or "")
             if build is None:
                 continue
@@ -118,10 +118,10 @@
                 continue
             if not booting and not (machine.placeable and machine.refuse_until <= now):
                 continue
-            if self._roster.quiet(machine):
+            if self._registry.quiet(machine):
                 continue
             rare = build.name in rare_types
-            node = self._sights.node(machine, build, self._works.jobs, now, rare)
+            node = self._snapshot_cache.node(machine, build, self._works.jobs, now, rare)
             if booting and machine.up_at is not None:
                 # An overdue machine comes up later than thought, or never.
                 late = max(0.0, now - machine.up_at)
@@ -144,14 +144,14 @@
             zone_fetches=int(self._policy.zone_fetches),
         )
 
-    def _unbegun(self, work: Work, now: float) -> bool:
+    def _unbegun(self, work: JobState, now: float) -> bool:
         """The fourth exception: urgent work that keeps arriving must not keep a job from
         ever beginning, so after a while its first task, and no more, goes before rank."""
         return (
             not work.attempts and work.done == 0 and now - work.waiting_since > self._policy.begin_s
         )
 
-    def _ordinary_at(self, work: Work) -> float:
+    def _ordinary_at(self, work: JobState) -> float:
         """Ordinary machines cost a multiple of spot ones. They are for deadlines that
         would be missed otherwise, and for work without one; the rest waits for spot
         machines as long as it can. A wait aim or a guarantee is missed by the time that a
@@ -178,15 +178,15 @@
                 found.add(work.id)
         return found
 
-    def _strays(self) -> list[Work]:
+    def _strays(self) -> list[JobState]:
         return [
             work
-            for machine in self._roster.machines.values()
+            for machine in self._registry.machines.values()
             for stray in machine.strays
             if (work := self._works.jobs.get(stray[0])) is not None
         ]
 
-    def _safe_job(self, work: Work, now: float, number_of: dict[str, int]) -> Job:
+    def _safe_job(self, work: JobState, now: float, number_of: dict[str, int]) -> Job:
         """One job that can't be judged must not keep all the others from running: a rule
         that failed for jobs without a deadline once stopped every pass of every leader."""
         try:
@@ -195,7 +195,7 @@
             log.exception("%s is left out of this pass", work.id)
             return Job(0, 0.0, 0.0, 0.0, 0, 0.0, self.teams.of(work.record.sub.crew), 0.0)
 
-    def _job(self, work: Work, now: float, number_of: dict[str, int]) -> Job:
+    def _job(self, work: JobState, now: float, number_of: dict[str, int]) -> Job:
         sub = work.record.sub
         job = Job(
             pending=0 if work.retry_at > now else 1 if work.id in self.unbegun else work.assignable,
@@ -227,13 +227,13 @@
             job.avoid = frozenset(number_of[m] for m in bad if m in number_of)
         if sub.oneZone or sub.scatter:
             for attempt in work.attempts.values():
-                machine = self._roster.machines.get(attempt.machine)
+                machine = self._registry.machines.get(attempt.machine)
                 if machine is None or machine.yard is None:
                     job.lost += 1
                 else:
                     zone = self.zones.of(machine.yard)
                     job.held[zone] = job.held.get(zone, 0) + 1
-            for machine in self._roster.machines.values():
+            for machine in self._registry.machines.values():
                 for stray in machine.strays:
                     if stray[0] == sub.id:
                         zone = self.zones.of(machine.yard or "")
--- a/spoolcourse/control/placement/sights.py
+++ b/spoolcourse/control/placement/snapshot_cache.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from spoolcourse.control.fleet.roster import Machine
-from spoolcourse.control.jobs.works import Attempt, Work
+from spoolcourse.control.fleet.worker_registry import Machine
+from spoolcourse.control.jobs.job_queue import Attempt, JobState
 from spoolcourse.control.placement.model import Node, RunningTask
 from spoolcourse.wire.messages import RANKS, Build
 
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True)
-class Sight:
+class MachineSnapshot:
     """A machine as it was seen; `images`, `pulling` and `tasks` are not changed by a pass."""
 
     changes: int  # of the machine, when it was seen
@@ -55,19 +55,19 @@
     tasks: list[RunningTask]
 
 
-class Sights:
+class SnapshotCache:
     def __init__(
-        self, teams: Index, zones: Index, builds: Index, estimate: Callable[[Work], float]
+        self, teams: Index, zones: Index, builds: Index, estimate: Callable[[JobState], float]
     ) -> None:
         self._teams = teams
         self._zones = zones
         self._builds = builds
         self.images = Index()
         self._estimate = estimate
-        self._known: dict[str, Sight] = {}
+        self._known: dict[str, MachineSnapshot] = {}
         self._within: set[str] = set()
 
-    def judge(self, within: set[str], jobs: dict[str, Work]) -> None:
+    def judge(self, within: set[str], jobs: dict[str, JobState]) -> None:
         """Which jobs are within their teams' guarantees, for what their tasks look like."""
         for job in self._within ^ within:
             work = jobs.get(job)
@@ -81,30 +81,32 @@
             self._known = {name: s for name, s in self._known.items() if name in machines}
 
     def node(
-        self, machine: Machine, build: Build, jobs: dict[str, Work], now: float, rare: bool
+        self, machine: Machine, build: Build, jobs: dict[str, JobState], now: float, rare: bool
     ) -> Node:
-        sight = self._known.get(machine.id)
-        if sight is None or sight.changes != machine.changes or sight.until <= now:
-            sight = self._known[machine.id] = self._look(machine, build, jobs, now)
+        known = self._known.get(machine.id)
+        if known is None or known.changes != machine.changes or known.until <= now:
+            known = self._known[machine.id] = self._look(machine, build, jobs, now)
         return Node(
-            sight.build,
-            sight.zone,
+            known.build,
+            known.zone,
             bool(machine.loaner),
-            sight.cpus,
-            sight.gpus,
-            sight.memory,
+            known.cpus,
+            known.gpus,
+            known.memory,
             build.vcpus,
             build.pullGbPerS,
-            sight.images,
-            dict(sight.pulling) if sight.pulling else {},
-            sight.tasks,
+            known.images,
+            dict(known.pulling) if known.pulling else {},
+            known.tasks,
             0.0,
             machine.surplus,
             rare,
-            sight.freed,
+            known.freed,
         )
 
-    def _look(self, machine: Machine, build: Build, jobs: dict[str, Work], now: float) -> Sight:
+    def _look(
+        self, machine: Machine, build: Build, jobs: dict[str, JobState], now: float
+    ) -> MachineSnapshot:
         node = Node(
             self._builds.of(build.name),
             self._zones.of(machine.yard or ""),
@@ -162,7 +164,7 @@
                 node.gpus -= sub.gpus
                 node.memory -= sub.memoryGb
         node.tasks.sort(key=lambda t: t.end)
-        return Sight(
+        return MachineSnapshot(
             machine.changes,
             until,
             node.build,
--- a/spoolcourse/control/service.py
+++ b/spoolcourse/control/service.py
@@ -13,19 +13,19 @@
 
 from spoolcourse.control import view
 from spoolcourse.control.fleet.relay import Relay
-from spoolcourse.control.intake.api import PATH, Intake
-from spoolcourse.control.jobs.book import Book
-from spoolcourse.control.leadership import level
+from spoolcourse.control.jobs.job_index import JobIndex
+from spoolcourse.control.leader_term import LeaderTerm
+from spoolcourse.control.leadership import feature_level
+from spoolcourse.control.leadership.cancellation_query import PATH as CANCELLATIONS
+from spoolcourse.control.leadership.cancellation_query import answer_query
 from spoolcourse.control.leadership.election import Leadership, Office
-from spoolcourse.control.leadership.inquiry import PATH as CANCELLATIONS
-from spoolcourse.control.leadership.inquiry import testify
 from spoolcourse.control.load import Load
 from spoolcourse.control.machines.cloud import Cloud, CloudError, NoCapacity
 from spoolcourse.control.net import Net, NetError, Reply, Request, later
-from spoolcourse.control.reign import Reign
 from spoolcourse.control.store.client import Put, Refused, StoreClient, Unclear
 from spoolcourse.control.store.keys import CATALOG, PREFIX
-from spoolcourse.control.store.mirror import WATCH_GAP_LEADING_S, WATCH_GAP_S, Mirror
+from spoolcourse.control.store.watch_cache import WATCH_GAP_LEADING_S, WATCH_GAP_S, WatchCache
+from spoolcourse.control.user_api.api import PATH, UserApi
 from spoolcourse.policy.keys import PolicySource, check_policy
 from spoolcourse.wire.messages import Build, Catalog, Malformed, parse, parse_report
 from spoolcourse.wire.settings import Settings
@@ -51,17 +51,17 @@
         self._clock = asyncio.get_running_loop().time
         nodes = len(settings.seeds) + 1
         self.client = StoreClient(net, settings.outside.state, params.state, nodes)
-        self.mirror = Mirror(self.client, PREFIX)
-        self.book = Book(self.client, self.mirror)
+        self.watch_cache = WatchCache(self.client, PREFIX)
+        self.job_index = JobIndex(self.client, self.watch_cache)
         self.cloud = Cloud(net, settings.outside.cloud, params.cloud.rps)
         run = run_id or f"{random.getrandbits(64):016x}"
-        self.leadership = Leadership(self.client, self.mirror, settings.label, run)
+        self.leadership = Leadership(self.client, self.watch_cache, settings.label, run)
         self.leadership.on_elected = self._elected
         self.leadership.on_deposed = self._deposed
         self.builds: dict[str, Build] = {}
-        self.intake = Intake(
-            self.book,
-            self.mirror,
+        self.user_api = UserApi(
+            self.job_index,
+            self.watch_cache,
             self.client,
             net,
             settings.seeds,
@@ -69,12 +69,12 @@
             lambda: self.builds,
             wall,
             lambda: self.leadership.foreman,
-            lambda: level.all_new(self.mirror),
+            lambda: feature_level.all_new(self.watch_cache),
         )
         self.relay = Relay(net, settings.label, settings.seeds, params.workers.report_s)
-        self.reign: Reign | None = None
+        self.leader_term: LeaderTerm | None = None
         self.load = Load()
-        self.mirror.listen(self._on_change)
+        self.watch_cache.listen(self._on_change)
         self._tasks: list[asyncio.Task[None]] = []
         self.ready = False
         self.healthy = True
@@ -84,7 +84,7 @@
     def start(self) -> None:
         loop = asyncio.get_running_loop()
         for run in (
-            self.mirror.run,
+            self.watch_cache.run,
             self.leadership.run,
             self._catalog_loop,
             self._health_loop,
@@ -103,8 +103,8 @@
             await asyncio.sleep(1.0)
 
     def stop(self) -> None:
-        if self.reign is not None:
-            self.reign.stop()
+        if self.leader_term is not None:
+            self.leader_term.stop()
         for task in self._tasks:
             task.cancel()
 
@@ -114,13 +114,13 @@
         await asyncio.gather(*self._tasks)
 
     def _elected(self, office: Office) -> None:
-        self.mirror.watch_gap_s = WATCH_GAP_LEADING_S
-        self.reign = Reign(
+        self.watch_cache.watch_gap_s = WATCH_GAP_LEADING_S
+        self.leader_term = LeaderTerm(
             office,
             self.leadership,
             self.client,
-            self.mirror,
-            self.book,
+            self.watch_cache,
+            self.job_index,
             self._net,
             self.cloud,
             self._settings.seeds,
@@ -130,13 +130,13 @@
             self._wall,
             self.load,
         )
-        self.reign.start()
+        self.leader_term.start()
 
     def _deposed(self) -> None:
-        self.mirror.watch_gap_s = WATCH_GAP_S
-        if self.reign is not None:
-            self.reign.stop()
-            self.reign = None
+        self.watch_cache.watch_gap_s = WATCH_GAP_S
+        if self.leader_term is not None:
+            self.leader_term.stop()
+            self.leader_term = None
 
     def _on_change(self, key: str, value: Any, stamp: int) -> None:
         if key == CATALOG and value is not None and not self.builds:
@@ -144,8 +144,8 @@
                 self._take_catalog(parse(value, Catalog))
             except Malformed as exc:
                 log.error("stored catalog: %s", exc)
-        if self.reign is not None:
-            self.reign.on_change(key, value, stamp)
+        if self.leader_term is not None:
+            self.leader_term.on_change(key, value, stamp)
 
     # -- catalog ------------------------------------------------------------------------
 
@@ -173,17 +173,17 @@
         if not self.leadership.valid():
             return
         builds = sorted(catalog.builds, key=lambda b: b.name)
-        entry = self.mirror.get(CATALOG)
+        entry = self.watch_cache.get(CATALOG)
         if entry is not None:
             old = {b["name"] for b in entry.value["builds"]}
             if old == {b.name for b in builds}:
                 return
         value = {"builds": msgspec.to_builtins(builds)}
         outcome = await self.client.txn(
-            {CATALOG: self.mirror.stamp(CATALOG)}, [Put(CATALOG, value)]
+            {CATALOG: self.watch_cache.stamp(CATALOG)}, [Put(CATALOG, value)]
         )
         if outcome.ok:
-            self.mirror.apply(CATALOG, value, outcome.ledger)
+            self.watch_cache.apply(CATALOG, value, outcome.ledger)
 
     # -- health -------------------------------------------------------------------------
 
@@ -193,11 +193,11 @@
         outage for the users."""
         while True:
             await asyncio.sleep(1.0)
-            if self.mirror.loaded.is_set() and self.builds:
+            if self.watch_cache.loaded.is_set() and self.builds:
                 self.ready = True
             if not self.ready:
                 continue
-            if self._clock() - self.mirror.synced_at < 2.0 or await self.mirror.sync(1.0):
+            if self._clock() - self.watch_cache.synced_at < 2.0 or await self.watch_cache.sync(1.0):
                 self.healthy = True
                 continue
             answers = await asyncio.gather(
@@ -231,11 +231,11 @@
         path, _, query = request.path.partition("?")
         if path == CANCELLATIONS and request.method == "GET":
             try:
-                return Reply(200, testify(self.book, self.mirror, query))
+                return Reply(200, answer_query(self.job_index, self.watch_cache, query))
             except Malformed as exc:
                 return Reply(400, {"error": str(exc)})
-        if path == level.PATH and request.method == "GET":
-            return Reply(200, level.answer())
+        if path == feature_level.PATH and request.method == "GET":
+            return Reply(200, feature_level.answer())
         if path == "/healthz":
             return Reply(200 if self.ready else 503, {})
         if path == "/v1/report" and request.method == "POST":
@@ -251,7 +251,7 @@
     async def _users(self, request: Request, hop: bool) -> Reply:
         if not self.ready:
             return later("starting")
-        return await self.intake.handle(request, hop)
+        return await self.user_api.handle(request, hop)
 
     def _report(self, raw: bytes, hop: bool) -> Reply | Awaitable[Reply]:
         """A worker's report; `hop`: a follower passes it on, and it goes no further. A
@@ -261,12 +261,12 @@
                 report = parse_report(raw)
         except Malformed as exc:
             return Reply(400, {"error": str(exc)})
-        if self.reign is None:
+        if self.leader_term is None:
             if hop:
                 return Reply(421, {})
             leadership = self.leadership
             return self.relay.handle(report.spindle, raw, leadership.foreman, leadership.informed)
-        reply = self.reign.report(report, direct=not hop)
+        reply = self.leader_term.report(report, direct=not hop)
         if hop and reply.status == 200:
-            reply.data["deaf"] = self.reign.deaf()
+            reply.data["deaf"] = self.leader_term.deaf()
         return reply
--- a/spoolcourse/control/store/mirror.py
+++ b/spoolcourse/control/store/watch_cache.py
@@ -22,7 +22,7 @@
 Listener = Callable[[str, Any, int], None]
 
 
-class Mirror:
+class WatchCache:
     """Keys below `prefix + "live/"`; changes elsewhere below `prefix` go to listeners only."""
 
     def __init__(self, client: StoreClient, prefix: str, block_s: float = 10.0) -> None:
--- a/spoolcourse/control/intake/api.py
+++ b/spoolcourse/control/user_api/api.py
@@ -15,11 +15,11 @@
 
 import msgspec
 
-from spoolcourse.control.intake.checks import refusal, usable_builds
-from spoolcourse.control.jobs.book import Book, TooLong
+from spoolcourse.control.jobs.job_index import JobIndex, TooLong
 from spoolcourse.control.net import Net, NetError, Reply, Request, later
 from spoolcourse.control.store.client import Refused, StoreClient, Unclear
-from spoolcourse.control.store.mirror import Mirror
+from spoolcourse.control.store.watch_cache import WatchCache
+from spoolcourse.control.user_api.checks import refusal, usable_builds
 from spoolcourse.wire.messages import (
     JOB_ID,
     Build,
@@ -44,11 +44,11 @@
     """This node can't answer for sure just now."""
 
 
-class Intake:
+class UserApi:
     def __init__(
         self,
-        book: Book,
-        mirror: Mirror,
+        job_index: JobIndex,
+        watch_cache: WatchCache,
         client: StoreClient,
         net: Net,
         seeds: list[Seed],
@@ -58,8 +58,8 @@
         foreman: Callable[[], str | None],
         all_new: Callable[[], bool],
     ) -> None:
-        self._book = book
-        self._mirror = mirror
+        self._job_index = job_index
+        self._watch_cache = watch_cache
         self._client = client
         self._net = net
         self._seeds = seeds
@@ -122,26 +122,26 @@
 
     def _note(self, answer: dict[str, Any]) -> None:
         if answer.get("stage") in ("done", "aborted") and isinstance(answer.get("id"), str):
-            self._book.remember_final(answer["id"], answer)
+            self._job_index.remember_final(answer["id"], answer)
 
     async def _sync(self) -> None:
-        if not await self._mirror.sync(1.2):
+        if not await self._watch_cache.sync(1.2):
             raise Unable("no sync")
 
     async def _known(self, job: str) -> dict[str, Any] | None:
         """The job's current state for certain; None if it was never accepted."""
-        final = self._book.final(job)
+        final = self._job_index.final(job)
         if final is not None:
             return final
         await self._sync()
-        return self._book.current(job) or await self._book.look_up(job)
+        return self._job_index.current(job) or await self._job_index.look_up(job)
 
     async def _submit(self, raw: bytes) -> Reply:
         try:
             sub = parse_submission(raw)
         except Malformed as exc:
             return await self._refuse(_id_of(raw), Reply(400, {"error": str(exc)}))
-        if sub.id in self._book.live or self._book.final(sub.id) is not None:
+        if sub.id in self._job_index.live or self._job_index.final(sub.id) is not None:
             known = await self._known(sub.id)
             if known is not None:
                 return Reply(200, known)
@@ -158,7 +158,7 @@
             if not self._all_new():
                 return later("not all controllers know services yet")
         try:
-            accepted = await self._book.accept(self._narrowed(sub, builds), self._wall())
+            accepted = await self._job_index.accept(self._narrowed(sub, builds), self._wall())
         except TooLong as exc:
             return await self._refuse(sub.id, Reply(422, {"error": str(exc)}))
         if accepted:
@@ -199,7 +199,7 @@
                 return Reply(404, {"error": "no such job"})
             if known["stage"] in ("done", "aborted"):
                 return Reply(200, {"id": job, "stage": known["stage"]})
-            if job in self._book.live and await self._book.withdraw(job, self._wall()):
+            if job in self._job_index.live and await self._job_index.withdraw(job, self._wall()):
                 log.info("%s withdrawn", job)
                 return Reply(200, {"id": job, "stage": "aborted"})
         raise Unable("the job kept changing")
--- a/spoolcourse/control/view.py
+++ b/spoolcourse/control/view.py
@@ -7,21 +7,21 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from spoolcourse.control.reign import Reign
+    from spoolcourse.control.leader_term import LeaderTerm
     from spoolcourse.control.service import Controller
 
 JOBS_SHOWN = 200
 
 
-def _leader(reign: Reign) -> dict[str, Any]:
-    machines = reign.roster.machines.values()
-    attempts = [a for w in reign.works.jobs.values() for a in w.attempts.values()]
-    waiting = reign.waiting()
+def _leader(leader_term: LeaderTerm) -> dict[str, Any]:
+    machines = leader_term.registry.machines.values()
+    attempts = [a for w in leader_term.works.jobs.values() for a in w.attempts.values()]
+    waiting = leader_term.waiting()
     services = [
-        w for w in reign.works.jobs.values() if w.record.sub.standing and not w.record.aborted
+        w for w in leader_term.works.jobs.values() if w.record.sub.standing and not w.record.aborted
     ]
     return {
-        "jobs": len(reign.works.jobs),
+        "jobs": len(leader_term.works.jobs),
         "waiting": waiting[:JOBS_SHOWN],
         "waitingJobs": len(waiting),
         "waitingPieces": sum(entry["pieces"] for entry in waiting),
@@ -32,22 +32,22 @@
         "fetchesBooked": sum(len(m.pulling) for m in machines),
         "machines": len(machines),
         "machinesConfirmed": sum(1 for m in machines if m.confirmed),
-        "passes": reign.passes,
-        "passCostS": reign.pass_cost_s,
-        "unsavedKeys": len(reign.works.dirty),
+        "passes": leader_term.passes,
+        "passCostS": leader_term.pass_cost_s,
+        "unsavedKeys": len(leader_term.works.dirty),
     }
 
 
 def status(node: Controller) -> dict[str, Any]:
     """What this node knows; a leader also says what waits, and why."""
-    reign = node.reign
+    leader_term = node.leader_term
     found: dict[str, Any] = {
         "node": node.label,
-        "role": "leader" if reign is not None else "follower",
+        "role": "leader" if leader_term is not None else "follower",
         "leader": node.leadership.foreman,
         "ready": node.ready,
         "healthy": node.healthy,
-        "liveJobs": len(node.book.live),
+        "liveJobs": len(node.job_index.live),
         "terms": node.leadership.terms,
         "storeRequests": node.client.sent,
         "storeFailures": node.client.failed,
@@ -55,10 +55,10 @@
         "loopLagS": round(node.load.lag_s, 3),
         "processorShare": round(node.load.share, 3),
     }
-    if reign is not None and node.leadership.office is not None:
+    if leader_term is not None and node.leadership.office is not None:
         found["term"] = node.leadership.office.term
         found["lease"] = "valid" if node.leadership.valid() else "uncertain"
-        found |= _leader(reign)
+        found |= _leader(leader_term)
     return found
 
 
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -183,7 +183,7 @@
 
     @property
     def leader(self) -> str | None:
-        return next((n for n, c in self.nodes.items() if c.reign is not None), None)
+        return next((n for n, c in self.nodes.items() if c.leader_term is not None), None)
 
     async def until(self, check: Any, limit: float = 120.0) -> float:
         """Wait until the check holds; how long it took."""
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from spoolcourse.control.fleet.roster import Roster
+from spoolcourse.control.fleet.worker_registry import WorkerRegistry
+from spoolcourse.control.jobs.job_queue import Attempt, JobQueue, JobState
 from spoolcourse.control.jobs.records import JobRecord, Progress
-from spoolcourse.control.jobs.works import Attempt, Work, Works
 from spoolcourse.wire.messages import Malformed, Report, Submission, parse, parse_report
 from tests.fakes.world import job
 
@@ -21,8 +21,8 @@
     def __init__(self, **fields: Any) -> None:
         self.now = 100.0
         self.valid = True
-        self.works = Works()
-        self.roster = Roster(
+        self.works = JobQueue()
+        self.registry = WorkerRegistry(
             self.works,
             TERM,
             10.0,
@@ -32,16 +32,16 @@
             lambda: None,
         )
         sub = parse(job(**fields), Submission)
-        self.work: Work = self.works.add(JobRecord(sub, 1.0, 170, None, 5), self.now)
+        self.work: JobState = self.works.add(JobRecord(sub, 1.0, 170, None, 5), self.now)
         self.tick = 0
 
     def report(self, *pieces: dict[str, Any], **fields: Any) -> list[dict[str, Any]] | None:
-        return self.roster.accept(self._made(pieces, fields))
+        return self.registry.accept(self._made(pieces, fields))
 
     def observed(self, *pieces: dict[str, Any], **fields: Any) -> Report:
         """A report that comes as the answer to a call."""
         report = self._made(pieces, fields)
-        self.roster.observe(report)
+        self.registry.observe(report)
         return report
 
     def _made(self, pieces: tuple[dict[str, Any], ...], fields: dict[str, Any]) -> Report:
@@ -61,7 +61,7 @@
 
     def assign(self, piece: int = 0, number: int = 1, saved: bool = True) -> Attempt:
         attempt = self.works.assign(self.work, piece, "m-1", number, self.now)
-        self.roster.link(attempt)
+        self.registry.link(attempt)
         if saved:
             self.save()
         return attempt
@@ -107,7 +107,7 @@
 def test_a_report_under_an_older_baton_confirms_nothing() -> None:
     crew = Crew()
     attempt = crew.works.adopt(crew.work, 0, "m-1", 1, crew.now)
-    crew.roster.link(attempt)
+    crew.registry.link(attempt)
     assert crew.report(baton=TERM - 1) == []
     assert crew.work.attempts, "the former leader's start may still arrive"
     crew.report()
@@ -153,17 +153,17 @@
     crew.assign()
     crew.report(on())
     crew.now += 10.5
-    crew.roster.expire()
+    crew.registry.expire()
     assert crew.work.attempts, "within drift and margin"
     crew.now += 1.0
-    crew.roster.expire()
+    crew.registry.expire()
     assert not crew.work.attempts
     # A machine that has not reported our baton may be kept alive by somebody else.
     other = Crew()
     other.report(baton=TERM - 1)
-    other.roster.link(other.works.adopt(other.work, 0, "m-1", 1, other.now))
+    other.registry.link(other.works.adopt(other.work, 0, "m-1", 1, other.now))
     other.now += 100.0
-    other.roster.expire()
+    other.registry.expire()
     assert other.work.attempts
 
 
@@ -195,7 +195,7 @@
     crew = Crew()
     crew.report()
     crew.assign()
-    crew.roster.gone("m-1")
+    crew.registry.gone("m-1")
     assert crew.work.pending == 4
     assert crew.report(on()) is None and not crew.work.attempts
 
@@ -215,9 +215,9 @@
     crew = Crew()
     crew.report()
     attempt = crew.assign()
-    machine = crew.roster.machines["m-1"]
-    assert crew.roster.take_fresh_starts(machine) == [attempt]
-    assert crew.roster.due(()) == [], "sent that way once only"
+    machine = crew.registry.machines["m-1"]
+    assert crew.registry.take_fresh_starts(machine) == [attempt]
+    assert crew.registry.due(()) == [], "sent that way once only"
     crew.work.record.aborted_at = 100.0
     crew.report()
     crew.report()
@@ -230,7 +230,7 @@
     crew = Crew()
     crew.report()
     attempt = crew.assign()
-    crew.roster.take_fresh_starts(crew.roster.machines["m-1"])
+    crew.registry.take_fresh_starts(crew.registry.machines["m-1"])
     attempt.loose = None  # it was answered, but a copy may come late
     crew.report(on())
     assert crew.report(on(stage="ended", cause="halted")) == []
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -9,7 +9,7 @@
 import pytest
 
 from spoolcourse.control.jobs.cancellations import Cancellation, Cancellations
-from spoolcourse.control.leadership.currency import Currency
+from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
 from spoolcourse.wire.settings import Workers
 from tests.fakes.clock import play
 from tests.fakes.world import LABELS, World, job
@@ -193,13 +193,13 @@
         world = gap.world
         name, worker = next(iter(world.cloud.workers.items()))
         old = world.nodes[gap.leader]
-        assert old.reign is not None and worker.baton == old.reign.roster.term
+        assert old.leader_term is not None and worker.baton == old.leader_term.registry.term
         gap.apart(gap.leader, *gap.others, "state", "cloud", "m-")
         world.wire.stalled.add((gap.leader, "state:1"))
         await gap.cancel()
         await gap.hold_on(35)
         # A worker's report that its successor's baton has not reached comes before anything else.
-        body = worker.report() | {"baton": old.reign.roster.term}
+        body = worker.report() | {"baton": old.leader_term.registry.term}
         reply = await world.ask(gap.leader, "POST", "/v1/report", body)
         assert (reply.status, "baton" in (reply.data or {})) == (503, False)
         assert int(reply.headers["Retry-After"]) >= 1
@@ -254,26 +254,26 @@
         old = gap.world.nodes[gap.leader]
         gap.refuse(gap.leader)
         gap.apart(gap.leader, "m-")  # no worker tells it
-        await gap.world.until(lambda: old.reign is None, 10)
-        assert any(gap.world.nodes[n].reign for n in gap.others)
+        await gap.world.until(lambda: old.leader_term is None, 10)
+        assert any(gap.world.nodes[n].leader_term for n in gap.others)
 
     play(story())
 
 
 def test_how_long_leases_may_be_renewed() -> None:
-    currency = Currency(Workers(report_s=1.5, lease_s=10.0, cancel_s=40.0))
-    assert not currency.may_renew(0.0)
-    currency.synced(100.0)
-    currency.synced(90.0)
-    assert currency.known_to == 100.0
-    last = 100.0 + currency.window_s
-    assert currency.may_renew(last) and not currency.may_renew(last + 0.01)
+    renewal_deadline = RenewalDeadline(Workers(report_s=1.5, lease_s=10.0, cancel_s=40.0))
+    assert not renewal_deadline.may_renew(0.0)
+    renewal_deadline.synced(100.0)
+    renewal_deadline.synced(90.0)
+    assert renewal_deadline.known_to == 100.0
+    last = 100.0 + renewal_deadline.window_s
+    assert renewal_deadline.may_renew(last) and not renewal_deadline.may_renew(last + 0.01)
     # Whoever was answered last is rid of everything in time, both clocks at their worst.
     assert last + 10.0 * 1.0005 < 100.0 + 40.0 * 0.9995 - 1.0
-    assert not currency.vouched(130.0, [True, False])
-    assert currency.known_to == 100.0
-    assert currency.vouched(130.0, [True, True]) and currency.known_to == 130.0
-    assert currency.vouched(140.0, []), "nobody else could have confirmed anything"
+    assert not renewal_deadline.vouched(130.0, [True, False])
+    assert renewal_deadline.known_to == 100.0
+    assert renewal_deadline.vouched(130.0, [True, True]) and renewal_deadline.known_to == 130.0
+    assert renewal_deadline.vouched(140.0, []), "nobody else could have confirmed anything"
 
 
 def test_a_node_that_forgot_cancellations_says_so() -> None:
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -20,7 +20,7 @@
     split_progress,
 )
 from spoolcourse.control.store.keys import TERM as TERM_KEY
-from spoolcourse.control.store.mirror import Mirror
+from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.settings import State
 from tests.fakes.clock import play
 from tests.fakes.net import FakeWire
@@ -36,44 +36,44 @@
     crew.report()
     crew.assign()
     crew.report(on())
-    machine = crew.roster.machines["m-1"]
+    machine = crew.registry.machines["m-1"]
     crew.now += 10.2  # its lease has run out, which is not certain here yet
     shown = crew.observed(shift=2, tick=1)
     assert not crew.work.attempts and machine.confirmed, shown
     attempt = crew.assign(0, 2)
     crew.observed(on(0, 2), shift=2)
     crew.now += 2.0
-    crew.roster.expire()
+    crew.registry.expire()
     assert crew.work.attempts == {0: attempt}
     crew.now += 10.0
-    crew.roster.expire()
+    crew.registry.expire()
     assert not crew.work.attempts, "nobody renews that session: it is over by now"
 
 
 def test_a_machine_that_reaches_no_controller_gets_no_new_work() -> None:
     # Its answers to calls keep coming; what calls start there dies with each lease.
     crew = Crew()
-    crew.roster.quiet_s = 5.0
+    crew.registry.quiet_s = 5.0
     crew.report()
-    machine = crew.roster.machines["m-1"]
+    machine = crew.registry.machines["m-1"]
     crew.now += 4.0
     crew.observed()
-    assert not crew.roster.quiet(machine)
+    assert not crew.registry.quiet(machine)
     crew.assign()
-    assert crew.roster.due(()) == [machine]
+    assert crew.registry.due(()) == [machine]
     crew.now += 1.5
     crew.observed()
-    assert machine.heard_at == crew.now and crew.roster.quiet(machine)
-    assert crew.roster.due(()) == [], "nor are starts sent"
+    assert machine.heard_at == crew.now and crew.registry.quiet(machine)
+    assert crew.registry.due(()) == [], "nor are starts sent"
     crew.report()
-    assert crew.roster.due(()) == [machine]
+    assert crew.registry.due(()) == [machine]
 
 
 def test_the_first_answer_after_a_change_of_leader_ends_what_is_cancelled() -> None:
     # It renews the lease and may be the last one that arrives: the next one is too late.
     crew = Crew()
     attempt = crew.works.adopt(crew.work, 0, "m-1", 1, crew.now)
-    crew.roster.link(attempt)
+    crew.registry.link(attempt)
     crew.work.record.aborted_at = crew.now - 30.0
     halt = {"verb": "halt", "piece": "job-000001/0", "try": 1, "windDownS": 0.0}
     assert crew.report(on(), baton=TERM - 1) == [halt]
@@ -91,9 +91,9 @@
         wire.hosts["state:1"] = state.serve
         limits = State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
         client = StoreClient(wire.end_of("n0"), "state:1", limits, nodes=2)
-        mirror = Mirror(client, PREFIX)
-        node = Leadership(client, mirror, "n0", "run-0")
-        await mirror.load()
+        watch_cache = WatchCache(client, PREFIX)
+        node = Leadership(client, watch_cache, "n0", "run-0")
+        await watch_cache.load()
         wire.filters.append(
             lambda src, dst, method, path, body: "hold" if path == "/multi" else None
         )
@@ -527,7 +527,9 @@
         world.wire.filters.append(alone)
         world.wire.stalled.add((old, "state:1"))
         other = next(n for n in LABELS if n != old)
-        await world.until(lambda: any(n != old and c.reign for n, c in world.nodes.items()), 10)
+        await world.until(
+            lambda: any(n != old and c.leader_term for n, c in world.nodes.items()), 10
+        )
         assert (await world.cancel(1, other)).data["stage"] == "aborted"
         assert (await world.cancel(1, old)).status == 503
         await asyncio.sleep(60)
--- a/tests/test_sights.py
+++ b/tests/test_sights.py
@@ -6,10 +6,10 @@
 from typing import Any
 
 from spoolcourse.control.jobs.records import JobRecord
+from spoolcourse.control.leader_term import LeaderTerm
 from spoolcourse.control.placement.backfill import place
 from spoolcourse.control.placement.preempt import choose_victims
-from spoolcourse.control.placement.snapshot import Surveyor
-from spoolcourse.control.reign import Reign
+from spoolcourse.control.placement.snapshot_builder import SnapshotBuilder
 from spoolcourse.policy.keys import check_policy
 from spoolcourse.wire.messages import Build, Submission, parse
 from tests.fakes.clock import play
@@ -19,12 +19,12 @@
 BUILDS = {"c8": Build("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 20.0, ["a", "b"])}
 
 
-def surveyor(works: Any, roster: Any) -> Surveyor:
+def surveyor(works: Any, registry: Any) -> SnapshotBuilder:
     policy = check_policy({}, "test").initial()
-    return Surveyor(works, roster, settings().settings, policy)
+    return SnapshotBuilder(works, registry, settings().settings, policy)
 
 
-def seen(of: Surveyor, now: float, builds: dict[str, Build]) -> dict[str, Any]:
+def seen(of: SnapshotBuilder, now: float, builds: dict[str, Build]) -> dict[str, Any]:
     """Everything that a pass gets of the machines, by names."""
     snapshot = of.take(now, builds)
     images, found = of._images.names, {}
@@ -51,11 +51,11 @@
         await world.up()
         compared = 0
 
-        def compare(reign: Reign) -> None:
+        def compare(leader_term: LeaderTerm) -> None:
             nonlocal compared
-            now, builds = world.now(), reign._builds()
-            fresh = surveyor(reign.works, reign.roster)
-            kept = seen(reign._surveyor, now, builds)
+            now, builds = world.now(), leader_term._builds()
+            fresh = surveyor(leader_term.works, leader_term.registry)
+            kept = seen(leader_term._snapshot_builder, now, builds)
             assert kept == seen(fresh, now, builds)
             compared += sum(len(row[3]) for row in kept.values())
 
@@ -69,8 +69,12 @@
             for _ in range(5):
                 await asyncio.sleep(0.7)
                 leader = world.nodes.get(str(world.leader))
-                if leader is not None and leader.reign is not None and leader.reign.passes:
-                    compare(leader.reign)
+                if (
+                    leader is not None
+                    and leader.leader_term is not None
+                    and leader.leader_term.passes
+                ):
+                    compare(leader.leader_term)
             if number == 4:
                 await world.cancel(3)
             if number == 6:
@@ -93,13 +97,13 @@
     other = on(stage="ended", number=9, cause="done")
     crew.report(other, spindle="m-2", address="m-2:9")
     assert crew.work.finished
-    before = surveyor(crew.works, crew.roster).take(crew.now, BUILDS)
+    before = surveyor(crew.works, crew.registry).take(crew.now, BUILDS)
     crew.works.remove(crew.work)
-    after = surveyor(crew.works, crew.roster).take(crew.now, BUILDS)
+    after = surveyor(crew.works, crew.registry).take(crew.now, BUILDS)
     red = [t.name for t in settings().settings.teams].index("red")
     assert after.teams[red].cpus == before.teams[red].cpus == 64.0 - 2.0
     crew.report()  # it is gone from the machine
-    gone = surveyor(crew.works, crew.roster).take(crew.now, BUILDS)
+    gone = surveyor(crew.works, crew.registry).take(crew.now, BUILDS)
     assert gone.teams[red].cpus == 64.0
 
 
@@ -110,7 +114,7 @@
         crew = Crew(pieces=3, vcpus=8.0, expectS=100.0)
         crew.report()
         crew.now += waited
-        watch = surveyor(crew.works, crew.roster)
+        watch = surveyor(crew.works, crew.registry)
         watch.take(crew.now, BUILDS)
         attempt = crew.assign()
         attempt.first = crew.work.id in watch.unbegun
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -202,8 +202,8 @@
         reply = await world.poll(2, "n1")
         assert (reply.data["stage"], reply.data["done"]) == ("done", 4)
         leader = world.nodes[str(world.leader)]
-        assert leader.reign is not None
-        assert leader.reign.keeper.base() == {"m-000000"}
+        assert leader.leader_term is not None
+        assert leader.leader_term.autoscaler.base() == {"m-000000"}
         assert world.cloud.broken == []
 
     play(story())
@@ -324,8 +324,8 @@
             assert_form(stage_only, answer, path)
         assert (await ask("GET", "/cancellations?beyond=x", None)).status == 400
         # One that may have forgotten some says so by null, and vouches for nothing.
-        follower.book.cancellations = Cancellations(0)
-        follower.book.cancellations.note(Cancellation("job-000001", 1000.5, 18))
+        follower.job_index.cancellations = Cancellations(0)
+        follower.job_index.cancellations.note(Cancellation("job-000001", 1000.5, 18))
         reply = await ask("GET", "/cancellations?beyond=0", None)
         assert reply.data["cancelled"] is None
 
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -347,8 +347,8 @@
         world.wire.filters.clear()
         await world.finish(2)
         await asyncio.sleep(40)
-        reign = world.nodes[leader].reign
-        assert reign is not None and not reign.deaf(), "they are back"
+        leader_term = world.nodes[leader].leader_term
+        assert leader_term is not None and not leader_term.deaf(), "they are back"
         assert world.now() > cut and world.cloud.broken == []
 
     play(story())
@@ -430,16 +430,16 @@
         world = World()
         await world.up()
         first = str(world.leader)
-        reign = world.nodes[first].reign
-        assert reign is not None
+        leader_term = world.nodes[first].leader_term
+        assert leader_term is not None
 
         def broken(snapshot: Any, builds: Any) -> None:
             raise KeyError("unforeseen")
 
-        reign._surveyor.take = broken  # type: ignore[method-assign,assignment]
+        leader_term._snapshot_builder.take = broken  # type: ignore[method-assign,assignment]
         await world.submit(job())
         await world.finish()
-        assert world.nodes[first].reign is not reign
+        assert world.nodes[first].leader_term is not leader_term
         assert world.cloud.broken == []
 
     play(story())
@@ -449,20 +449,20 @@
     async def story() -> None:
         world = World()
         await world.up()
-        reign = world.nodes[str(world.leader)].reign
-        assert reign is not None
-        judge = reign._surveyor._job
+        leader_term = world.nodes[str(world.leader)].leader_term
+        assert leader_term is not None
+        judge = leader_term._snapshot_builder._job
 
         def partly(work: Any, now: float, number_of: dict[str, int]) -> Any:
             if work.id == "job-000001":
                 raise TypeError("unforeseen")
             return judge(work, now, number_of)
 
-        reign._surveyor._job = partly  # type: ignore[method-assign]
+        leader_term._snapshot_builder._job = partly  # type: ignore[method-assign]
         await world.submit(job(1))
         await world.submit(job(2))
         await world.finish(2)
-        assert world.nodes[str(world.leader)].reign is reign
+        assert world.nodes[str(world.leader)].leader_term is leader_term
         assert (await world.poll(1)).data["stage"] == "queued"
 
     play(story())
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from spoolcourse.control.fleet import courier
+from spoolcourse.control.fleet import command_dispatcher
 from spoolcourse.control.leadership.election import Leadership
 from spoolcourse.control.net import Reply
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.keys import PREFIX, TERM
-from spoolcourse.control.store.mirror import Mirror
+from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.settings import State
 from tests.fakes.clock import play
 from tests.fakes.net import FakeWire, Filter
@@ -80,8 +80,10 @@
         await world.submit(job(pieces=4))
         await asyncio.sleep(60)
         assert world.cloud.starts == []
-        reign = world.nodes[str(world.leader)].reign
-        assert reign is not None and reign.roster.machines[name].deaf_since is not None
+        leader_term = world.nodes[str(world.leader)].leader_term
+        assert (
+            leader_term is not None and leader_term.registry.machines[name].deaf_since is not None
+        )
         world.wire.filters.clear()
         await world.finish(1, 60)
         assert world.cloud.broken == [] and len(world.cloud.starts) == 4
@@ -198,9 +200,9 @@
         await world.until(lambda: len(world.cloud.starts) == 4)
         await asyncio.sleep(8)
         leader = str(world.leader)
-        reign = world.nodes[leader].reign
-        assert reign is not None
-        machine = reign.roster.machines[name]
+        leader_term = world.nodes[leader].leader_term
+        assert leader_term is not None
+        machine = leader_term.registry.machines[name]
         # From a second to several leases late, while it lives: its attempts go on.
         for reply in await copies.repeat(leader, name):
             assert not renews(reply) and reply.data["orders"] == []
@@ -270,17 +272,17 @@
             return "cut" if "state" in ends or "cloud" in ends or ends & set(others) else None
 
         world.wire.filters.append(alone)
-        await world.until(lambda: any(world.nodes[n].reign for n in others), 10)
+        await world.until(lambda: any(world.nodes[n].leader_term for n in others), 10)
         await asyncio.sleep(4)
         assert (await world.ask(old, "GET", "/healthz")).status == 503
         assert (await world.poll(1, old)).status == 503
         assert (await world.submit(job(2), old)).status == 503
         assert (await world.poll(1, others[0])).status == 200
         # Its workers see the new baton, are let go, and lose no lease over it.
-        new = next(world.nodes[n].reign for n in others if world.nodes[n].reign)
+        new = next(world.nodes[n].leader_term for n in others if world.nodes[n].leader_term)
         assert new is not None
-        await world.until(lambda: all(new.roster.machines[n].confirmed for n in names), 10)
-        assert world.nodes[old].reign is None
+        await world.until(lambda: all(new.registry.machines[n].confirmed for n in names), 10)
+        assert world.nodes[old].leader_term is None
         # Whoever comes to the old one now is sent to nobody that may be out of office.
         stale = world.cloud.workers[names[0]].report()
         reply = await world.ask(old, "POST", "/v1/report", stale)
@@ -362,7 +364,7 @@
         changed = {k for k in keys if world.state.keys.get(k, (0, 0))[:2] != keys[k][:2]}
         assert changed == set()
         assert len(world.cloud.starts) == 6 and world.cloud.broken == []
-        leaders = [n for n, c in world.nodes.items() if c.reign is not None]
+        leaders = [n for n, c in world.nodes.items() if c.leader_term is not None]
         assert len(leaders) == 1
 
     play(story())
@@ -378,15 +380,15 @@
         nodes = []
         for label in ("n0", "n1"):
             client = StoreClient(wire.end_of(label), "state:1", limits, nodes=2)
-            mirror = Mirror(client, PREFIX)
-            nodes.append(Leadership(client, mirror, label, f"run-{label}"))
-            await mirror.load()
+            watch_cache = WatchCache(client, PREFIX)
+            nodes.append(Leadership(client, watch_cache, label, f"run-{label}"))
+            await watch_cache.load()
         slow, quick = nodes
         grant = slow._client.grant
 
         async def overtaken(ttl_s: float) -> int:
             await quick._stand()
-            await slow._mirror.sync()  # as the watch does all the time
+            await slow._watch_cache.sync()  # as the watch does all the time
             return await grant(ttl_s)
 
         slow._client.grant = overtaken  # type: ignore[method-assign]
@@ -475,7 +477,7 @@
     # A zone cut off: every call there hangs until it times out. Guards against a call for
     # each machine at once, and against connections to a whole fleet kept open beside those
     # that the reports come on.
-    monkeypatch.setattr(courier, "AT_ONCE", 6)
+    monkeypatch.setattr(command_dispatcher, "AT_ONCE", 6)
 
     async def story() -> None:
         world = World()
@@ -484,23 +486,27 @@
             world.cloud.add()
         await asyncio.sleep(5)
         leader = str(world.leader)
-        reign = world.nodes[leader].reign
-        assert reign is not None
+        leader_term = world.nodes[leader].leader_term
+        assert leader_term is not None
         seen: list[int] = []
 
         def cut(src: str, dst: str, *rest: Any) -> str | None:
             if src != leader or not dst.endswith(":9000"):
                 return None
-            seen.append(len(reign.courier._busy))
+            seen.append(len(leader_term.command_dispatcher._busy))
             return "cut"
 
         world.wire.filters.append(cut)
         await world.submit(job(1, pieces=80, cpus=1.0))
         await world.finish(1)
         assert len(seen) > 6 and max(seen) == 6
-        machines = len(reign.roster.machines)
-        assert courier.Courier(reign.courier._net, reign.roster, 4 * machines).may_keep()
-        assert not courier.Courier(reign.courier._net, reign.roster, 2 * machines).may_keep()
+        machines = len(leader_term.registry.machines)
+        assert command_dispatcher.CommandDispatcher(
+            leader_term.command_dispatcher._net, leader_term.registry, 4 * machines
+        ).may_keep()
+        assert not command_dispatcher.CommandDispatcher(
+            leader_term.command_dispatcher._net, leader_term.registry, 2 * machines
+        ).may_keep()
 
     play(story())
 
@@ -513,8 +519,8 @@
         names = [world.cloud.add() for _ in range(300)]
         await world.up()
         await asyncio.sleep(5)
-        reign = world.nodes[str(world.leader)].reign
-        assert reign is not None and reign.keeper.base() == frozenset(names)
+        leader_term = world.nodes[str(world.leader)].leader_term
+        assert leader_term is not None and leader_term.autoscaler.base() == frozenset(names)
 
     play(story())
 
@@ -528,12 +534,12 @@
         await world.submit(job(pieces=12))
         await world.finish()
         leader = str(world.leader)
-        reign = world.nodes[leader].reign
-        assert reign is not None and world.cloud.hosts
+        leader_term = world.nodes[leader].leader_term
+        assert leader_term is not None and world.cloud.hosts
         before = set(world.cloud.hosts)
         world.state.out = True
         await asyncio.sleep(300)  # idle for long, and above the peak of late
-        assert not reign.keeper._may_rent()
+        assert not leader_term.autoscaler._may_rent()
         assert before and set(world.cloud.hosts) == before
         world.state.out = False
         await world.until(lambda: not world.cloud.hosts, 300)
@@ -551,11 +557,11 @@
         names = [world.cloud.add(), world.cloud.add()]
         await asyncio.sleep(5)
         leader = str(world.leader)
-        reign = world.nodes[leader].reign
-        assert reign is not None
+        leader_term = world.nodes[leader].leader_term
+        assert leader_term is not None
         world.cut_off(names[0])
-        await asyncio.sleep(reign._params.workers.quiet_s + 0.5)
-        assert not reign.roster.machines[names[0]].silent_proof
+        await asyncio.sleep(leader_term._params.workers.quiet_s + 0.5)
+        assert not leader_term.registry.machines[names[0]].silent_proof
         calls: list[str] = []
 
         def watched(src: str, dst: str, *rest: Any) -> None:
--- a/tests/test_upgrade_troubles.py
+++ b/tests/test_upgrade_troubles.py
@@ -84,7 +84,9 @@
         # The others elect one of them, which asks all three anew: the refused one still answers.
         await taken(world, other, 2 * SOON_S)
         await served(world)
-        assert world.leader != leader or len([n for n in world.nodes.values() if n.reign]) == 2
+        assert (
+            world.leader != leader or len([n for n in world.nodes.values() if n.leader_term]) == 2
+        )
         assert world.cloud.broken == []
 
     play(story())
--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -4,13 +4,13 @@
 
 import asyncio
 
+from spoolcourse.control.jobs.job_queue import JobQueue, JobState
 from spoolcourse.control.jobs.records import JobRecord
-from spoolcourse.control.jobs.works import Work, Works
 from spoolcourse.control.jobs.writer import Writer
 from spoolcourse.control.leadership.election import Office
 from spoolcourse.control.store.client import Put, StoreClient
 from spoolcourse.control.store.keys import PREFIX, TERM, job_key
-from spoolcourse.control.store.mirror import Mirror
+from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.messages import Submission, parse
 from spoolcourse.wire.settings import NextLimits, State
 from tests.fakes.clock import play
@@ -21,23 +21,23 @@
 
 def test_starts_are_written_by_rank_and_before_results() -> None:
     async def story() -> None:
-        state, wire, works = FakeState(), FakeWire(), Works()
+        state, wire, works = FakeState(), FakeWire(), JobQueue()
         wire.hosts["state:1"] = state.serve
         limits = State(rps=200.0, write_rps=6.0, value_kb=8.0, txn_ops=12)
         client = StoreClient(wire.end_of("n0"), "state:1", limits, nodes=1)
         client.set_leader(True)
-        mirror = Mirror(client, PREFIX)
+        watch_cache = WatchCache(client, PREFIX)
         await client.txn({}, [Put(TERM, {"term": 1})], urgent=True)
         office = Office(1, state.ledger, 0)
-        jobs: list[Work] = []
+        jobs: list[JobState] = []
         for number, rank in enumerate(["standard"] * 20 + ["best_effort", "high"], 1):
             body = job(number, rank=rank)
             await client.txn({}, [Put(job_key(body["id"]), body)], urgent=True)
             record = JobRecord(parse(body, Submission), 1.0, 170, None, state.ledger)
             jobs.append(works.add(record, 0.0))
         await asyncio.sleep(10)
-        await mirror.load()
-        writer = Writer(client, mirror, works, office, lambda why: None, lambda: None)
+        await watch_cache.load()
+        writer = Writer(client, watch_cache, works, office, lambda why: None, lambda: None)
         running = asyncio.create_task(writer.run())
         for work in jobs[:20]:
             works.complete(work, 0)
@@ -64,12 +64,12 @@
 
 def test_a_value_that_fits_no_more_is_not_tried_again_and_again() -> None:
     async def story() -> None:
-        state, wire, works = FakeState(), FakeWire(), Works()
+        state, wire, works = FakeState(), FakeWire(), JobQueue()
         wire.hosts["state:1"] = state.serve
         limits = State(200.0, 100.0, 8.0, 24, NextLimits(value_kb=1.0))
         client = StoreClient(wire.end_of("n0"), "state:1", limits, nodes=1)
         client.set_leader(True)
-        mirror = Mirror(client, PREFIX)
+        watch_cache = WatchCache(client, PREFIX)
         await client.txn({}, [Put(TERM, {"term": 1})], urgent=True)
         office = Office(1, state.ledger, 0)
         record = JobRecord(parse(job(pieces=170), Submission), 1.0, 170, None, 0)
@@ -77,9 +77,9 @@
         await client.txn({}, [Put(key, record.value())], urgent=True)
         record.stamp = state.ledger
         work = works.add(record, 0.0)
-        await mirror.load()
+        await watch_cache.load()
         running = asyncio.create_task(
-            Writer(client, mirror, works, office, lambda why: None, lambda: None).run()
+            Writer(client, watch_cache, works, office, lambda why: None, lambda: None).run()
         )
         attempts = [works.assign(work, piece, "m-000001", piece, 0.0) for piece in range(100)]
         await asyncio.sleep(2)
