--- a/spoolcourse/control/fleet/worker_registry.py
+++ b/spoolcourse/control/fleet/worker_registry.py
@@ -274,7 +274,7 @@
 
     def _reconcile(self, machine: Machine, report: Report, now: float) -> None:
         """A report under our baton is proof of what is on the machine, and what is not."""
-        stamp = (report.shift, report.tick)
+        revision = (report.shift, report.tick)
         present: set[tuple[str, int]] = set()
         strays = set(machine.strays)
         machine.strays.clear()
@@ -298,7 +298,7 @@
                 continue
             if attempt.loose is not None and attempt.loose != report.shift:
                 attempt.loose = None  # another session: it would be refused
-            if attempt.stage == "assigned" and (attempt.sent is None or attempt.sent < stamp):
+            if attempt.stage == "assigned" and (attempt.sent is None or attempt.sent < revision):
                 attempt.sent = None  # that start never arrived and can't any more
                 unwanted = attempt.work.record.aborted or attempt.halting
                 unwanted = unwanted or machine.deaf_since is not None
@@ -443,12 +443,12 @@
                 if grace is not None:
                     orders.append(_halt_order(item.piece, item.attempt, grace))
         if self._may_start() and machine.placeable:
-            stamp = (report.shift, report.tick)
+            revision = (report.shift, report.tick)
             for attempt in machine.attempts.values():
                 if len(orders) >= ORDERS_MAX:
                     break
                 if attempt.stage == "assigned" and self._startable(attempt):
-                    attempt.sent = stamp
+                    attempt.sent = revision
                     orders.append(start_order(attempt))
         return orders[:ORDERS_MAX]
 
--- a/spoolcourse/control/jobs/cancellations.py
+++ b/spoolcourse/control/jobs/cancellations.py
@@ -17,7 +17,7 @@
 class Cancellation(msgspec.Struct, frozen=True):
     job: str
     at: float  # time of day
-    stamp: int
+    revision: int = msgspec.field(name="stamp")
 
 
 class Cancellations:
@@ -32,10 +32,10 @@
         self._known[found.job] = found
         while len(self._known) > self._most:
             _, oldest = self._known.popitem(last=False)
-            self._floor = max(self._floor, oldest.stamp)
+            self._floor = max(self._floor, oldest.revision)
 
-    def beyond(self, ledger: int) -> list[Cancellation] | None:
+    def beyond(self, store_revision: int) -> list[Cancellation] | None:
         """Those later than a revision; None if some of them may have been forgotten."""
-        if ledger < self._floor:
+        if store_revision < self._floor:
             return None
-        return [c for c in self._known.values() if c.stamp > ledger]
+        return [c for c in self._known.values() if c.revision > store_revision]
--- a/spoolcourse/control/jobs/job_index.py
+++ b/spoolcourse/control/jobs/job_index.py
@@ -42,15 +42,15 @@
         self._finals: OrderedDict[str, dict[str, Any]] = OrderedDict()
         watch_cache.listen(self._on_change)
 
-    def _on_change(self, key: str, value: Any, stamp: int) -> None:
+    def _on_change(self, key: str, value: Any, revision: int) -> None:
         if key.startswith(JOB):
             job = key[len(JOB) :]
             if value is None:
                 self.live.pop(job, None)
             else:
-                record = self.live[job] = JobRecord.from_value(value, stamp)
+                record = self.live[job] = JobRecord.from_value(value, revision)
                 if record.aborted_at is not None:
-                    self.cancellations.note(Cancellation(job, record.aborted_at, stamp))
+                    self.cancellations.note(Cancellation(job, record.aborted_at, revision))
         elif key.startswith(PROGRESS):
             job, chunk = split_progress(key)
             if value is None:
@@ -131,7 +131,7 @@
         record = self.live.get(found.job)
         if record is not None and not record.aborted:
             aborted = replace(record, aborted_at=found.at)
-            self._watch_cache.apply(job_key(found.job), aborted.value(), found.stamp)
+            self._watch_cache.apply(job_key(found.job), aborted.value(), found.revision)
 
     async def withdraw(self, job: str, at: float) -> bool:
         """Mark a live job aborted; False if it changed meanwhile (look again).
@@ -143,7 +143,7 @@
             return True
         aborted = replace(record, aborted_at=at)
         key = job_key(job)
-        return await self._write(key, aborted.value(), {key: record.stamp})
+        return await self._write(key, aborted.value(), {key: record.revision})
 
     async def _write(self, key: str, value: dict[str, Any], conditions: dict[str, int]) -> bool:
         """Write a record; where the answer is unclear, read back whether it is there."""
@@ -153,8 +153,8 @@
             entry = await self._client.get(key)
             if entry is None or entry.value != value:
                 raise
-            self._watch_cache.apply(key, entry.value, entry.stamp)
+            self._watch_cache.apply(key, entry.value, entry.revision)
             return True
         if outcome.ok:
-            self._watch_cache.apply(key, value, outcome.ledger)
+            self._watch_cache.apply(key, value, outcome.store_revision)
         return outcome.ok
--- a/spoolcourse/control/jobs/job_queue.py
+++ b/spoolcourse/control/jobs/job_queue.py
@@ -51,7 +51,7 @@
 
     index: int
     progress: Progress = field(default_factory=Progress)
-    stamp: int = 0
+    revision: int = 0
     version: int = 0
     saved: int = 0
 
@@ -271,8 +271,8 @@
     ) -> JobState:
         """Rebuild from the records; attempts are open until their machines have spoken."""
         work = self._begin(record, now)
-        for index, (progress, stamp) in saved.items():
-            work.chunks[index] = Chunk(index, progress, stamp)
+        for index, (progress, revision) in saved.items():
+            work.chunks[index] = Chunk(index, progress, revision)
             work.done += progress.done.bit_count()
             for piece, (machine, number) in list(progress.held.items()):
                 self.adopt(work, piece, machine, number, now)
--- a/spoolcourse/control/jobs/records.py
+++ b/spoolcourse/control/jobs/records.py
@@ -18,7 +18,7 @@
     at: float  # time of day of the acceptance: the order of arrival
     chunk: int  # pieces per progress key
     aborted_at: float | None  # time of day of the withdrawal
-    stamp: int
+    revision: int
 
     @property
     def aborted(self) -> bool:
@@ -35,13 +35,13 @@
         return value
 
     @staticmethod
-    def from_value(value: dict[str, Any], stamp: int) -> JobRecord:
+    def from_value(value: dict[str, Any], revision: int) -> JobRecord:
         return JobRecord(
             msgspec.convert(value["sub"], Submission),
             value["at"],
             value["chunk"],
             value.get("aborted"),
-            stamp,
+            revision,
         )
 
 
--- a/spoolcourse/control/jobs/writer.py
+++ b/spoolcourse/control/jobs/writer.py
@@ -16,7 +16,7 @@
 import orjson
 
 from spoolcourse.control.jobs.job_queue import Chunk, JobQueue, JobState
-from spoolcourse.control.leadership.election import Office
+from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.store.client import Delete, Outcome, Put, Refused, StoreClient, Unclear
 from spoolcourse.control.store.keys import TERM, final_key, job_key, progress_key
 from spoolcourse.control.store.watch_cache import WatchCache
@@ -34,14 +34,14 @@
         client: StoreClient,
         watch_cache: WatchCache,
         works: JobQueue,
-        office: Office,
+        term: Term,
         depose: Callable[[str], None],
         on_saved: Callable[[], None],
     ) -> None:
         self._client = client
         self._watch_cache = watch_cache
         self._works = works
-        self._office = office
+        self._term = term
         self._depose = depose
         self._on_saved = on_saved
         self._wake = asyncio.Event()
@@ -86,7 +86,7 @@
         await self._save(list(self._works.dirty))
 
     async def _save(self, keys: list[tuple[str, int]]) -> None:
-        conditions = {TERM: self._office.stamp}
+        conditions = {TERM: self._term.revision}
         ops: list[Put | Delete] = []
         taken: list[tuple[JobState, Chunk, int, Put]] = []
         size = 0
@@ -107,8 +107,8 @@
             if ops and (size > TXN_BYTES or len(ops) >= self._client.ops_most):
                 break
             put = Put(progress_key(job, index), value)
-            conditions[put.key] = chunk.stamp
-            conditions[job_key(job)] = work.record.stamp
+            conditions[put.key] = chunk.revision
+            conditions[job_key(job)] = work.record.revision
             ops.append(put)
             taken.append((work, chunk, chunk.version, put))
         if not ops:
@@ -131,11 +131,11 @@
             await self._after_conflict(outcome)
             return
         for work, chunk, version, put in taken:
-            chunk.stamp = outcome.ledger
+            chunk.revision = outcome.store_revision
             chunk.saved = version
             if chunk.version == version:
                 self._works.forget(work.id, chunk.index)
-            self._watch_cache.apply(put.key, put.value, outcome.ledger)
+            self._watch_cache.apply(put.key, put.value, outcome.store_revision)
         self._on_saved()
 
     async def _finish_one(self) -> None:
@@ -146,7 +146,7 @@
             key = job_key(work.id)
             stage = "aborted" if work.record.aborted else "done"
             value = {"stage": stage, "done": work.done, "at": work.record.at}
-            saved = [c for c in work.chunks.values() if c.stamp]
+            saved = [c for c in work.chunks.values() if c.revision]
             room = self._client.ops_most - 2
             # A job of very many chunks loses the first of them beforehand; with its
             # record still there the rest would be taken for undone after a crash. So the
@@ -154,8 +154,8 @@
             ops: list[Put | Delete] = [Put(final_key(work.id), value), Delete(key)]
             ops += [Delete(progress_key(work.id, c.index)) for c in saved[:room]]
             conditions = {
-                TERM: self._office.stamp,
-                key: work.record.stamp,
+                TERM: self._term.revision,
+                key: work.record.revision,
                 final_key(work.id): 0,
             }
             outcome = await self._commit(conditions, ops)
@@ -165,10 +165,12 @@
                 await self._after_conflict(outcome)
                 return
             self._works.remove(work)
-            self._watch_cache.apply(final_key(work.id), value, outcome.ledger)
-            self._watch_cache.apply(key, None, outcome.ledger)
+            self._watch_cache.apply(final_key(work.id), value, outcome.store_revision)
+            self._watch_cache.apply(key, None, outcome.store_revision)
             for chunk in saved[:room]:
-                self._watch_cache.apply(progress_key(work.id, chunk.index), None, outcome.ledger)
+                self._watch_cache.apply(
+                    progress_key(work.id, chunk.index), None, outcome.store_revision
+                )
             log.info("%s is %s", work.id, stage)
             self._on_saved()
             await self.sweep([progress_key(work.id, c.index) for c in saved[room:]])
@@ -179,12 +181,12 @@
         step = self._client.ops_most
         for start in range(0, len(keys), step):
             part = keys[start : start + step]
-            outcome = await self._commit({TERM: self._office.stamp}, [Delete(k) for k in part])
+            outcome = await self._commit({TERM: self._term.revision}, [Delete(k) for k in part])
             if not outcome.ok:
                 await self._after_conflict(outcome)
                 return
             for key in part:
-                self._watch_cache.apply(key, None, outcome.ledger)
+                self._watch_cache.apply(key, None, outcome.store_revision)
 
     async def _commit(self, conditions: dict[str, int], ops: list[Put | Delete]) -> Outcome:
         try:
@@ -209,15 +211,15 @@
     def _adopt(self) -> None:
         """Take over the stamps, and finished jobs, that the synced mirror shows."""
         for job, work in list(self._works.jobs.items()):
-            stamp = self._watch_cache.stamp(job_key(job))
-            if stamp == 0 and job in self._works.finished:
+            revision = self._watch_cache.revision(job_key(job))
+            if revision == 0 and job in self._works.finished:
                 self._works.remove(work)
                 self._on_saved()
                 continue
             for chunk in work.chunks.values():
                 entry = self._watch_cache.get(progress_key(job, chunk.index))
-                if entry is not None and entry.stamp != chunk.stamp:
-                    chunk.stamp = entry.stamp
+                if entry is not None and entry.revision != chunk.revision:
+                    chunk.revision = entry.revision
                     if entry.value == chunk.progress.value():
                         chunk.saved = chunk.version
                         self._works.forget(job, chunk.index)
--- a/spoolcourse/control/leader_term.py
+++ b/spoolcourse/control/leader_term.py
@@ -18,7 +18,7 @@
 from spoolcourse.control.jobs.records import JobRecord, Progress, chunk_pieces
 from spoolcourse.control.jobs.writer import Writer
 from spoolcourse.control.leadership.cancellation_query import CancellationQuery
-from spoolcourse.control.leadership.election import Leadership, Office
+from spoolcourse.control.leadership.election import Leadership, Term
 from spoolcourse.control.leadership.feature_level import FeatureLevel
 from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
 from spoolcourse.control.load import Load
@@ -43,7 +43,7 @@
 class LeaderTerm:
     def __init__(
         self,
-        office: Office,
+        term: Term,
         leadership: Leadership,
         client: StoreClient,
         watch_cache: WatchCache,
@@ -60,7 +60,7 @@
         self._load = load
         self._net = net
         self._seeds = seeds
-        self._office = office
+        self._term = term
         self._leadership = leadership
         self._watch_cache = watch_cache
         self._job_index = job_index
@@ -77,7 +77,7 @@
         self._cancellation_query = CancellationQuery(
             net,
             seeds,
-            office,
+            term,
             watch_cache,
             job_index,
             self.renewal_deadline,
@@ -91,7 +91,7 @@
         self.works = JobQueue(chunk_pieces(params.state.least.value_kb))
         self.registry = WorkerRegistry(
             self.works,
-            office.term,
+            term.number,
             params.workers.lease_s,
             self._clock,
             self._may_start,
@@ -104,7 +104,7 @@
             net, self.registry, params.machine_limits.sockets
         )
         self.writer = Writer(
-            client, watch_cache, self.works, office, leadership.depose, self._on_saved
+            client, watch_cache, self.works, term, leadership.depose, self._on_saved
         )
         self.autoscaler = FleetAutoscaler(
             net,
@@ -132,9 +132,7 @@
         self._spawn(self._take_over())
         self._spawn(self._cancellation_query.run())
         self._spawn(
-            FeatureLevel(
-                self._net, self._client, self._watch_cache, self._seeds, self._office
-            ).run()
+            FeatureLevel(self._net, self._client, self._watch_cache, self._seeds, self._term).run()
         )
 
     def stop(self) -> None:
@@ -162,7 +160,10 @@
         for entry in self._watch_cache.below(PROGRESS):
             job, chunk = split_progress(entry.key)
             if job in self._job_index.live:
-                saved.setdefault(job, {})[chunk] = (Progress.from_value(entry.value), entry.stamp)
+                saved.setdefault(job, {})[chunk] = (
+                    Progress.from_value(entry.value),
+                    entry.revision,
+                )
             else:
                 orphans.append(entry.key)
         for job, record in self._job_index.live.items():
@@ -172,7 +173,7 @@
                 self.registry.link(attempt)
         log.info(
             "term %d: took over %d jobs, %d attempts to find",
-            self._office.term,
+            self._term.number,
             len(self.works.jobs),
             sum(len(w.attempts) for w in self.works.jobs.values()),
         )
@@ -229,17 +230,17 @@
         if self._watch_cache.get(BASE) is not None:
             return
         names = [h.id for h in hosts if not h.loaners and h.stage == "running"]
-        value = {"machines": names if self._office.term == 1 else []}
+        value = {"machines": names if self._term.number == 1 else []}
         if len(orjson.dumps(value)) > self._params.state.least.value_kb * 1024:
             value = {"machines": []}  # a fleet of that size is not kept by name
         try:
-            conditions = {BASE: 0, TERM: self._office.stamp}
+            conditions = {BASE: 0, TERM: self._term.revision}
             outcome = await self._client.txn(conditions, [Put(BASE, value)])
         except (Refused, Unclear) as exc:
             log.info("the fleet found at the start is not noted yet: %s", exc)
             return
         if outcome.ok:
-            self._watch_cache.apply(BASE, value, outcome.ledger)
+            self._watch_cache.apply(BASE, value, outcome.store_revision)
 
     def _disk_gb(self, build: str) -> float:
         known = self._builds().get(build)
@@ -265,7 +266,7 @@
 
     # -- changes of jobs ------------------------------------------------------------------
 
-    def on_change(self, key: str, value: Any, stamp: int) -> None:
+    def on_change(self, key: str, value: Any, revision: int) -> None:
         if not key.startswith(JOB) or not self.ready.is_set():
             return
         job = key[len(JOB) :]
@@ -299,7 +300,7 @@
         return self._clock() - self._heard_direct > self._params.workers.quiet_s
 
     def report(self, report: Report, direct: bool = True) -> Reply:
-        if report.baton > self._office.term:
+        if report.baton > self._term.number:
             self._leadership.depose(f"{report.spindle} has seen term {report.baton}")
             return Reply(421, {})  # the worker goes on to the next node
         if not self.ready.is_set():
@@ -315,7 +316,7 @@
             self._heard_direct = self._clock()
         if orders is None:
             return Reply(200, {"orders": []})  # without a token nobody's lease is renewed
-        return Reply(200, {"baton": self._office.term, "orders": orders})
+        return Reply(200, {"baton": self._term.number, "orders": orders})
 
     # -- passes -------------------------------------------------------------------------
 
@@ -384,7 +385,7 @@
             chosen = list(islice(work.candidates(), decision.count))
             for piece in chosen:
                 self._attempts += 1
-                number = (self._office.term << 24) + self._attempts
+                number = (self._term.number << 24) + self._attempts
                 attempt = self.works.assign(work, piece, machine.id, number, now)
                 attempt.first = work.id in self._snapshot_builder.unbegun
                 self.registry.link(attempt)
--- a/spoolcourse/control/leadership/cancellation_query.py
+++ b/spoolcourse/control/leadership/cancellation_query.py
@@ -13,7 +13,7 @@
 
 from spoolcourse.control.jobs.cancellations import Cancellation
 from spoolcourse.control.jobs.job_index import JobIndex
-from spoolcourse.control.leadership.election import Office
+from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
 from spoolcourse.control.net import Net, NetError
 from spoolcourse.control.store.keys import TERM
@@ -57,7 +57,7 @@
         self,
         net: Net,
         seeds: list[Seed],
-        office: Office,
+        term: Term,
         watch_cache: WatchCache,
         job_index: JobIndex,
         renewal_deadline: RenewalDeadline,
@@ -66,7 +66,7 @@
     ) -> None:
         self._net = net
         self._seeds = seeds
-        self._office = office
+        self._term = term
         self._watch_cache = watch_cache
         self._job_index = job_index
         self._renewal_deadline = renewal_deadline
@@ -81,10 +81,10 @@
 
     async def ask(self) -> None:
         asked = self._clock()
-        path = f"{PATH}?beyond={self._watch_cache.ledger}"
+        path = f"{PATH}?beyond={self._watch_cache.store_revision}"
         told = await asyncio.gather(*(self._ask(seed, path) for seed in self._seeds))
         for reply in told:
-            if reply is not None and reply.term > self._office.term:
+            if reply is not None and reply.term > self._term.number:
                 self._depose(f"a peer knows of term {reply.term}")
                 return
         for reply in told:
--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -23,11 +23,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Office:
+class Term:
     """A term that this node was elected for."""
 
-    term: int
-    stamp: int  # of the term key: the fencing condition of every leader write
+    number: int
+    revision: int  # of the term key: the fencing condition of every leader write
     lease: int
 
 
@@ -47,12 +47,12 @@
         self._label = label
         self._run_id = run_id
         self._ttl_s = ttl_s
-        self.office: Office | None = None
+        self.term: Term | None = None
         self.terms = 0  # elected so many times
         self._valid_until = float("-inf")
         self._changed = asyncio.Event()
         self._deposed = asyncio.Event()
-        self.on_elected: Callable[[Office], None] = lambda office: None
+        self.on_elected: Callable[[Term], None] = lambda term: None
         self.on_deposed: Callable[[], None] = lambda: None
         watch_cache.listen(self._on_change)
 
@@ -70,32 +70,32 @@
 
     def valid(self) -> bool:
         """True while no other node can have been elected."""
-        return self.office is not None and (
+        return self.term is not None and (
             asyncio.get_running_loop().time() < self._valid_until and not self._deposed.is_set()
         )
 
     def depose(self, reason: str) -> None:
         """Give the office up, at once."""
-        if self.office is None:
+        if self.term is None:
             return
-        log.info("term %d: stepping down: %s", self.office.term, reason)
-        self.office = None
+        log.info("term %d: stepping down: %s", self.term.number, reason)
+        self.term = None
         self._valid_until = float("-inf")
         self._deposed.set()
         self._client.set_leader(False)
         self.on_deposed()
 
-    def _on_change(self, key: str, value: object, stamp: int) -> None:
+    def _on_change(self, key: str, value: object, revision: int) -> None:
         if key in (LEADER, TERM):
             self._changed.set()
-            if key == TERM and self.office is not None and stamp > self.office.stamp:
+            if key == TERM and self.term is not None and revision > self.term.revision:
                 self.depose("a newer term was elected")
 
     async def run(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
             await self._watch_cache.loaded.wait()
-            if self.office is not None:
+            if self.term is not None:
                 await self._lead()
                 continue
             self._changed.clear()
@@ -124,14 +124,17 @@
         loop = asyncio.get_running_loop()
         if not await self._watch_cache.sync():
             raise Unclear("the state service did not answer")
-        entry, term = self._watch_cache.get(LEADER), self._watch_cache.get(TERM)
-        if entry is not None and not self._is_former_self(entry.value):
+        leader, former = self._watch_cache.get(LEADER), self._watch_cache.get(TERM)
+        if leader is not None and not self._is_former_self(leader.value):
             return
-        number = (term.value["term"] if term else 0) + 1
+        number = (former.value["term"] if former else 0) + 1
         # What the number was taken from is what the claim is conditional on. The watch may
         # bring another's election while the lease is granted: with the stamps of that, this
         # claim would push it out under the very same number, and two would share a baton.
-        conditions = {LEADER: entry.stamp if entry else 0, TERM: term.stamp if term else 0}
+        conditions = {
+            LEADER: leader.revision if leader else 0,
+            TERM: former.revision if former else 0,
+        }
         sent = loop.time()
         lease = await self._client.grant(self._ttl_s)
         # The lease is part of what the read-back asks for: an earlier claim of this run that
@@ -148,37 +151,37 @@
             if not outcome.ok:
                 await self._watch_cache.sync()
                 return
-            stamp = outcome.ledger
+            revision = outcome.store_revision
         except Unclear:
             # Perhaps it was carried out: the term key tells, and says whose it is.
             found = await self._client.get(TERM)
             if found is None or found.value != tenure:
                 raise
-            stamp = found.stamp
-        self._watch_cache.apply(LEADER, claim, stamp)
-        self._watch_cache.apply(TERM, tenure, stamp)
-        self.office = Office(number, stamp, lease)
+            revision = found.revision
+        self._watch_cache.apply(LEADER, claim, revision)
+        self._watch_cache.apply(TERM, tenure, revision)
+        self.term = Term(number, revision, lease)
         self.terms += 1
         self._deposed.clear()
         self._valid_until = sent + self._ttl_s * (1 - DRIFT)
         self._client.set_leader(True)
         log.info("elected for term %d", number)
-        self.on_elected(self.office)
+        self.on_elected(self.term)
 
     async def _lead(self) -> None:
         """Renew until deposed. Without answers the office is kept, but not `valid`."""
         loop = asyncio.get_running_loop()
-        while self.office is not None:
-            office = self.office
+        while self.term is not None:
+            term = self.term
             pause = self._ttl_s / 4
             sent = loop.time()
             try:
-                await self._client.renew(office.lease)
-                if self.office is office:
+                await self._client.renew(term.lease)
+                if self.term is term:
                     if sent >= self._valid_until:
                         # After a gap the key may have changed hands: see it first.
                         entry = await self._client.get(TERM)
-                        if entry is None or entry.stamp != office.stamp:
+                        if entry is None or entry.revision != term.revision:
                             self.depose("the term has passed")
                             return
                     self._valid_until = sent + self._ttl_s * (1 - DRIFT)
--- a/spoolcourse/control/leadership/feature_level.py
+++ b/spoolcourse/control/leadership/feature_level.py
@@ -10,7 +10,7 @@
 import asyncio
 import logging
 
-from spoolcourse.control.leadership.election import Office
+from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.net import Net, NetError
 from spoolcourse.control.store.client import Put, Refused, StoreClient, Unclear
 from spoolcourse.control.store.keys import LEVEL, TERM
@@ -43,13 +43,13 @@
         client: StoreClient,
         watch_cache: WatchCache,
         seeds: list[Seed],
-        office: Office,
+        term: Term,
     ) -> None:
         self._net = net
         self._client = client
         self._watch_cache = watch_cache
         self._seeds = seeds
-        self._office = office
+        self._term = term
 
     async def run(self) -> None:
         while not all_new(self._watch_cache):
@@ -68,14 +68,14 @@
 
     async def _note(self) -> None:
         value = {"level": STANDING}
-        conditions = {LEVEL: self._watch_cache.stamp(LEVEL), TERM: self._office.stamp}
+        conditions = {LEVEL: self._watch_cache.revision(LEVEL), TERM: self._term.revision}
         try:
             outcome = await self._client.txn(conditions, [Put(LEVEL, value)])
         except (Refused, Unclear) as exc:
             log.info("that all controllers are new is not noted yet: %s", exc)
             return
         if outcome.ok:
-            self._watch_cache.apply(LEVEL, value, outcome.ledger)
+            self._watch_cache.apply(LEVEL, value, outcome.store_revision)
             log.info("all controllers are new: services are taken")
         else:
             await self._watch_cache.sync()
--- a/spoolcourse/control/service.py
+++ b/spoolcourse/control/service.py
@@ -18,7 +18,7 @@
 from spoolcourse.control.leadership import feature_level
 from spoolcourse.control.leadership.cancellation_query import PATH as CANCELLATIONS
 from spoolcourse.control.leadership.cancellation_query import answer_query
-from spoolcourse.control.leadership.election import Leadership, Office
+from spoolcourse.control.leadership.election import Leadership, Term
 from spoolcourse.control.load import Load
 from spoolcourse.control.machines.cloud import Cloud, CloudError, NoCapacity
 from spoolcourse.control.net import Net, NetError, Reply, Request, later
@@ -113,10 +113,10 @@
         self.start()
         await asyncio.gather(*self._tasks)
 
-    def _elected(self, office: Office) -> None:
+    def _elected(self, term: Term) -> None:
         self.watch_cache.watch_gap_s = WATCH_GAP_LEADING_S
         self.leader_term = LeaderTerm(
-            office,
+            term,
             self.leadership,
             self.client,
             self.watch_cache,
@@ -138,14 +138,14 @@
             self.leader_term.stop()
             self.leader_term = None
 
-    def _on_change(self, key: str, value: Any, stamp: int) -> None:
+    def _on_change(self, key: str, value: Any, revision: int) -> None:
         if key == CATALOG and value is not None and not self.builds:
             try:
                 self._take_catalog(parse(value, Catalog))
             except Malformed as exc:
                 log.error("stored catalog: %s", exc)
         if self.leader_term is not None:
-            self.leader_term.on_change(key, value, stamp)
+            self.leader_term.on_change(key, value, revision)
 
     # -- catalog ------------------------------------------------------------------------
 
@@ -160,7 +160,7 @@
                 catalog = await self.cloud.catalog()
                 self._take_catalog(catalog)
                 await self._store_catalog(catalog)
-                pause = 20.0 if self.leadership.office else 60.0
+                pause = 20.0 if self.leadership.term else 60.0
             except (CloudError, NoCapacity) as exc:
                 log.info("catalog: %s", exc)
                 pause = 1.0
@@ -180,10 +180,10 @@
                 return
         value = {"builds": msgspec.to_builtins(builds)}
         outcome = await self.client.txn(
-            {CATALOG: self.watch_cache.stamp(CATALOG)}, [Put(CATALOG, value)]
+            {CATALOG: self.watch_cache.revision(CATALOG)}, [Put(CATALOG, value)]
         )
         if outcome.ok:
-            self.watch_cache.apply(CATALOG, value, outcome.ledger)
+            self.watch_cache.apply(CATALOG, value, outcome.store_revision)
 
     # -- health -------------------------------------------------------------------------
 
--- a/spoolcourse/control/store/client.py
+++ b/spoolcourse/control/store/client.py
@@ -44,7 +44,7 @@
 class Entry:
     key: str
     value: Any
-    stamp: int
+    revision: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
 
     key: str
     value: Any
-    stamp: int
+    revision: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,7 +82,7 @@
     """A transaction's clear answer. `failed` names the conditions that did not hold."""
 
     ok: bool
-    ledger: int
+    store_revision: int
     failed: tuple[str, ...] = ()
 
 
@@ -187,7 +187,7 @@
         """All keys with the prefix, and the revision of the first page: changes made while
         later pages were read come again with a watch from there."""
         entries: list[Entry] = []
-        ledger, since = -1, ""
+        store_revision, since = -1, ""
         while True:
             path = f"/kv?prefix={quote(prefix)}&page={PAGE}"
             if since:
@@ -195,11 +195,11 @@
             reply = await self._call("GET", path)
             if reply.status != 200:
                 raise Unclear(f"list {prefix}: status {reply.status}")
-            if ledger < 0:
-                ledger = reply.data["ledger"]
+            if store_revision < 0:
+                store_revision = reply.data["ledger"]
             entries += [Entry(p["k"], p["v"], p["stamp"]) for p in reply.data["pairs"]]
             if not reply.data["hasNext"] or not reply.data["pairs"]:
-                return entries, ledger
+                return entries, store_revision
             since = entries[-1].key
 
     async def txn(
--- a/spoolcourse/control/store/watch_cache.py
+++ b/spoolcourse/control/store/watch_cache.py
@@ -33,7 +33,7 @@
         self._entries: dict[str, Entry] = {}
         self._graves: dict[str, int] = {}  # keys deleted ahead of the watch
         self._listeners: list[Listener] = []
-        self.ledger = -1
+        self.store_revision = -1
         self.synced_at = float("-inf")  # a call sent then has been answered
         self.loaded = asyncio.Event()
         self._sync_waiters: list[asyncio.Future[None]] = []
@@ -50,47 +50,49 @@
     def below(self, prefix: str) -> list[Entry]:
         return [e for k, e in self._entries.items() if k.startswith(prefix)]
 
-    def stamp(self, key: str) -> int:
+    def revision(self, key: str) -> int:
         entry = self._entries.get(key)
-        return entry.stamp if entry else 0
+        return entry.revision if entry else 0
 
-    def apply(self, key: str, value: Any, stamp: int) -> None:
+    def apply(self, key: str, value: Any, revision: int) -> None:
         """Take over one change; older ones than what is known change nothing."""
         entry = self._entries.get(key)
-        if stamp <= max(entry.stamp if entry else 0, self._graves.get(key, 0)):
+        if revision <= max(entry.revision if entry else 0, self._graves.get(key, 0)):
             return
         if key.startswith(self.live):
             if value is None:
                 self._entries.pop(key, None)
-                if stamp > self.ledger:
-                    self._graves[key] = stamp
+                if revision > self.store_revision:
+                    self._graves[key] = revision
             else:
                 self._graves.pop(key, None)
-                self._entries[key] = Entry(key, value, stamp)
+                self._entries[key] = Entry(key, value, revision)
         for listener in self._listeners:
-            listener(key, value, stamp)
+            listener(key, value, revision)
 
-    def _advance(self, ledger: int, changes: list[Any]) -> None:
+    def _advance(self, store_revision: int, changes: list[Any]) -> None:
         for change in changes:
             # The ranges of a watch and of a sync overlap: a set that we have seen
             # deleted must not come back.
-            if change.stamp > self.ledger:
-                self.apply(change.key, change.value, change.stamp)
-        if ledger > self.ledger:
-            self.ledger = ledger
+            if change.revision > self.store_revision:
+                self.apply(change.key, change.value, change.revision)
+        if store_revision > self.store_revision:
+            self.store_revision = store_revision
             if self._graves:
-                self._graves = {k: s for k, s in self._graves.items() if s > ledger}
+                self._graves = {k: s for k, s in self._graves.items() if s > store_revision}
 
     async def load(self) -> None:
         """Read all live keys afresh; keys that are gone are reported as deleted."""
         start = asyncio.get_running_loop().time()
-        entries, ledger = await self._client.read_all(self.live)
+        entries, store_revision = await self._client.read_all(self.live)
         present = {e.key for e in entries}
-        for key in [k for k, e in self._entries.items() if k not in present and e.stamp <= ledger]:
-            self.apply(key, None, max(ledger, self._entries[key].stamp + 1))
+        for key in [
+            k for k, e in self._entries.items() if k not in present and e.revision <= store_revision
+        ]:
+            self.apply(key, None, max(store_revision, self._entries[key].revision + 1))
         for entry in entries:
-            self.apply(entry.key, entry.value, entry.stamp)
-        self._advance(ledger, [])
+            self.apply(entry.key, entry.value, entry.revision)
+        self._advance(store_revision, [])
         self.synced_at = start
         self.loaded.set()
 
@@ -103,10 +105,10 @@
                 if not self.loaded.is_set():
                     await self.load()
                 start = loop.time()
-                ledger, changes = await self._client.watch(
-                    self.prefix, self.ledger, self._block_s, urgent=True
+                store_revision, changes = await self._client.watch(
+                    self.prefix, self.store_revision, self._block_s, urgent=True
                 )
-                self._advance(ledger, changes)
+                self._advance(store_revision, changes)
                 self.synced_at = max(self.synced_at, start)
                 delay = 0.1
                 # A leader at work writes many times a second, and every node is woken by
@@ -142,8 +144,10 @@
             batch, self._sync_waiters = self._sync_waiters, []
             start = loop.time()
             try:
-                ledger, changes = await self._client.watch(self.prefix, self.ledger, 0.0)
-                self._advance(ledger, changes)
+                store_revision, changes = await self._client.watch(
+                    self.prefix, self.store_revision, 0.0
+                )
+                self._advance(store_revision, changes)
                 self.synced_at = max(self.synced_at, start)
                 error: Exception | None = None
             except Compacted:
--- a/spoolcourse/control/view.py
+++ b/spoolcourse/control/view.py
@@ -55,8 +55,8 @@
         "loopLagS": round(node.load.lag_s, 3),
         "processorShare": round(node.load.share, 3),
     }
-    if leader_term is not None and node.leadership.office is not None:
-        found["term"] = node.leadership.office.term
+    if leader_term is not None and node.leadership.term is not None:
+        found["term"] = node.leadership.term.number
         found["lease"] = "valid" if node.leadership.valid() else "uncertain"
         found |= _leader(leader_term)
     return found
--- a/tests/fakes/state.py
+++ b/tests/fakes/state.py
@@ -13,7 +13,7 @@
 
 class FakeState:
     def __init__(self) -> None:
-        self.ledger = 0
+        self.store_revision = 0
         self.keys: dict[str, tuple[Any, int, int | None]] = {}
         self.log: list[dict[str, Any]] = []
         self.first = 0  # changes up to here are no longer kept
@@ -29,7 +29,7 @@
         return self.keys[key][0] if key in self.keys else None
 
     def forget_changes(self) -> None:
-        self.first = self.ledger
+        self.first = self.store_revision
         self.log.clear()
 
     def _now(self) -> float:
@@ -46,13 +46,13 @@
                     self._apply([{"delete": k} for k in gone])
 
     def _apply(self, ops: list[dict[str, Any]]) -> None:
-        self.ledger += 1
+        self.store_revision += 1
         for op in ops:
             if "set" in op:
-                self.keys[op["set"]] = (op["v"], self.ledger, op.get("hold"))
-                self.log.append({"set": op["set"], "v": op["v"], "stamp": self.ledger})
+                self.keys[op["set"]] = (op["v"], self.store_revision, op.get("hold"))
+                self.log.append({"set": op["set"], "v": op["v"], "stamp": self.store_revision})
             elif self.keys.pop(op["delete"], None) is not None:
-                self.log.append({"delete": op["delete"], "stamp": self.ledger})
+                self.log.append({"delete": op["delete"], "stamp": self.store_revision})
         self._news.set()
         self._news = asyncio.Event()
 
@@ -71,13 +71,13 @@
         if url.path.startswith("/kv/"):
             key = unquote(url.path[4:])
             if key not in self.keys:
-                return Reply(404, {"ledger": self.ledger})
-            value, stamp, _ = self.keys[key]
-            return Reply(200, {"k": key, "v": value, "stamp": stamp})
+                return Reply(404, {"ledger": self.store_revision})
+            value, revision, _ = self.keys[key]
+            return Reply(200, {"k": key, "v": value, "stamp": revision})
         if url.path == "/multi":
             return self._multi(body)
         if url.path == "/holds":
-            number = 1 + max(self.leases, default=0) + self.ledger * 1000
+            number = 1 + max(self.leases, default=0) + self.store_revision * 1000
             ttl = body["ttlMs"] / 1000
             self.leases[number] = (self._now() + ttl, ttl)
             return Reply(200, {"hold": number})
@@ -98,7 +98,9 @@
         )
         page = int(query.get("page", 200))
         pairs = [{"k": k, "v": self.keys[k][0], "stamp": self.keys[k][1]} for k in names[:page]]
-        return Reply(200, {"pairs": pairs, "hasNext": len(names) > page, "ledger": self.ledger})
+        return Reply(
+            200, {"pairs": pairs, "hasNext": len(names) > page, "ledger": self.store_revision}
+        )
 
     def _multi(self, body: dict[str, Any]) -> Reply:
         failed = [
@@ -107,7 +109,7 @@
             if (self.keys[c["k"]][1] if c["k"] in self.keys else 0) != c["stamp"]
         ]
         if failed:
-            return Reply(409, {"failed": failed, "ledger": self.ledger})
+            return Reply(409, {"failed": failed, "ledger": self.store_revision})
         ops = body.get("apply", [])
         if any(op.get("hold") is not None and op["hold"] not in self.leases for op in ops):
             return Reply(400, {"error": "no such lease"})
@@ -119,7 +121,7 @@
         if ops:
             self.transactions.append(body)
             self._apply(ops)
-        return Reply(200, {"ledger": self.ledger})
+        return Reply(200, {"ledger": self.store_revision})
 
     async def _watch(self, query: dict[str, str]) -> Reply:
         since = int(query["since"])
@@ -136,7 +138,7 @@
                     and (e.get("set") or e["delete"]).startswith(query["prefix"])
                 ]
                 if log or self._now() >= end:
-                    return Reply(200, {"ledger": self.ledger, "log": log})
+                    return Reply(200, {"ledger": self.store_revision, "log": log})
             news = self._news
             try:
                 async with asyncio.timeout(min(0.05, max(end - self._now(), 0.001))):
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -112,7 +112,7 @@
                     return await get(key)
 
                 client.get = late  # type: ignore[method-assign]
-        assert node.office is None and len(wire.held) == 2
+        assert node.term is None and len(wire.held) == 2
         assert state.value(LEADER) is not None
         await asyncio.sleep(4)
         assert state.value(LEADER) is None, "nobody renews it, so others may stand"
@@ -162,7 +162,7 @@
         count += 1
         if count % every:
             return None
-        sent[id(body)] = world.state.ledger
+        sent[id(body)] = world.state.store_revision
         bodies.append(body)  # or another one could be at its place in memory
         return "late"
 
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -393,8 +393,8 @@
 
         slow._client.grant = overtaken  # type: ignore[method-assign]
         await slow._stand()
-        assert quick.office is not None and slow.office is None
-        assert state.value(TERM) == {"term": 1, "run": "run-n1", "hold": quick.office.lease}
+        assert quick.term is not None and slow.term is None
+        assert state.value(TERM) == {"term": 1, "run": "run-n1", "hold": quick.term.lease}
 
     play(story())
 
--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -7,7 +7,7 @@
 from spoolcourse.control.jobs.job_queue import JobQueue, JobState
 from spoolcourse.control.jobs.records import JobRecord
 from spoolcourse.control.jobs.writer import Writer
-from spoolcourse.control.leadership.election import Office
+from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.store.client import Put, StoreClient
 from spoolcourse.control.store.keys import PREFIX, TERM, job_key
 from spoolcourse.control.store.watch_cache import WatchCache
@@ -28,16 +28,16 @@
         client.set_leader(True)
         watch_cache = WatchCache(client, PREFIX)
         await client.txn({}, [Put(TERM, {"term": 1})], urgent=True)
-        office = Office(1, state.ledger, 0)
+        term = Term(1, state.store_revision, 0)
         jobs: list[JobState] = []
         for number, rank in enumerate(["standard"] * 20 + ["best_effort", "high"], 1):
             body = job(number, rank=rank)
             await client.txn({}, [Put(job_key(body["id"]), body)], urgent=True)
-            record = JobRecord(parse(body, Submission), 1.0, 170, None, state.ledger)
+            record = JobRecord(parse(body, Submission), 1.0, 170, None, state.store_revision)
             jobs.append(works.add(record, 0.0))
         await asyncio.sleep(10)
         await watch_cache.load()
-        writer = Writer(client, watch_cache, works, office, lambda why: None, lambda: None)
+        writer = Writer(client, watch_cache, works, term, lambda why: None, lambda: None)
         running = asyncio.create_task(writer.run())
         for work in jobs[:20]:
             works.complete(work, 0)
@@ -71,15 +71,15 @@
         client.set_leader(True)
         watch_cache = WatchCache(client, PREFIX)
         await client.txn({}, [Put(TERM, {"term": 1})], urgent=True)
-        office = Office(1, state.ledger, 0)
+        term = Term(1, state.store_revision, 0)
         record = JobRecord(parse(job(pieces=170), Submission), 1.0, 170, None, 0)
         key = job_key(record.sub.id)
         await client.txn({}, [Put(key, record.value())], urgent=True)
-        record.stamp = state.ledger
+        record.revision = state.store_revision
         work = works.add(record, 0.0)
         await watch_cache.load()
         running = asyncio.create_task(
-            Writer(client, watch_cache, works, office, lambda why: None, lambda: None).run()
+            Writer(client, watch_cache, works, term, lambda why: None, lambda: None).run()
         )
         attempts = [works.assign(work, piece, "m-000001", piece, 0.0) for piece in range(100)]
         await asyncio.sleep(2)
