--- a/spoolcourse/control/fleet/command_dispatcher.py
+++ b/spoolcourse/control/fleet/command_dispatcher.py
@@ -55,9 +55,9 @@
     async def _send(self, machine: Machine) -> None:
         try:
             attempts = self._registry.take_fresh_starts(machine)
-            shift = machine.shift
+            session = machine.session
             orders = self._registry.take_halts(machine) + [start_order(a) for a in attempts]
-            body = {"baton": self._registry.term, "shift": shift, "orders": orders}
+            body = {"baton": self._registry.term, "shift": session, "orders": orders}
             try:
                 reply = await self._net.call(
                     machine.address,
@@ -73,7 +73,7 @@
                 machine.shut_until = asyncio.get_running_loop().time() + PAUSE_S
                 log.debug("%s: %d orders without an answer: %s", machine.id, len(orders), exc)
                 return
-            if reply.status in (200, 409) and report.spindle == machine.id:
+            if reply.status in (200, 409) and report.machine == machine.id:
                 for attempt in attempts:
                     attempt.loose = None
                 self._registry.observe(report)
--- a/spoolcourse/control/fleet/worker_registry.py
+++ b/spoolcourse/control/fleet/worker_registry.py
@@ -16,7 +16,7 @@
 
 from spoolcourse.control.jobs.job_queue import Attempt, JobQueue, JobState
 from spoolcourse.control.leadership.renewal_deadline import DRIFT
-from spoolcourse.wire.messages import Piece, Report, split_piece
+from spoolcourse.wire.messages import Report, TaskReport, split_task_name
 
 log = logging.getLogger(__name__)
 
@@ -33,12 +33,12 @@
 
     id: str
     since: float  # when this node first heard of it
-    build: str | None = None
-    yard: str | None = None
-    loaner: bool | None = None
+    machine_type: str | None = None
+    zone: str | None = None
+    spot: bool | None = None
     address: str = ""
-    shift: int = 0
-    tick: int = -1
+    session: int = 0
+    sequence: int = -1
     confirmed: bool = False  # has reported our baton in this session
     heard_at: float | None = None  # a report of any kind
     spoke_at: float = 0.0  # a report of its own accord, or when it was first heard of
@@ -55,7 +55,7 @@
     running_at: float | None = None  # since when it is listed as running
     rented_at: float | None = None
     up_at: float | None = None  # when it is expected, while it boots
-    recall_at: float | None = None
+    terminates_at: float | None = None
     surplus: bool = False  # gets work only if nothing else has room, and goes when idle
     deleting: bool = False  # a deletion has been asked for
     idle_since: float | None = None
@@ -76,8 +76,8 @@
             and not self.deleting
             and not self.silent_proof
             and self.deaf_since is None
-            and self.recall_at is None
-            and self.build is not None
+            and self.terminates_at is None
+            and self.machine_type is not None
         )
 
 
@@ -105,7 +105,7 @@
         self.machines: dict[str, Machine] = {}
         self.buried: OrderedDict[str, None] = OrderedDict()  # names never come back
         self.errands: set[str] = set()  # machines that may have starts or halts to be sent
-        self.disk_gb: Callable[[str], float] = lambda build: 0.0
+        self.disk_gb: Callable[[str], float] = lambda machine_type: 0.0
         self.quiet_s = float("inf")
 
     def machine(self, name: str) -> Machine:
@@ -125,7 +125,7 @@
 
     def link(self, attempt: Attempt) -> None:
         machine = self.machine(attempt.machine)
-        machine.attempts[attempt.work.id, attempt.piece] = attempt
+        machine.attempts[attempt.work.id, attempt.task] = attempt
         machine.changes += 1
         machine.idle_since = None
         self.errands.add(machine.id)
@@ -138,7 +138,7 @@
     def drop(self, attempt: Attempt) -> None:
         machine = self.machines.get(attempt.machine)
         if machine is not None:
-            key = (attempt.work.id, attempt.piece)
+            key = (attempt.work.id, attempt.task)
             if machine.attempts.get(key) is attempt:
                 del machine.attempts[key]
                 machine.changes += 1
@@ -170,7 +170,7 @@
                 machine.silent_proof = True
                 # What still comes from that session was held on the way: a sign of life
                 # starts with the next one.
-                machine.shift, machine.tick = machine.shift + 1, -1
+                machine.session, machine.sequence = machine.session + 1, -1
                 machine.confirmed = False
                 machine.strays.clear()
                 machine.changes += 1
@@ -200,15 +200,15 @@
         renew a lease, or the proof by lease would have to wait for every copy.
         """
         now = self._clock()
-        if report.spindle in self.buried:
+        if report.machine in self.buried:
             return None
-        machine = self.machine(report.spindle)
-        if (report.shift, report.tick) <= (machine.shift, machine.tick):
+        machine = self.machine(report.machine)
+        if (report.session, report.sequence) <= (machine.session, machine.sequence):
             return None
         self.learn(machine, report)
         machine.spoke_at = machine.answered_at = machine.leased_at = now
         halts = self._halts(machine, report)
-        if report.baton != self.term:
+        if report.fencing_token != self.term:
             # Older orders may still reach it. Our baton in the answer ends that, and its
             # next report tells what is there. But what is cancelled ends now: this answer
             # renews its lease, and it may be the last one that arrives.
@@ -218,21 +218,24 @@
     def overhear(self, report: Report) -> None:
         """Take in a report that is not answered, and so renews nothing."""
         self.observe(report)
-        machine = self.machines.get(report.spindle)
-        if machine is not None and (report.shift, report.tick) == (machine.shift, machine.tick):
+        machine = self.machines.get(report.machine)
+        if machine is not None and (report.session, report.sequence) == (
+            machine.session,
+            machine.sequence,
+        ):
             machine.spoke_at = self._clock()
 
     def observe(self, report: Report) -> None:
         """Take in a report that came as the answer to `/orders` or `/show`."""
-        if report.spindle in self.buried:
+        if report.machine in self.buried:
             return
-        machine = self.machine(report.spindle)
-        if (report.shift, report.tick) > (machine.shift, machine.tick):
+        machine = self.machine(report.machine)
+        if (report.session, report.sequence) > (machine.session, machine.sequence):
             self.learn(machine, report)
 
     def learn(self, machine: Machine, report: Report) -> None:
         now = self._clock()
-        if report.shift != machine.shift or machine.silent_proof or machine.heard_at is None:
+        if report.session != machine.session or machine.silent_proof or machine.heard_at is None:
             if (
                 machine.confirmed
                 and machine.answered_at is not None
@@ -251,16 +254,16 @@
             machine.proven_at = now  # it had to boot first: nothing could be proven before
             machine.spoke_at = now
         machine.heard_at = now
-        machine.shift, machine.tick = report.shift, report.tick
-        machine.build, machine.yard = report.build, report.yard
-        machine.loaner, machine.address = report.loaners, report.address
+        machine.session, machine.sequence = report.session, report.sequence
+        machine.machine_type, machine.zone = report.machine_type, report.zone
+        machine.spot, machine.address = report.spot, report.address
         machine.up_at = None
         machine.silent_proof = False
-        if report.recallS is not None:
-            machine.recall_at = now + max(report.recallS, 0.0)
+        if report.terminates_in_s is not None:
+            machine.terminates_at = now + max(report.terminates_in_s, 0.0)
         else:
-            machine.recall_at = None
-        if report.baton == self.term:
+            machine.terminates_at = None
+        if report.fencing_token == self.term:
             machine.proven_at = now
             if not machine.confirmed:
                 machine.confirmed = True
@@ -268,24 +271,24 @@
                 # may have begun just now. With an answer of before, its tasks would be taken
                 # for gone while they run.
                 machine.leased_at = now
-                log.debug("%s: confirmed in session %d", machine.id, report.shift)
+                log.debug("%s: confirmed in session %d", machine.id, report.session)
                 self._on_room()
             self._reconcile(machine, report, now)
 
     def _reconcile(self, machine: Machine, report: Report, now: float) -> None:
         """A report under our baton is proof of what is on the machine, and what is not."""
-        revision = (report.shift, report.tick)
+        revision = (report.session, report.sequence)
         present: set[tuple[str, int]] = set()
         strays = set(machine.strays)
         machine.strays.clear()
-        for item in report.pieces:
-            job, piece = split_piece(item.piece)
-            attempt = machine.attempts.get((job, piece))
+        for item in report.tasks:
+            job, task = split_task_name(item.task)
+            attempt = machine.attempts.get((job, task))
             if attempt is not None and attempt.number == item.attempt:
-                present.add((job, piece))
+                present.add((job, task))
                 self._progress(machine, attempt, item, now)
-            elif self._stray(machine, job, piece, item, now):
-                present.add((job, piece))
+            elif self._stray(machine, job, task, item, now):
+                present.add((job, task))
         if strays != machine.strays:
             machine.changes += 1
         if any(
@@ -296,7 +299,7 @@
         for key, attempt in list(machine.attempts.items()):
             if key in present:
                 continue
-            if attempt.loose is not None and attempt.loose != report.shift:
+            if attempt.loose is not None and attempt.loose != report.session:
                 attempt.loose = None  # another session: it would be refused
             if attempt.stage == "assigned" and (attempt.sent is None or attempt.sent < revision):
                 attempt.sent = None  # that start never arrived and can't any more
@@ -310,7 +313,7 @@
         machine.pulling = {
             image: machine.pulling.get(image, now)
             for image in {
-                a.work.record.sub.bundle for a in machine.attempts.values() if a.stage == "pulling"
+                a.work.record.sub.image for a in machine.attempts.values() if a.stage == "pulling"
             }
             if image not in machine.images
         }
@@ -319,49 +322,49 @@
         elif machine.idle_since is None:
             machine.idle_since = now
 
-    def _progress(self, machine: Machine, attempt: Attempt, item: Piece, now: float) -> None:
+    def _progress(self, machine: Machine, attempt: Attempt, item: TaskReport, now: float) -> None:
         work, sub = attempt.work, attempt.work.record.sub
         if item.stage != "ended":
             if item.stage != attempt.stage:
-                log.debug("%s: %s on %s", item.piece, item.stage, machine.id)
+                log.debug("%s: %s on %s", item.task, item.stage, machine.id)
                 attempt.stage, attempt.since = item.stage, now
                 machine.changes += 1
             if item.stage in ("running", "flushing"):
-                self._cached(machine, sub.bundle, sub.pullGb)
+                self._cached(machine, sub.image, sub.image_gb)
                 machine.errors.discard(work.id)
-                if sub.standing and work.failures and now - attempt.since > HEALTHY_S:
+                if sub.is_service and work.failures and now - attempt.since > HEALTHY_S:
                     work.failures = 0
             return
         cause = item.cause or ""
-        log.debug("%s: ended, %s, on %s", item.piece, cause, machine.id)
+        log.debug("%s: ended, %s, on %s", item.task, cause, machine.id)
         if attempt.loose is not None or (attempt.direct and cause != "done"):
             # A copy of the start may still be on its way to `/orders`. While the worker
             # remembers the attempt, the copy has no effect; after a reap it would start.
-            machine.kept.add((work.id, attempt.piece, attempt.number))
-        if cause == "done" and sub.standing:
-            self._cached(machine, sub.bundle, sub.pullGb)
+            machine.kept.add((work.id, attempt.task, attempt.number))
+        if cause == "done" and sub.is_service:
+            self._cached(machine, sub.image, sub.image_gb)
             self._replica_ended(work, now)
         elif cause == "done":
-            self._cached(machine, sub.bundle, sub.pullGb)
+            self._cached(machine, sub.image, sub.image_gb)
             work.failures = 0
-            self.works.complete(work, attempt.piece)
+            self.works.complete(work, attempt.task)
         elif cause == "error":
             work.bad_machines[machine.id] = now + AVOID_S
             machine.errors.add(work.id)
-            if sub.standing:
+            if sub.is_service:
                 self._replica_ended(work, now)
             else:
                 work.failures += 1
             # A job with a mistake fails everywhere: let it not eat up the machines.
-            if work.failures >= 3 and not sub.standing:
+            if work.failures >= 3 and not sub.is_service:
                 work.retry_at = now + min(60.0, 2.0 ** min(work.failures - 2, 6))
-            log.info("%s/%d: failed on %s", work.id, attempt.piece, machine.id)
+            log.info("%s/%d: failed on %s", work.id, attempt.task, machine.id)
         elif cause == "no_room":
             machine.refuse_until = now + 2.0
-            log.info("%s/%d: no room on %s", work.id, attempt.piece, machine.id)
+            log.info("%s/%d: no room on %s", work.id, attempt.task, machine.id)
         elif cause in ("in_use", "no_such"):
             work.retry_at = now + 2.0
-            log.info("%s/%d: %s on %s", work.id, attempt.piece, cause, machine.id)
+            log.info("%s/%d: %s on %s", work.id, attempt.task, cause, machine.id)
         self.drop(attempt)
 
     @staticmethod
@@ -372,27 +375,27 @@
         if work.failures > 1:
             work.retry_at = now + min(REPLICA_PAUSE_S, 0.5 * 2.0 ** min(work.failures - 2, 10))
 
-    def _stray(self, machine: Machine, job: str, piece: int, item: Piece, now: float) -> bool:
+    def _stray(self, machine: Machine, job: str, task: int, item: TaskReport, now: float) -> bool:
         """Something on the machine that is not the attempt we count there; true if it
         was taken over as such."""
         work = self.works.jobs.get(job)
-        if work is not None and piece < work.record.sub.pieces:
+        if work is not None and task < work.record.sub.task_count:
             if item.stage == "ended":
-                if item.cause == "done" and not work.record.sub.standing:
-                    self.works.complete(work, piece)
-                    other = work.attempts.get(piece)
+                if item.cause == "done" and not work.record.sub.is_service:
+                    self.works.complete(work, task)
+                    other = work.attempts.get(task)
                     if other is not None:
                         self.halt(other)
                 return False
-            if piece not in work.attempts and not work.is_done(piece) and not work.record.aborted:
+            if task not in work.attempts and not work.is_done(task) and not work.record.aborted:
                 # It runs and nobody else does: keep it.
-                attempt = self.works.adopt(work, piece, machine.id, item.attempt, now)
+                attempt = self.works.adopt(work, task, machine.id, item.attempt, now)
                 attempt.stage = item.stage
-                machine.attempts[job, piece] = attempt
+                machine.attempts[job, task] = attempt
                 machine.changes += 1
                 return True
         if item.stage != "ended":
-            machine.strays.add((job, piece, item.attempt))
+            machine.strays.add((job, task, item.attempt))
         return False
 
     def _cached(self, machine: Machine, image: str, size: float) -> None:
@@ -401,7 +404,7 @@
         machine.changes += image not in machine.images
         machine.images[image] = size
         machine.images.move_to_end(image)
-        room = self.disk_gb(machine.build or "")
+        room = self.disk_gb(machine.machine_type or "")
         while len(machine.images) > 1 and sum(machine.images.values()) > room:
             machine.images.popitem(last=False)
 
@@ -413,14 +416,14 @@
         the halt, a later report shows it."""
         orders: list[dict[str, Any]] = []
         listed = set()
-        for item in report.pieces:
-            job, piece = split_piece(item.piece)
-            listed.add((job, piece))
+        for item in report.tasks:
+            job, task = split_task_name(item.task)
+            listed.add((job, task))
             if item.stage == "ended":
                 continue
             work = self.works.jobs.get(job)
             if work.record.aborted if work is not None else self._over(job):
-                orders.append(_halt_order(item.piece, item.attempt, 0.0))
+                orders.append(_halt_order(item.task, item.attempt, 0.0))
         for key, attempt in machine.attempts.items():
             if attempt.work.record.aborted and not attempt.never_sent and key not in listed:
                 orders.append(_halt_order(attempt.name, attempt.number, 0.0))
@@ -431,19 +434,19 @@
     ) -> list[dict[str, Any]]:
         """`orders`: those that go first."""
         halted = {(order["piece"], order["try"]) for order in orders}
-        for item in report.pieces:
-            job, piece = split_piece(item.piece)
+        for item in report.tasks:
+            job, task = split_task_name(item.task)
             if item.stage == "ended":
-                if (job, piece, item.attempt) in machine.kept:
+                if (job, task, item.attempt) in machine.kept:
                     continue
-                if self._may_reap(job, piece, item):
-                    orders.append({"verb": "reap", "piece": item.piece, "try": item.attempt})
-            elif (item.piece, item.attempt) not in halted:
-                grace = self._halt(machine, job, piece, item)
+                if self._may_reap(job, task, item):
+                    orders.append({"verb": "reap", "piece": item.task, "try": item.attempt})
+            elif (item.task, item.attempt) not in halted:
+                grace = self._halt(machine, job, task, item)
                 if grace is not None:
-                    orders.append(_halt_order(item.piece, item.attempt, grace))
+                    orders.append(_halt_order(item.task, item.attempt, grace))
         if self._may_start() and machine.placeable:
-            revision = (report.shift, report.tick)
+            revision = (report.session, report.sequence)
             for attempt in machine.attempts.values():
                 if len(orders) >= ORDERS_MAX:
                     break
@@ -493,7 +496,7 @@
         fresh = [a for a in machine.attempts.values() if self._fresh(a)][:ORDERS_MAX]
         for attempt in fresh:
             attempt.direct = True
-            attempt.loose = machine.shift
+            attempt.loose = machine.session
         return fresh
 
     def _fresh(self, attempt: Attempt) -> bool:
@@ -503,25 +506,25 @@
     def _startable(attempt: Attempt) -> bool:
         return attempt.saved and not attempt.halting and not attempt.work.record.aborted
 
-    def _may_reap(self, job: str, piece: int, item: Piece) -> bool:
+    def _may_reap(self, job: str, task: int, item: TaskReport) -> bool:
         """A result is forgotten by the worker only once it is durable here."""
         work = self.works.jobs.get(job)
         if work is None:
             return self._over(job)
         sub = work.record.sub
-        if piece >= sub.pieces or item.cause != "done" or sub.standing:
+        if task >= sub.task_count or item.cause != "done" or sub.is_service:
             return True
-        chunk = work.chunk(piece)
-        return work.is_done(piece) and chunk.saved == chunk.version
+        chunk = work.chunk(task)
+        return work.is_done(task) and chunk.saved == chunk.version
 
-    def _halt(self, machine: Machine, job: str, piece: int, item: Piece) -> float | None:
+    def _halt(self, machine: Machine, job: str, task: int, item: TaskReport) -> float | None:
         """The grace to stop with, or None to let it go on."""
         work = self.works.jobs.get(job)
         if work is None:
             return None
-        if (job, piece, item.attempt) in machine.strays:
+        if (job, task, item.attempt) in machine.strays:
             return 0.0
-        attempt = machine.attempts.get((job, piece))
+        attempt = machine.attempts.get((job, task))
         if attempt is not None and attempt.halting and item.stage != "flushing":
             return _grace(work)
         return None
@@ -529,7 +532,7 @@
 
 def _grace(work: JobState) -> float:
     sub = work.record.sub
-    return sub.markCostS + 1.0 if sub.markEveryS > 0 else 0.0
+    return sub.checkpoint_cost_s + 1.0 if sub.checkpoint_every_s > 0 else 0.0
 
 
 def _to_halt(attempt: Attempt) -> bool:
--- a/spoolcourse/control/jobs/job_index.py
+++ b/spoolcourse/control/jobs/job_index.py
@@ -9,7 +9,7 @@
 import orjson
 
 from spoolcourse.control.jobs.cancellations import Cancellation, Cancellations
-from spoolcourse.control.jobs.records import JobRecord, chunk_pieces
+from spoolcourse.control.jobs.records import JobRecord, chunk_tasks
 from spoolcourse.control.store.client import Put, StoreClient, Unclear
 from spoolcourse.control.store.keys import (
     FINAL,
@@ -119,7 +119,7 @@
     async def accept(self, sub: Submission, at: float) -> bool:
         """Write a new job. False: the id is known already. Raises if it is not known
         whether the write was carried out."""
-        record = JobRecord(sub, at, chunk_pieces(self._client.limits.value_kb), None, 0)
+        record = JobRecord(sub, at, chunk_tasks(self._client.limits.value_kb), None, 0)
         key = job_key(sub.id)
         value = record.value()
         if len(orjson.dumps(value)) > self._client.limits.value_kb * 1024 - WITHDRAWN_BYTES:
--- a/spoolcourse/control/jobs/job_queue.py
+++ b/spoolcourse/control/jobs/job_queue.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from spoolcourse.control.jobs.records import JobRecord, Progress
-from spoolcourse.wire.messages import piece_name
+from spoolcourse.wire.messages import task_name
 
 
 @dataclass(slots=True, eq=False)
@@ -18,7 +18,7 @@
     """One attempt at a piece. It exists until it is proven gone."""
 
     work: JobState
-    piece: int
+    task: int
     number: int
     machine: str
     version: int  # of its chunk when it was assigned
@@ -33,7 +33,7 @@
 
     @property
     def name(self) -> str:
-        return piece_name(self.work.id, self.piece)
+        return task_name(self.work.id, self.task)
 
     @property
     def never_sent(self) -> bool:
@@ -42,7 +42,7 @@
 
     @property
     def saved(self) -> bool:
-        return self.work.chunk(self.piece).saved >= self.version
+        return self.work.chunk(self.task).saved >= self.version
 
 
 @dataclass(slots=True, eq=False)
@@ -86,7 +86,7 @@
 
     @property
     def pending(self) -> int:
-        return self.record.sub.pieces - self.done - len(self.attempts)
+        return self.record.sub.task_count - self.done - len(self.attempts)
 
     @property
     def all_running(self) -> bool:
@@ -100,9 +100,9 @@
         """Pending pieces that may be assigned now: see `held_most`."""
         if self.held_most is None:
             return self.pending
-        size, pieces, total = self.record.chunk, self.record.sub.pieces, 0
+        size, tasks, total = self.record.chunk, self.record.sub.task_count, 0
         for index in range(self.record.chunks):
-            here = min(size, pieces - index * size)
+            here = min(size, tasks - index * size)
             chunk = self.chunks.get(index)
             if chunk is not None:
                 held = len(chunk.progress.held)
@@ -117,20 +117,20 @@
         """Nothing is left to do but to write the final state."""
         if self.record.aborted:
             return not self.attempts
-        if self.record.sub.standing:
+        if self.record.sub.is_service:
             return False  # only its user ends it
-        return self.done == self.record.sub.pieces
+        return self.done == self.record.sub.task_count
 
-    def chunk(self, piece: int) -> Chunk:
-        index = piece // self.record.chunk
+    def chunk(self, task: int) -> Chunk:
+        index = task // self.record.chunk
         chunk = self.chunks.get(index)
         if chunk is None:
             chunk = self.chunks[index] = Chunk(index)
         return chunk
 
-    def is_done(self, piece: int) -> bool:
-        chunk = self.chunks.get(piece // self.record.chunk)
-        return chunk is not None and bool(chunk.progress.done >> (piece % self.record.chunk) & 1)
+    def is_done(self, task: int) -> bool:
+        chunk = self.chunks.get(task // self.record.chunk)
+        return chunk is not None and bool(chunk.progress.done >> (task % self.record.chunk) & 1)
 
     def candidates(self) -> Iterator[int]:
         """Pending pieces: those that lost an attempt first, then in order."""
@@ -138,31 +138,31 @@
             yield from self._candidates()
             return
         held = {i: len(c.progress.held) for i, c in self.chunks.items()}
-        for piece in self._candidates():
-            index = piece // self.record.chunk
+        for task in self._candidates():
+            index = task // self.record.chunk
             if held.get(index, 0) < self.held_most:
                 held[index] = held.get(index, 0) + 1
-                yield piece
+                yield task
 
     def _candidates(self) -> Iterator[int]:
         yield from sorted(p for p in self.requeued if p not in self.attempts)
-        piece = self.fresh
-        while piece < self.record.sub.pieces:
-            if piece not in self.attempts and piece not in self.requeued:
-                if not self.is_done(piece):
-                    yield piece
-                elif piece == self.fresh:
+        task = self.fresh
+        while task < self.record.sub.task_count:
+            if task not in self.attempts and task not in self.requeued:
+                if not self.is_done(task):
+                    yield task
+                elif task == self.fresh:
                     self.fresh += 1
-            elif piece == self.fresh:
+            elif task == self.fresh:
                 self.fresh += 1
-            piece += 1
+            task += 1
 
 
 class JobQueue:
     """All live jobs of the term, with the chunks that wait to be saved."""
 
-    def __init__(self, chunk_pieces: int | None = None) -> None:
-        self._chunk_pieces = chunk_pieces
+    def __init__(self, chunk_tasks: int | None = None) -> None:
+        self._chunk_tasks = chunk_tasks
         self.jobs: dict[str, JobState] = {}
         self.dirty: dict[tuple[str, int], Chunk] = {}
         # Those of the dirty ones that hold back starts: they are written first. Results
@@ -188,54 +188,54 @@
         self.dirty.pop((job, index), None)
         self.starting.pop((job, index), None)
 
-    def assign(self, work: JobState, piece: int, machine: str, number: int, now: float) -> Attempt:
-        if piece in work.attempts or work.is_done(piece) or work.record.aborted:
-            raise ValueError(f"{work.id}/{piece} is not free to start")
-        chunk = work.chunk(piece)
-        chunk.progress.held[piece] = (machine, number)
+    def assign(self, work: JobState, task: int, machine: str, number: int, now: float) -> Attempt:
+        if task in work.attempts or work.is_done(task) or work.record.aborted:
+            raise ValueError(f"{work.id}/{task} is not free to start")
+        chunk = work.chunk(task)
+        chunk.progress.held[task] = (machine, number)
         self.starting[work.id, chunk.index] = chunk
-        attempt = Attempt(work, piece, number, machine, self.touch(work, chunk), now)
-        work.attempts[piece] = attempt
-        work.requeued.discard(piece)
+        attempt = Attempt(work, task, number, machine, self.touch(work, chunk), now)
+        work.attempts[task] = attempt
+        work.requeued.discard(task)
         return attempt
 
-    def adopt(self, work: JobState, piece: int, machine: str, number: int, now: float) -> Attempt:
+    def adopt(self, work: JobState, task: int, machine: str, number: int, now: float) -> Attempt:
         """Take over an attempt that the records or a report show; it may be anywhere."""
-        chunk = work.chunk(piece)
+        chunk = work.chunk(task)
         version = chunk.version
-        if chunk.progress.held.get(piece) != (machine, number):
-            chunk.progress.held[piece] = (machine, number)
+        if chunk.progress.held.get(task) != (machine, number):
+            chunk.progress.held[task] = (machine, number)
             version = self.touch(work, chunk)
-        attempt = Attempt(work, piece, number, machine, version, now, stage="open")
-        work.attempts[piece] = attempt
-        work.requeued.discard(piece)
+        attempt = Attempt(work, task, number, machine, version, now, stage="open")
+        work.attempts[task] = attempt
+        work.requeued.discard(task)
         return attempt
 
     def drop(self, attempt: Attempt) -> None:
         """The attempt is proven gone: its piece may be tried again."""
         work = attempt.work
-        if work.attempts.get(attempt.piece) is not attempt:
+        if work.attempts.get(attempt.task) is not attempt:
             return
-        del work.attempts[attempt.piece]
+        del work.attempts[attempt.task]
         if work.final:
-            self._outliving.pop((work.id, attempt.piece), None)
+            self._outliving.pop((work.id, attempt.task), None)
             return
-        chunk = work.chunk(attempt.piece)
-        chunk.progress.held.pop(attempt.piece, None)
+        chunk = work.chunk(attempt.task)
+        chunk.progress.held.pop(attempt.task, None)
         self.touch(work, chunk)
-        if not work.is_done(attempt.piece):
-            work.requeued.add(attempt.piece)
+        if not work.is_done(attempt.task):
+            work.requeued.add(attempt.task)
         self.check(work)
 
-    def complete(self, work: JobState, piece: int) -> None:
+    def complete(self, work: JobState, task: int) -> None:
         """The piece's result exists. Its attempt, if it is the one that ended, is dropped
         by the caller. A replica of a service has none, however it ended."""
-        if work.record.sub.standing or work.is_done(piece):
+        if work.record.sub.is_service or work.is_done(task):
             return
-        chunk = work.chunk(piece)
-        chunk.progress.done |= 1 << (piece % work.record.chunk)
+        chunk = work.chunk(task)
+        chunk.progress.done |= 1 << (task % work.record.chunk)
         work.done += 1
-        work.requeued.discard(piece)
+        work.requeued.discard(task)
         self.touch(work, chunk)
         self.check(work)
 
@@ -253,14 +253,14 @@
         work = self.jobs[record.sub.id] = JobState(
             record, waiting_since=now, cancelled_known_at=now
         )
-        if self._chunk_pieces is not None and record.chunk > self._chunk_pieces:
-            work.held_most = self._chunk_pieces
+        if self._chunk_tasks is not None and record.chunk > self._chunk_tasks:
+            work.held_most = self._chunk_tasks
         return work
 
     def remove(self, work: JobState) -> None:
         work.final = True
         for attempt in work.attempts.values():
-            self._outliving[work.id, attempt.piece] = attempt
+            self._outliving[work.id, attempt.task] = attempt
         self.jobs.pop(work.id, None)
         self.finished.pop(work.id, None)
         for index in work.chunks:
@@ -274,7 +274,7 @@
         for index, (progress, revision) in saved.items():
             work.chunks[index] = Chunk(index, progress, revision)
             work.done += progress.done.bit_count()
-            for piece, (machine, number) in list(progress.held.items()):
-                self.adopt(work, piece, machine, number, now)
+            for task, (machine, number) in list(progress.held.items()):
+                self.adopt(work, task, machine, number, now)
         self.check(work)
         return work
--- a/spoolcourse/control/jobs/records.py
+++ b/spoolcourse/control/jobs/records.py
@@ -26,7 +26,7 @@
 
     @property
     def chunks(self) -> int:
-        return -(-self.sub.pieces // self.chunk)
+        return -(-self.sub.task_count // self.chunk)
 
     def value(self) -> dict[str, Any]:
         value = {"sub": msgspec.to_builtins(self.sub), "at": self.at, "chunk": self.chunk}
@@ -68,6 +68,6 @@
         )
 
 
-def chunk_pieces(value_kb: float) -> int:
+def chunk_tasks(value_kb: float) -> int:
     """Pieces per key so that every piece held at once still fits into one value."""
     return max(16, int(value_kb * 1024) // 48)
--- a/spoolcourse/control/leader_term.py
+++ b/spoolcourse/control/leader_term.py
@@ -15,7 +15,7 @@
 from spoolcourse.control.fleet.worker_registry import WorkerRegistry
 from spoolcourse.control.jobs.job_index import JobIndex
 from spoolcourse.control.jobs.job_queue import Attempt, JobQueue, JobState
-from spoolcourse.control.jobs.records import JobRecord, Progress, chunk_pieces
+from spoolcourse.control.jobs.records import JobRecord, Progress, chunk_tasks
 from spoolcourse.control.jobs.writer import Writer
 from spoolcourse.control.leadership.cancellation_query import CancellationQuery
 from spoolcourse.control.leadership.election import Leadership, Term
@@ -34,7 +34,7 @@
 from spoolcourse.control.store.keys import BASE, JOB, PROGRESS, TERM, split_progress
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.policy.keys import PolicySource
-from spoolcourse.wire.messages import Build, Host, Report
+from spoolcourse.wire.messages import Host, MachineType, Report
 from spoolcourse.wire.settings import Params, Seed
 
 log = logging.getLogger(__name__)
@@ -53,7 +53,7 @@
         seeds: list[Seed],
         params: Params,
         policy_source: PolicySource,
-        builds: Callable[[], dict[str, Build]],
+        machine_types: Callable[[], dict[str, MachineType]],
         wall: Callable[[], float],
         load: Load,
     ) -> None:
@@ -69,7 +69,7 @@
         policy = self._policy = policy_source.initial()
         self.pass_cost_s = 0.0
         self.passes = 0
-        self._builds = builds
+        self._builds = machine_types
         self._wall = wall
         self._clock = asyncio.get_running_loop().time
         self.renewal_deadline = RenewalDeadline(params.workers)
@@ -88,7 +88,7 @@
         self._heard_direct = self._clock()
         self._wake = asyncio.Event()
         self.ready = asyncio.Event()
-        self.works = JobQueue(chunk_pieces(params.state.least.value_kb))
+        self.works = JobQueue(chunk_tasks(params.state.least.value_kb))
         self.registry = WorkerRegistry(
             self.works,
             term.number,
@@ -111,14 +111,16 @@
             cloud,
             self.registry,
             policy,
-            builds,
+            machine_types,
             self._clock,
             leadership.valid,
             params,
             wall,
         )
         self._snapshot_builder = SnapshotBuilder(self.works, self.registry, params, policy)
-        self.autoscaler.is_rare = lambda build: self._snapshot_builder.is_rare(build, self._clock())
+        self.autoscaler.is_rare = lambda machine_type: self._snapshot_builder.is_rare(
+            machine_type, self._clock()
+        )
         self.autoscaler.base = self._base
         self.autoscaler.on_list = self._store_base
         self.autoscaler.on_summary = self._log_waiting
@@ -229,7 +231,7 @@
         """Once and for all, at the first list that any leader ever gets."""
         if self._watch_cache.get(BASE) is not None:
             return
-        names = [h.id for h in hosts if not h.loaners and h.stage == "running"]
+        names = [h.id for h in hosts if not h.spot and h.stage == "running"]
         value = {"machines": names if self._term.number == 1 else []}
         if len(orjson.dumps(value)) > self._params.state.least.value_kb * 1024:
             value = {"machines": []}  # a fleet of that size is not kept by name
@@ -242,9 +244,9 @@
         if outcome.ok:
             self._watch_cache.apply(BASE, value, outcome.store_revision)
 
-    def _disk_gb(self, build: str) -> float:
-        known = self._builds().get(build)
-        return known.localGb if known else 0.0
+    def _disk_gb(self, machine_type: str) -> float:
+        known = self._builds().get(machine_type)
+        return known.disk_gb if known else 0.0
 
     def waiting(self) -> list[dict[str, Any]]:
         """Jobs with pieces that wait, in order of arrival, and what for."""
@@ -252,8 +254,8 @@
         return [
             {
                 "id": work.id,
-                "lane": work.record.sub.lane,
-                "crew": work.record.sub.crew,
+                "lane": work.record.sub.job_class,
+                "crew": work.record.sub.team,
                 "pieces": work.pending,
                 "waitsS": round(now - work.waiting_since, 1),
                 "why": "an error's pause"
@@ -300,8 +302,8 @@
         return self._clock() - self._heard_direct > self._params.workers.quiet_s
 
     def report(self, report: Report, direct: bool = True) -> Reply:
-        if report.baton > self._term.number:
-            self._leadership.depose(f"{report.spindle} has seen term {report.baton}")
+        if report.fencing_token > self._term.number:
+            self._leadership.depose(f"{report.machine} has seen term {report.fencing_token}")
             return Reply(421, {})  # the worker goes on to the next node
         if not self.ready.is_set():
             return Reply(503, {"error": "taking over"})
@@ -339,12 +341,12 @@
 
     def _log_waiting(self) -> None:
         """What waits and what for, for the operators."""
-        pieces: dict[tuple[str, str], int] = {}
+        tasks: dict[tuple[str, str], int] = {}
         for entry in self.waiting():
             key = (entry["lane"], entry["why"])
-            pieces[key] = pieces.get(key, 0) + entry["pieces"]
-        for (lane, why), count in sorted(pieces.items()):
-            log.info("waiting: %d pieces of %s for: %s", count, lane, why)
+            tasks[key] = tasks.get(key, 0) + entry["pieces"]
+        for (job_class, why), count in sorted(tasks.items()):
+            log.info("waiting: %d pieces of %s for: %s", count, job_class, why)
 
     def _refresh_policy(self, snapshot: Snapshot, wanted: float) -> None:
         at_hand = sum(node.size for node in snapshot.nodes)
@@ -355,7 +357,7 @@
                 "machines": float(len(snapshot.nodes)),
                 "load": wanted / at_hand if at_hand > 0 else 0.0,
                 "pass_cost_s": self.pass_cost_s,
-                "boot_s": max((b.startupS for b in self._builds().values()), default=1.0),
+                "boot_s": max((b.boot_s for b in self._builds().values()), default=1.0),
                 "report_s": self._params.workers.report_s,
                 "lease_s": self._params.workers.lease_s,
             },
@@ -363,12 +365,12 @@
 
     def _run_pass(self) -> None:
         now = self._clock()
-        builds = self._builds()
-        if not builds:
+        machine_types = self._builds()
+        if not machine_types:
             return
         with self._load.spent("snapshot"):
-            snapshot = self._snapshot_builder.take(now, builds)
-        held = sum(w.record.sub.vcpus * len(w.attempts) for w in self.works.jobs.values())
+            snapshot = self._snapshot_builder.take(now, machine_types)
+        held = sum(w.record.sub.cpus * len(w.attempts) for w in self.works.jobs.values())
         room = [team.cpus for team in snapshot.teams]
         with self._load.spent("place"):
             plan = place(snapshot)
@@ -383,21 +385,21 @@
             work = self._snapshot_builder.works[decision.job]
             machine = self._snapshot_builder.machines[decision.node]
             chosen = list(islice(work.candidates(), decision.count))
-            for piece in chosen:
+            for task in chosen:
                 self._attempts += 1
                 number = (self._term.number << 24) + self._attempts
-                attempt = self.works.assign(work, piece, machine.id, number, now)
+                attempt = self.works.assign(work, task, machine.id, number, now)
                 attempt.first = work.id in self._snapshot_builder.unbegun
                 self.registry.link(attempt)
             log.debug("%s: %d pieces to %s", work.id, len(chosen), machine.id)
         with self._load.spent("stop"):
             self._stop_for_claims(snapshot, plan)
-        self._plan_machines(snapshot, plan, room, now, builds)
+        self._plan_machines(snapshot, plan, room, now, machine_types)
 
     def _stop_for_claims(self, snapshot: Snapshot, plan: Plan) -> None:
         chosen = choose_victims(snapshot, plan, self._policy.preempt_patience_s)
         for attempt in self._snapshot_builder.attempts(chosen) if chosen else ():
-            log.info("%s/%d: stopped to make room", attempt.work.id, attempt.piece)
+            log.info("%s/%d: stopped to make room", attempt.work.id, attempt.task)
             if attempt.never_sent:
                 self.registry.drop(attempt)
             else:
@@ -410,7 +412,7 @@
         plan: Plan,
         room: list[float],
         now: float,
-        builds: dict[str, Build],
+        machine_types: dict[str, MachineType],
     ) -> None:
         if self.autoscaler.wanted or self.autoscaler.renting:
             return
@@ -419,20 +421,20 @@
             return
         offers = [
             Offer(
-                self._snapshot_builder.builds.of(b.name),
-                self._snapshot_builder.zones.of(yard),
-                loaner,
-                b.vcpus,
+                self._snapshot_builder.machine_types.of(b.name),
+                self._snapshot_builder.zones.of(zone),
+                spot,
+                b.cpus,
                 b.gpus,
-                b.memoryGb,
-                b.marketPrice if loaner else b.hourly,
-                b.startupS,
+                b.memory_gb,
+                b.spot_price if spot else b.hourly_price,
+                b.boot_s,
             )
-            for b in builds.values()
-            for yard in b.yards
-            if yard in self._params.zones
-            for loaner in (True, False)
-            if self.autoscaler.open_for_hire(Kind(b.name, yard, loaner))
+            for b in machine_types.values()
+            for zone in b.zones
+            if zone in self._params.zones
+            for spot in (True, False)
+            if self.autoscaler.open_for_hire(Kind(b.name, zone, spot))
         ]
         demand = [(snapshot.jobs[i], count) for i, count in plan.unplaced.items()]
         hires = plan_hires(demand, snapshot.nodes, offers, now, room)
@@ -442,9 +444,9 @@
             self.autoscaler.wanted = [
                 (
                     Kind(
-                        self._snapshot_builder.builds.names[h.offer.build],
+                        self._snapshot_builder.machine_types.names[h.offer.machine_type],
                         self._snapshot_builder.zones.names[h.offer.zone],
-                        h.offer.loaner,
+                        h.offer.spot,
                     ),
                     h.count,
                 )
@@ -459,9 +461,9 @@
             await asyncio.sleep(0.5)
             now = self._clock()
             for machine in list(self.registry.machines.values()):
-                if machine.recall_at is None:
+                if machine.terminates_at is None:
                     continue
-                left = machine.recall_at - now
+                left = machine.terminates_at - now
                 for attempt in list(machine.attempts.values()):
                     self._drain(attempt, left, now)
 
@@ -475,7 +477,7 @@
                 self.registry.drop(attempt)
             return
         sub = attempt.work.record.sub
-        if sub.standing:
+        if sub.is_service:
             # Its next place is ready sooner than its machine is proven gone, so it moves; but
             # one replica at a time, none while another is missing or while there is nowhere to
             # go to, as long as there is time.
@@ -483,8 +485,8 @@
             late = last_moment or (
                 attempt.work.all_running and self.autoscaler.places.has_place_elsewhere(attempt)
             )
-        elif sub.markEveryS > 0:
-            late = left < sub.markCostS + 2 * self._params.workers.report_s + 1.0
+        elif sub.checkpoint_every_s > 0:
+            late = left < sub.checkpoint_cost_s + 2 * self._params.workers.report_s + 1.0
         else:
             elapsed = now - attempt.since if attempt.stage == "running" else 0.0
             late = self._snapshot_builder.estimate(attempt.work) - elapsed > 1.5 * left
--- a/spoolcourse/control/machines/autoscaler.py
+++ b/spoolcourse/control/machines/autoscaler.py
@@ -20,7 +20,7 @@
 from spoolcourse.control.machines.replica_places import ReplicaPlaces
 from spoolcourse.control.net import Net, NetError
 from spoolcourse.policy.keys import KEYS, Policy
-from spoolcourse.wire.messages import Build, Host, Malformed, Report, parse
+from spoolcourse.wire.messages import Host, MachineType, Malformed, Report, parse
 from spoolcourse.wire.settings import Params
 
 log = logging.getLogger(__name__)
@@ -32,9 +32,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    build: str
-    yard: str
-    loaner: bool
+    machine_type: str
+    zone: str
+    spot: bool
 
 
 @dataclass(slots=True)
@@ -50,7 +50,7 @@
         cloud: Cloud,
         registry: WorkerRegistry,
         policy: Policy,
-        builds: Callable[[], dict[str, Build]],
+        machine_types: Callable[[], dict[str, MachineType]],
         clock: Callable[[], float],
         may_rent: Callable[[], bool],
         params: Params,
@@ -60,7 +60,7 @@
         self._cloud = cloud
         self._registry = registry
         self._policy = policy
-        self._builds = builds
+        self._builds = machine_types
         self._clock = clock
         self._may_rent = may_rent
         self._workers = params.workers
@@ -68,7 +68,7 @@
         self._cancelled = Cancelled(
             registry.works, params.workers, params.skew_ms / 1000, clock, wall
         )
-        self.places = ReplicaPlaces(registry, params.workers, clock, builds)
+        self.places = ReplicaPlaces(registry, params.workers, clock, machine_types)
         self._early = EarlyDeletion(registry, self.places, params.workers, clock)
         self._hires = 0
         self.demand = Demand(KEYS["keep_s"].high)
@@ -78,7 +78,7 @@
         self.on_list: Callable[[list[Host]], Awaitable[None]] | None = None
         self.on_summary: Callable[[], None] = lambda: None
         # Types that some jobs have no choice but to use are kept, within reason.
-        self.is_rare: Callable[[str], bool] = lambda build: False
+        self.is_rare: Callable[[str], bool] = lambda machine_type: False
         self.refusals: dict[Kind, Refusal] = {}
         self.wanted: list[tuple[Kind, int]] = []
         self.renting = False  # what is being asked for is not known as a machine yet
@@ -107,19 +107,19 @@
             if host.stage == "running" and machine.listed != "running":
                 machine.running_at = now
             machine.listed = host.stage
-            machine.build = machine.build or host.build
-            machine.yard = machine.yard or host.yard
-            if machine.loaner is None:
-                machine.loaner = host.loaners
+            machine.machine_type = machine.machine_type or host.machine_type
+            machine.zone = machine.zone or host.zone
+            if machine.spot is None:
+                machine.spot = host.spot
             machine.address = machine.address or host.address
             if machine.rented_at is None:
-                machine.rented_at = now - host.ageS
+                machine.rented_at = now - host.age_s
             if machine.heard_at is None and machine.up_at is None:
                 machine.up_at = machine.rented_at + self._boot_s(machine)
 
     def _boot_s(self, machine: Machine) -> float:
-        build = self._builds().get(machine.build or "")
-        return build.startupS if build else 60.0
+        machine_type = self._builds().get(machine.machine_type or "")
+        return machine_type.boot_s if machine_type else 60.0
 
     async def _probe(self, hosts: list[Host]) -> None:
         """Raise the baton on machines that have not spoken under it yet, with an empty
@@ -138,20 +138,20 @@
         async def one(machine: Machine) -> None:
             async with gate:
                 if not machine.confirmed:  # its own report may have come meanwhile
-                    await self.raise_baton(machine)
+                    await self.raise_fencing_token(machine)
 
         await asyncio.gather(*(one(m) for m in todo))
 
-    async def raise_baton(self, machine: Machine) -> None:
+    async def raise_fencing_token(self, machine: Machine) -> None:
         try:
             shown = await self._net.call(machine.address, "GET", "/show", timeout=1.0, keep=False)
             report = parse(shown.data, Report)
-            body = {"baton": self._registry.term, "shift": report.shift, "orders": []}
+            body = {"baton": self._registry.term, "shift": report.session, "orders": []}
             reply = await self._net.call(
                 machine.address, "POST", "/orders", body, timeout=1.0, keep=False
             )
             report = parse(reply.data, Report)
-            if report.spindle == machine.id:
+            if report.machine == machine.id:
                 self._registry.observe(report)
         except (NetError, Malformed) as exc:
             log.debug("%s: baton not raised: %s", machine.id, exc)
@@ -180,7 +180,7 @@
         for _ in range(3):
             asked = self._clock()
             try:
-                names = await self._cloud.hire(name, kind.build, kind.yard, kind.loaner, count)
+                names = await self._cloud.hire(name, kind.machine_type, kind.zone, kind.spot, count)
             except NoCapacity:
                 self._refused(kind)
                 return
@@ -192,7 +192,11 @@
                 if machine_name in self._registry.buried:
                     continue
                 machine = self._registry.machine(machine_name)
-                machine.build, machine.yard, machine.loaner = kind.build, kind.yard, kind.loaner
+                machine.machine_type, machine.zone, machine.spot = (
+                    kind.machine_type,
+                    kind.zone,
+                    kind.spot,
+                )
                 machine.rented_at = asked
                 if machine.heard_at is None:
                     machine.up_at = asked + self._boot_s(machine)
@@ -225,18 +229,18 @@
         """What is there and what it does, for the operators."""
         found: dict[tuple[str, bool], list[float]] = {}
         for m in self._registry.machines.values():
-            row = found.setdefault((m.build or "?", bool(m.loaner)), [0, 0, 0.0, 0.0, 0, 0])
+            row = found.setdefault((m.machine_type or "?", bool(m.spot)), [0, 0, 0.0, 0.0, 0, 0])
             row[0] += 1
             row[1] += m.heard_at is None
             row[2] += self._cpus(m)
-            row[3] += sum(a.work.record.sub.vcpus for a in m.attempts.values())
+            row[3] += sum(a.work.record.sub.cpus for a in m.attempts.values())
             row[4] += m.surplus
             row[5] += m.heard_at is not None and not m.attempts
-        for (build, spot), row in sorted(found.items()):
+        for (machine_type, spot), row in sorted(found.items()):
             log.info(
                 "fleet: %s, spot %s: %d machines, %d booting, %d surplus, %d empty; "
                 "%.0f CPUs, %.0f taken",
-                build,
+                machine_type,
                 "yes" if spot else "no",
                 row[0],
                 row[1],
@@ -343,13 +347,15 @@
         return None
 
     def _cpus(self, machine: Machine) -> float:
-        build = self._builds().get(machine.build or "")
-        return build.vcpus if build else 0.0
+        machine_type = self._builds().get(machine.machine_type or "")
+        return machine_type.cpus if machine_type else 0.0
 
     def _capacity(self) -> float:
-        size = {build.name: build.vcpus for build in self._builds().values()}  # asked every pass
+        size = {
+            machine_type.name: machine_type.cpus for machine_type in self._builds().values()
+        }  # asked every pass
         return sum(
-            size.get(m.build or "", 0.0)
+            size.get(m.machine_type or "", 0.0)
             for m in self._registry.machines.values()
             if m.placeable or (m.heard_at is None and not m.deleting and m.listed != "failed")
         )
@@ -365,12 +371,12 @@
         ordinary = [
             m
             for m in self._registry.machines.values()
-            if m.loaner is False and m.placeable and m.id not in base
+            if m.spot is False and m.placeable and m.id not in base
         ]
         # Those already marked stay marked if possible: they have run emptier since.
         for machine in sorted(ordinary, key=lambda m: (not m.surplus, len(m.attempts))):
             cpus = self._cpus(machine)
-            machine.surplus = cpus <= spare and not self.is_rare(machine.build or "")
+            machine.surplus = cpus <= spare and not self.is_rare(machine.machine_type or "")
             if machine.surplus:
                 spare -= cpus
 
@@ -389,7 +395,7 @@
         ):
             return False
         policy, boot = self._policy, self._boot_s(machine)
-        if self.is_rare(machine.build or ""):
+        if self.is_rare(machine.machine_type or ""):
             limit = policy.rare_s
         elif machine.surplus:
             limit = policy.surplus_idle_s
@@ -399,4 +405,4 @@
 
 
 def _words(kind: Kind) -> tuple[str, str, str]:
-    return kind.build, kind.yard, "yes" if kind.loaner else "no"
+    return kind.machine_type, kind.zone, "yes" if kind.spot else "no"
--- a/spoolcourse/control/machines/cloud.py
+++ b/spoolcourse/control/machines/cloud.py
@@ -65,22 +65,24 @@
                 page = parse(reply.data, HostPage)
             except Malformed as exc:
                 raise CloudError(f"hosts: {exc}") from exc
-            found += page.spindles
-            if not page.hasNext or not page.spindles:
+            found += page.hosts
+            if not page.has_next or not page.hosts:
                 return found
-            since = page.spindles[-1].id
+            since = page.hosts[-1].id
 
-    async def hire(self, name: str, build: str, yard: str, loaner: bool, count: int) -> list[str]:
+    async def hire(
+        self, name: str, machine_type: str, zone: str, spot: bool, count: int
+    ) -> list[str]:
         body = {
             "hire": name,
-            "build": build,
-            "yard": yard,
-            "loaners": loaner,
+            "build": machine_type,
+            "yard": zone,
+            "loaners": spot,
             "count": min(count, HIRE_MAX),
         }
         reply = await self._call("POST", "/hosts", body)
         try:
-            return parse(reply.data, Hired).spindles
+            return parse(reply.data, Hired).machines
         except Malformed as exc:
             raise CloudError(f"hire: {exc}") from exc
 
--- a/spoolcourse/control/machines/early_deletion.py
+++ b/spoolcourse/control/machines/early_deletion.py
@@ -74,7 +74,7 @@
         budget = self._budget()
         for machine in candidates:
             replicas = _replicas(machine)
-            if len(chosen) >= budget or zones.troubled(machine.yard or ""):
+            if len(chosen) >= budget or zones.troubled(machine.zone or ""):
                 continue
             if replicas and all(map(self._places.has_place_elsewhere, replicas)):
                 chosen.add(machine.id)
@@ -93,7 +93,7 @@
         for machine in self._registry.machines.values():
             if machine.heard_at is None or machine.listed == "failed":
                 continue
-            zone = machine.yard or ""
+            zone = machine.zone or ""
             zones.heard[zone] += 1
             if now - machine.spoke_at > self._places.late_s:
                 zones.late[zone] += 1
@@ -111,7 +111,7 @@
     return [
         attempt
         for attempt in machine.attempts.values()
-        if attempt.work.record.sub.standing
+        if attempt.work.record.sub.is_service
         and not attempt.work.record.aborted
         and not attempt.never_sent
     ]
--- a/spoolcourse/control/machines/planner.py
+++ b/spoolcourse/control/machines/planner.py
@@ -14,9 +14,9 @@
 class Offer:
     """A kind of machine that can be asked for now."""
 
-    build: int
+    machine_type: int
     zone: int
-    loaner: bool
+    spot: bool
     cpus: float
     gpus: float
     memory: float
@@ -51,7 +51,7 @@
     for node in nodes:
         if count <= 0:
             break
-        if node.cpus + EPSILON >= job.cpus and job.takes(node.build, node.loaner):
+        if node.cpus + EPSILON >= job.cpus and job.takes(node.machine_type, node.spot):
             taken = min(count, node.fit(job), zones.room(node.zone))
             if taken > 0:
                 node.use(job, taken)
@@ -90,9 +90,9 @@
         while count > 0 and sum(hires.values()) < most:
             best: tuple[float, Offer] | None = None
             for offer in offers:
-                if not job.takes(offer.build, offer.loaner) or zones.room(offer.zone) < 1:
+                if not job.takes(offer.machine_type, offer.spot) or zones.room(offer.zone) < 1:
                     continue
-                if not offer.loaner and job.loaners and now < job.ordinary_at:
+                if not offer.spot and job.spot_allowed and now < job.ordinary_at:
                     continue
                 slots = min(
                     count, fit(offer.cpus, offer.gpus, offer.memory, job), zones.room(offer.zone)
@@ -109,9 +109,9 @@
             offer = best[1]
             hires[offer] = hires.get(offer, 0) + 1
             fresh = Node(
-                offer.build,
+                offer.machine_type,
                 offer.zone,
-                offer.loaner,
+                offer.spot,
                 offer.cpus,
                 offer.gpus,
                 offer.memory,
@@ -127,7 +127,7 @@
     """Spot machines, the cheapest by CPU, to have `short` CPUs more at hand. Whatever is
     started on them later does not wait for a machine to boot."""
     hires = []
-    cheap = sorted((o for o in offers if o.loaner and o.cpus > 0), key=lambda o: o.price / o.cpus)
+    cheap = sorted((o for o in offers if o.spot and o.cpus > 0), key=lambda o: o.price / o.cpus)
     for offer in cheap:
         count = min(int(short // offer.cpus), most)
         if count > 0:
--- a/spoolcourse/control/machines/replica_places.py
+++ b/spoolcourse/control/machines/replica_places.py
@@ -11,7 +11,7 @@
 
 from spoolcourse.control.fleet.worker_registry import Machine, WorkerRegistry
 from spoolcourse.control.jobs.job_queue import Attempt, JobState
-from spoolcourse.wire.messages import RANKS, Build, fits
+from spoolcourse.wire.messages import RANKS, MachineType, fits
 from spoolcourse.wire.settings import Workers
 
 REPORT_JITTER = 1.25  # reports are sent every `report_s`, give or take a quarter
@@ -26,7 +26,7 @@
         registry: WorkerRegistry,
         workers: Workers,
         clock: Callable[[], float],
-        machine_types: Callable[[], dict[str, Build]],
+        machine_types: Callable[[], dict[str, MachineType]],
     ) -> None:
         self._registry = registry
         self._clock = clock
@@ -41,7 +41,7 @@
         for machine in self._registry.machines.values():
             if machine.id == replica.machine or not machine.placeable:
                 continue
-            machine_type = types.get(machine.build or "")
+            machine_type = types.get(machine.machine_type or "")
             if machine_type is None or now - machine.spoke_at > self.late_s:
                 continue
             if _takes(machine, machine_type, replica.work) and self._zone_takes(replica, machine):
@@ -52,23 +52,23 @@
         """Zone rules, with all attempts but the replica's own counted."""
         sub = replica.work.record.sub
         zones = Counter(
-            host.yard
+            host.zone
             for attempt in replica.work.attempts.values()
             if attempt is not replica
             and (host := self._registry.machines.get(attempt.machine)) is not None
         )
-        if sub.oneZone and any(zone != machine.yard for zone in zones):
+        if sub.one_zone and any(zone != machine.zone for zone in zones):
             return False
-        most_in_a_zone = -(-sub.pieces // 2)
-        return not sub.scatter or zones[machine.yard] < most_in_a_zone
+        most_in_a_zone = -(-sub.task_count // 2)
+        return not sub.spread_over_zones or zones[machine.zone] < most_in_a_zone
 
 
-def _takes(machine: Machine, machine_type: Build, work: JobState) -> bool:
+def _takes(machine: Machine, machine_type: MachineType, work: JobState) -> bool:
     """Whether the job may run there, and what stays leaves room for one task of it."""
     sub = work.record.sub
-    if not fits(sub, machine_type) or (machine.loaner and not sub.loaners):
+    if not fits(sub, machine_type) or (machine.spot and not sub.spot_allowed):
         return False
-    if sub.yard not in (None, machine.yard):
+    if sub.zone not in (None, machine.zone):
         return False
     rank = RANKS.index(sub.rank)
     staying = [
@@ -77,7 +77,7 @@
         if RANKS.index(attempt.work.record.sub.rank) <= rank
     ]
     return (
-        sum(other.vcpus for other in staying) + sub.vcpus <= machine_type.vcpus
+        sum(other.cpus for other in staying) + sub.cpus <= machine_type.cpus
         and sum(other.gpus for other in staying) + sub.gpus <= machine_type.gpus
-        and sum(other.memoryGb for other in staying) + sub.memoryGb <= machine_type.memoryGb
+        and sum(other.memory_gb for other in staying) + sub.memory_gb <= machine_type.memory_gb
     )
--- a/spoolcourse/control/placement/backfill.py
+++ b/spoolcourse/control/placement/backfill.py
@@ -107,7 +107,7 @@
 
     @staticmethod
     def _suits(job: Job, index: int, node: Node) -> bool:
-        return job.takes(node.build, node.loaner) and index not in job.avoid
+        return job.takes(node.machine_type, node.spot) and index not in job.avoid
 
     def _may_fetch(self, job: Job, node: Node) -> bool:
         """Whether the image is there, on its way, or one more fetch can be booked."""
--- a/spoolcourse/control/placement/model.py
+++ b/spoolcourse/control/placement/model.py
@@ -62,9 +62,9 @@
 class Node(Room):
     """A machine. `ready_at` is in the future while it boots."""
 
-    build: int
+    machine_type: int
     zone: int
-    loaner: bool
+    spot: bool
     cpus: float  # free now
     gpus: float
     memory: float
@@ -95,9 +95,9 @@
     image_gb: float
     team: int
     estimate: float
-    builds: frozenset[int] | None = None  # None: any
+    machine_types: frozenset[int] | None = None  # None: any
     zone: int | None = None
-    loaners: bool = True
+    spot_allowed: bool = True
     one_zone: bool = False
     spread: int | None = None  # at most so many pieces in one zone
     held: dict[int, int] = field(default_factory=dict)  # zone: pieces that may be there
@@ -110,9 +110,11 @@
     service: bool = False
     ordinary_at: float = 0.0  # from then on ordinary machines may be rented for it
 
-    def takes(self, build: int, loaner: bool) -> bool:
+    def takes(self, machine_type: int, spot: bool) -> bool:
         """Whether it may run on this kind of machine."""
-        return (self.builds is None or build in self.builds) and (self.loaners or not loaner)
+        return (self.machine_types is None or machine_type in self.machine_types) and (
+            self.spot_allowed or not spot
+        )
 
     def elsewhere(self, zone: int) -> bool:
         """It must stay in one zone, and that is another."""
--- a/spoolcourse/control/placement/preempt.py
+++ b/spoolcourse/control/placement/preempt.py
@@ -31,7 +31,7 @@
     return (
         node.ready_at <= now
         and job.zone_room(node.zone) > 0
-        and job.takes(node.build, node.loaner)
+        and job.takes(node.machine_type, node.spot)
         and number not in job.avoid
     )
 
@@ -78,7 +78,7 @@
             continue
         plain = not (job.avoid or job.one_zone or job.spread is not None)
         like = (
-            *(job.rank, job.guaranteed, job.team, job.builds, job.zone, job.loaners),
+            *(job.rank, job.guaranteed, job.team, job.machine_types, job.zone, job.spot_allowed),
             *(job.cpus, job.gpus, job.memory),
         )
         if plain and like in in_vain:
--- a/spoolcourse/control/placement/snapshot_builder.py
+++ b/spoolcourse/control/placement/snapshot_builder.py
@@ -10,7 +10,7 @@
 from spoolcourse.control.placement.model import Job, Node, Snapshot, Team
 from spoolcourse.control.placement.snapshot_cache import Index, SnapshotCache
 from spoolcourse.policy.keys import Policy
-from spoolcourse.wire.messages import RANKS, Build, fits
+from spoolcourse.wire.messages import RANKS, MachineType, fits
 from spoolcourse.wire.settings import Params
 
 log = logging.getLogger(__name__)
@@ -29,12 +29,14 @@
         self._works = works
         self._registry = registry
         self._team_settings = params.teams
-        self._prompt_lanes = {o.lane for o in params.objectives if o.kind in ("wait", "up")}
+        self._prompt_classes = {o.job_class for o in params.objectives if o.kind in ("wait", "up")}
         self._policy = policy
         self.teams = Index([t.name for t in params.teams])
         self.zones = Index(params.zones)
-        self.builds = Index()
-        self._snapshot_cache = SnapshotCache(self.teams, self.zones, self.builds, self.estimate)
+        self.machine_types = Index()
+        self._snapshot_cache = SnapshotCache(
+            self.teams, self.zones, self.machine_types, self.estimate
+        )
         self._images = self._snapshot_cache.images
         self.works: list[JobState] = []
         self.machines: list[Machine] = []
@@ -43,21 +45,21 @@
         self._within: set[str] = set()
         self.unbegun: set[str] = set()  # jobs whose first task goes before rank
 
-    def _mark_rare(self, now: float, builds: dict[str, Build]) -> None:
+    def _mark_rare(self, now: float, machine_types: dict[str, MachineType]) -> None:
         """Machine types that some job of late depends on, while others have a choice."""
         for work in self._works.jobs.values():
-            fitting = [b.name for b in builds.values() if fits(work.record.sub, b)]
-            if len(fitting) < len(builds):
+            fitting = [b.name for b in machine_types.values() if fits(work.record.sub, b)]
+            if len(fitting) < len(machine_types):
                 for name in fitting:
                     self._rare_until[name] = now + self._policy.rare_s
 
-    def is_rare(self, build: str, now: float) -> bool:
-        return self._rare_until.get(build, 0.0) > now
+    def is_rare(self, machine_type: str, now: float) -> bool:
+        return self._rare_until.get(machine_type, 0.0) > now
 
     def estimate(self, work: JobState) -> float:
         """How long a task of it runs; a service has no end."""
         sub = work.record.sub
-        return inf if sub.standing else sub.expectS or self._policy.default_estimate_s
+        return inf if sub.is_service else sub.expected_run_s or self._policy.default_estimate_s
 
     def attempts(self, numbers: list[int]) -> list[Attempt]:
         """Those that the pass knows by number, in the same order."""
@@ -70,7 +72,7 @@
         }
         return [found[number] for number in numbers]
 
-    def take(self, now: float, builds: dict[str, Build]) -> Snapshot:
+    def take(self, now: float, machine_types: dict[str, MachineType]) -> Snapshot:
         room = [Team(t.cpus_max, t.gpus_max) for t in self._team_settings]
         self.works = sorted(
             (w for w in self._works.jobs.values() if not w.record.aborted),
@@ -92,26 +94,26 @@
         self._snapshot_cache.judge(self._within, self._works.jobs)
         for work in self._works.jobs.values():
             sub = work.record.sub
-            team = room[self.teams.of(sub.crew)]
-            team.cpus -= sub.vcpus * len(work.attempts)
+            team = room[self.teams.of(sub.team)]
+            team.cpus -= sub.cpus * len(work.attempts)
             team.gpus -= sub.gpus * len(work.attempts)
         for attempt in self._works.left_over():
             sub = attempt.work.record.sub
-            team = room[self.teams.of(sub.crew)]
-            team.cpus -= sub.vcpus
+            team = room[self.teams.of(sub.team)]
+            team.cpus -= sub.cpus
             team.gpus -= sub.gpus
         for team, settings in zip(room, self._team_settings, strict=True):
             team.over = (settings.cpus_max - team.cpus) - settings.cpus
         self.machines = []
-        self._mark_rare(now, builds)
-        self._boot_s = max((b.startupS for b in builds.values()), default=0.0)
-        rare_types = {name for name in builds if self.is_rare(name, now)}
+        self._mark_rare(now, machine_types)
+        self._boot_s = max((b.boot_s for b in machine_types.values()), default=0.0)
+        rare_types = {name for name in machine_types if self.is_rare(name, now)}
         self._snapshot_cache.keep(self._registry.machines)
         nodes: list[Node] = []
         number_of: dict[str, int] = {}
         for machine in self._registry.machines.values():
-            build = builds.get(machine.build or "")
-            if build is None:
+            machine_type = machine_types.get(machine.machine_type or "")
+            if machine_type is None:
                 continue
             booting = machine.heard_at is None and machine.up_at is not None
             if booting and (machine.deleting or machine.listed == "failed"):
@@ -120,8 +122,8 @@
                 continue
             if self._registry.quiet(machine):
                 continue
-            rare = build.name in rare_types
-            node = self._snapshot_cache.node(machine, build, self._works.jobs, now, rare)
+            rare = machine_type.name in rare_types
+            node = self._snapshot_cache.node(machine, machine_type, self._works.jobs, now, rare)
             if booting and machine.up_at is not None:
                 # An overdue machine comes up later than thought, or never.
                 late = max(0.0, now - machine.up_at)
@@ -131,8 +133,8 @@
             self.machines.append(machine)
         jobs = [self._safe_job(w, now, number_of) for w in self.works]
         for work in self._strays():
-            team = room[self.teams.of(work.record.sub.crew)]
-            team.cpus -= work.record.sub.vcpus
+            team = room[self.teams.of(work.record.sub.team)]
+            team.cpus -= work.record.sub.cpus
             team.gpus -= work.record.sub.gpus
         return Snapshot(
             now=now,
@@ -157,13 +159,13 @@
         machines as long as it can. A wait aim or a guarantee is missed by the time that a
         machine has booted, so neither is a reason to rent one."""
         sub = work.record.sub
-        if sub.standing:
+        if sub.is_service:
             return work.waiting_since  # each second without its replicas is missed
         soon = work.waiting_since + self._policy.ordinary_wait_s
-        if sub.dueS is None:
+        if sub.due_s is None:
             return soon
         needed = self._policy.rescue_estimates * self.estimate(work) + self._boot_s
-        return max(soon, work.waiting_since + sub.dueS - needed)
+        return max(soon, work.waiting_since + sub.due_s - needed)
 
     def _guarantees(self) -> set[str]:
         """Jobs that fit into their teams' guarantees together with the earlier ones."""
@@ -171,9 +173,9 @@
         left = [[t.cpus, t.gpus] for t in self._team_settings]
         for work in self.works:
             sub = work.record.sub
-            room = left[self.teams.of(sub.crew)]
-            room[0] -= sub.vcpus * (sub.pieces - work.done)
-            room[1] -= sub.gpus * (sub.pieces - work.done)
+            room = left[self.teams.of(sub.team)]
+            room[0] -= sub.cpus * (sub.task_count - work.done)
+            room[1] -= sub.gpus * (sub.task_count - work.done)
             if room[0] >= 0 and room[1] >= 0:
                 found.add(work.id)
         return found
@@ -193,31 +195,33 @@
             return self._job(work, now, number_of)
         except Exception:
             log.exception("%s is left out of this pass", work.id)
-            return Job(0, 0.0, 0.0, 0.0, 0, 0.0, self.teams.of(work.record.sub.crew), 0.0)
+            return Job(0, 0.0, 0.0, 0.0, 0, 0.0, self.teams.of(work.record.sub.team), 0.0)
 
     def _job(self, work: JobState, now: float, number_of: dict[str, int]) -> Job:
         sub = work.record.sub
         job = Job(
             pending=0 if work.retry_at > now else 1 if work.id in self.unbegun else work.assignable,
-            cpus=sub.vcpus,
+            cpus=sub.cpus,
             gpus=sub.gpus,
-            memory=sub.memoryGb,
-            image=self._images.of(sub.bundle),
-            image_gb=sub.pullGb,
-            team=self.teams.of(sub.crew),
+            memory=sub.memory_gb,
+            image=self._images.of(sub.image),
+            image_gb=sub.image_gb,
+            team=self.teams.of(sub.team),
             estimate=self.estimate(work),
-            builds=None if sub.builds is None else frozenset(map(self.builds.of, sub.builds)),
-            zone=None if sub.yard is None else self.zones.of(sub.yard),
-            loaners=sub.loaners,
-            one_zone=sub.oneZone,
-            spread=-(-sub.pieces // 2) if sub.scatter else None,
+            machine_types=None
+            if sub.machine_types is None
+            else frozenset(map(self.machine_types.of, sub.machine_types)),
+            zone=None if sub.zone is None else self.zones.of(sub.zone),
+            spot_allowed=sub.spot_allowed,
+            one_zone=sub.one_zone,
+            spread=-(-sub.task_count // 2) if sub.spread_over_zones else None,
             rank=RANKS.index(sub.rank),
             guaranteed=work.id in self._within,
             ordinary_at=self._ordinary_at(work),
         )
-        job.claim = job.guaranteed or sub.standing or sub.lane in self._prompt_lanes
-        job.service = sub.standing
-        if sub.standing:
+        job.claim = job.guaranteed or sub.is_service or sub.job_class in self._prompt_classes
+        job.service = sub.is_service
+        if sub.is_service:
             for attempt in work.attempts.values():
                 number = number_of.get(attempt.machine)
                 if number is not None:
@@ -225,17 +229,17 @@
         if work.bad_machines:
             bad = [m for m, until in work.bad_machines.items() if until > now]
             job.avoid = frozenset(number_of[m] for m in bad if m in number_of)
-        if sub.oneZone or sub.scatter:
+        if sub.one_zone or sub.spread_over_zones:
             for attempt in work.attempts.values():
                 machine = self._registry.machines.get(attempt.machine)
-                if machine is None or machine.yard is None:
+                if machine is None or machine.zone is None:
                     job.lost += 1
                 else:
-                    zone = self.zones.of(machine.yard)
+                    zone = self.zones.of(machine.zone)
                     job.held[zone] = job.held.get(zone, 0) + 1
             for machine in self._registry.machines.values():
                 for stray in machine.strays:
                     if stray[0] == sub.id:
-                        zone = self.zones.of(machine.yard or "")
+                        zone = self.zones.of(machine.zone or "")
                         job.held[zone] = job.held.get(zone, 0) + 1
         return job
--- a/spoolcourse/control/placement/snapshot_cache.py
+++ b/spoolcourse/control/placement/snapshot_cache.py
@@ -13,7 +13,7 @@
 from spoolcourse.control.fleet.worker_registry import Machine
 from spoolcourse.control.jobs.job_queue import Attempt, JobState
 from spoolcourse.control.placement.model import Node, RunningTask
-from spoolcourse.wire.messages import RANKS, Build
+from spoolcourse.wire.messages import RANKS, MachineType
 
 AGAIN_S = 0.5  # an overrun or a fetch under way is looked at again after so long
 
@@ -44,7 +44,7 @@
 
     changes: int  # of the machine, when it was seen
     until: float
-    build: int
+    machine_type: int
     zone: int
     cpus: float
     gpus: float
@@ -57,11 +57,15 @@
 
 class SnapshotCache:
     def __init__(
-        self, teams: Index, zones: Index, builds: Index, estimate: Callable[[JobState], float]
+        self,
+        teams: Index,
+        zones: Index,
+        machine_types: Index,
+        estimate: Callable[[JobState], float],
     ) -> None:
         self._teams = teams
         self._zones = zones
-        self._builds = builds
+        self._builds = machine_types
         self.images = Index()
         self._estimate = estimate
         self._known: dict[str, MachineSnapshot] = {}
@@ -81,20 +85,25 @@
             self._known = {name: s for name, s in self._known.items() if name in machines}
 
     def node(
-        self, machine: Machine, build: Build, jobs: dict[str, JobState], now: float, rare: bool
+        self,
+        machine: Machine,
+        machine_type: MachineType,
+        jobs: dict[str, JobState],
+        now: float,
+        rare: bool,
     ) -> Node:
         known = self._known.get(machine.id)
         if known is None or known.changes != machine.changes or known.until <= now:
-            known = self._known[machine.id] = self._look(machine, build, jobs, now)
+            known = self._known[machine.id] = self._look(machine, machine_type, jobs, now)
         return Node(
-            known.build,
+            known.machine_type,
             known.zone,
-            bool(machine.loaner),
+            bool(machine.spot),
             known.cpus,
             known.gpus,
             known.memory,
-            build.vcpus,
-            build.pullGbPerS,
+            machine_type.cpus,
+            machine_type.fetch_gb_per_s,
             known.images,
             dict(known.pulling) if known.pulling else {},
             known.tasks,
@@ -105,50 +114,50 @@
         )
 
     def _look(
-        self, machine: Machine, build: Build, jobs: dict[str, JobState], now: float
+        self, machine: Machine, machine_type: MachineType, jobs: dict[str, JobState], now: float
     ) -> MachineSnapshot:
         node = Node(
-            self._builds.of(build.name),
-            self._zones.of(machine.yard or ""),
-            bool(machine.loaner),
-            build.vcpus,
-            build.gpus,
-            build.memoryGb,
-            build.vcpus,
-            build.pullGbPerS,
+            self._builds.of(machine_type.name),
+            self._zones.of(machine.zone or ""),
+            bool(machine.spot),
+            machine_type.cpus,
+            machine_type.gpus,
+            machine_type.memory_gb,
+            machine_type.cpus,
+            machine_type.fetch_gb_per_s,
         )
-        rate = max(build.pullGbPerS, 1e-3)
+        rate = max(machine_type.fetch_gb_per_s, 1e-3)
         attempts = machine.attempts.values()
         for attempt in attempts:
             if attempt.stage in ("running", "flushing"):
                 continue
             sub = attempt.work.record.sub
-            if sub.bundle not in machine.images:
-                since = machine.pulling.get(sub.bundle, now)
-                left = max(sub.pullGb - rate * (now - since), 0.1)
-                node.pulling[self.images.of(sub.bundle)] = left
+            if sub.image not in machine.images:
+                since = machine.pulling.get(sub.image, now)
+                left = max(sub.image_gb - rate * (now - since), 0.1)
+                node.pulling[self.images.of(sub.image)] = left
         fetch = sum(node.pulling.values()) / rate
         until = float("inf")
         for attempt in attempts:
             sub = attempt.work.record.sub
-            node.cpus -= sub.vcpus
+            node.cpus -= sub.cpus
             node.gpus -= sub.gpus
-            node.memory -= sub.memoryGb
+            node.memory -= sub.memory_gb
             end, steady = self._ends(attempt, now, fetch)
             until = min(until, end if steady else now + AGAIN_S)
             going = attempt.stage in ("running", "flushing")
-            saves = sub.markEveryS > 0
+            saves = sub.checkpoint_every_s > 0
             task = RunningTask(
                 end,
-                sub.vcpus,
+                sub.cpus,
                 sub.gpus,
-                sub.memoryGb,
+                sub.memory_gb,
                 attempt.number,
                 # What goes before rank must not be stopped by rank, or the two would take
                 # turns. Measured: one first task stopped a hundred times on a busy day.
                 0 if attempt.first else RANKS.index(sub.rank),
-                self._teams.of(sub.crew),
-                sub.vcpus * sub.markCostS if going and saves else 0.0,
+                self._teams.of(sub.team),
+                sub.cpus * sub.checkpoint_cost_s if going and saves else 0.0,
                 attempt.halting,
                 attempt.first or attempt.work.id in self._within,
                 attempt.since if going and not saves else None,
@@ -160,14 +169,14 @@
             work = jobs.get(job)
             if work is not None:
                 sub = work.record.sub
-                node.cpus -= sub.vcpus
+                node.cpus -= sub.cpus
                 node.gpus -= sub.gpus
-                node.memory -= sub.memoryGb
+                node.memory -= sub.memory_gb
         node.tasks.sort(key=lambda t: t.end)
         return MachineSnapshot(
             machine.changes,
             until,
-            node.build,
+            node.machine_type,
             node.zone,
             node.cpus,
             node.gpus,
--- a/spoolcourse/control/service.py
+++ b/spoolcourse/control/service.py
@@ -27,7 +27,7 @@
 from spoolcourse.control.store.watch_cache import WATCH_GAP_LEADING_S, WATCH_GAP_S, WatchCache
 from spoolcourse.control.user_api.api import PATH, UserApi
 from spoolcourse.policy.keys import PolicySource, check_policy
-from spoolcourse.wire.messages import Build, Catalog, Malformed, parse, parse_report
+from spoolcourse.wire.messages import Catalog, MachineType, Malformed, parse, parse_report
 from spoolcourse.wire.settings import Settings
 
 log = logging.getLogger(__name__)
@@ -58,7 +58,7 @@
         self.leadership = Leadership(self.client, self.watch_cache, settings.label, run)
         self.leadership.on_elected = self._elected
         self.leadership.on_deposed = self._deposed
-        self.builds: dict[str, Build] = {}
+        self.machine_types: dict[str, MachineType] = {}
         self.user_api = UserApi(
             self.job_index,
             self.watch_cache,
@@ -66,7 +66,7 @@
             net,
             settings.seeds,
             params,
-            lambda: self.builds,
+            lambda: self.machine_types,
             wall,
             lambda: self.leadership.foreman,
             lambda: feature_level.all_new(self.watch_cache),
@@ -126,7 +126,7 @@
             self._settings.seeds,
             self._settings.settings,
             self._policy,
-            lambda: self.builds,
+            lambda: self.machine_types,
             self._wall,
             self.load,
         )
@@ -139,7 +139,7 @@
             self.leader_term = None
 
     def _on_change(self, key: str, value: Any, revision: int) -> None:
-        if key == CATALOG and value is not None and not self.builds:
+        if key == CATALOG and value is not None and not self.machine_types:
             try:
                 self._take_catalog(parse(value, Catalog))
             except Malformed as exc:
@@ -150,7 +150,7 @@
     # -- catalog ------------------------------------------------------------------------
 
     def _take_catalog(self, catalog: Catalog) -> None:
-        self.builds = {b.name: b for b in catalog.builds}
+        self.machine_types = {b.name: b for b in catalog.machine_types}
 
     async def _catalog_loop(self) -> None:
         """Machine types and prices. The types are kept in the state service as well, so
@@ -172,13 +172,13 @@
     async def _store_catalog(self, catalog: Catalog) -> None:
         if not self.leadership.valid():
             return
-        builds = sorted(catalog.builds, key=lambda b: b.name)
+        machine_types = sorted(catalog.machine_types, key=lambda b: b.name)
         entry = self.watch_cache.get(CATALOG)
         if entry is not None:
             old = {b["name"] for b in entry.value["builds"]}
-            if old == {b.name for b in builds}:
+            if old == {b.name for b in machine_types}:
                 return
-        value = {"builds": msgspec.to_builtins(builds)}
+        value = {"builds": msgspec.to_builtins(machine_types)}
         outcome = await self.client.txn(
             {CATALOG: self.watch_cache.revision(CATALOG)}, [Put(CATALOG, value)]
         )
@@ -193,7 +193,7 @@
         outage for the users."""
         while True:
             await asyncio.sleep(1.0)
-            if self.watch_cache.loaded.is_set() and self.builds:
+            if self.watch_cache.loaded.is_set() and self.machine_types:
                 self.ready = True
             if not self.ready:
                 continue
@@ -265,7 +265,7 @@
             if hop:
                 return Reply(421, {})
             leadership = self.leadership
-            return self.relay.handle(report.spindle, raw, leadership.foreman, leadership.informed)
+            return self.relay.handle(report.machine, raw, leadership.foreman, leadership.informed)
         reply = self.leader_term.report(report, direct=not hop)
         if hop and reply.status == 200:
             reply.data["deaf"] = self.leader_term.deaf()
--- a/spoolcourse/control/user_api/api.py
+++ b/spoolcourse/control/user_api/api.py
@@ -19,10 +19,10 @@
 from spoolcourse.control.net import Net, NetError, Reply, Request, later
 from spoolcourse.control.store.client import Refused, StoreClient, Unclear
 from spoolcourse.control.store.watch_cache import WatchCache
-from spoolcourse.control.user_api.checks import refusal, usable_builds
+from spoolcourse.control.user_api.checks import refusal, usable_machine_types
 from spoolcourse.wire.messages import (
     JOB_ID,
-    Build,
+    MachineType,
     Malformed,
     Submission,
     decode,
@@ -53,7 +53,7 @@
         net: Net,
         seeds: list[Seed],
         params: Params,
-        builds: Callable[[], dict[str, Build]],
+        machine_types: Callable[[], dict[str, MachineType]],
         wall: Callable[[], float],
         foreman: Callable[[], str | None],
         all_new: Callable[[], bool],
@@ -64,7 +64,7 @@
         self._net = net
         self._seeds = seeds
         self._params = params
-        self._builds = builds
+        self._builds = machine_types
         self._wall = wall
         self._foreman = foreman
         self._all_new = all_new
@@ -145,36 +145,40 @@
             known = await self._known(sub.id)
             if known is not None:
                 return Reply(200, known)
-        builds = self._builds()
-        if not builds:
+        machine_types = self._builds()
+        if not machine_types:
             raise Unable("the machine types are not known yet")
-        why = refusal(sub, builds, self._params)
+        why = refusal(sub, machine_types, self._params)
         if why is not None:
             return await self._refuse(sub.id, Reply(422, {"error": why}))
-        if sub.standing and not self._all_new():
+        if sub.is_service and not self._all_new():
             # What this node learns by a sync no peer knows better. Asking them all the same kept
             # users waiting for a second or more where one of them was cut off.
             await self._sync()
             if not self._all_new():
                 return later("not all controllers know services yet")
         try:
-            accepted = await self._job_index.accept(self._narrowed(sub, builds), self._wall())
+            accepted = await self._job_index.accept(
+                self._narrowed(sub, machine_types), self._wall()
+            )
         except TooLong as exc:
             return await self._refuse(sub.id, Reply(422, {"error": str(exc)}))
         if accepted:
-            log.info("%s accepted: %d pieces, %s, %s", sub.id, sub.pieces, sub.lane, sub.crew)
+            log.info(
+                "%s accepted: %d pieces, %s, %s", sub.id, sub.task_count, sub.job_class, sub.team
+            )
             return Reply(201, {"id": sub.id, "stage": "queued"})
         known = await self._known(sub.id)
         if known is None:
             raise Unable("the record changed while it was read")
         return Reply(200, known)
 
-    def _narrowed(self, sub: Submission, builds: dict[str, Build]) -> Submission:
+    def _narrowed(self, sub: Submission, machine_types: dict[str, MachineType]) -> Submission:
         """Only known types are kept, so that a record stays small."""
-        if sub.builds is None:
+        if sub.machine_types is None:
             return sub
-        usable = usable_builds(sub, builds, self._params.zones)
-        return msgspec.structs.replace(sub, builds=usable)
+        usable = usable_machine_types(sub, machine_types, self._params.zones)
+        return msgspec.structs.replace(sub, machine_types=usable)
 
     async def _refuse(self, job: str | None, reply: Reply) -> Reply:
         """A job that was accepted once is never refused, whatever the repeat looks like."""
--- a/spoolcourse/control/user_api/checks.py
+++ b/spoolcourse/control/user_api/checks.py
@@ -2,41 +2,52 @@
 
 from __future__ import annotations
 
-from spoolcourse.wire.messages import Build, Submission, fits
+from spoolcourse.wire.messages import MachineType, Submission, fits
 from spoolcourse.wire.settings import Params, Team
 
 
-def usable_builds(sub: Submission, builds: dict[str, Build], zones: list[str]) -> list[str]:
+def usable_machine_types(
+    sub: Submission, machine_types: dict[str, MachineType], zones: list[str]
+) -> list[str]:
     """The allowed machine types that a task of the job fits on."""
     return [
-        build.name
-        for build in builds.values()
-        if fits(sub, build) and any(z in zones and sub.yard in (None, z) for z in build.yards)
+        machine_type.name
+        for machine_type in machine_types.values()
+        if fits(sub, machine_type)
+        and any(z in zones and sub.zone in (None, z) for z in machine_type.zones)
     ]
 
 
-def refusal(sub: Submission, builds: dict[str, Build], params: Params) -> str | None:
+def refusal(sub: Submission, machine_types: dict[str, MachineType], params: Params) -> str | None:
     """Why the job can never run; None if it can."""
-    team = next((t for t in params.teams if t.name == sub.crew), None)
+    team = next((t for t in params.teams if t.name == sub.team), None)
     if team is None:
-        return f"unknown team {sub.crew!r}"
-    if sub.vcpus > team.cpus_max or sub.gpus > team.gpus_max:
+        return f"unknown team {sub.team!r}"
+    if sub.cpus > team.cpus_max or sub.gpus > team.gpus_max:
         return "a task needs more than the team's limit"
-    usable = usable_builds(sub, builds, params.zones)
+    usable = usable_machine_types(sub, machine_types, params.zones)
     if not usable:
         return "a task fits no allowed machine type"
-    return _standing_refusal(sub, team, usable, builds, params.zones) if sub.standing else None
+    return (
+        _standing_refusal(sub, team, usable, machine_types, params.zones)
+        if sub.is_service
+        else None
+    )
 
 
 def _standing_refusal(
-    sub: Submission, team: Team, usable: list[str], builds: dict[str, Build], zones: list[str]
+    sub: Submission,
+    team: Team,
+    usable: list[str],
+    machine_types: dict[str, MachineType],
+    zones: list[str],
 ) -> str | None:
     """The replicas of a service run all at once; an array may take one task after another."""
-    if sub.pieces * sub.vcpus > team.cpus_max or sub.pieces * sub.gpus > team.gpus_max:
+    if sub.task_count * sub.cpus > team.cpus_max or sub.task_count * sub.gpus > team.gpus_max:
         return "all replicas together need more than the team's limit"
-    if not sub.scatter or sub.pieces < 2:
+    if not sub.spread_over_zones or sub.task_count < 2:
         return None
-    where = {z for name in usable for z in builds[name].yards if z in zones}
-    if sub.oneZone or sub.yard is not None or len(where) < 2:
+    where = {z for name in usable for z in machine_types[name].zones if z in zones}
+    if sub.one_zone or sub.zone is not None or len(where) < 2:
         return "the replicas can't be spread over zones"
     return None
--- a/spoolcourse/control/view.py
+++ b/spoolcourse/control/view.py
@@ -18,7 +18,9 @@
     attempts = [a for w in leader_term.works.jobs.values() for a in w.attempts.values()]
     waiting = leader_term.waiting()
     services = [
-        w for w in leader_term.works.jobs.values() if w.record.sub.standing and not w.record.aborted
+        w
+        for w in leader_term.works.jobs.values()
+        if w.record.sub.is_service and not w.record.aborted
     ]
     return {
         "jobs": len(leader_term.works.jobs),
--- a/spoolcourse/wire/messages.py
+++ b/spoolcourse/wire/messages.py
@@ -30,46 +30,48 @@
     """What a user submits. Unknown fields are ignored."""
 
     id: str
-    lane: Name
-    crew: Name
+    job_class: Name = msgspec.field(name="lane")
+    team: Name = msgspec.field(name="crew")
     shape: Literal["array", "standing"]
     rank: Literal["prod", "high", "standard", "best_effort"]
-    pieces: Annotated[int, msgspec.Meta(ge=1, le=100_000)]
-    vcpus: Amount
+    task_count: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = msgspec.field(name="pieces")
+    cpus: Amount = msgspec.field(name="vcpus")
     gpus: Amount
-    memoryGb: Amount
-    bundle: Name
-    pullGb: Amount
-    oneZone: bool
-    scatter: bool
-    loaners: bool
-    expectS: Seconds
-    markEveryS: Seconds
-    markCostS: Seconds
-    builds: Annotated[list[Name], msgspec.Meta(max_length=50)] | None = None
-    yard: Name | None = None
-    dueS: Seconds | None = None
+    memory_gb: Amount = msgspec.field(name="memoryGb")
+    image: Name = msgspec.field(name="bundle")
+    image_gb: Amount = msgspec.field(name="pullGb")
+    one_zone: bool = msgspec.field(name="oneZone")
+    spread_over_zones: bool = msgspec.field(name="scatter")
+    spot_allowed: bool = msgspec.field(name="loaners")
+    expected_run_s: Seconds = msgspec.field(name="expectS")
+    checkpoint_every_s: Seconds = msgspec.field(name="markEveryS")
+    checkpoint_cost_s: Seconds = msgspec.field(name="markCostS")
+    machine_types: Annotated[list[Name], msgspec.Meta(max_length=50)] | None = msgspec.field(
+        name="builds", default=None
+    )
+    zone: Name | None = msgspec.field(name="yard", default=None)
+    due_s: Seconds | None = msgspec.field(name="dueS", default=None)
 
     @property
-    def standing(self) -> bool:
-        """A service: its tasks, the replicas, run until the job is cancelled."""
+    def is_service(self) -> bool:
+        """Whether its tasks, the replicas, run until the job is cancelled."""
         return self.shape == "standing"
 
 
-def fits(sub: Submission, build: Build) -> bool:
+def fits(submission: Submission, machine_type: MachineType) -> bool:
     """Whether the type is allowed, and an empty machine of it takes a task of the job."""
     return (
-        (sub.builds is None or build.name in sub.builds)
-        and sub.vcpus <= build.vcpus
-        and sub.gpus <= build.gpus
-        and sub.memoryGb <= build.memoryGb
+        (submission.machine_types is None or machine_type.name in submission.machine_types)
+        and submission.cpus <= machine_type.cpus
+        and submission.gpus <= machine_type.gpus
+        and submission.memory_gb <= machine_type.memory_gb
     )
 
 
-class Piece(msgspec.Struct, frozen=True):
+class TaskReport(msgspec.Struct, frozen=True):
     """One task in a worker's report."""
 
-    piece: str
+    task: str = msgspec.field(name="piece")
     attempt: Token = msgspec.field(name="try")
     stage: Literal["pulling", "running", "flushing", "ended"]
     cause: str | None = None
@@ -77,56 +79,64 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    spindle: Name
+    """What a worker reports of its machine: the answer to a call too."""
+
+    machine: Name = msgspec.field(name="spindle")
     address: str
-    build: Name
-    yard: Name
-    loaners: bool
-    shift: Token
-    tick: Token
-    baton: Token
-    pieces: list[Piece]
-    recallS: float | None = None
+    machine_type: Name = msgspec.field(name="build")
+    zone: Name = msgspec.field(name="yard")
+    spot: bool = msgspec.field(name="loaners")
+    session: Token = msgspec.field(name="shift")
+    sequence: Token = msgspec.field(name="tick")
+    fencing_token: Token = msgspec.field(name="baton")
+    tasks: list[TaskReport] = msgspec.field(name="pieces")
+    terminates_in_s: float | None = msgspec.field(name="recallS", default=None)
 
 
-class Build(msgspec.Struct, frozen=True):
-    """A machine type of the catalog."""
+class MachineType(msgspec.Struct, frozen=True):
+    """A machine type of the cloud's catalog."""
 
     name: Name
-    vcpus: Amount
+    cpus: Amount = msgspec.field(name="vcpus")
     gpus: Amount
-    memoryGb: Amount
-    localGb: Amount
-    pullGbPerS: Amount
-    hourly: Amount
-    marketPrice: Amount
-    startupS: Amount
-    yards: list[str]
+    memory_gb: Amount = msgspec.field(name="memoryGb")
+    disk_gb: Amount = msgspec.field(name="localGb")
+    fetch_gb_per_s: Amount = msgspec.field(name="pullGbPerS")
+    hourly_price: Amount = msgspec.field(name="hourly")
+    spot_price: Amount = msgspec.field(name="marketPrice")
+    boot_s: Amount = msgspec.field(name="startupS")
+    zones: list[str] = msgspec.field(name="yards")
 
 
 class Catalog(msgspec.Struct, frozen=True):
-    builds: list[Build]
+    """The machine types that the cloud rents out, with their current prices."""
+
+    machine_types: list[MachineType] = msgspec.field(name="builds")
 
 
 class Host(msgspec.Struct, frozen=True):
     """A machine in the cloud's list."""
 
     id: Name
-    build: Name
-    yard: Name
-    loaners: bool
+    machine_type: Name = msgspec.field(name="build")
+    zone: Name = msgspec.field(name="yard")
+    spot: bool = msgspec.field(name="loaners")
     stage: Literal["starting", "running", "failed"]
-    ageS: float
+    age_s: float = msgspec.field(name="ageS")
     address: str = ""
 
 
 class HostPage(msgspec.Struct, frozen=True):
-    spindles: list[Host]
-    hasNext: bool = False
+    """A part of the cloud's machine list."""
+
+    hosts: list[Host] = msgspec.field(name="spindles")
+    has_next: bool = msgspec.field(name="hasNext", default=False)
 
 
 class Hired(msgspec.Struct, frozen=True):
-    spindles: list[str]
+    """The names of the machines that a rental request has brought."""
+
+    machines: list[str] = msgspec.field(name="spindles")
 
 
 def _finite(value: Any) -> bool:
@@ -163,21 +173,24 @@
 
 
 def parse_submission(raw: bytes) -> Submission:
+    """Check a user's submission; raises `Malformed`."""
     data = decode(raw)
     if not isinstance(data, dict):
         raise Malformed("not an object")
-    sub = parse(data, Submission)
-    if not JOB_ID.fullmatch(sub.id):
+    submission = parse(data, Submission)
+    if not JOB_ID.fullmatch(submission.id):
         raise Malformed("id: not of the form job-000412")
-    return sub
+    return submission
 
 
-def piece_name(job: str, index: int) -> str:
+def task_name(job: str, index: int) -> str:
+    """The name of a task in reports and commands."""
     return f"{job}/{index}"
 
 
-@lru_cache(maxsize=65_536)  # every report names the same pieces again
-def split_piece(name: str) -> tuple[str, int]:
+@lru_cache(maxsize=65_536)  # every report names the same tasks again
+def split_task_name(name: str) -> tuple[str, int]:
+    """The job and the index of the task that a name of a report means."""
     job, slash, index = name.partition("/")
     if not slash or not JOB_ID.fullmatch(job) or not index.isascii() or not index.isdigit():
         raise Malformed(f"piece: {name[:60]!r} is not JOB/NUMBER")
@@ -185,12 +198,12 @@
 
 
 def parse_report(raw: bytes) -> Report:
-    """Reports are by far the most frequent message: they are checked in one go."""
+    """Check a worker's report. Reports are by far the most frequent message."""
     report = parse(_load(raw), Report)
-    if report.recallS is not None and not math.isfinite(report.recallS):
+    if report.terminates_in_s is not None and not math.isfinite(report.terminates_in_s):
         raise Malformed("recallS: a number is not finite")
-    for piece in report.pieces:
-        split_piece(piece.piece)
-        if piece.stage == "ended" and not piece.cause:
-            raise Malformed(f"pieces: {piece.piece}: ended without a cause")
+    for item in report.tasks:
+        split_task_name(item.task)
+        if item.stage == "ended" and not item.cause:
+            raise Malformed(f"pieces: {item.task}: ended without a cause")
     return report
--- a/spoolcourse/wire/settings.py
+++ b/spoolcourse/wire/settings.py
@@ -40,7 +40,7 @@
     """What is expected of a class of jobs, or of work within a guarantee."""
 
     kind: str
-    lane: str = msgspec.field(default="", name="class")
+    job_class: str = msgspec.field(default="", name="class")
     share: float = 0.0
     within_s: float = 0.0
     times: float = 0.0
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -46,7 +46,7 @@
 
     def __init__(self, cloud: FakeCloud, name: str, host: dict[str, Any]) -> None:
         self.cloud, self.name, self.host = cloud, name, host
-        self.shift, self.tick, self.baton = 1, 0, 0
+        self.session, self.sequence, self.fencing_token = 1, 0, 0
         self.tasks: dict[tuple[str, int], Task] = {}
         self.renewed = asyncio.get_running_loop().time()
         self.recall: float | None = None
@@ -65,16 +65,16 @@
             loop.cancel()
 
     def report(self) -> dict[str, Any]:
-        self.tick += 1
+        self.sequence += 1
         return {
             "spindle": self.name,
             "address": self.host["address"],
             "build": self.host["build"],
             "yard": self.host["yard"],
             "loaners": self.host["loaners"],
-            "shift": self.shift,
-            "tick": self.tick,
-            "baton": self.baton,
+            "shift": self.session,
+            "tick": self.sequence,
+            "baton": self.fencing_token,
             "recallS": self.recall,
             "pieces": [t.wire() for t in self.tasks.values()],
         }
@@ -85,7 +85,7 @@
             task = self.tasks.get(key)
             if order["verb"] == "start" and task is None:
                 self.tasks[key] = Task(*key)
-                asyncio.create_task(self._run(self.tasks[key], self.shift))
+                asyncio.create_task(self._run(self.tasks[key], self.session))
             elif order["verb"] == "halt" and task is not None and task.stage != "ended":
                 task.stage, task.cause = "ended", "halted"
             elif order["verb"] == "reap" and task is not None and task.stage == "ended":
@@ -104,13 +104,13 @@
                 self._changed.set()
 
     def _mine(self, task: Task, shift: int) -> bool:
-        return self.alive and shift == self.shift and task in self.tasks.values()
+        return self.alive and shift == self.session and task in self.tasks.values()
 
     async def _tick(self) -> None:
         while True:
             await asyncio.sleep(0.1)
             if asyncio.get_running_loop().time() - self.renewed > self.cloud.lease_s:
-                self.shift += 1
+                self.session += 1
                 self.tasks.clear()
                 self.renewed = asyncio.get_running_loop().time()
                 self._changed.set()
@@ -118,7 +118,7 @@
     async def _report(self) -> None:
         nodes = self.cloud.nodes
         while True:
-            sent, shift = asyncio.get_running_loop().time(), self.shift
+            sent, shift = asyncio.get_running_loop().time(), self.session
             self._changed.clear()
             try:
                 reply = await self.net.call(
@@ -128,10 +128,10 @@
                 reply = Reply(0)
             if reply.status == 200:
                 baton = (reply.data or {}).get("baton", 0)
-                if shift == self.shift and baton >= self.baton:
-                    if baton > self.baton:
+                if shift == self.session and baton >= self.fencing_token:
+                    if baton > self.fencing_token:
                         self._changed.set()
-                    self.baton, self.renewed = baton, sent
+                    self.fencing_token, self.renewed = baton, sent
                     self.execute(reply.data["orders"])
             else:
                 labels = [label for label, _ in nodes]
@@ -154,11 +154,11 @@
             return Reply(200, self.report())
         if "baton" not in body or "shift" not in body:
             return Reply(400, {})
-        if body["baton"] < self.baton or body["shift"] != self.shift:
+        if body["baton"] < self.fencing_token or body["shift"] != self.session:
             return Reply(409, self.report())
-        if body["baton"] > self.baton:
+        if body["baton"] > self.fencing_token:
             self._changed.set()
-        self.baton = body["baton"]
+        self.fencing_token = body["baton"]
         self.execute(body["orders"])
         return Reply(200, self.report())
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -33,7 +33,7 @@
         )
         sub = parse(job(**fields), Submission)
         self.work: JobState = self.works.add(JobRecord(sub, 1.0, 170, None, 5), self.now)
-        self.tick = 0
+        self.sequence = 0
 
     def report(self, *pieces: dict[str, Any], **fields: Any) -> list[dict[str, Any]] | None:
         return self.registry.accept(self._made(pieces, fields))
@@ -45,7 +45,7 @@
         return report
 
     def _made(self, pieces: tuple[dict[str, Any], ...], fields: dict[str, Any]) -> Report:
-        self.tick += 1
+        self.sequence += 1
         data = {
             "spindle": "m-1",
             "address": "m-1:9",
@@ -53,7 +53,7 @@
             "yard": "a",
             "loaners": False,
             "shift": 1,
-            "tick": self.tick,
+            "tick": self.sequence,
             "baton": TERM,
             "pieces": list(pieces),
         } | fields
@@ -97,7 +97,7 @@
     attempt = crew.assign()
     assert crew.report() == [START]
     assert crew.report(tick=1) is None, "a late copy"
-    crew.tick -= 1
+    crew.sequence -= 1
     assert attempt.sent == (1, 2)
     assert crew.report() == [START], "a newer report without it: it never arrived"
     assert crew.report(on()) == []
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -193,7 +193,7 @@
         world = gap.world
         name, worker = next(iter(world.cloud.workers.items()))
         old = world.nodes[gap.leader]
-        assert old.leader_term is not None and worker.baton == old.leader_term.registry.term
+        assert old.leader_term is not None and worker.fencing_token == old.leader_term.registry.term
         gap.apart(gap.leader, *gap.others, "state", "cloud", "m-")
         world.wire.stalled.add((gap.leader, "state:1"))
         await gap.cancel()
@@ -217,7 +217,7 @@
         for number in (1, 2):
             assert len(gap.world.cloud.on_machines(f"job-{number:06d}")) == 4
         assert len(gap.world.cloud.starts) == 8
-        assert {w.shift for w in gap.world.cloud.workers.values()} == {1}
+        assert {w.session for w in gap.world.cloud.workers.values()} == {1}
 
     play(story())
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -113,7 +113,7 @@
 
 def test_spot_types_zones_and_bad_machines_are_respected() -> None:
     spot = Node(1, 0, True, 8.0, 0.0, 64.0, 8.0, 1.0)
-    assert placed(run([job(loaners=False)], [spot])) == {}
+    assert placed(run([job(spot_allowed=False)], [spot])) == {}
     assert placed(run([job(builds=frozenset({0}))], [spot])) == {}
     assert placed(run([job(zone=1)], [spot])) == {}
     assert placed(run([job(avoid=frozenset({0}))], [spot])) == {}
@@ -126,7 +126,7 @@
 def test_renting_takes_the_cheapest_and_counts_what_is_on_its_way() -> None:
     offers = [offer(0.3, True), offer(1.0, False)]
     hires = plan_hires([(job(8, 2.0, ordinary_at=0.0), 8)], [], offers, 100.0, [1000.0])
-    assert [(h.offer.loaner, h.count) for h in hires] == [(True, 2)]
+    assert [(h.offer.spot, h.count) for h in hires] == [(True, 2)]
     booting = [node(ready_at=110.0)]
     hires = plan_hires([(job(8, 2.0, ordinary_at=0.0), 8)], booting, offers, 100.0, [1000.0])
     assert [h.count for h in hires] == [1]
--- a/tests/test_sights.py
+++ b/tests/test_sights.py
@@ -11,12 +11,12 @@
 from spoolcourse.control.placement.preempt import choose_victims
 from spoolcourse.control.placement.snapshot_builder import SnapshotBuilder
 from spoolcourse.policy.keys import check_policy
-from spoolcourse.wire.messages import Build, Submission, parse
+from spoolcourse.wire.messages import MachineType, Submission, parse
 from tests.fakes.clock import play
 from tests.fakes.world import World, job, settings
 from tests.test_fleet import Crew, on
 
-BUILDS = {"c8": Build("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 20.0, ["a", "b"])}
+BUILDS = {"c8": MachineType("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 20.0, ["a", "b"])}
 
 
 def surveyor(works: Any, registry: Any) -> SnapshotBuilder:
@@ -24,7 +24,7 @@
     return SnapshotBuilder(works, registry, settings().settings, policy)
 
 
-def seen(of: SnapshotBuilder, now: float, builds: dict[str, Build]) -> dict[str, Any]:
+def seen(of: SnapshotBuilder, now: float, builds: dict[str, MachineType]) -> dict[str, Any]:
     """Everything that a pass gets of the machines, by names."""
     snapshot = of.take(now, builds)
     images, found = of._images.names, {}
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -288,7 +288,7 @@
         reply = await world.ask(old, "POST", "/v1/report", stale)
         assert reply.status == 421 and "foreman" not in reply.data
         await asyncio.sleep(12)
-        assert {w.shift for w in world.cloud.workers.values()} == {1}
+        assert {w.session for w in world.cloud.workers.values()} == {1}
         assert len(world.cloud.starts) == 12 and world.cloud.broken == []
 
     play(story())
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -86,7 +86,7 @@
 
 def test_the_new_version_reads_what_the_old_one_stored() -> None:
     record = JobRecord.from_value(OLD_JOB, 3)
-    assert record.sub.pieces == 200 and not record.sub.standing and record.value() == OLD_JOB
+    assert record.sub.task_count == 200 and not record.sub.is_service and record.value() == OLD_JOB
     progress = Progress.from_value(OLD_PROGRESS)
     assert progress.done == 6 and progress.value() == OLD_PROGRESS
 
