--- a/spoolcourse/control/fleet/worker_registry.py
+++ b/spoolcourse/control/fleet/worker_registry.py
@@ -1,7 +1,7 @@
 """The leader's workers: what their reports prove, and what they are told.
 
 A worker has one report in flight, executes a response within its time-out or never, and
-drops it in a later session; so the next newer report under our baton tells for certain
+drops it in a later session; so the next newer report under our fencing token tells for certain
 whether a start in a response arrived. Starts sent to `/orders` (`courier`) may come late:
 they stay possible until the session or our term ends.
 """
@@ -39,18 +39,18 @@
     address: str = ""
     session: int = 0
     sequence: int = -1
-    confirmed: bool = False  # has reported our baton in this session
+    confirmed: bool = False  # has reported our fencing token in this session
     heard_at: float | None = None  # a report of any kind
     spoke_at: float = 0.0  # a report of its own accord, or when it was first heard of
     answered_at: float | None = None  # a 200 of ours, which may have renewed its lease
     # The latest moment at which its lease can have begun: an answer of ours, or, for a session
-    # that was under our baton before we answered it, when we heard of that.
+    # that was under our fencing token before we answered it, when we heard of that.
     leased_at: float | None = None
     silent_proof: bool = False  # its lease has run out since our last answer
     unheeded: int = 0  # answers that had no effect, of late
     doubted_at: float = 0.0  # the last of them, or when this session was first heard of
     deaf_since: float | None = None  # its reports arrive, our answers don't
-    proven_at: float = 0.0  # the last report under our baton, or `since`
+    proven_at: float = 0.0  # the last report under our fencing token, or `since`
     listed: str | None = None  # its stage in the cloud's list
     running_at: float | None = None  # since when it is listed as running
     rented_at: float | None = None
@@ -157,7 +157,7 @@
 
     def expire(self) -> None:
         """Silence alone proves nothing. A lease proves an end only for a worker that has
-        reported our baton in this session: nobody else's answer can have renewed it."""
+        reported our fencing token in this session: nobody else's answer can have renewed it."""
         now = self._clock()
         for machine in self.machines.values():
             if (
@@ -182,7 +182,7 @@
     def _unheeded(self, machine: Machine) -> None:
         """An answer had no effect. After some of them the machine gets no more work, and
         what it was to start goes elsewhere once that is proven not to have arrived: those
-        pieces would stay bound to it for ever, for its reports go on and it is never silent.
+        tasks would stay bound to it for ever, for its reports go on and it is never silent.
         """
         machine.unheeded += 1
         machine.doubted_at = self._clock()
@@ -193,7 +193,7 @@
     # -- reports ------------------------------------------------------------------
 
     def accept(self, report: Report) -> list[dict[str, Any]] | None:
-        """Take in a report that carries no higher baton than ours; the orders to answer.
+        """Take in a report that carries no higher fencing token than ours; the orders to answer.
 
         None for one that is no newer than what is known, or whose machine is gone: a copy
         that was late on the way. It is no sign of life and must get no answer that could
@@ -209,7 +209,7 @@
         machine.spoke_at = machine.answered_at = machine.leased_at = now
         halts = self._halts(machine, report)
         if report.fencing_token != self.term:
-            # Older orders may still reach it. Our baton in the answer ends that, and its
+            # Older orders may still reach it. Our fencing token in the answer ends that, and its
             # next report tells what is there. But what is cancelled ends now: this answer
             # renews its lease, and it may be the last one that arrives.
             return halts[:ORDERS_MAX]
@@ -276,7 +276,7 @@
             self._reconcile(machine, report, now)
 
     def _reconcile(self, machine: Machine, report: Report, now: float) -> None:
-        """A report under our baton is proof of what is on the machine, and what is not."""
+        """A report under our fencing token is proof of what is on the machine, and what is not."""
         revision = (report.session, report.sequence)
         present: set[tuple[str, int]] = set()
         strays = set(machine.strays)
--- a/spoolcourse/control/jobs/job_queue.py
+++ b/spoolcourse/control/jobs/job_queue.py
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt at a piece. It exists until it is proven gone."""
+    """One attempt at a task. It exists until it is proven gone."""
 
     work: JobState
     task: int
@@ -65,7 +65,7 @@
     attempts: dict[int, Attempt] = field(default_factory=dict)
     done: int = 0
     requeued: set[int] = field(default_factory=set)
-    fresh: int = 0  # pieces from here on were never assigned, but for those held or done
+    fresh: int = 0  # tasks from here on were never assigned, but for those held or done
     retry_at: float = 0.0
     failures: int = 0  # attempts in a row that ended in error
     bad_machines: dict[str, float] = field(default_factory=dict)  # it failed there: until when
@@ -97,7 +97,7 @@
 
     @property
     def assignable(self) -> int:
-        """Pending pieces that may be assigned now: see `held_most`."""
+        """Pending tasks that may be assigned now: see `held_most`."""
         if self.held_most is None:
             return self.pending
         size, tasks, total = self.record.chunk, self.record.sub.task_count, 0
@@ -133,7 +133,7 @@
         return chunk is not None and bool(chunk.progress.done >> (task % self.record.chunk) & 1)
 
     def candidates(self) -> Iterator[int]:
-        """Pending pieces: those that lost an attempt first, then in order."""
+        """Pending tasks: those that lost an attempt first, then in order."""
         if self.held_most is None:
             yield from self._candidates()
             return
@@ -170,7 +170,7 @@
         self.starting: dict[tuple[str, int], Chunk] = {}
         self.finished: dict[str, JobState] = {}
         self.on_dirty: Callable[[], None] = lambda: None
-        # Attempts that outlive their job: a piece that an earlier attempt completed elsewhere
+        # Attempts that outlive their job: a task that an earlier attempt completed elsewhere
         # may still run. They count against their team until they are proven gone.
         self._outliving: dict[tuple[str, int], Attempt] = {}
 
@@ -212,7 +212,7 @@
         return attempt
 
     def drop(self, attempt: Attempt) -> None:
-        """The attempt is proven gone: its piece may be tried again."""
+        """The attempt is proven gone: its task may be tried again."""
         work = attempt.work
         if work.attempts.get(attempt.task) is not attempt:
             return
@@ -228,7 +228,7 @@
         self.check(work)
 
     def complete(self, work: JobState, task: int) -> None:
-        """The piece's result exists. Its attempt, if it is the one that ended, is dropped
+        """The task's result exists. Its attempt, if it is the one that ended, is dropped
         by the caller. A replica of a service has none, however it ended."""
         if work.record.sub.is_service or work.is_done(task):
             return
--- a/spoolcourse/control/jobs/records.py
+++ b/spoolcourse/control/jobs/records.py
@@ -16,7 +16,7 @@
 
     sub: Submission
     at: float  # time of day of the acceptance: the order of arrival
-    chunk: int  # pieces per progress key
+    chunk: int  # tasks per progress key
     aborted_at: float | None  # time of day of the withdrawal
     revision: int
 
@@ -47,9 +47,9 @@
 
 @dataclass(slots=True)
 class Progress:
-    """One progress key: done pieces as a bit set, and who holds which piece.
+    """One progress key: done tasks as a bit set, and who holds which task.
 
-    `held` maps a piece to (machine, attempt): the attempt may be on that machine.
+    `held` maps a task to (machine, attempt): the attempt may be on that machine.
     """
 
     done: int = 0
@@ -69,5 +69,5 @@
 
 
 def chunk_tasks(value_kb: float) -> int:
-    """Pieces per key so that every piece held at once still fits into one value."""
+    """Tasks per key so that every task held at once still fits into one value."""
     return max(16, int(value_kb * 1024) // 48)
--- a/spoolcourse/control/leader_term.py
+++ b/spoolcourse/control/leader_term.py
@@ -69,7 +69,7 @@
         policy = self._policy = policy_source.initial()
         self.pass_cost_s = 0.0
         self.passes = 0
-        self._builds = machine_types
+        self._machine_types = machine_types
         self._wall = wall
         self._clock = asyncio.get_running_loop().time
         self.renewal_deadline = RenewalDeadline(params.workers)
@@ -245,11 +245,11 @@
             self._watch_cache.apply(BASE, value, outcome.store_revision)
 
     def _disk_gb(self, machine_type: str) -> float:
-        known = self._builds().get(machine_type)
+        known = self._machine_types().get(machine_type)
         return known.disk_gb if known else 0.0
 
     def waiting(self) -> list[dict[str, Any]]:
-        """Jobs with pieces that wait, in order of arrival, and what for."""
+        """Jobs with tasks that wait, in order of arrival, and what for."""
         now = self._clock()
         return [
             {
@@ -346,7 +346,7 @@
             key = (entry["lane"], entry["why"])
             tasks[key] = tasks.get(key, 0) + entry["pieces"]
         for (job_class, why), count in sorted(tasks.items()):
-            log.info("waiting: %d pieces of %s for: %s", count, job_class, why)
+            log.info("waiting: %d tasks of %s for: %s", count, job_class, why)
 
     def _refresh_policy(self, snapshot: Snapshot, wanted: float) -> None:
         at_hand = sum(node.size for node in snapshot.nodes)
@@ -357,7 +357,7 @@
                 "machines": float(len(snapshot.nodes)),
                 "load": wanted / at_hand if at_hand > 0 else 0.0,
                 "pass_cost_s": self.pass_cost_s,
-                "boot_s": max((b.boot_s for b in self._builds().values()), default=1.0),
+                "boot_s": max((b.boot_s for b in self._machine_types().values()), default=1.0),
                 "report_s": self._params.workers.report_s,
                 "lease_s": self._params.workers.lease_s,
             },
@@ -365,7 +365,7 @@
 
     def _run_pass(self) -> None:
         now = self._clock()
-        machine_types = self._builds()
+        machine_types = self._machine_types()
         if not machine_types:
             return
         with self._load.spent("snapshot"):
@@ -391,7 +391,7 @@
                 attempt = self.works.assign(work, task, machine.id, number, now)
                 attempt.first = work.id in self._snapshot_builder.unbegun
                 self.registry.link(attempt)
-            log.debug("%s: %d pieces to %s", work.id, len(chosen), machine.id)
+            log.debug("%s: %d tasks to %s", work.id, len(chosen), machine.id)
         with self._load.spent("stop"):
             self._stop_for_claims(snapshot, plan)
         self._plan_machines(snapshot, plan, room, now, machine_types)
--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -1,6 +1,6 @@
 """One leader at a time: a leased key says who, a term key fences what it writes.
 
-The term is the workers' `baton`. Every write of a leader is conditional on the stamp
+The term is the workers' `fencing token`. Every write of a leader is conditional on the stamp
 that the term key got when it was elected, so a deposed leader's writes fail however
 late they arrive. The lease only decides when others may stand for election; nothing
 is safe because of it alone.
@@ -130,7 +130,7 @@
         number = (former.value["term"] if former else 0) + 1
         # What the number was taken from is what the claim is conditional on. The watch may
         # bring another's election while the lease is granted: with the stamps of that, this
-        # claim would push it out under the very same number, and two would share a baton.
+        # claim would push it out under the very same number, and two would share a fencing token.
         conditions = {
             LEADER: leader.revision if leader else 0,
             TERM: former.revision if former else 0,
--- a/spoolcourse/control/machines/autoscaler.py
+++ b/spoolcourse/control/machines/autoscaler.py
@@ -60,7 +60,7 @@
         self._cloud = cloud
         self._registry = registry
         self._policy = policy
-        self._builds = machine_types
+        self._machine_types = machine_types
         self._clock = clock
         self._may_rent = may_rent
         self._workers = params.workers
@@ -118,11 +118,11 @@
                 machine.up_at = machine.rented_at + self._boot_s(machine)
 
     def _boot_s(self, machine: Machine) -> float:
-        machine_type = self._builds().get(machine.machine_type or "")
+        machine_type = self._machine_types().get(machine.machine_type or "")
         return machine_type.boot_s if machine_type else 60.0
 
     async def _probe(self, hosts: list[Host]) -> None:
-        """Raise the baton on machines that have not spoken under it yet, with an empty
+        """Raise the fencing token on machines that have not spoken under it yet, with an empty
         order: they may be reporting to a node that can't know of us."""
         todo = [
             m
@@ -154,7 +154,7 @@
             if report.machine == machine.id:
                 self._registry.observe(report)
         except (NetError, Malformed) as exc:
-            log.debug("%s: baton not raised: %s", machine.id, exc)
+            log.debug("%s: fencing token not raised: %s", machine.id, exc)
 
     # -- renting ------------------------------------------------------------------------
 
@@ -341,18 +341,20 @@
         elif machine.deaf_since is not None and now - machine.deaf_since > patience:
             return "it takes no answers"
         elif now - machine.proven_at > patience:
-            return "our baton does not reach it"  # so what it holds would stay open for ever
+            return (
+                "our fencing token does not reach it"  # so what it holds would stay open for ever
+            )
         if len(machine.errors) >= 2 and not machine.attempts:
             return "tasks of several jobs fail on it"
         return None
 
     def _cpus(self, machine: Machine) -> float:
-        machine_type = self._builds().get(machine.machine_type or "")
+        machine_type = self._machine_types().get(machine.machine_type or "")
         return machine_type.cpus if machine_type else 0.0
 
     def _capacity(self) -> float:
         size = {
-            machine_type.name: machine_type.cpus for machine_type in self._builds().values()
+            machine_type.name: machine_type.cpus for machine_type in self._machine_types().values()
         }  # asked every pass
         return sum(
             size.get(m.machine_type or "", 0.0)
--- a/spoolcourse/control/machines/planner.py
+++ b/spoolcourse/control/machines/planner.py
@@ -31,7 +31,7 @@
 
 
 class _Zones:
-    """How many more of a job's pieces each zone takes, with those that are planned for it."""
+    """How many more of a job's tasks each zone takes, with those that are planned for it."""
 
     def __init__(self, job: Job) -> None:
         self._job = job
@@ -47,7 +47,7 @@
 
 
 def _fill(job: Job, zones: _Zones, count: int, nodes: list[Node]) -> int:
-    """Put pieces into machines that are on their way; what is left over."""
+    """Put tasks into machines that are on their way; what is left over."""
     for node in nodes:
         if count <= 0:
             break
@@ -68,7 +68,7 @@
     team_room: list[float],
     most: int = 50,
 ) -> list[Hire]:
-    """`demand` is in order: jobs with pieces that found no machine in the pass."""
+    """`demand` is in order: jobs with tasks that found no machine in the pass."""
     boot = min((o.boot_s for o in offers), default=0.0)
     soon = sum(t.cpus for n in nodes if n.ready_at <= now for t in n.tasks if t.end <= now + boot)
     coming = [replace(n) for n in nodes if n.ready_at > now]
@@ -83,7 +83,7 @@
             soon -= served * job.cpus
             count -= served
         # Machines in a zone that takes no more of the job would be rented again and again,
-        # while its pieces wait for ever: of one that is spread over zones, and lost machines
+        # while its tasks wait for ever: of one that is spread over zones, and lost machines
         # in one of them.
         zones = _Zones(job)
         count = _fill(job, zones, count, coming)
--- a/spoolcourse/control/placement/backfill.py
+++ b/spoolcourse/control/placement/backfill.py
@@ -25,7 +25,7 @@
     fit,
 )
 
-RESERVED_MAX = 64  # pieces of the head that are protected
+RESERVED_MAX = 64  # tasks of the head that are protected
 
 # A machine that would do, the best first: group, seconds of fetching, replicas of the same service
 # there, free CPUs (or less them), and its number.
@@ -162,7 +162,7 @@
         if job.one_zone and not job.held and choices:
             self._narrow(job, choices, wanted)
         placed = 0
-        # Machines that must fetch the image get one piece each at first: the fetches run
+        # Machines that must fetch the image get one task each at first: the fetches run
         # side by side, and the more machines have an image, the sooner its next job starts.
         for _, delay, _, _, number in choices:
             if placed >= wanted:
@@ -223,7 +223,7 @@
     # -- the head -------------------------------------------------------------------
 
     def _protect(self, index: int, job: Job, left: int) -> None:
-        """Work out when the head's next pieces can start, and guard that."""
+        """Work out when the head's next tasks can start, and guard that."""
         # The next moment at which each machine's room grows: when, node, tasks ended so far.
         events: list[tuple[float, int, int]] = []
         zones, now = self._zones(job), self.s.now
--- a/spoolcourse/control/placement/model.py
+++ b/spoolcourse/control/placement/model.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 EPSILON = 1e-6
-PLENTY = 100_000  # pieces: no job has more
+PLENTY = 100_000  # tasks: no job has more
 
 
 def fit(cpus: float, gpus: float, memory: float, job: Job) -> int:
@@ -42,7 +42,7 @@
 
 
 class Room:
-    """Resources that a job's pieces can be put into."""
+    """Resources that a job's tasks can be put into."""
 
     __slots__ = ("cpus", "gpus", "memory")
     cpus: float
@@ -85,7 +85,7 @@
 
 @dataclass(slots=True)
 class Job:
-    """A job with pieces to place. `PLENTY` of them means: no bound."""
+    """A job with tasks to place. `PLENTY` of them means: no bound."""
 
     pending: int
     cpus: float
@@ -99,9 +99,9 @@
     zone: int | None = None
     spot_allowed: bool = True
     one_zone: bool = False
-    spread: int | None = None  # at most so many pieces in one zone
-    held: dict[int, int] = field(default_factory=dict)  # zone: pieces that may be there
-    lost: int = 0  # pieces whose machine's zone is not known
+    spread: int | None = None  # at most so many tasks in one zone
+    held: dict[int, int] = field(default_factory=dict)  # zone: tasks that may be there
+    lost: int = 0  # tasks whose machine's zone is not known
     avoid: frozenset[int] = frozenset()  # nodes where it failed
     rank: int = 2
     claim: bool = False  # tasks may be stopped for it
@@ -121,7 +121,7 @@
         return self.one_zone and any(n for z, n in self.held.items() if z != zone)
 
     def zone_room(self, zone: int) -> int:
-        """How many more of its pieces may start in the zone at this moment. Those on
+        """How many more of its tasks may start in the zone at this moment. Those on
         machines whose zone isn't known may be anywhere: they count against every zone."""
         if self.zone not in (None, zone) or self.elsewhere(zone) or (self.one_zone and self.lost):
             return 0
@@ -150,7 +150,7 @@
 
 @dataclass(slots=True)
 class Decision:
-    """So many pieces of a job on a node."""
+    """So many tasks of a job on a node."""
 
     job: int
     node: int
@@ -162,5 +162,5 @@
     decisions: list[Decision] = field(default_factory=list)
     head: int | None = None
     head_start: float | None = None
-    unplaced: dict[int, int] = field(default_factory=dict)  # job: pieces that need machines
+    unplaced: dict[int, int] = field(default_factory=dict)  # job: tasks that need machines
     why: dict[int, str] = field(default_factory=dict)  # job: what it waits for
--- a/spoolcourse/control/placement/snapshot_cache.py
+++ b/spoolcourse/control/placement/snapshot_cache.py
@@ -65,7 +65,7 @@
     ) -> None:
         self._teams = teams
         self._zones = zones
-        self._builds = machine_types
+        self._machine_types = machine_types
         self.images = Index()
         self._estimate = estimate
         self._known: dict[str, MachineSnapshot] = {}
@@ -117,7 +117,7 @@
         self, machine: Machine, machine_type: MachineType, jobs: dict[str, JobState], now: float
     ) -> MachineSnapshot:
         node = Node(
-            self._builds.of(machine_type.name),
+            self._machine_types.of(machine_type.name),
             self._zones.of(machine.zone or ""),
             bool(machine.spot),
             machine_type.cpus,
--- a/spoolcourse/control/user_api/api.py
+++ b/spoolcourse/control/user_api/api.py
@@ -64,7 +64,7 @@
         self._net = net
         self._seeds = seeds
         self._params = params
-        self._builds = machine_types
+        self._machine_types = machine_types
         self._wall = wall
         self._foreman = foreman
         self._all_new = all_new
@@ -145,7 +145,7 @@
             known = await self._known(sub.id)
             if known is not None:
                 return Reply(200, known)
-        machine_types = self._builds()
+        machine_types = self._machine_types()
         if not machine_types:
             raise Unable("the machine types are not known yet")
         why = refusal(sub, machine_types, self._params)
@@ -165,7 +165,7 @@
             return await self._refuse(sub.id, Reply(422, {"error": str(exc)}))
         if accepted:
             log.info(
-                "%s accepted: %d pieces, %s, %s", sub.id, sub.task_count, sub.job_class, sub.team
+                "%s accepted: %d tasks, %s, %s", sub.id, sub.task_count, sub.job_class, sub.team
             )
             return Reply(201, {"id": sub.id, "stage": "queued"})
         known = await self._known(sub.id)
--- a/spoolcourse/policy/keys.py
+++ b/spoolcourse/policy/keys.py
@@ -14,7 +14,7 @@
 from spoolcourse.policy.lang import Expression, Inputs, Range, compile_expression
 
 INPUTS: dict[str, Range] = {
-    "waiting_jobs": Range(0, 1e6),  # jobs with pieces that are not placed
+    "waiting_jobs": Range(0, 1e6),  # jobs with tasks that are not placed
     "machines": Range(0, 1e5),  # machines that can take work
     "load": Range(0, 100),  # CPUs wanted by CPUs at hand
     "pass_cost_s": Range(0, 10),  # processor time of the last pass
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -114,7 +114,7 @@
 def test_spot_types_zones_and_bad_machines_are_respected() -> None:
     spot = Node(1, 0, True, 8.0, 0.0, 64.0, 8.0, 1.0)
     assert placed(run([job(spot_allowed=False)], [spot])) == {}
-    assert placed(run([job(builds=frozenset({0}))], [spot])) == {}
+    assert placed(run([job(machine_types=frozenset({0}))], [spot])) == {}
     assert placed(run([job(zone=1)], [spot])) == {}
     assert placed(run([job(avoid=frozenset({0}))], [spot])) == {}
 
--- a/tests/test_sights.py
+++ b/tests/test_snapshot_cache.py
@@ -53,7 +53,7 @@
 
         def compare(leader_term: LeaderTerm) -> None:
             nonlocal compared
-            now, builds = world.now(), leader_term._builds()
+            now, builds = world.now(), leader_term._machine_types()
             fresh = surveyor(leader_term.works, leader_term.registry)
             kept = seen(leader_term._snapshot_builder, now, builds)
             assert kept == seen(fresh, now, builds)
