--- a/spoolcourse/control/fleet/command_dispatcher.py
+++ b/spoolcourse/control/fleet/command_dispatcher.py
@@ -10,7 +10,7 @@
 import asyncio
 import logging
 
-from spoolcourse.control.fleet.worker_registry import Machine, WorkerRegistry, start_order
+from spoolcourse.control.fleet.worker_registry import Machine, WorkerRegistry, start_command
 from spoolcourse.control.net import Net, NetError
 from spoolcourse.wire.messages import Malformed, Report, parse
 
@@ -56,8 +56,8 @@
         try:
             attempts = self._registry.take_fresh_starts(machine)
             session = machine.session
-            orders = self._registry.take_halts(machine) + [start_order(a) for a in attempts]
-            body = {"baton": self._registry.term, "shift": session, "orders": orders}
+            commands = self._registry.take_stops(machine) + [start_command(a) for a in attempts]
+            body = {"baton": self._registry.term, "shift": session, "orders": commands}
             try:
                 reply = await self._net.call(
                     machine.address,
@@ -70,15 +70,15 @@
                 report = parse(reply.data, Report)
             except (NetError, Malformed) as exc:
                 # Until it can be reached, the report responses have to do.
-                machine.shut_until = asyncio.get_running_loop().time() + PAUSE_S
-                log.debug("%s: %d orders without an answer: %s", machine.id, len(orders), exc)
+                machine.unreachable_until = asyncio.get_running_loop().time() + PAUSE_S
+                log.debug("%s: %d orders without an answer: %s", machine.id, len(commands), exc)
                 return
             if reply.status in (200, 409) and report.machine == machine.id:
                 for attempt in attempts:
-                    attempt.loose = None
+                    attempt.in_flight_session = None
                 self._registry.observe(report)
         finally:
             held_back = len(self._busy) >= AT_ONCE
             self._busy.pop(machine.id, None)
-            if held_back or machine.id in self._registry.errands:
+            if held_back or machine.id in self._registry.pending_commands:
                 self.wake.set()
--- a/spoolcourse/control/fleet/relay.py
+++ b/spoolcourse/control/fleet/relay.py
@@ -30,17 +30,19 @@
         self._passed: dict[str, tuple[float, bool]] = {}  # worker: when, was the leader deaf
         self._probe_at = float("-inf")
 
-    async def handle(self, worker: str, raw: bytes, foreman: str | None, informed: bool) -> Reply:
+    async def handle(
+        self, worker: str, raw: bytes, leader_label: str | None, informed: bool
+    ) -> Reply:
         """`informed`: the leader's name is no older than a lease or two. A node that was
         cut off must not send workers to one that was replaced long ago."""
-        named = Reply(421, {"foreman": foreman}) if informed else Reply(421, {})
-        if foreman is None or foreman == self._label or foreman not in self._peers:
+        named = Reply(421, {"foreman": leader_label}) if informed else Reply(421, {})
+        if leader_label is None or leader_label == self._label or leader_label not in self._peers:
             return Reply(421, {})
         now = asyncio.get_running_loop().time()
-        at, deaf = self._passed.get(worker, (float("-inf"), True))
+        at, hears_no_worker = self._passed.get(worker, (float("-inf"), True))
         recent = now - at < 3 * self._report_s
-        if informed and recent and (not deaf or now - self._probe_at > PROBE_S):
-            if deaf:
+        if informed and recent and (not hears_no_worker or now - self._probe_at > PROBE_S):
+            if hears_no_worker:
                 self._probe_at = now
             self._passed.pop(worker, None)
             return named
@@ -48,15 +50,15 @@
             self._passed.clear()
         try:
             reply = await self._net.call(
-                self._peers[foreman], "POST", "/v1/report", raw, timeout=TIMEOUT_S
+                self._peers[leader_label], "POST", "/v1/report", raw, timeout=TIMEOUT_S
             )
         except NetError as exc:
             log.debug("%s: report not passed on: %s", worker, exc)
             return named
         if reply.status != 200 or not isinstance(reply.data, dict):
             return Reply(421, {})
-        deaf = bool(reply.data.pop("deaf", False))
-        if deaf and not recent:
+        hears_no_worker = bool(reply.data.pop("deaf", False))
+        if hears_no_worker and not recent:
             self._probe_at = now  # it has just tried
-        self._passed[worker] = (now, deaf)
+        self._passed[worker] = (now, hears_no_worker)
         return Reply(200, reply.data)
--- a/spoolcourse/control/jobs/job_queue.py
+++ b/spoolcourse/control/jobs/job_queue.py
@@ -17,32 +17,36 @@
 class Attempt:
     """One attempt at a task. It exists until it is proven gone."""
 
-    work: JobState
+    job_state: JobState
     task: int
     number: int
     machine: str
     version: int  # of its chunk when it was assigned
     since: float  # when `stage` began
     stage: str = "assigned"  # open (taken over), assigned, pulling, running, flushing
-    sent: tuple[int, int] | None = None  # the report whose response carried the start
-    direct: bool = False  # the start was also sent to `/orders`
-    loose: int | None = None  # the session in which that may still arrive
+    start_sent_with: tuple[int, int] | None = None  # the report whose response carried the start
+    sent_directly: bool = False  # the start was also sent to `/orders`
+    in_flight_session: int | None = None  # the session in which that may still arrive
     first: bool = False  # it went before rank, so that its job begins: no claim stops it
-    halting: bool = False
-    halt_sent: bool = False  # to `/orders`
+    stopping: bool = False
+    stop_sent: bool = False  # to `/orders`
 
     @property
     def name(self) -> str:
-        return task_name(self.work.id, self.task)
+        return task_name(self.job_state.id, self.task)
 
     @property
     def never_sent(self) -> bool:
         """No start is under way, nor can have arrived."""
-        return self.stage == "assigned" and self.sent is None and self.loose is None
+        return (
+            self.stage == "assigned"
+            and self.start_sent_with is None
+            and self.in_flight_session is None
+        )
 
     @property
     def saved(self) -> bool:
-        return self.work.chunk(self.task).saved >= self.version
+        return self.job_state.chunk(self.task).saved >= self.version
 
 
 @dataclass(slots=True, eq=False)
@@ -92,7 +96,7 @@
     def all_running(self) -> bool:
         """All its tasks run, and none is being stopped."""
         return self.pending == 0 and all(
-            a.stage == "running" and not a.halting for a in self.attempts.values()
+            a.stage == "running" and not a.stopping for a in self.attempts.values()
         )
 
     @property
@@ -172,14 +176,14 @@
         self.on_dirty: Callable[[], None] = lambda: None
         # Attempts that outlive their job: a task that an earlier attempt completed elsewhere
         # may still run. They count against their team until they are proven gone.
-        self._outliving: dict[tuple[str, int], Attempt] = {}
+        self._attempts_of_finished_jobs: dict[tuple[str, int], Attempt] = {}
 
-    def left_over(self) -> list[Attempt]:
-        return list(self._outliving.values())
+    def attempts_of_finished_jobs(self) -> list[Attempt]:
+        return list(self._attempts_of_finished_jobs.values())
 
-    def touch(self, work: JobState, chunk: Chunk) -> int:
+    def touch(self, job_state: JobState, chunk: Chunk) -> int:
         chunk.version += 1
-        self.dirty[work.id, chunk.index] = chunk
+        self.dirty[job_state.id, chunk.index] = chunk
         self.on_dirty()
         return chunk.version
 
@@ -188,93 +192,97 @@
         self.dirty.pop((job, index), None)
         self.starting.pop((job, index), None)
 
-    def assign(self, work: JobState, task: int, machine: str, number: int, now: float) -> Attempt:
-        if task in work.attempts or work.is_done(task) or work.record.aborted:
-            raise ValueError(f"{work.id}/{task} is not free to start")
-        chunk = work.chunk(task)
+    def assign(
+        self, job_state: JobState, task: int, machine: str, number: int, now: float
+    ) -> Attempt:
+        if task in job_state.attempts or job_state.is_done(task) or job_state.record.aborted:
+            raise ValueError(f"{job_state.id}/{task} is not free to start")
+        chunk = job_state.chunk(task)
         chunk.progress.held[task] = (machine, number)
-        self.starting[work.id, chunk.index] = chunk
-        attempt = Attempt(work, task, number, machine, self.touch(work, chunk), now)
-        work.attempts[task] = attempt
-        work.requeued.discard(task)
+        self.starting[job_state.id, chunk.index] = chunk
+        attempt = Attempt(job_state, task, number, machine, self.touch(job_state, chunk), now)
+        job_state.attempts[task] = attempt
+        job_state.requeued.discard(task)
         return attempt
 
-    def adopt(self, work: JobState, task: int, machine: str, number: int, now: float) -> Attempt:
+    def adopt(
+        self, job_state: JobState, task: int, machine: str, number: int, now: float
+    ) -> Attempt:
         """Take over an attempt that the records or a report show; it may be anywhere."""
-        chunk = work.chunk(task)
+        chunk = job_state.chunk(task)
         version = chunk.version
         if chunk.progress.held.get(task) != (machine, number):
             chunk.progress.held[task] = (machine, number)
-            version = self.touch(work, chunk)
-        attempt = Attempt(work, task, number, machine, version, now, stage="open")
-        work.attempts[task] = attempt
-        work.requeued.discard(task)
+            version = self.touch(job_state, chunk)
+        attempt = Attempt(job_state, task, number, machine, version, now, stage="open")
+        job_state.attempts[task] = attempt
+        job_state.requeued.discard(task)
         return attempt
 
     def drop(self, attempt: Attempt) -> None:
         """The attempt is proven gone: its task may be tried again."""
-        work = attempt.work
-        if work.attempts.get(attempt.task) is not attempt:
+        job_state = attempt.job_state
+        if job_state.attempts.get(attempt.task) is not attempt:
             return
-        del work.attempts[attempt.task]
-        if work.final:
-            self._outliving.pop((work.id, attempt.task), None)
+        del job_state.attempts[attempt.task]
+        if job_state.final:
+            self._attempts_of_finished_jobs.pop((job_state.id, attempt.task), None)
             return
-        chunk = work.chunk(attempt.task)
+        chunk = job_state.chunk(attempt.task)
         chunk.progress.held.pop(attempt.task, None)
-        self.touch(work, chunk)
-        if not work.is_done(attempt.task):
-            work.requeued.add(attempt.task)
-        self.check(work)
+        self.touch(job_state, chunk)
+        if not job_state.is_done(attempt.task):
+            job_state.requeued.add(attempt.task)
+        self.check(job_state)
 
-    def complete(self, work: JobState, task: int) -> None:
+    def complete(self, job_state: JobState, task: int) -> None:
         """The task's result exists. Its attempt, if it is the one that ended, is dropped
         by the caller. A replica of a service has none, however it ended."""
-        if work.record.sub.is_service or work.is_done(task):
+        if job_state.record.sub.is_service or job_state.is_done(task):
             return
-        chunk = work.chunk(task)
-        chunk.progress.done |= 1 << (task % work.record.chunk)
-        work.done += 1
-        work.requeued.discard(task)
-        self.touch(work, chunk)
-        self.check(work)
-
-    def check(self, work: JobState) -> None:
-        if work.finished and not work.final:
-            self.finished[work.id] = work
+        chunk = job_state.chunk(task)
+        chunk.progress.done |= 1 << (task % job_state.record.chunk)
+        job_state.done += 1
+        job_state.requeued.discard(task)
+        self.touch(job_state, chunk)
+        self.check(job_state)
+
+    def check(self, job_state: JobState) -> None:
+        if job_state.finished and not job_state.final:
+            self.finished[job_state.id] = job_state
             self.on_dirty()
 
     def add(self, record: JobRecord, now: float) -> JobState:
-        work = self._begin(record, now)
-        self.check(work)
-        return work
+        job_state = self._begin(record, now)
+        self.check(job_state)
+        return job_state
 
     def _begin(self, record: JobRecord, now: float) -> JobState:
-        work = self.jobs[record.sub.id] = JobState(
+        job_state = self.jobs[record.sub.id] = JobState(
             record, waiting_since=now, cancelled_known_at=now
         )
         if self._chunk_tasks is not None and record.chunk > self._chunk_tasks:
-            work.held_most = self._chunk_tasks
-        return work
-
-    def remove(self, work: JobState) -> None:
-        work.final = True
-        for attempt in work.attempts.values():
-            self._outliving[work.id, attempt.task] = attempt
-        self.jobs.pop(work.id, None)
-        self.finished.pop(work.id, None)
-        for index in work.chunks:
-            self.forget(work.id, index)
+            job_state.held_most = self._chunk_tasks
+        return job_state
+
+    def remove(self, job_state: JobState) -> None:
+        job_state.final = True
+        for attempt in job_state.attempts.values():
+            self._attempts_of_finished_jobs[job_state.id, attempt.task] = attempt
+        self.jobs.pop(job_state.id, None)
+        self.finished.pop(job_state.id, None)
+        for index in job_state.chunks:
+            self.forget(job_state.id, index)
 
     def restore(
         self, record: JobRecord, now: float, saved: dict[int, tuple[Progress, int]]
     ) -> JobState:
         """Rebuild from the records; attempts are open until their machines have spoken."""
-        work = self._begin(record, now)
+        job_state = self._begin(record, now)
         for index, (progress, revision) in saved.items():
-            work.chunks[index] = Chunk(index, progress, revision)
-            work.done += progress.done.bit_count()
+            job_state.chunks[index] = Chunk(index, progress, revision)
+            job_state.done += progress.done.bit_count()
             for task, (machine, number) in list(progress.held.items()):
-                self.adopt(work, task, machine, number, now)
-        self.check(work)
-        return work
+                self.adopt(job_state, task, machine, number, now)
+        self.check(job_state)
+        return job_state
--- a/spoolcourse/control/jobs/writer.py
+++ b/spoolcourse/control/jobs/writer.py
@@ -33,19 +33,19 @@
         self,
         client: StoreClient,
         watch_cache: WatchCache,
-        works: JobQueue,
+        job_queue: JobQueue,
         term: Term,
         depose: Callable[[str], None],
         on_saved: Callable[[], None],
     ) -> None:
         self._client = client
         self._watch_cache = watch_cache
-        self._works = works
+        self._job_queue = job_queue
         self._term = term
         self._depose = depose
         self._on_saved = on_saved
         self._wake = asyncio.Event()
-        works.on_dirty = self._wake.set
+        job_queue.on_dirty = self._wake.set
 
     async def run(self) -> None:
         delay = 0.1
@@ -53,10 +53,10 @@
             await self._wake.wait()
             self._wake.clear()
             try:
-                while self._works.dirty or self._works.finished:
+                while self._job_queue.dirty or self._job_queue.finished:
                     await self._save_starts()
                     await self._finish_one()
-                    if not self._works.starting and not self._works.finished:
+                    if not self._job_queue.starting and not self._job_queue.finished:
                         await self._save_results()
                     delay = 0.1
             except (Refused, Unclear) as exc:
@@ -67,15 +67,15 @@
 
     async def _save_starts(self) -> None:
         """What holds back starts, by rank: people wait for it."""
-        jobs = self._works.jobs
-        keys = [key for key in self._works.starting if key[0] in jobs]
+        jobs = self._job_queue.jobs
+        keys = [key for key in self._job_queue.starting if key[0] in jobs]
         await self._save(sorted(keys, key=lambda key: RANKS.index(jobs[key[0]].record.sub.rank)))
 
     async def _save_results(self) -> None:
         """Results and ends, which nobody waits for: the workers keep them meanwhile. They
         take what is to spare, or starts would queue for the budget behind them."""
-        while self._works.dirty and not self._client.writes_to_spare():
-            if self._works.starting or self._works.finished:
+        while self._job_queue.dirty and not self._client.writes_to_spare():
+            if self._job_queue.starting or self._job_queue.finished:
                 return
             self._wake.clear()
             try:
@@ -83,7 +83,7 @@
                     await self._wake.wait()
             except TimeoutError:
                 pass
-        await self._save(list(self._works.dirty))
+        await self._save(list(self._job_queue.dirty))
 
     async def _save(self, keys: list[tuple[str, int]]) -> None:
         conditions = {TERM: self._term.revision}
@@ -91,34 +91,34 @@
         taken: list[tuple[JobState, Chunk, int, Put]] = []
         size = 0
         for job, index in keys:
-            work = self._works.jobs.get(job)
-            chunk = self._works.dirty.get((job, index))
-            if work is None or chunk is None or job in self._works.finished:
-                self._works.forget(job, index)
+            job_state = self._job_queue.jobs.get(job)
+            chunk = self._job_queue.dirty.get((job, index))
+            if job_state is None or chunk is None or job in self._job_queue.finished:
+                self._job_queue.forget(job, index)
                 continue
             value = chunk.progress.value()
             length = len(orjson.dumps(value))
             if length > self._client.value_bytes:
                 # Made for a limit that has dropped: the results stay with the workers until
                 # what it holds has ended and it fits. It comes back with its next change.
-                self._works.forget(job, index)
+                self._job_queue.forget(job, index)
                 continue
             size += length + 300
             if ops and (size > TXN_BYTES or len(ops) >= self._client.ops_most):
                 break
             put = Put(progress_key(job, index), value)
             conditions[put.key] = chunk.revision
-            conditions[job_key(job)] = work.record.revision
+            conditions[job_key(job)] = job_state.record.revision
             ops.append(put)
-            taken.append((work, chunk, chunk.version, put))
+            taken.append((job_state, chunk, chunk.version, put))
         if not ops:
             return
         # Starts that are decided while this is on its way put their chunk back.
-        starting = self._works.starting
+        starting = self._job_queue.starting
         held_back = {
-            (work.id, chunk.index): chunk
-            for work, chunk, *_ in taken
-            if starting.pop((work.id, chunk.index), None) is not None
+            (job_state.id, chunk.index): chunk
+            for job_state, chunk, *_ in taken
+            if starting.pop((job_state.id, chunk.index), None) is not None
         }
         written = False
         try:
@@ -130,50 +130,50 @@
         if not outcome.ok:
             await self._after_conflict(outcome)
             return
-        for work, chunk, version, put in taken:
+        for job_state, chunk, version, put in taken:
             chunk.revision = outcome.store_revision
             chunk.saved = version
             if chunk.version == version:
-                self._works.forget(work.id, chunk.index)
+                self._job_queue.forget(job_state.id, chunk.index)
             self._watch_cache.apply(put.key, put.value, outcome.store_revision)
         self._on_saved()
 
     async def _finish_one(self) -> None:
-        for work in list(self._works.finished.values()):
-            if not work.finished or self._works.jobs.get(work.id) is not work:
-                self._works.finished.pop(work.id, None)
+        for job_state in list(self._job_queue.finished.values()):
+            if not job_state.finished or self._job_queue.jobs.get(job_state.id) is not job_state:
+                self._job_queue.finished.pop(job_state.id, None)
                 continue
-            key = job_key(work.id)
-            stage = "aborted" if work.record.aborted else "done"
-            value = {"stage": stage, "done": work.done, "at": work.record.at}
-            saved = [c for c in work.chunks.values() if c.revision]
+            key = job_key(job_state.id)
+            stage = "aborted" if job_state.record.aborted else "done"
+            value = {"stage": stage, "done": job_state.done, "at": job_state.record.at}
+            saved = [c for c in job_state.chunks.values() if c.revision]
             room = self._client.ops_most - 2
             # A job of very many chunks loses the first of them beforehand; with its
             # record still there the rest would be taken for undone after a crash. So the
             # final state goes first, and what is left is swept up later.
-            ops: list[Put | Delete] = [Put(final_key(work.id), value), Delete(key)]
-            ops += [Delete(progress_key(work.id, c.index)) for c in saved[:room]]
+            ops: list[Put | Delete] = [Put(final_key(job_state.id), value), Delete(key)]
+            ops += [Delete(progress_key(job_state.id, c.index)) for c in saved[:room]]
             conditions = {
                 TERM: self._term.revision,
-                key: work.record.revision,
-                final_key(work.id): 0,
+                key: job_state.record.revision,
+                final_key(job_state.id): 0,
             }
             outcome = await self._commit(conditions, ops)
             if not outcome.ok:
                 # The others first: one that goes on conflicting must not keep them waiting.
-                self._works.finished[work.id] = self._works.finished.pop(work.id)
+                self._job_queue.finished[job_state.id] = self._job_queue.finished.pop(job_state.id)
                 await self._after_conflict(outcome)
                 return
-            self._works.remove(work)
-            self._watch_cache.apply(final_key(work.id), value, outcome.store_revision)
+            self._job_queue.remove(job_state)
+            self._watch_cache.apply(final_key(job_state.id), value, outcome.store_revision)
             self._watch_cache.apply(key, None, outcome.store_revision)
             for chunk in saved[:room]:
                 self._watch_cache.apply(
-                    progress_key(work.id, chunk.index), None, outcome.store_revision
+                    progress_key(job_state.id, chunk.index), None, outcome.store_revision
                 )
-            log.info("%s is %s", work.id, stage)
+            log.info("%s is %s", job_state.id, stage)
             self._on_saved()
-            await self.sweep([progress_key(work.id, c.index) for c in saved[room:]])
+            await self.sweep([progress_key(job_state.id, c.index) for c in saved[room:]])
             return
 
     async def sweep(self, keys: list[str]) -> None:
@@ -210,17 +210,17 @@
 
     def _adopt(self) -> None:
         """Take over the stamps, and finished jobs, that the synced mirror shows."""
-        for job, work in list(self._works.jobs.items()):
+        for job, job_state in list(self._job_queue.jobs.items()):
             revision = self._watch_cache.revision(job_key(job))
-            if revision == 0 and job in self._works.finished:
-                self._works.remove(work)
+            if revision == 0 and job in self._job_queue.finished:
+                self._job_queue.remove(job_state)
                 self._on_saved()
                 continue
-            for chunk in work.chunks.values():
+            for chunk in job_state.chunks.values():
                 entry = self._watch_cache.get(progress_key(job, chunk.index))
                 if entry is not None and entry.revision != chunk.revision:
                     chunk.revision = entry.revision
                     if entry.value == chunk.progress.value():
                         chunk.saved = chunk.version
-                        self._works.forget(job, chunk.index)
+                        self._job_queue.forget(job, chunk.index)
                         self._on_saved()
--- a/spoolcourse/control/leader_term.py
+++ b/spoolcourse/control/leader_term.py
@@ -54,7 +54,7 @@
         params: Params,
         policy_source: PolicySource,
         machine_types: Callable[[], dict[str, MachineType]],
-        wall: Callable[[], float],
+        wall_clock: Callable[[], float],
         load: Load,
     ) -> None:
         self._load = load
@@ -70,7 +70,7 @@
         self.pass_cost_s = 0.0
         self.passes = 0
         self._machine_types = machine_types
-        self._wall = wall
+        self._wall_clock = wall_clock
         self._clock = asyncio.get_running_loop().time
         self.renewal_deadline = RenewalDeadline(params.workers)
         self._renews = True
@@ -85,17 +85,17 @@
             leadership.depose,
         )
         self._attempts = 0
-        self._heard_direct = self._clock()
+        self._heard_directly = self._clock()
         self._wake = asyncio.Event()
         self.ready = asyncio.Event()
-        self.works = JobQueue(chunk_tasks(params.state.least.value_kb))
+        self.job_queue = JobQueue(chunk_tasks(params.state.least.value_kb))
         self.registry = WorkerRegistry(
-            self.works,
+            self.job_queue,
             term.number,
             params.workers.lease_s,
             self._clock,
             self._may_start,
-            self._over,
+            self._is_over,
             self._wake.set,
         )
         self.registry.disk_gb = self._disk_gb
@@ -104,7 +104,7 @@
             net, self.registry, params.machine_limits.sockets
         )
         self.writer = Writer(
-            client, watch_cache, self.works, term, leadership.depose, self._on_saved
+            client, watch_cache, self.job_queue, term, leadership.depose, self._on_saved
         )
         self.autoscaler = FleetAutoscaler(
             net,
@@ -115,9 +115,9 @@
             self._clock,
             leadership.valid,
             params,
-            wall,
+            wall_clock,
         )
-        self._snapshot_builder = SnapshotBuilder(self.works, self.registry, params, policy)
+        self._snapshot_builder = SnapshotBuilder(self.job_queue, self.registry, params, policy)
         self.autoscaler.is_rare = lambda machine_type: self._snapshot_builder.is_rare(
             machine_type, self._clock()
         )
@@ -158,7 +158,7 @@
             await asyncio.sleep(0.1)
         now = self._clock()
         saved: dict[str, dict[int, tuple[Progress, int]]] = {}
-        orphans = []
+        leftover_keys = []
         for entry in self._watch_cache.below(PROGRESS):
             job, chunk = split_progress(entry.key)
             if job in self._job_index.live:
@@ -167,17 +167,17 @@
                     entry.revision,
                 )
             else:
-                orphans.append(entry.key)
+                leftover_keys.append(entry.key)
         for job, record in self._job_index.live.items():
-            work = self.works.restore(record, now, saved.get(job, {}))
-            work.waiting_since = now - max(0.0, self._wall() - record.at)
-            for attempt in work.attempts.values():
+            job_state = self.job_queue.restore(record, now, saved.get(job, {}))
+            job_state.waiting_since = now - max(0.0, self._wall_clock() - record.at)
+            for attempt in job_state.attempts.values():
                 self.registry.link(attempt)
         log.info(
             "term %d: took over %d jobs, %d attempts to find",
             self._term.number,
-            len(self.works.jobs),
-            sum(len(w.attempts) for w in self.works.jobs.values()),
+            len(self.job_queue.jobs),
+            sum(len(w.attempts) for w in self.job_queue.jobs.values()),
         )
         self.ready.set()
         self._spawn(self.writer.run())
@@ -187,12 +187,12 @@
         self._spawn(self.autoscaler.return_loop())
         self._spawn(self._pass_loop())
         self._spawn(self._drain_loop())
-        if orphans:
-            self._spawn(self._sweep(orphans))
+        if leftover_keys:
+            self._spawn(self._sweep(leftover_keys))
 
-    async def _sweep(self, orphans: list[str]) -> None:
+    async def _sweep(self, leftover_keys: list[str]) -> None:
         try:
-            await self.writer.sweep(orphans)
+            await self.writer.sweep(leftover_keys)
         except (Refused, Unclear) as exc:
             log.info("progress of finished jobs is left for the next term: %s", exc)
 
@@ -217,10 +217,12 @@
             )
         return may
 
-    def _over(self, job: str) -> bool:
+    def _is_over(self, job: str) -> bool:
         """True if the job can't be live: every start was preceded by its record."""
         return (
-            self.ready.is_set() and job not in self._job_index.live and job not in self.works.jobs
+            self.ready.is_set()
+            and job not in self._job_index.live
+            and job not in self.job_queue.jobs
         )
 
     def _base(self) -> frozenset[str]:
@@ -253,17 +255,17 @@
         now = self._clock()
         return [
             {
-                "id": work.id,
-                "lane": work.record.sub.job_class,
-                "crew": work.record.sub.team,
-                "pieces": work.pending,
-                "waitsS": round(now - work.waiting_since, 1),
+                "id": job_state.id,
+                "lane": job_state.record.sub.job_class,
+                "crew": job_state.record.sub.team,
+                "pieces": job_state.pending,
+                "waitsS": round(now - job_state.waiting_since, 1),
                 "why": "an error's pause"
-                if work.retry_at > now
-                else self._why.get(work.id, "next pass"),
+                if job_state.retry_at > now
+                else self._why.get(job_state.id, "next pass"),
             }
-            for work in sorted(self.works.jobs.values(), key=lambda w: w.order)
-            if work.pending > 0 and not work.record.aborted
+            for job_state in sorted(self.job_queue.jobs.values(), key=lambda w: w.order)
+            if job_state.pending > 0 and not job_state.record.aborted
         ]
 
     # -- changes of jobs ------------------------------------------------------------------
@@ -273,33 +275,33 @@
             return
         job = key[len(JOB) :]
         record = self._job_index.live.get(job)
-        work = self.works.jobs.get(job)
+        job_state = self.job_queue.jobs.get(job)
         if record is None:
             return
-        if work is None:
-            self.works.add(record, self._clock())
+        if job_state is None:
+            self.job_queue.add(record, self._clock())
         else:
-            self._update(work, record)
+            self._update(job_state, record)
         self._wake.set()
 
-    def _update(self, work: JobState, record: JobRecord) -> None:
-        was_aborted = work.record.aborted
-        work.record = record
+    def _update(self, job_state: JobState, record: JobRecord) -> None:
+        was_aborted = job_state.record.aborted
+        job_state.record = record
         if record.aborted and not was_aborted:
-            work.cancelled_known_at = self._clock()
-            for attempt in list(work.attempts.values()):
+            job_state.cancelled_known_at = self._clock()
+            for attempt in list(job_state.attempts.values()):
                 if attempt.never_sent:
                     self.registry.drop(attempt)  # never sent, and won't be
                 else:
-                    self.registry.halt(attempt)
+                    self.registry.stop(attempt)
             self.command_dispatcher.wake.set()
-            self.works.check(work)
+            self.job_queue.check(job_state)
 
     # -- workers ------------------------------------------------------------------------
 
-    def deaf(self) -> bool:
+    def hears_no_worker(self) -> bool:
         """No worker has got through to this node itself for a while."""
-        return self._clock() - self._heard_direct > self._params.workers.quiet_s
+        return self._clock() - self._heard_directly > self._params.workers.quiet_s
 
     def report(self, report: Report, direct: bool = True) -> Reply:
         if report.fencing_token > self._term.number:
@@ -313,12 +315,12 @@
             self.registry.overhear(report)
             return later("may not know of cancellations")
         with self._load.spent("report"):
-            orders = self.registry.accept(report)
-        if direct and orders is not None:
-            self._heard_direct = self._clock()
-        if orders is None:
+            commands = self.registry.accept(report)
+        if direct and commands is not None:
+            self._heard_directly = self._clock()
+        if commands is None:
             return Reply(200, {"orders": []})  # without a token nobody's lease is renewed
-        return Reply(200, {"baton": self._term.number, "orders": orders})
+        return Reply(200, {"baton": self._term.number, "orders": commands})
 
     # -- passes -------------------------------------------------------------------------
 
@@ -370,28 +372,28 @@
             return
         with self._load.spent("snapshot"):
             snapshot = self._snapshot_builder.take(now, machine_types)
-        held = sum(w.record.sub.cpus * len(w.attempts) for w in self.works.jobs.values())
+        held = sum(w.record.sub.cpus * len(w.attempts) for w in self.job_queue.jobs.values())
         room = [team.cpus for team in snapshot.teams]
         with self._load.spent("place"):
             plan = place(snapshot)
         self.passes += 1
-        self._why = {self._snapshot_builder.works[i].id: why for i, why in plan.why.items()}
+        self._why = {self._snapshot_builder.job_states[i].id: why for i, why in plan.why.items()}
         missing = sum(snapshot.jobs[i].cpus * count for i, count in plan.unplaced.items())
         placed = sum(snapshot.jobs[d.job].cpus * d.count for d in plan.decisions)
         wanted = held + placed + missing
         self.autoscaler.demand.note(now, wanted)
         self._refresh_policy(snapshot, wanted)
         for decision in plan.decisions:
-            work = self._snapshot_builder.works[decision.job]
+            job_state = self._snapshot_builder.job_states[decision.job]
             machine = self._snapshot_builder.machines[decision.node]
-            chosen = list(islice(work.candidates(), decision.count))
+            chosen = list(islice(job_state.candidates(), decision.count))
             for task in chosen:
                 self._attempts += 1
                 number = (self._term.number << 24) + self._attempts
-                attempt = self.works.assign(work, task, machine.id, number, now)
-                attempt.first = work.id in self._snapshot_builder.unbegun
+                attempt = self.job_queue.assign(job_state, task, machine.id, number, now)
+                attempt.first = job_state.id in self._snapshot_builder.unbegun
                 self.registry.link(attempt)
-            log.debug("%s: %d tasks to %s", work.id, len(chosen), machine.id)
+            log.debug("%s: %d tasks to %s", job_state.id, len(chosen), machine.id)
         with self._load.spent("stop"):
             self._stop_for_claims(snapshot, plan)
         self._plan_machines(snapshot, plan, room, now, machine_types)
@@ -399,11 +401,11 @@
     def _stop_for_claims(self, snapshot: Snapshot, plan: Plan) -> None:
         chosen = choose_victims(snapshot, plan, self._policy.preempt_patience_s)
         for attempt in self._snapshot_builder.attempts(chosen) if chosen else ():
-            log.info("%s/%d: stopped to make room", attempt.work.id, attempt.task)
+            log.info("%s/%d: stopped to make room", attempt.job_state.id, attempt.task)
             if attempt.never_sent:
                 self.registry.drop(attempt)
             else:
-                self.registry.halt(attempt)
+                self.registry.stop(attempt)
                 self.command_dispatcher.wake.set()
 
     def _plan_machines(
@@ -470,25 +472,26 @@
     def _drain(self, attempt: Attempt, left: float, now: float) -> None:
         """A notice: save what can be saved at the last moment, and don't wait for what
         can't be finished."""
-        if attempt.halting:
+        if attempt.stopping:
             return
         if attempt.stage == "assigned":
             if attempt.never_sent:
                 self.registry.drop(attempt)
             return
-        sub = attempt.work.record.sub
+        sub = attempt.job_state.record.sub
         if sub.is_service:
             # Its next place is ready sooner than its machine is proven gone, so it moves; but
             # one replica at a time, none while another is missing or while there is nowhere to
             # go to, as long as there is time.
             last_moment = left < 2 * self._params.workers.report_s + 1.0
             late = last_moment or (
-                attempt.work.all_running and self.autoscaler.places.has_place_elsewhere(attempt)
+                attempt.job_state.all_running
+                and self.autoscaler.places.has_place_elsewhere(attempt)
             )
         elif sub.checkpoint_every_s > 0:
             late = left < sub.checkpoint_cost_s + 2 * self._params.workers.report_s + 1.0
         else:
             elapsed = now - attempt.since if attempt.stage == "running" else 0.0
-            late = self._snapshot_builder.estimate(attempt.work) - elapsed > 1.5 * left
+            late = self._snapshot_builder.estimate(attempt.job_state) - elapsed > 1.5 * left
         if late:
-            self.registry.halt(attempt)
+            self.registry.stop(attempt)
--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -57,7 +57,7 @@
         watch_cache.listen(self._on_change)
 
     @property
-    def foreman(self) -> str | None:
+    def leader_label(self) -> str | None:
         """The label of the leader as far as this node knows."""
         entry = self._watch_cache.get(LEADER)
         return entry.value["label"] if entry else None
--- a/spoolcourse/control/machines/autoscaler.py
+++ b/spoolcourse/control/machines/autoscaler.py
@@ -54,7 +54,7 @@
         clock: Callable[[], float],
         may_rent: Callable[[], bool],
         params: Params,
-        wall: Callable[[], float],
+        wall_clock: Callable[[], float],
     ) -> None:
         self._net = net
         self._cloud = cloud
@@ -66,7 +66,7 @@
         self._workers = params.workers
         self._list_lag_s = params.cloud.list_lag_s
         self._cancelled = Cancelled(
-            registry.works, params.workers, params.skew_ms / 1000, clock, wall
+            registry.job_queue, params.workers, params.skew_ms / 1000, clock, wall_clock
         )
         self.places = ReplicaPlaces(registry, params.workers, clock, machine_types)
         self._early = EarlyDeletion(registry, self.places, params.workers, clock)
@@ -101,12 +101,12 @@
 
     def take_list(self, hosts: list[Host], now: float) -> None:
         for host in hosts:
-            if host.id in self._registry.buried:
+            if host.id in self._registry.deleted_names:
                 continue
             machine = self._registry.machine(host.id)
-            if host.stage == "running" and machine.listed != "running":
+            if host.stage == "running" and machine.listed_stage != "running":
                 machine.running_at = now
-            machine.listed = host.stage
+            machine.listed_stage = host.stage
             machine.machine_type = machine.machine_type or host.machine_type
             machine.zone = machine.zone or host.zone
             if machine.spot is None:
@@ -130,7 +130,7 @@
             if h.stage == "running"
             and (m := self._registry.machines.get(h.id)) is not None
             and not m.confirmed
-            and not m.silent_proof  # it has spoken under it, and will come by itself
+            and not m.lease_expired  # it has spoken under it, and will come by itself
             and m.address
         ]
         gate = asyncio.Semaphore(PROBES)
@@ -189,7 +189,7 @@
                 await asyncio.sleep(0.5)
                 continue
             for machine_name in names:
-                if machine_name in self._registry.buried:
+                if machine_name in self._registry.deleted_names:
                     continue
                 machine = self._registry.machine(machine_name)
                 machine.machine_type, machine.zone, machine.spot = (
@@ -233,7 +233,7 @@
             row[0] += 1
             row[1] += m.heard_at is None
             row[2] += self._cpus(m)
-            row[3] += sum(a.work.record.sub.cpus for a in m.attempts.values())
+            row[3] += sum(a.job_state.record.sub.cpus for a in m.attempts.values())
             row[4] += m.surplus
             row[5] += m.heard_at is not None and not m.attempts
         for (machine_type, spot), row in sorted(found.items()):
@@ -259,7 +259,7 @@
                 logged_at = self._clock()
                 self._log_fleet()
                 self.on_summary()
-            names = self.to_delete()
+            names = self.machines_to_delete()
             if not names:
                 continue
             for name in names:
@@ -270,7 +270,7 @@
                 log.info("deletion: %s", exc)
                 continue
             for name in names:
-                self._registry.gone(name)
+                self._registry.confirm_deleted(name)
 
     def isolated(self) -> bool:
         """Most machines silent at once: more likely we are cut off than they are dead."""
@@ -278,11 +278,11 @@
         quiet = sum(
             1
             for m in known
-            if not m.confirmed or m.deaf_since is not None or self._registry.quiet(m)
+            if not m.confirmed or m.unresponsive_since is not None or self._registry.is_quiet(m)
         )
         return len(known) >= 3 and quiet * 2 > len(known)
 
-    def to_delete(self) -> list[str]:
+    def machines_to_delete(self) -> list[str]:
         now = self._clock()
         # After a standstill, or cut off from the state service, this node may lead no more:
         # what looks idle or silent here may be at work for another. What a withdrawn job may
@@ -313,7 +313,7 @@
     ) -> str | None:
         if machine.deleting:
             return "asked for before"
-        if machine.listed == "failed":
+        if machine.listed_stage == "failed":
             return "it failed"
         heard = machine.heard_at
         silent = now - (heard if heard is not None else machine.running_at or machine.since)
@@ -322,7 +322,7 @@
         if (
             heard is None
             and machine.up_at is not None
-            and machine.listed != "running"
+            and machine.listed_stage != "running"
             and not machine.attempts
         ):
             boot = self._boot_s(machine)
@@ -338,9 +338,9 @@
             pass
         elif silent > patience:
             return "it is silent"
-        elif machine.deaf_since is not None and now - machine.deaf_since > patience:
+        elif machine.unresponsive_since is not None and now - machine.unresponsive_since > patience:
             return "it takes no answers"
-        elif now - machine.proven_at > patience:
+        elif now - machine.token_seen_at > patience:
             return (
                 "our fencing token does not reach it"  # so what it holds would stay open for ever
             )
@@ -359,7 +359,7 @@
         return sum(
             size.get(m.machine_type or "", 0.0)
             for m in self._registry.machines.values()
-            if m.placeable or (m.heard_at is None and not m.deleting and m.listed != "failed")
+            if m.placeable or (m.heard_at is None and not m.deleting and m.listed_stage != "failed")
         )
 
     def mark_surplus(self, now: float) -> None:
@@ -392,7 +392,7 @@
             not machine.confirmed
             or machine.id in self.base()
             or machine.attempts
-            or machine.strays
+            or machine.unexpected_tasks
             or machine.idle_since is None
         ):
             return False
--- a/spoolcourse/control/machines/cancelled.py
+++ b/spoolcourse/control/machines/cancelled.py
@@ -18,17 +18,17 @@
 class Cancelled:
     def __init__(
         self,
-        works: JobQueue,
+        job_queue: JobQueue,
         workers: Workers,
         skew_s: float,
         clock: Callable[[], float],
-        wall: Callable[[], float],
+        wall_clock: Callable[[], float],
     ) -> None:
-        self._works = works
+        self._job_queue = job_queue
         self._workers = workers
         self._skew_s = skew_s
         self._clock = clock
-        self._wall = wall
+        self._wall_clock = wall_clock
 
     def _patience(self, age_when_learned: float) -> float:
         """How long machines are given to be told. A leader that took over, or learned late,
@@ -41,17 +41,17 @@
     def overdue(self) -> dict[str, float]:
         """Cancelled jobs whose tasks should have ended by now, and the time that a machine
         is given after this leader first heard of it."""
-        now, wall = self._clock(), self._wall()
+        now, wall_clock = self._clock(), self._wall_clock()
         found = {}
-        for work in self._works.jobs.values():
-            at = work.record.aborted_at
+        for job_state in self._job_queue.jobs.values():
+            at = job_state.record.aborted_at
             if at is None:
                 continue
-            age = wall - at + self._skew_s
-            known = now - work.cancelled_known_at
+            age = wall_clock - at + self._skew_s
+            known = now - job_state.cancelled_known_at
             patience = self._patience(age - known)
             if age > SHARE * self._workers.cancel_s and known > patience:
-                found[work.id] = patience
+                found[job_state.id] = patience
         return found
 
     def holds(self, machine: Machine, overdue: dict[str, float]) -> bool:
@@ -60,5 +60,7 @@
         if not overdue:
             return False
         known = self._clock() - machine.since
-        jobs = {job for job, _ in machine.attempts} | {stray[0] for stray in machine.strays}
+        jobs = {job for job, _ in machine.attempts} | {
+            unexpected[0] for unexpected in machine.unexpected_tasks
+        }
         return any(known > overdue[job] for job in jobs if job in overdue)
--- a/spoolcourse/control/machines/early_deletion.py
+++ b/spoolcourse/control/machines/early_deletion.py
@@ -83,19 +83,19 @@
     def _is_silent(self, machine: Machine, now: float) -> bool:
         return (
             machine.confirmed
-            and not machine.silent_proof
+            and not machine.lease_expired
             and not machine.deleting
-            and now - machine.spoke_at > self.silence_s
+            and now - machine.reported_at > self.silence_s
         )
 
     def _late_workers(self, now: float) -> _Zones:
         zones = _Zones(Counter(), Counter())
         for machine in self._registry.machines.values():
-            if machine.heard_at is None or machine.listed == "failed":
+            if machine.heard_at is None or machine.listed_stage == "failed":
                 continue
             zone = machine.zone or ""
             zones.heard[zone] += 1
-            if now - machine.spoke_at > self._places.late_s:
+            if now - machine.reported_at > self._places.late_s:
                 zones.late[zone] += 1
         return zones
 
@@ -111,7 +111,7 @@
     return [
         attempt
         for attempt in machine.attempts.values()
-        if attempt.work.record.sub.is_service
-        and not attempt.work.record.aborted
+        if attempt.job_state.record.sub.is_service
+        and not attempt.job_state.record.aborted
         and not attempt.never_sent
     ]
--- a/spoolcourse/control/machines/replica_places.py
+++ b/spoolcourse/control/machines/replica_places.py
@@ -42,18 +42,20 @@
             if machine.id == replica.machine or not machine.placeable:
                 continue
             machine_type = types.get(machine.machine_type or "")
-            if machine_type is None or now - machine.spoke_at > self.late_s:
+            if machine_type is None or now - machine.reported_at > self.late_s:
                 continue
-            if _takes(machine, machine_type, replica.work) and self._zone_takes(replica, machine):
+            if _takes(machine, machine_type, replica.job_state) and self._zone_takes(
+                replica, machine
+            ):
                 return True
         return False
 
     def _zone_takes(self, replica: Attempt, machine: Machine) -> bool:
         """Zone rules, with all attempts but the replica's own counted."""
-        sub = replica.work.record.sub
+        sub = replica.job_state.record.sub
         zones = Counter(
             host.zone
-            for attempt in replica.work.attempts.values()
+            for attempt in replica.job_state.attempts.values()
             if attempt is not replica
             and (host := self._registry.machines.get(attempt.machine)) is not None
         )
@@ -63,18 +65,18 @@
         return not sub.spread_over_zones or zones[machine.zone] < most_in_a_zone
 
 
-def _takes(machine: Machine, machine_type: MachineType, work: JobState) -> bool:
+def _takes(machine: Machine, machine_type: MachineType, job_state: JobState) -> bool:
     """Whether the job may run there, and what stays leaves room for one task of it."""
-    sub = work.record.sub
+    sub = job_state.record.sub
     if not fits(sub, machine_type) or (machine.spot and not sub.spot_allowed):
         return False
     if sub.zone not in (None, machine.zone):
         return False
     rank = RANKS.index(sub.rank)
     staying = [
-        attempt.work.record.sub
+        attempt.job_state.record.sub
         for attempt in machine.attempts.values()
-        if RANKS.index(attempt.work.record.sub.rank) <= rank
+        if RANKS.index(attempt.job_state.record.sub.rank) <= rank
     ]
     return (
         sum(other.cpus for other in staying) + sub.cpus <= machine_type.cpus
--- a/spoolcourse/control/placement/snapshot_cache.py
+++ b/spoolcourse/control/placement/snapshot_cache.py
@@ -74,8 +74,8 @@
     def judge(self, within: set[str], jobs: dict[str, JobState]) -> None:
         """Which jobs are within their teams' guarantees, for what their tasks look like."""
         for job in self._within ^ within:
-            work = jobs.get(job)
-            for attempt in work.attempts.values() if work is not None else ():
+            job_state = jobs.get(job)
+            for attempt in job_state.attempts.values() if job_state is not None else ():
                 self._known.pop(attempt.machine, None)
         self._within = set(within)
 
@@ -131,7 +131,7 @@
         for attempt in attempts:
             if attempt.stage in ("running", "flushing"):
                 continue
-            sub = attempt.work.record.sub
+            sub = attempt.job_state.record.sub
             if sub.image not in machine.images:
                 since = machine.pulling.get(sub.image, now)
                 left = max(sub.image_gb - rate * (now - since), 0.1)
@@ -139,7 +139,7 @@
         fetch = sum(node.pulling.values()) / rate
         until = float("inf")
         for attempt in attempts:
-            sub = attempt.work.record.sub
+            sub = attempt.job_state.record.sub
             node.cpus -= sub.cpus
             node.gpus -= sub.gpus
             node.memory -= sub.memory_gb
@@ -158,17 +158,17 @@
                 0 if attempt.first else RANKS.index(sub.rank),
                 self._teams.of(sub.team),
                 sub.cpus * sub.checkpoint_cost_s if going and saves else 0.0,
-                attempt.halting,
-                attempt.first or attempt.work.id in self._within,
+                attempt.stopping,
+                attempt.first or attempt.job_state.id in self._within,
                 attempt.since if going and not saves else None,
             )
-            if attempt.halting:
+            if attempt.stopping:
                 node.free(task)
             node.tasks.append(task)
-        for job, _, _ in machine.strays:
-            work = jobs.get(job)
-            if work is not None:
-                sub = work.record.sub
+        for job, _, _ in machine.unexpected_tasks:
+            job_state = jobs.get(job)
+            if job_state is not None:
+                sub = job_state.record.sub
                 node.cpus -= sub.cpus
                 node.gpus -= sub.gpus
                 node.memory -= sub.memory_gb
@@ -189,7 +189,7 @@
 
     def _ends(self, attempt: Attempt, now: float, fetch: float) -> tuple[float, bool]:
         """When it is expected to end, and whether that stays so while time passes."""
-        estimate = self._estimate(attempt.work)
+        estimate = self._estimate(attempt.job_state)
         elapsed = now - attempt.since
         if attempt.stage in ("running", "flushing"):
             if elapsed < estimate:
--- a/spoolcourse/control/service.py
+++ b/spoolcourse/control/service.py
@@ -39,7 +39,7 @@
         settings: Settings,
         net: Net,
         policy: PolicySource | None = None,
-        wall: Callable[[], float] = time.time,
+        wall_clock: Callable[[], float] = time.time,
         run_id: str | None = None,
     ) -> None:
         params = settings.settings
@@ -47,7 +47,7 @@
         self.label = settings.label
         self._net = net
         self._policy = policy or check_policy({}, "defaults")
-        self._wall = wall
+        self._wall_clock = wall_clock
         self._clock = asyncio.get_running_loop().time
         nodes = len(settings.seeds) + 1
         self.client = StoreClient(net, settings.outside.state, params.state, nodes)
@@ -67,8 +67,8 @@
             settings.seeds,
             params,
             lambda: self.machine_types,
-            wall,
-            lambda: self.leadership.foreman,
+            wall_clock,
+            lambda: self.leadership.leader_label,
             lambda: feature_level.all_new(self.watch_cache),
         )
         self.relay = Relay(net, settings.label, settings.seeds, params.workers.report_s)
@@ -127,7 +127,7 @@
             self._settings.settings,
             self._policy,
             lambda: self.machine_types,
-            self._wall,
+            self._wall_clock,
             self.load,
         )
         self.leader_term.start()
@@ -265,8 +265,10 @@
             if hop:
                 return Reply(421, {})
             leadership = self.leadership
-            return self.relay.handle(report.machine, raw, leadership.foreman, leadership.informed)
+            return self.relay.handle(
+                report.machine, raw, leadership.leader_label, leadership.informed
+            )
         reply = self.leader_term.report(report, direct=not hop)
         if hop and reply.status == 200:
-            reply.data["deaf"] = self.leader_term.deaf()
+            reply.data["deaf"] = self.leader_term.hears_no_worker()
         return reply
--- a/spoolcourse/control/user_api/api.py
+++ b/spoolcourse/control/user_api/api.py
@@ -54,8 +54,8 @@
         seeds: list[Seed],
         params: Params,
         machine_types: Callable[[], dict[str, MachineType]],
-        wall: Callable[[], float],
-        foreman: Callable[[], str | None],
+        wall_clock: Callable[[], float],
+        leader_label: Callable[[], str | None],
         all_new: Callable[[], bool],
     ) -> None:
         self._job_index = job_index
@@ -65,8 +65,8 @@
         self._seeds = seeds
         self._params = params
         self._machine_types = machine_types
-        self._wall = wall
-        self._foreman = foreman
+        self._wall_clock = wall_clock
+        self._leader_label = leader_label
         self._all_new = all_new
 
     async def handle(self, request: Request, hop: bool = False) -> Reply:
@@ -97,10 +97,10 @@
     async def _pass_on(self, request: Request, after: float) -> Reply:
         """Perhaps only this node lost the state service: a peer may still be served. Peers
         that hang, as behind a cut, must not use up the time that the user waits."""
-        foreman = self._foreman()
+        leader_label = self._leader_label()
         clock = asyncio.get_running_loop().time
         until = clock() + (ASK_PEERS_POLL_S if request.method == "GET" else ASK_PEERS_S)
-        for seed in sorted(self._seeds, key=lambda s: s.label != foreman):
+        for seed in sorted(self._seeds, key=lambda s: s.label != leader_label):
             left = until - clock()
             if left <= 0:
                 break
@@ -159,7 +159,7 @@
                 return later("not all controllers know services yet")
         try:
             accepted = await self._job_index.accept(
-                self._narrowed(sub, machine_types), self._wall()
+                self._narrowed(sub, machine_types), self._wall_clock()
             )
         except TooLong as exc:
             return await self._refuse(sub.id, Reply(422, {"error": str(exc)}))
@@ -203,7 +203,9 @@
                 return Reply(404, {"error": "no such job"})
             if known["stage"] in ("done", "aborted"):
                 return Reply(200, {"id": job, "stage": known["stage"]})
-            if job in self._job_index.live and await self._job_index.withdraw(job, self._wall()):
+            if job in self._job_index.live and await self._job_index.withdraw(
+                job, self._wall_clock()
+            ):
                 log.info("%s withdrawn", job)
                 return Reply(200, {"id": job, "stage": "aborted"})
         raise Unable("the job kept changing")
--- a/spoolcourse/control/view.py
+++ b/spoolcourse/control/view.py
@@ -15,28 +15,30 @@
 
 def _leader(leader_term: LeaderTerm) -> dict[str, Any]:
     machines = leader_term.registry.machines.values()
-    attempts = [a for w in leader_term.works.jobs.values() for a in w.attempts.values()]
+    attempts = [a for w in leader_term.job_queue.jobs.values() for a in w.attempts.values()]
     waiting = leader_term.waiting()
     services = [
         w
-        for w in leader_term.works.jobs.values()
+        for w in leader_term.job_queue.jobs.values()
         if w.record.sub.is_service and not w.record.aborted
     ]
     return {
-        "jobs": len(leader_term.works.jobs),
+        "jobs": len(leader_term.job_queue.jobs),
         "waiting": waiting[:JOBS_SHOWN],
         "waitingJobs": len(waiting),
         "waitingPieces": sum(entry["pieces"] for entry in waiting),
         "services": len(services),
         "replicasMissing": sum(w.pending for w in services),
         "attempts": len(attempts),
-        "unprovenAttempts": sum(1 for a in attempts if a.stage == "open" or a.loose is not None),
+        "unprovenAttempts": sum(
+            1 for a in attempts if a.stage == "open" or a.in_flight_session is not None
+        ),
         "fetchesBooked": sum(len(m.pulling) for m in machines),
         "machines": len(machines),
         "machinesConfirmed": sum(1 for m in machines if m.confirmed),
         "passes": leader_term.passes,
         "passCostS": leader_term.pass_cost_s,
-        "unsavedKeys": len(leader_term.works.dirty),
+        "unsavedKeys": len(leader_term.job_queue.dirty),
     }
 
 
@@ -46,7 +48,7 @@
     found: dict[str, Any] = {
         "node": node.label,
         "role": "leader" if leader_term is not None else "follower",
-        "leader": node.leadership.foreman,
+        "leader": node.leadership.leader_label,
         "ready": node.ready,
         "healthy": node.healthy,
         "liveJobs": len(node.job_index.live),
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -153,7 +153,7 @@
                 settings(label, **self.params),
                 self.wire.end_of(label),
                 self.policy,
-                wall=self.now,
+                wall_clock=self.now,
                 run_id=f"run{self.runs}",
             )
             self.nodes[label] = node
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -21,18 +21,18 @@
     def __init__(self, **fields: Any) -> None:
         self.now = 100.0
         self.valid = True
-        self.works = JobQueue()
+        self.job_queue = JobQueue()
         self.registry = WorkerRegistry(
-            self.works,
+            self.job_queue,
             TERM,
             10.0,
             lambda: self.now,
             lambda: self.valid,
-            lambda job: job not in self.works.jobs,
+            lambda job: job not in self.job_queue.jobs,
             lambda: None,
         )
         sub = parse(job(**fields), Submission)
-        self.work: JobState = self.works.add(JobRecord(sub, 1.0, 170, None, 5), self.now)
+        self.job_state: JobState = self.job_queue.add(JobRecord(sub, 1.0, 170, None, 5), self.now)
         self.sequence = 0
 
     def report(self, *pieces: dict[str, Any], **fields: Any) -> list[dict[str, Any]] | None:
@@ -60,14 +60,14 @@
         return parse(data, Report)
 
     def assign(self, piece: int = 0, number: int = 1, saved: bool = True) -> Attempt:
-        attempt = self.works.assign(self.work, piece, "m-1", number, self.now)
+        attempt = self.job_queue.assign(self.job_state, piece, "m-1", number, self.now)
         self.registry.link(attempt)
         if saved:
             self.save()
         return attempt
 
     def save(self) -> None:
-        for chunk in self.work.chunks.values():
+        for chunk in self.job_state.chunks.values():
             chunk.saved = chunk.version
 
 
@@ -98,7 +98,7 @@
     assert crew.report() == [START]
     assert crew.report(tick=1) is None, "a late copy"
     crew.sequence -= 1
-    assert attempt.sent == (1, 2)
+    assert attempt.start_sent_with == (1, 2)
     assert crew.report() == [START], "a newer report without it: it never arrived"
     assert crew.report(on()) == []
     assert attempt.stage == "running"
@@ -106,12 +106,12 @@
 
 def test_a_report_under_an_older_baton_confirms_nothing() -> None:
     crew = Crew()
-    attempt = crew.works.adopt(crew.work, 0, "m-1", 1, crew.now)
+    attempt = crew.job_queue.adopt(crew.job_state, 0, "m-1", 1, crew.now)
     crew.registry.link(attempt)
     assert crew.report(baton=TERM - 1) == []
-    assert crew.work.attempts, "the former leader's start may still arrive"
+    assert crew.job_state.attempts, "the former leader's start may still arrive"
     crew.report()
-    assert not crew.work.attempts and crew.work.pending == 4
+    assert not crew.job_state.attempts and crew.job_state.pending == 4
 
 
 def test_a_result_is_reaped_only_when_it_is_durable() -> None:
@@ -120,7 +120,7 @@
     crew.assign()
     crew.report()
     assert crew.report(on(stage="ended", cause="done")) == []
-    assert crew.work.done == 1 and not crew.work.attempts
+    assert crew.job_state.done == 1 and not crew.job_state.attempts
     crew.save()
     assert crew.report(on(stage="ended", cause="done")) == [REAP]
 
@@ -133,8 +133,8 @@
     crew.report()
     orders = crew.report(on(stage="ended", cause=cause))
     assert orders == [REAP]
-    assert crew.work.pending == 4 and next(crew.work.candidates()) == 0
-    assert ("m-1" in crew.work.bad_machines) == (cause == "error")
+    assert crew.job_state.pending == 4 and next(crew.job_state.candidates()) == 0
+    assert ("m-1" in crew.job_state.bad_machines) == (cause == "error")
 
 
 def test_a_new_session_means_the_old_tasks_are_gone() -> None:
@@ -144,7 +144,7 @@
     crew.report()
     crew.report(on())
     crew.report(shift=2, tick=1)
-    assert not crew.work.attempts and crew.work.pending == 4
+    assert not crew.job_state.attempts and crew.job_state.pending == 4
 
 
 def test_only_a_lease_that_we_alone_renewed_proves_an_end() -> None:
@@ -154,17 +154,17 @@
     crew.report(on())
     crew.now += 10.5
     crew.registry.expire()
-    assert crew.work.attempts, "within drift and margin"
+    assert crew.job_state.attempts, "within drift and margin"
     crew.now += 1.0
     crew.registry.expire()
-    assert not crew.work.attempts
+    assert not crew.job_state.attempts
     # A machine that has not reported our baton may be kept alive by somebody else.
     other = Crew()
     other.report(baton=TERM - 1)
-    other.registry.link(other.works.adopt(other.work, 0, "m-1", 1, other.now))
+    other.registry.link(other.job_queue.adopt(other.job_state, 0, "m-1", 1, other.now))
     other.now += 100.0
     other.registry.expire()
-    assert other.work.attempts
+    assert other.job_state.attempts
 
 
 def test_a_withdrawn_job_is_halted_and_never_started() -> None:
@@ -174,7 +174,7 @@
     crew.report()
     crew.report(on())
     crew.assign(1, 2)
-    crew.work.record.aborted_at = 100.0
+    crew.job_state.record.aborted_at = 100.0
     assert crew.report(on()) == [
         {"verb": "halt", "piece": "job-000001/0", "try": 1, "windDownS": 0.0}
     ]
@@ -188,16 +188,16 @@
         {"verb": "halt", "piece": "job-000009/0", "try": 3, "windDownS": 0.0}
     ]
     crew.report(on(2, 44))
-    assert crew.work.attempts[2].number == 44
+    assert crew.job_state.attempts[2].number == 44
 
 
 def test_a_report_held_while_its_machine_was_deleted_changes_nothing() -> None:
     crew = Crew()
     crew.report()
     crew.assign()
-    crew.registry.gone("m-1")
-    assert crew.work.pending == 4
-    assert crew.report(on()) is None and not crew.work.attempts
+    crew.registry.confirm_deleted("m-1")
+    assert crew.job_state.pending == 4
+    assert crew.report(on()) is None and not crew.job_state.attempts
 
 
 def test_malformed_reports_are_refused() -> None:
@@ -218,12 +218,12 @@
     machine = crew.registry.machines["m-1"]
     assert crew.registry.take_fresh_starts(machine) == [attempt]
     assert crew.registry.due(()) == [], "sent that way once only"
-    crew.work.record.aborted_at = 100.0
+    crew.job_state.record.aborted_at = 100.0
     crew.report()
     crew.report()
-    assert crew.work.attempts, "no answer: it may still arrive, whatever reports say"
+    assert crew.job_state.attempts, "no answer: it may still arrive, whatever reports say"
     crew.report(shift=2, tick=1)
-    assert not crew.work.attempts
+    assert not crew.job_state.attempts
 
 
 def test_an_attempt_with_a_copy_under_way_stays_with_the_worker() -> None:
@@ -231,9 +231,9 @@
     crew.report()
     attempt = crew.assign()
     crew.registry.take_fresh_starts(crew.registry.machines["m-1"])
-    attempt.loose = None  # it was answered, but a copy may come late
+    attempt.in_flight_session = None  # it was answered, but a copy may come late
     crew.report(on())
     assert crew.report(on(stage="ended", cause="halted")) == []
     crew.save()
     assert crew.report(on(stage="ended", cause="halted")) == []
-    assert crew.work.pending == 4, "it is proven ended all the same"
+    assert crew.job_state.pending == 4, "it is proven ended all the same"
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -39,15 +39,15 @@
     machine = crew.registry.machines["m-1"]
     crew.now += 10.2  # its lease has run out, which is not certain here yet
     shown = crew.observed(shift=2, tick=1)
-    assert not crew.work.attempts and machine.confirmed, shown
+    assert not crew.job_state.attempts and machine.confirmed, shown
     attempt = crew.assign(0, 2)
     crew.observed(on(0, 2), shift=2)
     crew.now += 2.0
     crew.registry.expire()
-    assert crew.work.attempts == {0: attempt}
+    assert crew.job_state.attempts == {0: attempt}
     crew.now += 10.0
     crew.registry.expire()
-    assert not crew.work.attempts, "nobody renews that session: it is over by now"
+    assert not crew.job_state.attempts, "nobody renews that session: it is over by now"
 
 
 def test_a_machine_that_reaches_no_controller_gets_no_new_work() -> None:
@@ -58,12 +58,12 @@
     machine = crew.registry.machines["m-1"]
     crew.now += 4.0
     crew.observed()
-    assert not crew.registry.quiet(machine)
+    assert not crew.registry.is_quiet(machine)
     crew.assign()
     assert crew.registry.due(()) == [machine]
     crew.now += 1.5
     crew.observed()
-    assert machine.heard_at == crew.now and crew.registry.quiet(machine)
+    assert machine.heard_at == crew.now and crew.registry.is_quiet(machine)
     assert crew.registry.due(()) == [], "nor are starts sent"
     crew.report()
     assert crew.registry.due(()) == [machine]
@@ -72,15 +72,15 @@
 def test_the_first_answer_after_a_change_of_leader_ends_what_is_cancelled() -> None:
     # It renews the lease and may be the last one that arrives: the next one is too late.
     crew = Crew()
-    attempt = crew.works.adopt(crew.work, 0, "m-1", 1, crew.now)
+    attempt = crew.job_queue.adopt(crew.job_state, 0, "m-1", 1, crew.now)
     crew.registry.link(attempt)
-    crew.work.record.aborted_at = crew.now - 30.0
+    crew.job_state.record.aborted_at = crew.now - 30.0
     halt = {"verb": "halt", "piece": "job-000001/0", "try": 1, "windDownS": 0.0}
     assert crew.report(on(), baton=TERM - 1) == [halt]
-    assert crew.work.attempts, "that it is told proves nothing"
+    assert crew.job_state.attempts, "that it is told proves nothing"
     # One that is not shown may still start there: the halt goes out all the same.
     assert crew.report(baton=TERM - 1) == [halt]
-    assert crew.report() == [] and not crew.work.attempts
+    assert crew.report() == [] and not crew.job_state.attempts
 
 
 def test_a_claim_that_is_carried_out_late_is_not_taken_for_the_next_one() -> None:
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -97,8 +97,10 @@
         crew.report()
         crew.report(on(0, number))
         crew.report(on(0, number, stage="ended", cause=cause))
-        assert crew.work.done == 0 and crew.work.pending == 2 and not crew.work.finished
-        pauses.append(crew.work.retry_at - crew.now)
+        assert (
+            crew.job_state.done == 0 and crew.job_state.pending == 2 and not crew.job_state.finished
+        )
+        pauses.append(crew.job_state.retry_at - crew.now)
         crew.save()
         crew.report()
         crew.now += 30.0
@@ -110,7 +112,7 @@
         crew.report(on(0, 20))
         crew.now += 25.0
         crew.report(on(0, 20))
-        assert crew.work.failures == 0, "a replica that runs well clears it"
+        assert crew.job_state.failures == 0, "a replica that runs well clears it"
 
 
 def test_an_ended_replica_is_forgotten_by_its_worker() -> None:
--- a/tests/test_snapshot_cache.py
+++ b/tests/test_snapshot_cache.py
@@ -54,7 +54,7 @@
         def compare(leader_term: LeaderTerm) -> None:
             nonlocal compared
             now, builds = world.now(), leader_term._machine_types()
-            fresh = surveyor(leader_term.works, leader_term.registry)
+            fresh = surveyor(leader_term.job_queue, leader_term.registry)
             kept = seen(leader_term._snapshot_builder, now, builds)
             assert kept == seen(fresh, now, builds)
             compared += sum(len(row[3]) for row in kept.values())
@@ -96,14 +96,14 @@
     crew.report(on())
     other = on(stage="ended", number=9, cause="done")
     crew.report(other, spindle="m-2", address="m-2:9")
-    assert crew.work.finished
-    before = surveyor(crew.works, crew.registry).take(crew.now, BUILDS)
-    crew.works.remove(crew.work)
-    after = surveyor(crew.works, crew.registry).take(crew.now, BUILDS)
+    assert crew.job_state.finished
+    before = surveyor(crew.job_queue, crew.registry).take(crew.now, BUILDS)
+    crew.job_queue.remove(crew.job_state)
+    after = surveyor(crew.job_queue, crew.registry).take(crew.now, BUILDS)
     red = [t.name for t in settings().settings.teams].index("red")
     assert after.teams[red].cpus == before.teams[red].cpus == 64.0 - 2.0
     crew.report()  # it is gone from the machine
-    gone = surveyor(crew.works, crew.registry).take(crew.now, BUILDS)
+    gone = surveyor(crew.job_queue, crew.registry).take(crew.now, BUILDS)
     assert gone.teams[red].cpus == 64.0
 
 
@@ -114,13 +114,13 @@
         crew = Crew(pieces=3, vcpus=8.0, expectS=100.0)
         crew.report()
         crew.now += waited
-        watch = surveyor(crew.works, crew.registry)
+        watch = surveyor(crew.job_queue, crew.registry)
         watch.take(crew.now, BUILDS)
         attempt = crew.assign()
-        attempt.first = crew.work.id in watch.unbegun
+        attempt.first = crew.job_state.id in watch.unbegun
         crew.report(on())
         urgent = parse(job(2, rank="high", crew="blue"), Submission)
-        crew.works.add(JobRecord(urgent, 1.0, 170, None, 6), crew.now)
+        crew.job_queue.add(JobRecord(urgent, 1.0, 170, None, 6), crew.now)
         snapshot = watch.take(crew.now, BUILDS)
         return choose_victims(snapshot, place(snapshot), 5.0)
 
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -348,7 +348,7 @@
         await world.finish(2)
         await asyncio.sleep(40)
         leader_term = world.nodes[leader].leader_term
-        assert leader_term is not None and not leader_term.deaf(), "they are back"
+        assert leader_term is not None and not leader_term.hears_no_worker(), "they are back"
         assert world.now() > cut and world.cloud.broken == []
 
     play(story())
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -82,7 +82,8 @@
         assert world.cloud.starts == []
         leader_term = world.nodes[str(world.leader)].leader_term
         assert (
-            leader_term is not None and leader_term.registry.machines[name].deaf_since is not None
+            leader_term is not None
+            and leader_term.registry.machines[name].unresponsive_since is not None
         )
         world.wire.filters.clear()
         await world.finish(1, 60)
@@ -173,16 +174,16 @@
 
     def __init__(self, world: World) -> None:
         self._world = world
-        self.kept: list[tuple[float, dict[str, Any]]] = []
+        self.unacknowledged: list[tuple[float, dict[str, Any]]] = []
         world.wire.filters.append(self._note)
 
     def _note(self, src: str, dst: str, method: str, path: str, body: Any) -> str | None:
         if path == "/v1/report" and src.startswith("m-"):
-            self.kept.append((self._world.now(), body))
+            self.unacknowledged.append((self._world.now(), body))
         return None
 
     async def repeat(self, label: str, name: str, since: float = 0.0) -> list[Reply]:
-        bodies = [b for at, b in self.kept if b["spindle"] == name and at >= since]
+        bodies = [b for at, b in self.unacknowledged if b["spindle"] == name and at >= since]
         return [await self._world.ask(label, "POST", "/v1/report", b) for b in bodies]
 
 
@@ -240,7 +241,7 @@
         await world.until(lambda: len(world.cloud.starts) == 4, 60)
         leader = str(world.leader)
         await asyncio.sleep(3)
-        early = [b for at, b in copies.kept if at <= first]
+        early = [b for at, b in copies.unacknowledged if at <= first]
         for body in early:
             assert not renews(await world.ask(leader, "POST", "/v1/report", body))
         world.kill(leader)
@@ -561,7 +562,7 @@
         assert leader_term is not None
         world.cut_off(names[0])
         await asyncio.sleep(leader_term._params.workers.quiet_s + 0.5)
-        assert not leader_term.registry.machines[names[0]].silent_proof
+        assert not leader_term.registry.machines[names[0]].lease_expired
         calls: list[str] = []
 
         def watched(src: str, dst: str, *rest: Any) -> None:
