--- a/spoolcourse/control/machines/planner.py
+++ b/spoolcourse/control/machines/planner.py
@@ -60,6 +60,37 @@
     return count
 
 
+class _FreedSoon:
+    """CPUs that running tasks free within a boot time, by the kind of machine and its zone.
+
+    Only what a job may use counts for it. With one sum for all machines, services that may not
+    run on spot machines waited for minutes, because tasks kept ending there.
+    """
+
+    def __init__(self, nodes: list[Node], now: float, boot_s: float) -> None:
+        self._cpus: dict[tuple[int, int, bool, float], float] = {}
+        for node in nodes:
+            if node.ready_at > now:
+                continue
+            kind = (node.machine_type, node.zone, node.spot, node.size)
+            freed = sum(task.cpus for task in node.tasks if task.end <= now + boot_s)
+            self._cpus[kind] = self._cpus.get(kind, 0.0) + freed
+
+    def take(self, job: Job, zones: _Zones, wanted: int) -> int:
+        """Book room for up to so many tasks of the job; for how many there is some."""
+        served = 0
+        for kind, cpus in self._cpus.items():
+            machine_type, zone, spot, size = kind
+            if size + EPSILON < job.cpus or not job.takes(machine_type, spot):
+                continue
+            count = min(wanted - served, math.floor(cpus / job.cpus), zones.room(zone))
+            if count > 0:
+                self._cpus[kind] -= count * job.cpus
+                zones.plan(zone, count)
+                served += count
+        return served
+
+
 def plan_hires(
     demand: list[tuple[Job, int]],
     nodes: list[Node],
@@ -70,7 +101,7 @@
 ) -> list[Hire]:
     """`demand` is in order: jobs with tasks that found no machine in the pass."""
     boot = min((o.boot_s for o in offers), default=0.0)
-    soon = sum(t.cpus for n in nodes if n.ready_at <= now for t in n.tasks if t.end <= now + boot)
+    freed_soon = _FreedSoon(nodes, now, boot)
     coming = [replace(n) for n in nodes if n.ready_at > now]
     hires: dict[Offer, int] = {}
     room = list(team_room)
@@ -79,13 +110,12 @@
         if job.cpus > 0:
             count = min(count, max(0, math.floor(room[job.team] / job.cpus + 1e-6)))
             room[job.team] -= count * job.cpus
-            served = min(count, math.floor(soon / job.cpus))
-            soon -= served * job.cpus
-            count -= served
         # Machines in a zone that takes no more of the job would be rented again and again,
         # while its tasks wait for ever: of one that is spread over zones, and lost machines
         # in one of them.
         zones = _Zones(job)
+        if job.cpus > 0:
+            count -= freed_soon.take(job, zones, count)
         count = _fill(job, zones, count, coming)
         while count > 0 and sum(hires.values()) < most:
             best: tuple[float, Offer] | None = None
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -139,6 +139,26 @@
     assert [h.count for h in hires] == [1]
 
 
+def test_only_room_that_a_job_may_use_keeps_machines_from_being_rented_for_it() -> None:
+    # Services that may not run on spot machines waited for minutes, while tasks kept ending there.
+    def ending(zone: int = 0, spot: bool = True, size: float = 8.0) -> Node:
+        return Node(0, zone, spot, 0.0, 0.0, 64.0, size, 1.0, tasks=[RunningTask(101.0, 8.0, 0, 1)])
+
+    def hired(wanted: Job, *nodes: Node) -> int:
+        offers = [offer(1.0, False, cpus=16.0)]
+        found = plan_hires([(wanted, 2)], list(nodes), offers, 100.0, [1000.0])
+        return sum(h.count for h in found)
+
+    plain = job(2, 4.0, ordinary_at=0.0)
+    assert hired(plain, ending()) == 0, "it waits for room that frees up by itself"
+    assert hired(job(2, 4.0, ordinary_at=0.0, spot_allowed=False), ending()) == 1
+    assert hired(job(2, 4.0, ordinary_at=0.0, spot_allowed=False), ending(spot=False)) == 0
+    assert hired(job(2, 4.0, ordinary_at=0.0, zone=0), ending(zone=1)) == 1
+    assert hired(job(2, 4.0, ordinary_at=0.0, spread=1, held={1: 1}), ending(zone=1)) == 1
+    assert hired(job(2, 4.0, ordinary_at=0.0, machine_types=frozenset({0})), ending()) == 0
+    assert hired(job(2, 12.0, ordinary_at=0.0), ending(), ending()) == 2, "too small"
+
+
 def test_headroom_is_filled_with_cheap_spot_machines_only() -> None:
     offers = [offer(0.3, True), offer(0.5, True, cpus=32.0), offer(0.1, False)]
     assert [(h.offer.cpus, h.count) for h in top_up(50.0, offers)] == [(32.0, 1), (8.0, 2)]
