--- a/spoolcourse/control/fleet/command_dispatcher.py
+++ b/spoolcourse/control/fleet/command_dispatcher.py
@@ -10,8 +10,9 @@
 import asyncio
 import logging
 
-from spoolcourse.control.fleet.worker_registry import Machine, WorkerRegistry, start_command
+from spoolcourse.control.fleet.worker_registry import Machine, WorkerRegistry
 from spoolcourse.control.net import Net, NetError
+from spoolcourse.wire.commands import CommandRequest, Start, to_json_object
 from spoolcourse.wire.messages import Malformed, Report, parse
 
 log = logging.getLogger(__name__)
@@ -56,14 +57,16 @@
         try:
             attempts = self._registry.take_fresh_starts(machine)
             session = machine.session
-            commands = self._registry.take_stops(machine) + [start_command(a) for a in attempts]
-            body = {"baton": self._registry.term, "shift": session, "orders": commands}
+            commands = self._registry.take_stops(machine) + [
+                Start(a.name, a.number) for a in attempts
+            ]
+            request = CommandRequest(self._registry.term, session, commands)
             try:
                 reply = await self._net.call(
                     machine.address,
                     "POST",
                     "/orders",
-                    body,
+                    to_json_object(request),
                     timeout=TIMEOUT_S,
                     keep=self.may_keep(),
                 )
--- a/spoolcourse/control/fleet/relay.py
+++ b/spoolcourse/control/fleet/relay.py
@@ -11,7 +11,11 @@
 import asyncio
 import logging
 
+from msgspec.structs import replace
+
 from spoolcourse.control.net import Net, NetError, Reply
+from spoolcourse.wire.commands import Redirect, ReportReply, to_json_object
+from spoolcourse.wire.messages import Malformed, parse
 from spoolcourse.wire.settings import Seed
 
 log = logging.getLogger(__name__)
@@ -21,6 +25,11 @@
 KNOWN_MOST = 10_000
 
 
+def redirect(leader: str | None) -> Reply:
+    """Sends a worker to the leader, or to the next controller if there is none to be named."""
+    return Reply(421, to_json_object(Redirect(leader)))
+
+
 class Relay:
     def __init__(self, net: Net, label: str, seeds: list[Seed], report_s: float) -> None:
         self._net = net
@@ -35,9 +44,9 @@
     ) -> Reply:
         """`informed`: the leader's name is no older than a lease or two. A node that was
         cut off must not send workers to one that was replaced long ago."""
-        named = Reply(421, {"foreman": leader_label}) if informed else Reply(421, {})
+        named = redirect(leader_label if informed else None)
         if leader_label is None or leader_label == self._label or leader_label not in self._peers:
-            return Reply(421, {})
+            return redirect(None)
         now = asyncio.get_running_loop().time()
         at, hears_no_worker = self._passed.get(worker, (float("-inf"), True))
         recent = now - at < 3 * self._report_s
@@ -55,10 +64,15 @@
         except NetError as exc:
             log.debug("%s: report not passed on: %s", worker, exc)
             return named
-        if reply.status != 200 or not isinstance(reply.data, dict):
-            return Reply(421, {})
-        hears_no_worker = bool(reply.data.pop("deaf", False))
+        try:
+            answer = parse(reply.data, ReportReply) if reply.status == 200 else None
+        except Malformed as exc:
+            log.debug("%s: the leader's answer can't be read: %s", worker, exc)
+            answer = None
+        if answer is None:
+            return redirect(None)
+        hears_no_worker = bool(answer.hears_no_worker)
         if hears_no_worker and not recent:
             self._probe_at = now  # it has just tried
         self._passed[worker] = (now, hears_no_worker)
-        return Reply(200, reply.data)
+        return Reply(200, to_json_object(replace(answer, hears_no_worker=None)))
--- a/spoolcourse/control/fleet/worker_registry.py
+++ b/spoolcourse/control/fleet/worker_registry.py
@@ -12,10 +12,10 @@
 from collections import OrderedDict
 from collections.abc import Callable, Container
 from dataclasses import dataclass, field
-from typing import Any
 
 from spoolcourse.control.jobs.job_queue import Attempt, JobQueue, JobState
 from spoolcourse.control.leadership.renewal_deadline import DRIFT
+from spoolcourse.wire.commands import Acknowledge, Command, Start, Stop
 from spoolcourse.wire.messages import Report, TaskReport, split_task_name
 
 log = logging.getLogger(__name__)
@@ -203,7 +203,7 @@
 
     # -- reports ------------------------------------------------------------------
 
-    def accept(self, report: Report) -> list[dict[str, Any]] | None:
+    def accept(self, report: Report) -> list[Command] | None:
         """Take in a report that carries no higher fencing token than ours; the orders to answer.
 
         None for one that is no newer than what is known, or whose machine is gone: a copy
@@ -436,11 +436,11 @@
 
     # -- orders -------------------------------------------------------------------
 
-    def _urgent_stops(self, machine: Machine, report: Report) -> list[dict[str, Any]]:
+    def _urgent_stops(self, machine: Machine, report: Report) -> list[Command]:
         """Cancelled work, and what no job knows, ends at once. So does a cancelled start that
         is on its way by `/orders` and not reported yet: whichever comes first, and if it is
         the halt, a later report shows it."""
-        commands: list[dict[str, Any]] = []
+        commands: list[Command] = []
         listed = set()
         for item in report.tasks:
             job, task = split_task_name(item.task)
@@ -449,28 +449,26 @@
                 continue
             job_state = self.job_queue.jobs.get(job)
             if job_state.record.aborted if job_state is not None else self._is_over(job):
-                commands.append(_stop_command(item.task, item.attempt, 0.0))
+                commands.append(Stop(item.task, item.attempt, 0.0))
         for key, attempt in machine.attempts.items():
             if attempt.job_state.record.aborted and not attempt.never_sent and key not in listed:
-                commands.append(_stop_command(attempt.name, attempt.number, 0.0))
+                commands.append(Stop(attempt.name, attempt.number, 0.0))
         return commands
 
-    def _commands(
-        self, machine: Machine, report: Report, commands: list[dict[str, Any]]
-    ) -> list[dict[str, Any]]:
+    def _commands(self, machine: Machine, report: Report, commands: list[Command]) -> list[Command]:
         """`orders`: those that go first."""
-        already_stopped = {(order["piece"], order["try"]) for order in commands}
+        already_stopped = {(command.task, command.attempt) for command in commands}
         for item in report.tasks:
             job, task = split_task_name(item.task)
             if item.stage == "ended":
                 if (job, task, item.attempt) in machine.unacknowledged:
                     continue
                 if self._may_acknowledge(job, task, item):
-                    commands.append({"verb": "reap", "piece": item.task, "try": item.attempt})
+                    commands.append(Acknowledge(item.task, item.attempt))
             elif (item.task, item.attempt) not in already_stopped:
                 grace = self._stop_grace(machine, job, task, item)
                 if grace is not None:
-                    commands.append(_stop_command(item.task, item.attempt, grace))
+                    commands.append(Stop(item.task, item.attempt, grace))
         if self._may_start() and machine.placeable:
             revision = (report.session, report.sequence)
             for attempt in machine.attempts.values():
@@ -478,7 +476,7 @@
                     break
                 if attempt.stage == "assigned" and self._startable(attempt):
                     attempt.start_sent_with = revision
-                    commands.append(start_command(attempt))
+                    commands.append(Start(attempt.name, attempt.number))
         return commands[:COMMANDS_MAX]
 
     def due(self, busy: Container[str]) -> list[Machine]:
@@ -505,14 +503,14 @@
                 found.append(machine)
         return found
 
-    def take_stops(self, machine: Machine) -> list[dict[str, Any]]:
+    def take_stops(self, machine: Machine) -> list[Command]:
         """Halts to be sent to `/orders`; they name an attempt, so late ones do no harm."""
-        commands = []
+        commands: list[Command] = []
         for attempt in machine.attempts.values():
             if _must_stop(attempt):
                 attempt.stop_sent = True
                 grace = _grace(attempt.job_state)
-                commands.append(_stop_command(attempt.name, attempt.number, grace))
+                commands.append(Stop(attempt.name, attempt.number, grace))
         return commands
 
     def take_fresh_starts(self, machine: Machine) -> list[Attempt]:
@@ -568,11 +566,3 @@
 def _must_start(attempt: Attempt) -> bool:
     """Not sent to `/orders` yet; perhaps not saved yet either."""
     return attempt.stage == "assigned" and not attempt.sent_directly
-
-
-def _stop_command(name: str, number: int, grace: float) -> dict[str, Any]:
-    return {"verb": "halt", "piece": name, "try": number, "windDownS": grace}
-
-
-def start_command(attempt: Attempt) -> dict[str, Any]:
-    return {"verb": "start", "piece": attempt.name, "try": attempt.number}
--- a/spoolcourse/control/leader_term.py
+++ b/spoolcourse/control/leader_term.py
@@ -12,6 +12,7 @@
 import orjson
 
 from spoolcourse.control.fleet.command_dispatcher import CommandDispatcher
+from spoolcourse.control.fleet.relay import redirect
 from spoolcourse.control.fleet.worker_registry import WorkerRegistry
 from spoolcourse.control.jobs.job_index import JobIndex
 from spoolcourse.control.jobs.job_queue import Attempt, JobQueue, JobState
@@ -34,6 +35,7 @@
 from spoolcourse.control.store.keys import BASE, JOB, PROGRESS, TERM, split_progress
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.policy.keys import PolicySource
+from spoolcourse.wire.commands import ReportReply, to_json_object
 from spoolcourse.wire.messages import Host, MachineType, Report
 from spoolcourse.wire.settings import Params, Seed
 
@@ -303,10 +305,11 @@
         """No worker has got through to this node itself for a while."""
         return self._clock() - self._heard_directly > self._params.workers.quiet_s
 
-    def report(self, report: Report, direct: bool = True) -> Reply:
+    def report(self, report: Report, relayed: bool = False) -> Reply:
+        """Answer a worker's report; `relayed`: a follower has passed it on."""
         if report.fencing_token > self._term.number:
             self._leadership.depose(f"{report.machine} has seen term {report.fencing_token}")
-            return Reply(421, {})  # the worker goes on to the next node
+            return redirect(None)
         if not self.ready.is_set():
             return Reply(503, {"error": "taking over"})
         if not self._may_renew():
@@ -316,11 +319,15 @@
             return later("may not know of cancellations")
         with self._load.spent("report"):
             commands = self.registry.accept(report)
-        if direct and commands is not None:
+        if not relayed and commands is not None:
             self._heard_directly = self._clock()
-        if commands is None:
-            return Reply(200, {"orders": []})  # without a token nobody's lease is renewed
-        return Reply(200, {"baton": self._term.number, "orders": commands})
+        reply = ReportReply(
+            commands or [],
+            # Without a fencing token nobody's lease is renewed.
+            None if commands is None else self._term.number,
+            self.hears_no_worker() if relayed else None,
+        )
+        return Reply(200, to_json_object(reply))
 
     # -- passes -------------------------------------------------------------------------
 
--- a/spoolcourse/control/machines/autoscaler.py
+++ b/spoolcourse/control/machines/autoscaler.py
@@ -20,6 +20,7 @@
 from spoolcourse.control.machines.replica_places import ReplicaPlaces
 from spoolcourse.control.net import Net, NetError
 from spoolcourse.policy.keys import KEYS, Policy
+from spoolcourse.wire.commands import CommandRequest, to_json_object
 from spoolcourse.wire.messages import Host, MachineType, Malformed, Report, parse
 from spoolcourse.wire.settings import Params
 
@@ -146,9 +147,9 @@
         try:
             shown = await self._net.call(machine.address, "GET", "/show", timeout=1.0, keep=False)
             report = parse(shown.data, Report)
-            body = {"baton": self._registry.term, "shift": report.session, "orders": []}
+            request = CommandRequest(self._registry.term, report.session, [])
             reply = await self._net.call(
-                machine.address, "POST", "/orders", body, timeout=1.0, keep=False
+                machine.address, "POST", "/orders", to_json_object(request), timeout=1.0, keep=False
             )
             report = parse(reply.data, Report)
             if report.machine == machine.id:
--- a/spoolcourse/control/service.py
+++ b/spoolcourse/control/service.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from spoolcourse.control import view
-from spoolcourse.control.fleet.relay import Relay
+from spoolcourse.control.fleet.relay import Relay, redirect
 from spoolcourse.control.jobs.job_index import JobIndex
 from spoolcourse.control.leader_term import LeaderTerm
 from spoolcourse.control.leadership import feature_level
@@ -263,12 +263,9 @@
             return Reply(400, {"error": str(exc)})
         if self.leader_term is None:
             if hop:
-                return Reply(421, {})
+                return redirect(None)
             leadership = self.leadership
             return self.relay.handle(
                 report.machine, raw, leadership.leader_label, leadership.informed
             )
-        reply = self.leader_term.report(report, direct=not hop)
-        if hop and reply.status == 200:
-            reply.data["deaf"] = self.leader_term.hears_no_worker()
-        return reply
+        return self.leader_term.report(report, relayed=hop)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,6 +9,7 @@
 from spoolcourse.control.fleet.worker_registry import WorkerRegistry
 from spoolcourse.control.jobs.job_queue import Attempt, JobQueue, JobState
 from spoolcourse.control.jobs.records import JobRecord, Progress
+from spoolcourse.wire.commands import to_json_object
 from spoolcourse.wire.messages import Malformed, Report, Submission, parse, parse_report
 from tests.fakes.world import job
 
@@ -36,7 +37,8 @@
         self.sequence = 0
 
     def report(self, *pieces: dict[str, Any], **fields: Any) -> list[dict[str, Any]] | None:
-        return self.registry.accept(self._made(pieces, fields))
+        commands = self.registry.accept(self._made(pieces, fields))
+        return None if commands is None else [to_json_object(command) for command in commands]
 
     def observed(self, *pieces: dict[str, Any], **fields: Any) -> Report:
         """A report that comes as the answer to a call."""
