--- a/spoolcourse/control/machines/autoscaler.py
+++ b/spoolcourse/control/machines/autoscaler.py
@@ -18,6 +18,7 @@
 from spoolcourse.control.machines.demand import Demand
 from spoolcourse.control.machines.early_deletion import EarlyDeletion
 from spoolcourse.control.machines.replica_places import ReplicaPlaces
+from spoolcourse.control.machines.service_reserve import ServiceReserve
 from spoolcourse.control.net import Net, NetError
 from spoolcourse.policy.keys import KEYS, Policy
 from spoolcourse.wire.commands import CommandRequest, to_json_object
@@ -71,6 +72,7 @@
         )
         self.places = ReplicaPlaces(registry, params.workers, clock, machine_types)
         self._early = EarlyDeletion(registry, self.places, params.workers, clock)
+        self._reserve = ServiceReserve(registry, policy, machine_types)
         self._hires = 0
         self.demand = Demand(KEYS["keep_s"].high)
         # Machines that were there before the service first ran: the operators chose to
@@ -293,12 +295,14 @@
         early: set[str] = set() if isolated else self._early.due()
         names = []
         spare = -self.short(now)
-        self.mark_surplus(now)
+        reserved = self._reserve.machines()
+        self.mark_surplus(now, reserved)
         for machine in self._registry.machines.values():
             reason = self._reason(machine, now, isolated, overdue)
             if reason is None and machine.id in early:
                 reason = "it is silent, and replicas wait for a proof that they are gone"
-            if reason is None and leads and self._idle(machine, now):
+            may_return = leads and machine.id not in reserved
+            if reason is None and may_return and self._idle(machine, now):
                 cpus = self._cpus(machine)
                 if machine.surplus or cpus <= spare:
                     reason = "it is idle"
@@ -363,10 +367,10 @@
             if m.placeable or (m.heard_at is None and not m.deleting and m.listed_stage != "failed")
         )
 
-    def mark_surplus(self, now: float) -> None:
+    def mark_surplus(self, now: float, reserved: set[str]) -> None:
         """Ordinary machines cost a multiple of spot ones: those above what was wanted of
         late are marked, the emptiest first, to run empty and go. Types that some jobs
-        depend on stay."""
+        depend on stay, and so do those reserved for services."""
         policy = self._policy
         wanted = policy.ordinary_headroom * self.demand.peak(now, policy.ordinary_keep_s)
         spare = self._capacity() - wanted
@@ -379,7 +383,8 @@
         # Those already marked stay marked if possible: they have run emptier since.
         for machine in sorted(ordinary, key=lambda m: (not m.surplus, len(m.attempts))):
             cpus = self._cpus(machine)
-            machine.surplus = cpus <= spare and not self.is_rare(machine.machine_type or "")
+            needed = machine.id in reserved or self.is_rare(machine.machine_type or "")
+            machine.surplus = cpus <= spare and not needed
             if machine.surplus:
                 spare -= cpus
 
--- a/spoolcourse/policy/keys.py
+++ b/spoolcourse/policy/keys.py
@@ -58,6 +58,9 @@
     "silent_leases": Key("3", 2, 100, "leases", "a machine silent for so long is deleted"),
     "boot_patience": Key("4", 1, 100, "boots", "a machine that boots longer is deleted"),
     "rare_s": Key("300", 0, 86_400, "s", "a type that some job depends on is spared"),
+    "service_spares": Key(
+        "1", 0, 100, "machines", "in a zone kept free of services for the loss of one"
+    ),
     "begin_s": Key("90", 1, 86_400, "s", "a job that waits longer has its first task put first"),
     "preempt_patience_s": Key("5", 0, 3600, "s", "a task that ends so soon is not stopped"),
 }
@@ -86,6 +89,7 @@
     silent_leases: float = 0.0
     boot_patience: float = 0.0
     rare_s: float = 0.0
+    service_spares: float = 0.0
     begin_s: float = 0.0
     preempt_patience_s: float = 0.0
 
--- /dev/null
+++ b/tests/test_service_reserve.py
@@ -0,0 +1,77 @@
+"""Ordinary machines kept for services."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any
+
+import pytest
+
+from tests.fakes.clock import play
+from tests.fakes.world import World, job
+from tests.test_services import served, service
+
+
+async def shrunk(policy: dict[str, object]) -> tuple[World, str]:
+    """Eight ordinary machines with two replicas, long after the other work has ended. The world,
+    and a machine that a replica is on."""
+    world = World(policy=policy)
+    world.cloud.run_s = lambda task: 10_000.0 if "job-000001" in task else 20.0
+    world.cloud.boot_s = 30.0
+    world.cloud.capacity = 8
+    await world.up()
+    for zone in "aaaabbbb":
+        world.cloud.add(zone)
+    await asyncio.sleep(3)
+    # Each replica takes a whole machine, so that none finds room beside another.
+    assert (await world.submit(service(vcpus=8.0, scatter=True))).status == 201
+    await world.submit(job(2, pieces=24))
+    await served(world)
+    await asyncio.sleep(200)
+    lost = next(w.name for w in world.cloud.workers.values() if w.tasks)
+    return world, lost
+
+
+@pytest.mark.parametrize("spares", [0, 1])
+def test_a_spare_machine_in_each_zone_takes_the_replicas_of_a_lost_one(spares: int) -> None:
+    async def story() -> None:
+        world, lost = await shrunk({"service_spares": spares, "headroom": 0.1})
+        zones = [w.host["yard"] for w in world.cloud.workers.values()]
+        assert sorted(zones) == ["a"] * (1 + spares) + ["b"] * (1 + spares)
+        world.cloud.take(lost)
+        took = await served(world, 1, 2, 90)
+        assert took < 15 if spares else took > 30, "a boot"
+        assert world.cloud.broken == []
+
+    play(story())
+
+
+def test_the_reserve_works_for_others_until_a_replica_needs_it() -> None:
+    async def story() -> None:
+        world, lost = await shrunk({"service_spares": 1, "headroom": 0.1})
+        world.cloud.run_s = lambda task: 10_000.0
+        await world.submit(job(3, pieces=8, loaners=False))
+        await world.until(lambda: len(world.cloud.on_machines("job-000003")) == 8, 60)
+        world.cloud.take(lost)
+        assert await served(world, 1, 2, 60) < 15
+        assert world.cloud.broken == []
+
+    play(story())
+
+
+def test_no_machine_is_reserved_for_services_that_may_run_on_spot_machines() -> None:
+    async def story() -> None:
+        world = World()
+        world.cloud.run_s = lambda task: 10_000.0
+        await world.up()
+        for zone in "aabb":
+            world.cloud.add(zone)
+        await asyncio.sleep(3)
+        body: dict[str, Any] = service(loaners=True)
+        assert (await world.submit(body)).status == 201
+        await served(world)
+        leader_term = world.nodes[str(world.leader)].leader_term
+        assert leader_term is not None
+        assert leader_term.autoscaler._reserve.machines() == set()
+
+    play(story())
