--- a/spoolcourse/control/jobs/job_index.py
+++ b/spoolcourse/control/jobs/job_index.py
@@ -10,7 +10,7 @@
 
 from spoolcourse.control.jobs.cancellations import Cancellation, Cancellations
 from spoolcourse.control.jobs.records import JobRecord, chunk_tasks
-from spoolcourse.control.store.client import Put, StoreClient, Unclear
+from spoolcourse.control.store.client import StoreClient, Unclear
 from spoolcourse.control.store.keys import (
     FINAL,
     JOB,
@@ -21,6 +21,7 @@
 )
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.messages import Submission
+from spoolcourse.wire.state_service import Put
 
 FINALS_KEPT = 20_000
 WITHDRAWN_BYTES = 64  # what a cancellation adds to a record
--- a/spoolcourse/control/jobs/writer.py
+++ b/spoolcourse/control/jobs/writer.py
@@ -17,10 +17,11 @@
 
 from spoolcourse.control.jobs.job_queue import Chunk, JobQueue, JobState
 from spoolcourse.control.leadership.election import Term
-from spoolcourse.control.store.client import Delete, Outcome, Put, Refused, StoreClient, Unclear
+from spoolcourse.control.store.client import Refused, StoreClient, Unclear
 from spoolcourse.control.store.keys import TERM, final_key, job_key, progress_key
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.messages import RANKS
+from spoolcourse.wire.state_service import Delete, Outcome, Put
 
 log = logging.getLogger(__name__)
 
--- a/spoolcourse/control/leader_term.py
+++ b/spoolcourse/control/leader_term.py
@@ -23,7 +23,7 @@
 from spoolcourse.control.leadership.feature_level import FeatureLevel
 from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
 from spoolcourse.control.load import Load
-from spoolcourse.control.machines.autoscaler import FleetAutoscaler, Kind
+from spoolcourse.control.machines.autoscaler import FleetAutoscaler
 from spoolcourse.control.machines.cloud import Cloud
 from spoolcourse.control.machines.planner import Offer, plan_hires, top_up
 from spoolcourse.control.net import Net, Reply, later
@@ -31,13 +31,15 @@
 from spoolcourse.control.placement.model import Plan, Snapshot
 from spoolcourse.control.placement.preempt import choose_victims
 from spoolcourse.control.placement.snapshot_builder import SnapshotBuilder
-from spoolcourse.control.store.client import Put, Refused, StoreClient, Unclear
+from spoolcourse.control.store.client import Refused, StoreClient, Unclear
 from spoolcourse.control.store.keys import BASE, JOB, PROGRESS, TERM, split_progress
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.policy.keys import PolicySource
+from spoolcourse.wire.cloud import MachineKind
 from spoolcourse.wire.commands import ReportReply, to_json_object
 from spoolcourse.wire.messages import Host, MachineType, Report
 from spoolcourse.wire.settings import Params, Seed
+from spoolcourse.wire.state_service import Put
 
 log = logging.getLogger(__name__)
 
@@ -443,7 +445,7 @@
             for zone in b.zones
             if zone in self._params.zones
             for spot in (True, False)
-            if self.autoscaler.open_for_hire(Kind(b.name, zone, spot))
+            if self.autoscaler.open_for_hire(MachineKind(b.name, zone, spot))
         ]
         demand = [(snapshot.jobs[i], count) for i, count in plan.unplaced.items()]
         hires = plan_hires(demand, snapshot.nodes, offers, now, room)
@@ -452,7 +454,7 @@
         if hires:
             self.autoscaler.wanted = [
                 (
-                    Kind(
+                    MachineKind(
                         self._snapshot_builder.machine_types.names[h.offer.machine_type],
                         self._snapshot_builder.zones.names[h.offer.zone],
                         h.offer.spot,
--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -15,9 +15,10 @@
 from dataclasses import dataclass
 
 from spoolcourse.control.leadership.renewal_deadline import DRIFT
-from spoolcourse.control.store.client import LeaseGone, Put, Refused, StoreClient, Unclear
+from spoolcourse.control.store.client import LeaseGone, Refused, StoreClient, Unclear
 from spoolcourse.control.store.keys import LEADER, TERM
 from spoolcourse.control.store.watch_cache import WatchCache
+from spoolcourse.wire.state_service import Put
 
 log = logging.getLogger(__name__)
 
--- a/spoolcourse/control/leadership/feature_level.py
+++ b/spoolcourse/control/leadership/feature_level.py
@@ -12,10 +12,11 @@
 
 from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.net import Net, NetError
-from spoolcourse.control.store.client import Put, Refused, StoreClient, Unclear
+from spoolcourse.control.store.client import Refused, StoreClient, Unclear
 from spoolcourse.control.store.keys import LEVEL, TERM
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.settings import Seed
+from spoolcourse.wire.state_service import Put
 
 log = logging.getLogger(__name__)
 
--- a/spoolcourse/control/machines/autoscaler.py
+++ b/spoolcourse/control/machines/autoscaler.py
@@ -14,13 +14,14 @@
 from spoolcourse.control.fleet.worker_registry import Machine, WorkerRegistry
 from spoolcourse.control.load import SUMMARY_S
 from spoolcourse.control.machines.cancelled import Cancelled
-from spoolcourse.control.machines.cloud import DELETE_MAX, Cloud, CloudError, NoCapacity
+from spoolcourse.control.machines.cloud import Cloud, CloudError, NoCapacity
 from spoolcourse.control.machines.demand import Demand
 from spoolcourse.control.machines.early_deletion import EarlyDeletion
 from spoolcourse.control.machines.replica_places import ReplicaPlaces
 from spoolcourse.control.machines.service_reserve import ServiceReserve
 from spoolcourse.control.net import Net, NetError
 from spoolcourse.policy.keys import KEYS, Policy
+from spoolcourse.wire.cloud import DELETE_MAX, MachineKind
 from spoolcourse.wire.commands import CommandRequest, to_json_object
 from spoolcourse.wire.messages import Host, MachineType, Malformed, Report, parse
 from spoolcourse.wire.settings import Params
@@ -32,13 +33,6 @@
 PROBES = 64
 
 
-@dataclass(frozen=True, slots=True)
-class Kind:
-    machine_type: str
-    zone: str
-    spot: bool
-
-
 @dataclass(slots=True)
 class Refusal:
     until: float
@@ -82,8 +76,8 @@
         self.on_summary: Callable[[], None] = lambda: None
         # Types that some jobs have no choice but to use are kept, within reason.
         self.is_rare: Callable[[str], bool] = lambda machine_type: False
-        self.refusals: dict[Kind, Refusal] = {}
-        self.wanted: list[tuple[Kind, int]] = []
+        self.refusals: dict[MachineKind, Refusal] = {}
+        self.wanted: list[tuple[MachineKind, int]] = []
         self.renting = False  # what is being asked for is not known as a machine yet
         self.wake = asyncio.Event()
 
@@ -161,7 +155,7 @@
 
     # -- renting ------------------------------------------------------------------------
 
-    def open_for_hire(self, kind: Kind) -> bool:
+    def open_for_hire(self, kind: MachineKind) -> bool:
         refusal = self.refusals.get(kind)
         return refusal is None or refusal.until <= self._clock()
 
@@ -176,14 +170,14 @@
                     await self._rent(kind, count)
             self.renting = False
 
-    async def _rent(self, kind: Kind, count: int) -> None:
+    async def _rent(self, kind: MachineKind, count: int) -> None:
         # The name holds the term, so no other leader uses it, nor does this one again.
         self._hires += 1
         name = f"t{self._registry.term}-{self._hires}"
         for _ in range(3):
             asked = self._clock()
             try:
-                names = await self._cloud.hire(name, kind.machine_type, kind.zone, kind.spot, count)
+                names = await self._cloud.hire(name, kind, count)
             except NoCapacity:
                 self._refused(kind)
                 return
@@ -216,7 +210,7 @@
                 self.refusals.pop(kind, None)
             return
 
-    def _refused(self, kind: Kind) -> None:
+    def _refused(self, kind: MachineKind) -> None:
         before = self.refusals.get(kind)
         pause = (
             min(before.pause * 1.5, 4 * self._policy.refused_s)
@@ -412,5 +406,5 @@
         return now - machine.idle_since > limit
 
 
-def _words(kind: Kind) -> tuple[str, str, str]:
+def _words(kind: MachineKind) -> tuple[str, str, str]:
     return kind.machine_type, kind.zone, "yes" if kind.spot else "no"
--- a/spoolcourse/control/machines/cloud.py
+++ b/spoolcourse/control/machines/cloud.py
@@ -6,14 +6,11 @@
 
 from spoolcourse.control.net import Net, NetError, Reply
 from spoolcourse.control.store.budget import Bucket, Busy
+from spoolcourse.wire.cloud import NO_CAPACITY, MachineKind, delete_body, hire_body, list_path
 from spoolcourse.wire.messages import Catalog, Hired, Host, HostPage, Malformed, parse
 
 log = logging.getLogger(__name__)
 
-LIST_PAGE = 500
-DELETE_MAX = 100
-HIRE_MAX = 50
-
 
 class CloudError(Exception):
     """Not carried out, or not known whether it was."""
@@ -42,7 +39,7 @@
             raise CloudError(str(exc)) from exc
         if reply.status == 429:
             self._bucket.drain()
-        if reply.status == 503 and reply.data and reply.data.get("error") == "no capacity":
+        if reply.status == 503 and reply.data and reply.data.get("error") == NO_CAPACITY:
             raise NoCapacity
         if reply.status != 200:
             raise CloudError(f"{method} {path}: status {reply.status}")
@@ -59,8 +56,7 @@
         found: list[Host] = []
         since = ""
         while True:
-            path = f"/hosts?page={LIST_PAGE}" + (f"&since={since}" if since else "")
-            reply = await self._call("GET", path)
+            reply = await self._call("GET", list_path(since))
             try:
                 page = parse(reply.data, HostPage)
             except Malformed as exc:
@@ -70,17 +66,9 @@
                 return found
             since = page.hosts[-1].id
 
-    async def hire(
-        self, name: str, machine_type: str, zone: str, spot: bool, count: int
-    ) -> list[str]:
-        body = {
-            "hire": name,
-            "build": machine_type,
-            "yard": zone,
-            "loaners": spot,
-            "count": min(count, HIRE_MAX),
-        }
-        reply = await self._call("POST", "/hosts", body)
+    async def hire(self, name: str, kind: MachineKind, count: int) -> list[str]:
+        """Rents machines; their names. Raises `NoCapacity` if there are none of this kind."""
+        reply = await self._call("POST", "/hosts", hire_body(name, kind, count))
         try:
             return parse(reply.data, Hired).machines
         except Malformed as exc:
@@ -88,4 +76,4 @@
 
     async def delete(self, names: list[str]) -> None:
         """Returns once the machines and everything on them are gone; DELETE_MAX at most."""
-        await self._call("POST", "/hosts/delete", {"spindles": names})
+        await self._call("POST", "/hosts/delete", delete_body(names))
--- a/spoolcourse/control/service.py
+++ b/spoolcourse/control/service.py
@@ -22,13 +22,14 @@
 from spoolcourse.control.load import Load
 from spoolcourse.control.machines.cloud import Cloud, CloudError, NoCapacity
 from spoolcourse.control.net import Net, NetError, Reply, Request, later
-from spoolcourse.control.store.client import Put, Refused, StoreClient, Unclear
+from spoolcourse.control.store.client import Refused, StoreClient, Unclear
 from spoolcourse.control.store.keys import CATALOG, PREFIX
 from spoolcourse.control.store.watch_cache import WATCH_GAP_LEADING_S, WATCH_GAP_S, WatchCache
 from spoolcourse.control.user_api.api import PATH, UserApi
 from spoolcourse.policy.keys import PolicySource, check_policy
 from spoolcourse.wire.messages import Catalog, MachineType, Malformed, parse, parse_report
 from spoolcourse.wire.settings import Settings
+from spoolcourse.wire.state_service import Put
 
 log = logging.getLogger(__name__)
 
--- a/spoolcourse/control/store/client.py
+++ b/spoolcourse/control/store/client.py
@@ -4,13 +4,13 @@
 
 import asyncio
 import logging
-from dataclasses import dataclass
 from typing import Any
-from urllib.parse import quote
 
 from spoolcourse.control.net import Net, NetError, Reply
 from spoolcourse.control.store.budget import Bucket, Busy
+from spoolcourse.wire import state_service as wire
 from spoolcourse.wire.settings import State
+from spoolcourse.wire.state_service import Change, Entry, Operation, Outcome
 
 log = logging.getLogger(__name__)
 
@@ -40,61 +40,6 @@
     """The watch's revision is too old: read the keys again."""
 
 
-@dataclass(frozen=True, slots=True)
-class Entry:
-    key: str
-    value: Any
-    revision: int
-
-
-@dataclass(frozen=True, slots=True)
-class Change:
-    """A change of a key; `value` is None when the key was deleted."""
-
-    key: str
-    value: Any
-    revision: int
-
-
-@dataclass(frozen=True, slots=True)
-class Put:
-    key: str
-    value: Any
-    lease: int | None = None
-
-    def wire(self) -> dict[str, Any]:
-        op: dict[str, Any] = {"set": self.key, "v": self.value}
-        if self.lease is not None:
-            op["hold"] = self.lease
-        return op
-
-
-@dataclass(frozen=True, slots=True)
-class Delete:
-    key: str
-
-    def wire(self) -> dict[str, Any]:
-        return {"delete": self.key}
-
-
-@dataclass(frozen=True, slots=True)
-class Outcome:
-    """A transaction's clear answer. `failed` names the conditions that did not hold."""
-
-    ok: bool
-    store_revision: int
-    failed: tuple[str, ...] = ()
-
-
-def _changes(log: list[dict[str, Any]]) -> list[Change]:
-    return [
-        Change(e["set"], e["v"], e["stamp"])
-        if "set" in e
-        else Change(e["delete"], None, e["stamp"])
-        for e in log
-    ]
-
-
 class StoreClient:
     """Requests to the state service within this node's share of its limits."""
 
@@ -176,12 +121,12 @@
         return reply
 
     async def get(self, key: str) -> Entry | None:
-        reply = await self._call("GET", f"/kv/{key}")
+        reply = await self._call("GET", wire.entry_path(key))
         if reply.status == 404:
             return None
         if reply.status != 200:
             raise Unclear(f"get {key}: status {reply.status}")
-        return Entry(key, reply.data["v"], reply.data["stamp"])
+        return wire.read_entry(key, reply.data)
 
     async def read_all(self, prefix: str) -> tuple[list[Entry], int]:
         """All keys with the prefix, and the revision of the first page: changes made while
@@ -189,37 +134,34 @@
         entries: list[Entry] = []
         store_revision, since = -1, ""
         while True:
-            path = f"/kv?prefix={quote(prefix)}&page={PAGE}"
-            if since:
-                path += f"&since={quote(since)}"
-            reply = await self._call("GET", path)
+            reply = await self._call("GET", wire.page_path(prefix, PAGE, since))
             if reply.status != 200:
                 raise Unclear(f"list {prefix}: status {reply.status}")
+            page = wire.read_page(reply.data)
             if store_revision < 0:
-                store_revision = reply.data["ledger"]
-            entries += [Entry(p["k"], p["v"], p["stamp"]) for p in reply.data["pairs"]]
-            if not reply.data["hasNext"] or not reply.data["pairs"]:
+                store_revision = page.store_revision
+            entries += page.entries
+            if not page.has_next:
                 return entries, store_revision
             since = entries[-1].key
 
     async def txn(
         self,
         conditions: dict[str, int],
-        ops: list[Put | Delete] | None = None,
+        ops: list[Operation] | None = None,
         *,
         urgent: bool = False,
     ) -> Outcome:
-        body: dict[str, Any] = {"if": [{"k": k, "stamp": s} for k, s in conditions.items()]}
         if ops:
             await self._pay(self._writes, len(ops), urgent)
             self.written += len(ops)
-            body["apply"] = [op.wire() for op in ops]
+        body = wire.transaction_body(conditions, ops or [])
         reply = await self._call("POST", "/multi", body, urgent=urgent)
         if reply.status == 200:
-            return Outcome(True, reply.data["ledger"])
+            return wire.carried_out(reply.data)
         if reply.status == 409:
-            return Outcome(False, reply.data["ledger"], tuple(reply.data["failed"]))
-        if reply.status == 400 and reply.data and reply.data.get("error") == "no such lease":
+            return wire.conditions_failed(reply.data)
+        if reply.status == 400 and reply.data and reply.data.get("error") == wire.NO_SUCH_LEASE:
             raise LeaseGone
         if reply.status == 400 and self.value_bytes > self.limits.value_kb * 1024:
             # What was written while the former limit held may be larger than the one to come.
@@ -229,13 +171,13 @@
         raise Refused(f"txn: status {reply.status}: {reply.data}")
 
     async def grant(self, ttl_s: float) -> int:
-        reply = await self._call("POST", "/holds", {"ttlMs": int(ttl_s * 1000)}, urgent=True)
+        reply = await self._call("POST", "/holds", wire.grant_body(ttl_s), urgent=True)
         if reply.status != 200:
             raise Refused(f"grant: status {reply.status}")
-        return int(reply.data["hold"])
+        return wire.read_lease(reply.data)
 
     async def renew(self, lease: int) -> None:
-        reply = await self._call("POST", f"/holds/{lease}/touch", urgent=True)
+        reply = await self._call("POST", wire.renew_path(lease), urgent=True)
         if reply.status == 404:
             raise LeaseGone
         if reply.status != 200:
@@ -244,10 +186,10 @@
     async def watch(
         self, prefix: str, since: int, block_s: float, *, urgent: bool = False
     ) -> tuple[int, list[Change]]:
-        path = f"/watch?prefix={quote(prefix)}&since={since}&blockMs={int(block_s * 1000)}"
+        path = wire.watch_path(prefix, since, block_s)
         reply = await self._call("GET", path, wait=block_s, urgent=urgent)
         if reply.status == 410:
             raise Compacted
         if reply.status != 200:
             raise Unclear(f"watch: status {reply.status}")
-        return reply.data["ledger"], _changes(reply.data["log"])
+        return wire.read_changes(reply.data)
--- a/spoolcourse/control/store/watch_cache.py
+++ b/spoolcourse/control/store/watch_cache.py
@@ -12,7 +12,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from spoolcourse.control.store.client import Compacted, Entry, Refused, StoreClient, Unclear
+from spoolcourse.control.store.client import Compacted, Refused, StoreClient, Unclear
+from spoolcourse.wire.state_service import Entry
 
 log = logging.getLogger(__name__)
 
