--- a/spoolcourse/control/jobs/job_index.py
+++ b/spoolcourse/control/jobs/job_index.py
@@ -9,7 +9,6 @@
 import orjson
 
 from spoolcourse.control.jobs.cancellations import Cancellation, Cancellations
-from spoolcourse.control.jobs.records import JobRecord, chunk_tasks
 from spoolcourse.control.store.client import StoreClient, Unclear
 from spoolcourse.control.store.keys import (
     FINAL,
@@ -19,8 +18,9 @@
     job_key,
     split_progress,
 )
+from spoolcourse.control.store.records import FinalState, JobRecord, Progress, chunk_tasks
 from spoolcourse.control.store.watch_cache import WatchCache
-from spoolcourse.wire.messages import Submission
+from spoolcourse.wire.messages import JobStage, JobStatus, Submission
 from spoolcourse.wire.state_service import Put
 
 FINALS_KEPT = 20_000
@@ -40,7 +40,7 @@
         self.live: dict[str, JobRecord] = {}
         self.counts: dict[str, dict[int, tuple[int, int]]] = {}  # per chunk: done, held
         self.cancellations = Cancellations()
-        self._finals: OrderedDict[str, dict[str, Any]] = OrderedDict()
+        self._finals: OrderedDict[str, FinalState] = OrderedDict()
         watch_cache.listen(self._on_change)
 
     def _on_change(self, key: str, value: Any, revision: int) -> None:
@@ -61,41 +61,32 @@
                     if not chunks:
                         del self.counts[job]
             else:
-                # All nodes see every write of progress: it is not unpacked further here.
-                done = int(value["done"], 16).bit_count()
-                self.counts.setdefault(job, {})[chunk] = (done, len(value["held"]))
+                self.counts.setdefault(job, {})[chunk] = Progress.counts_of(value)
         elif key.startswith(FINAL) and value is not None:
-            self.remember_final(key[len(FINAL) :], value)
+            self.remember_final(key[len(FINAL) :], FinalState.from_value(value))
 
-    def remember_final(self, job: str, value: dict[str, Any]) -> None:
-        self._finals[job] = value
+    def remember_final(self, job: str, final: FinalState) -> None:
+        self._finals[job] = final
         self._finals.move_to_end(job)
         while len(self._finals) > FINALS_KEPT:
             self._finals.popitem(last=False)
 
-    def final(self, job: str) -> dict[str, Any] | None:
+    def final(self, job: str) -> JobStatus | None:
         """A final state known here: final states never change."""
         record = self.live.get(job)
         if record is not None and record.aborted:
-            return self.answer(job, "aborted")
-        value = self._finals.get(job)
-        return self.answer(job, value["stage"], value) if value else None
+            return self._status(job, JobStage.ABORTED)
+        final = self._finals.get(job)
+        return JobStatus(job, final.stage, final.done) if final is not None else None
 
-    def answer(self, job: str, stage: str, final: dict[str, Any] | None = None) -> dict[str, Any]:
-        if final is not None:
-            return {"id": job, "stage": stage, "done": final.get("done", 0), "running": 0}
+    def _status(self, job: str, stage: JobStage) -> JobStatus:
         done = held = 0
         for chunk_done, chunk_held in self.counts.get(job, {}).values():
             done += chunk_done
             held += chunk_held
-        return {
-            "id": job,
-            "stage": stage,
-            "done": done,
-            "running": held if stage == "running" else 0,
-        }
-
-    def current(self, job: str) -> dict[str, Any] | None:
+        return JobStatus(job, stage, done, held if stage is JobStage.RUNNING else 0)
+
+    def current(self, job: str) -> JobStatus | None:
         """The state as of the last sync; None if this node knows nothing of the job."""
         final = self.final(job)
         if final is not None:
@@ -103,9 +94,9 @@
         if job not in self.live:
             return None
         busy = any(held for _, held in self.counts.get(job, {}).values())
-        return self.answer(job, "running" if busy else "queued")
+        return self._status(job, JobStage.RUNNING if busy else JobStage.QUEUED)
 
-    async def look_up(self, job: str) -> dict[str, Any] | None:
+    async def look_up(self, job: str) -> JobStatus | None:
         """A consistent answer about a job that the synced mirror does not hold live.
 
         The sync comes first, then this read: a job that was final by the sync is found
@@ -114,8 +105,9 @@
         entry = await self._client.get(final_key(job))
         if entry is None:
             return None
-        self.remember_final(job, entry.value)
-        return self.answer(job, entry.value["stage"], entry.value)
+        final = FinalState.from_value(entry.value)
+        self.remember_final(job, final)
+        return JobStatus(job, final.stage, final.done)
 
     async def accept(self, sub: Submission, at: float) -> bool:
         """Write a new job. False: the id is known already. Raises if it is not known
--- a/spoolcourse/control/jobs/job_queue.py
+++ b/spoolcourse/control/jobs/job_queue.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from spoolcourse.control.jobs.records import JobRecord, Progress
+from spoolcourse.control.store.records import JobRecord, Progress
 from spoolcourse.wire.messages import task_name
 
 
--- a/spoolcourse/control/jobs/writer.py
+++ b/spoolcourse/control/jobs/writer.py
@@ -19,8 +19,9 @@
 from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.store.client import Refused, StoreClient, Unclear
 from spoolcourse.control.store.keys import TERM, final_key, job_key, progress_key
+from spoolcourse.control.store.records import FinalState
 from spoolcourse.control.store.watch_cache import WatchCache
-from spoolcourse.wire.messages import RANKS
+from spoolcourse.wire.messages import RANKS, JobStage
 from spoolcourse.wire.state_service import Delete, Outcome, Put
 
 log = logging.getLogger(__name__)
@@ -145,8 +146,8 @@
                 self._job_queue.finished.pop(job_state.id, None)
                 continue
             key = job_key(job_state.id)
-            stage = "aborted" if job_state.record.aborted else "done"
-            value = {"stage": stage, "done": job_state.done, "at": job_state.record.at}
+            stage = JobStage.ABORTED if job_state.record.aborted else JobStage.DONE
+            value = FinalState(stage, job_state.done, job_state.record.at).value()
             saved = [c for c in job_state.chunks.values() if c.revision]
             room = self._client.ops_most - 2
             # A job of very many chunks loses the first of them beforehand; with its
@@ -172,7 +173,7 @@
                 self._watch_cache.apply(
                     progress_key(job_state.id, chunk.index), None, outcome.store_revision
                 )
-            log.info("%s is %s", job_state.id, stage)
+            log.info("%s is %s", job_state.id, stage.value)
             self._on_saved()
             await self.sweep([progress_key(job_state.id, c.index) for c in saved[room:]])
             return
--- a/spoolcourse/control/leader_term.py
+++ b/spoolcourse/control/leader_term.py
@@ -16,7 +16,6 @@
 from spoolcourse.control.fleet.worker_registry import WorkerRegistry
 from spoolcourse.control.jobs.job_index import JobIndex
 from spoolcourse.control.jobs.job_queue import Attempt, JobQueue, JobState
-from spoolcourse.control.jobs.records import JobRecord, Progress, chunk_tasks
 from spoolcourse.control.jobs.writer import Writer
 from spoolcourse.control.leadership.cancellation_query import CancellationQuery
 from spoolcourse.control.leadership.election import Leadership, Term
@@ -33,6 +32,13 @@
 from spoolcourse.control.placement.snapshot_builder import SnapshotBuilder
 from spoolcourse.control.store.client import Refused, StoreClient, Unclear
 from spoolcourse.control.store.keys import BASE, JOB, PROGRESS, TERM, split_progress
+from spoolcourse.control.store.records import (
+    JobRecord,
+    Progress,
+    base_machines,
+    base_value,
+    chunk_tasks,
+)
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.policy.keys import PolicySource
 from spoolcourse.wire.cloud import MachineKind
@@ -231,16 +237,16 @@
 
     def _base(self) -> frozenset[str]:
         entry = self._watch_cache.get(BASE)
-        return frozenset(entry.value["machines"]) if entry is not None else frozenset()
+        return base_machines(entry.value) if entry is not None else frozenset()
 
     async def _store_base(self, hosts: list[Host]) -> None:
         """Once and for all, at the first list that any leader ever gets."""
         if self._watch_cache.get(BASE) is not None:
             return
         names = [h.id for h in hosts if not h.spot and h.stage == "running"]
-        value = {"machines": names if self._term.number == 1 else []}
+        value = base_value(names if self._term.number == 1 else [])
         if len(orjson.dumps(value)) > self._params.state.least.value_kb * 1024:
-            value = {"machines": []}  # a fleet of that size is not kept by name
+            value = base_value([])  # a fleet of that size is not kept by name
         try:
             conditions = {BASE: 0, TERM: self._term.revision}
             outcome = await self._client.txn(conditions, [Put(BASE, value)])
--- a/spoolcourse/control/leadership/cancellation_query.py
+++ b/spoolcourse/control/leadership/cancellation_query.py
@@ -17,6 +17,7 @@
 from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
 from spoolcourse.control.net import Net, NetError
 from spoolcourse.control.store.keys import TERM
+from spoolcourse.control.store.records import TermRecord
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.messages import Malformed, parse
 from spoolcourse.wire.settings import Seed
@@ -44,7 +45,7 @@
         raise Malformed("beyond: a revision is needed")
     term = watch_cache.get(TERM)
     told = CancellationReply(
-        term.value["term"] if term is not None else 0,
+        TermRecord.number_of(term.value if term is not None else None),
         watch_cache.synced_at > float("-inf"),
         job_index.cancellations.beyond(int(text)),
     )
--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -17,6 +17,7 @@
 from spoolcourse.control.leadership.renewal_deadline import DRIFT
 from spoolcourse.control.store.client import LeaseGone, Refused, StoreClient, Unclear
 from spoolcourse.control.store.keys import LEADER, TERM
+from spoolcourse.control.store.records import LeaderRecord, TermRecord
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.state_service import Put
 
@@ -61,7 +62,7 @@
     def leader_label(self) -> str | None:
         """The label of the leader as far as this node knows."""
         entry = self._watch_cache.get(LEADER)
-        return entry.value["label"] if entry else None
+        return LeaderRecord.label_of(entry.value) if entry else None
 
     @property
     def informed(self) -> bool:
@@ -119,7 +120,8 @@
     def _is_former_self(self, value: dict[str, str]) -> bool:
         # A restarted process need not wait for its own lease: the run that held it is
         # dead, and the new term fences whatever it still has on the way.
-        return value.get("label") == self._label and value.get("run") != self._run_id
+        same_label = LeaderRecord.label_of(value) == self._label
+        return same_label and LeaderRecord.run_of(value) != self._run_id
 
     async def _stand(self) -> None:
         loop = asyncio.get_running_loop()
@@ -128,7 +130,7 @@
         leader, former = self._watch_cache.get(LEADER), self._watch_cache.get(TERM)
         if leader is not None and not self._is_former_self(leader.value):
             return
-        number = (former.value["term"] if former else 0) + 1
+        number = TermRecord.number_of(former.value if former else None) + 1
         # What the number was taken from is what the claim is conditional on. The watch may
         # bring another's election while the lease is granted: with the stamps of that, this
         # claim would push it out under the very same number, and two would share a fencing token.
@@ -141,8 +143,9 @@
         # The lease is part of what the read-back asks for: an earlier claim of this run that
         # was carried out late has the same number, but its key hangs on another lease, and
         # renewing the new one would keep alive nothing.
-        tenure = {"term": number, "run": self._run_id, "hold": lease}
-        claim = tenure | {"label": self._label}
+        record = TermRecord(number, self._run_id, lease)
+        tenure = record.value()
+        claim = LeaderRecord(record, self._label).value()
         try:
             outcome = await self._client.txn(
                 conditions,
--- a/spoolcourse/control/leadership/feature_level.py
+++ b/spoolcourse/control/leadership/feature_level.py
@@ -14,6 +14,7 @@
 from spoolcourse.control.net import Net, NetError
 from spoolcourse.control.store.client import Refused, StoreClient, Unclear
 from spoolcourse.control.store.keys import LEVEL, TERM
+from spoolcourse.control.store.records import level_of, level_value
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.settings import Seed
 from spoolcourse.wire.state_service import Put
@@ -21,18 +22,18 @@
 log = logging.getLogger(__name__)
 
 PATH = "/level"
-STANDING = 2  # 1: arrays only
+SERVICES = 2  # 1: arrays only
 PERIOD_S = 1.0
 
 
 def answer() -> dict[str, int]:
-    return {"level": STANDING}
+    return level_value(SERVICES)
 
 
 def all_new(watch_cache: WatchCache) -> bool:
     """Whether this node has seen it noted."""
     entry = watch_cache.get(LEVEL)
-    return entry is not None and entry.value["level"] >= STANDING
+    return entry is not None and level_of(entry.value) >= SERVICES
 
 
 class FeatureLevel:
@@ -65,10 +66,10 @@
         except NetError:
             return False
         level = reply.data.get("level") if isinstance(reply.data, dict) else None
-        return reply.status == 200 and isinstance(level, int) and level >= STANDING
+        return reply.status == 200 and isinstance(level, int) and level >= SERVICES
 
     async def _note(self) -> None:
-        value = {"level": STANDING}
+        value = level_value(SERVICES)
         conditions = {LEVEL: self._watch_cache.revision(LEVEL), TERM: self._term.revision}
         try:
             outcome = await self._client.txn(conditions, [Put(LEVEL, value)])
--- a/spoolcourse/control/service.py
+++ b/spoolcourse/control/service.py
@@ -9,8 +9,6 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
 
-import msgspec
-
 from spoolcourse.control import view
 from spoolcourse.control.fleet.relay import Relay, redirect
 from spoolcourse.control.jobs.job_index import JobIndex
@@ -24,6 +22,7 @@
 from spoolcourse.control.net import Net, NetError, Reply, Request, later
 from spoolcourse.control.store.client import Refused, StoreClient, Unclear
 from spoolcourse.control.store.keys import CATALOG, PREFIX
+from spoolcourse.control.store.records import catalog_value
 from spoolcourse.control.store.watch_cache import WATCH_GAP_LEADING_S, WATCH_GAP_S, WatchCache
 from spoolcourse.control.user_api.api import PATH, UserApi
 from spoolcourse.policy.keys import PolicySource, check_policy
@@ -173,13 +172,13 @@
     async def _store_catalog(self, catalog: Catalog) -> None:
         if not self.leadership.valid():
             return
-        machine_types = sorted(catalog.machine_types, key=lambda b: b.name)
+        machine_types = sorted(catalog.machine_types, key=lambda t: t.name)
         entry = self.watch_cache.get(CATALOG)
         if entry is not None:
-            old = {b["name"] for b in entry.value["builds"]}
-            if old == {b.name for b in machine_types}:
+            stored = parse(entry.value, Catalog).machine_types
+            if {t.name for t in stored} == {t.name for t in machine_types}:
                 return
-        value = {"builds": msgspec.to_builtins(machine_types)}
+        value = catalog_value(machine_types)
         outcome = await self.client.txn(
             {CATALOG: self.watch_cache.revision(CATALOG)}, [Put(CATALOG, value)]
         )
--- a/spoolcourse/control/user_api/api.py
+++ b/spoolcourse/control/user_api/api.py
@@ -18,14 +18,19 @@
 from spoolcourse.control.jobs.job_index import JobIndex, TooLong
 from spoolcourse.control.net import Net, NetError, Reply, Request, later
 from spoolcourse.control.store.client import Refused, StoreClient, Unclear
+from spoolcourse.control.store.records import FinalState
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.control.user_api.checks import refusal, usable_machine_types
 from spoolcourse.wire.messages import (
     JOB_ID,
+    JobAnswer,
+    JobStage,
+    JobStatus,
     MachineType,
     Malformed,
     Submission,
     decode,
+    parse,
     parse_submission,
 )
 from spoolcourse.wire.settings import Params, Seed
@@ -40,6 +45,10 @@
 ASK_PEERS_POLL_S = 0.6
 
 
+NO_SUCH_JOB = Reply(404, {"error": "no such job"})
+WITHDRAW_TRIES = 4  # the leader may finish the job, or a peer withdraw it, in between
+
+
 class Unable(Exception):
     """This node can't answer for sure just now."""
 
@@ -115,20 +124,26 @@
             except NetError:
                 continue
             if reply.status < 500 and reply.status != 429:
-                if reply.status == 200 and isinstance(reply.data, dict):
-                    self._note(reply.data)
+                if reply.status == 200:
+                    self._remember_final(reply.data)
                 return Reply(reply.status, reply.data)
         return later("try again", after)
 
-    def _note(self, answer: dict[str, Any]) -> None:
-        if answer.get("stage") in ("done", "aborted") and isinstance(answer.get("id"), str):
-            self._job_index.remember_final(answer["id"], answer)
+    def _remember_final(self, answer: Any) -> None:
+        """A final state that a peer has told never changes."""
+        try:
+            status = parse(answer, JobStatus)
+        except Malformed as exc:
+            log.debug("a peer's answer is no job status: %s", exc)
+            return
+        if status.stage.is_final:
+            self._job_index.remember_final(status.id, FinalState(status.stage, status.done))
 
     async def _sync(self) -> None:
         if not await self._watch_cache.sync(1.2):
             raise Unable("no sync")
 
-    async def _known(self, job: str) -> dict[str, Any] | None:
+    async def _known(self, job: str) -> JobStatus | None:
         """The job's current state for certain; None if it was never accepted."""
         final = self._job_index.final(job)
         if final is not None:
@@ -144,7 +159,7 @@
         if sub.id in self._job_index.live or self._job_index.final(sub.id) is not None:
             known = await self._known(sub.id)
             if known is not None:
-                return Reply(200, known)
+                return _reply(200, known)
         machine_types = self._machine_types()
         if not machine_types:
             raise Unable("the machine types are not known yet")
@@ -167,11 +182,11 @@
             log.info(
                 "%s accepted: %d tasks, %s, %s", sub.id, sub.task_count, sub.job_class, sub.team
             )
-            return Reply(201, {"id": sub.id, "stage": "queued"})
+            return _reply(201, JobAnswer(sub.id, JobStage.QUEUED))
         known = await self._known(sub.id)
         if known is None:
             raise Unable("the record changed while it was read")
-        return Reply(200, known)
+        return _reply(200, known)
 
     def _narrowed(self, sub: Submission, machine_types: dict[str, MachineType]) -> Submission:
         """Only known types are kept, so that a record stays small."""
@@ -185,32 +200,36 @@
         if job is not None:
             known = await self._known(job)
             if known is not None:
-                return Reply(200, known)
+                return _reply(200, known)
         return reply
 
     async def _poll(self, job: str) -> Reply:
         if not JOB_ID.fullmatch(job):
-            return Reply(404, {"error": "no such job"})
+            return NO_SUCH_JOB
         known = await self._known(job)
-        return Reply(404, {"error": "no such job"}) if known is None else Reply(200, known)
+        return NO_SUCH_JOB if known is None else _reply(200, known)
 
     async def _withdraw(self, job: str) -> Reply:
         if not JOB_ID.fullmatch(job):
-            return Reply(404, {"error": "no such job"})
-        for _ in range(4):
+            return NO_SUCH_JOB
+        for _ in range(WITHDRAW_TRIES):
             known = await self._known(job)
             if known is None:
-                return Reply(404, {"error": "no such job"})
-            if known["stage"] in ("done", "aborted"):
-                return Reply(200, {"id": job, "stage": known["stage"]})
+                return NO_SUCH_JOB
+            if known.stage.is_final:
+                return _reply(200, JobAnswer(job, known.stage))
             if job in self._job_index.live and await self._job_index.withdraw(
                 job, self._wall_clock()
             ):
                 log.info("%s withdrawn", job)
-                return Reply(200, {"id": job, "stage": "aborted"})
+                return _reply(200, JobAnswer(job, JobStage.ABORTED))
         raise Unable("the job kept changing")
 
 
+def _reply(status: int, answer: JobStatus | JobAnswer) -> Reply:
+    return Reply(status, msgspec.to_builtins(answer))
+
+
 def _id_of(raw: bytes) -> str | None:
     try:
         data = decode(raw)
--- a/spoolcourse/wire/messages.py
+++ b/spoolcourse/wire/messages.py
@@ -4,6 +4,7 @@
 
 import math
 import re
+from enum import Enum
 from functools import lru_cache
 from typing import Annotated, Any, Literal, TypeVar
 
@@ -22,6 +23,20 @@
 Seconds = Annotated[float, msgspec.Meta(ge=0)]
 
 
+class JobStage(Enum):
+    """What users are told of a job. The last two are final."""
+
+    QUEUED = "queued"
+    RUNNING = "running"
+    DONE = "done"
+    ABORTED = "aborted"
+
+    @property
+    def is_final(self) -> bool:
+        """Whether the job is over for good."""
+        return self in (JobStage.DONE, JobStage.ABORTED)
+
+
 class Malformed(Exception):
     """A message that does not follow the protocol."""
 
@@ -68,6 +83,22 @@
     )
 
 
+class JobAnswer(msgspec.Struct, frozen=True):
+    """The answer to an accepted submission and to a cancellation."""
+
+    id: str
+    stage: JobStage
+
+
+class JobStatus(msgspec.Struct, frozen=True):
+    """The answer to a poll; the counts of tasks are for display."""
+
+    id: str
+    stage: JobStage
+    done: int = 0
+    running: int = 0
+
+
 class TaskReport(msgspec.Struct, frozen=True):
     """One task in a worker's report."""
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,7 +8,7 @@
 
 from spoolcourse.control.fleet.worker_registry import WorkerRegistry
 from spoolcourse.control.jobs.job_queue import Attempt, JobQueue, JobState
-from spoolcourse.control.jobs.records import JobRecord, Progress
+from spoolcourse.control.store.records import JobRecord, Progress
 from spoolcourse.wire.commands import to_json_object
 from spoolcourse.wire.messages import Malformed, Report, Submission, parse, parse_report
 from tests.fakes.world import job
--- a/tests/test_snapshot_cache.py
+++ b/tests/test_snapshot_cache.py
@@ -5,11 +5,11 @@
 import asyncio
 from typing import Any
 
-from spoolcourse.control.jobs.records import JobRecord
 from spoolcourse.control.leader_term import LeaderTerm
 from spoolcourse.control.placement.backfill import place
 from spoolcourse.control.placement.preempt import choose_victims
 from spoolcourse.control.placement.snapshot_builder import SnapshotBuilder
+from spoolcourse.control.store.records import JobRecord
 from spoolcourse.policy.keys import check_policy
 from spoolcourse.wire.messages import MachineType, Submission, parse
 from tests.fakes.clock import play
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -8,8 +8,8 @@
 import orjson
 import pytest
 
-from spoolcourse.control.jobs.records import JobRecord, Progress
 from spoolcourse.control.store.keys import LEVEL, TERM, job_key, progress_key
+from spoolcourse.control.store.records import JobRecord, Progress
 from spoolcourse.errors import UserError
 from spoolcourse.wire.settings import parse_settings
 from tests.fakes.clock import play
--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -5,11 +5,11 @@
 import asyncio
 
 from spoolcourse.control.jobs.job_queue import JobQueue, JobState
-from spoolcourse.control.jobs.records import JobRecord
 from spoolcourse.control.jobs.writer import Writer
 from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.keys import PREFIX, TERM, job_key
+from spoolcourse.control.store.records import JobRecord
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.messages import Submission, parse
 from spoolcourse.wire.settings import NextLimits, State
