--- a/spoolcourse/control/leader_term.py
+++ b/spoolcourse/control/leader_term.py
@@ -195,6 +195,7 @@
         self._spawn(self.autoscaler.list_loop())
         self._spawn(self.autoscaler.rent_loop())
         self._spawn(self.autoscaler.return_loop())
+        self._spawn(self.autoscaler.replica_probe.run())
         self._spawn(self._pass_loop())
         self._spawn(self._drain_loop())
         if leftover_keys:
--- a/spoolcourse/control/machines/autoscaler.py
+++ b/spoolcourse/control/machines/autoscaler.py
@@ -18,6 +18,7 @@
 from spoolcourse.control.machines.demand import Demand
 from spoolcourse.control.machines.early_deletion import EarlyDeletion
 from spoolcourse.control.machines.replica_places import ReplicaPlaces
+from spoolcourse.control.machines.replica_probe import ReplicaProbe
 from spoolcourse.control.machines.service_reserve import ServiceReserve
 from spoolcourse.control.net import Net, NetError
 from spoolcourse.policy.keys import KEYS, Policy
@@ -65,7 +66,8 @@
             registry.job_queue, params.workers, params.skew_ms / 1000, clock, wall_clock
         )
         self.places = ReplicaPlaces(registry, params.workers, clock, machine_types)
-        self._early = EarlyDeletion(registry, self.places, params.workers, clock)
+        self.replica_probe = ReplicaProbe(net, registry, self.places, clock)
+        self._early = EarlyDeletion(registry, self.places, self.replica_probe, clock)
         self._reserve = ServiceReserve(registry, policy, machine_types)
         self._hires = 0
         self.demand = Demand(KEYS["keep_s"].high)
--- a/spoolcourse/control/machines/early_deletion.py
+++ b/spoolcourse/control/machines/early_deletion.py
@@ -3,7 +3,8 @@
 A replica may run elsewhere only once its former attempt is proven gone. For a machine that died
 without a notice the lease proves that, after more than `lease_s`. A deletion that the cloud has
 confirmed is a proof too, and it can be had sooner. The price of a mistake is a healthy machine
-and all work on it, so only machines qualify whose silence nothing else explains.
+and all work on it, so only machines qualify that are late, answer no call, and whose silence
+nothing else explains.
 """
 
 from __future__ import annotations
@@ -13,15 +14,9 @@
 from dataclasses import dataclass
 
 from spoolcourse.control.fleet.worker_registry import Machine, WorkerRegistry
-from spoolcourse.control.jobs.job_queue import Attempt
-from spoolcourse.control.machines.replica_places import REPORT_JITTER, ReplicaPlaces
-from spoolcourse.wire.settings import Workers
-
-# The longest silence of a worker that lost one report: a whole report period, then the time-out
-# of that report, then the pause before it tries the next controller.
-REPORT_TIMEOUT_S = 4.0
-RETRY_PAUSE_S = 1.0
-TRANSIT_S = 0.5  # for reports on their way, and for this process to get round to them
+from spoolcourse.control.machines.replica_places import ReplicaPlaces, replicas_on
+from spoolcourse.control.machines.replica_probe import ReplicaProbe
+
 # More late workers than that in a zone: the zone is cut off, or this controller is.
 LATE_SHARE = 0.25
 # Deletions under way at once; they bound what a mistake can cost.
@@ -52,19 +47,18 @@
         self,
         registry: WorkerRegistry,
         places: ReplicaPlaces,
-        workers: Workers,
+        probe: ReplicaProbe,
         clock: Callable[[], float],
     ) -> None:
         self._registry = registry
         self._places = places
+        self._probe = probe
         self._clock = clock
-        one_period_s = REPORT_JITTER * workers.report_s
-        self.silence_s = one_period_s + REPORT_TIMEOUT_S + RETRY_PAUSE_S + TRANSIT_S
 
     def due(self) -> set[str]:
         """Names of machines to be deleted now; a leader without a valid lease must not ask."""
         now = self._clock()
-        candidates = [m for m in self._registry.machines.values() if self._is_silent(m, now)]
+        candidates = [m for m in self._registry.machines.values() if self._is_silent(m)]
         if not candidates:
             return set()
         zones = self._late_workers(now)
@@ -73,19 +67,19 @@
         chosen: set[str] = set()
         budget = self._budget()
         for machine in candidates:
-            replicas = _replicas(machine)
+            replicas = replicas_on(machine)
             if len(chosen) >= budget or zones.troubled(machine.zone or ""):
                 continue
             if replicas and all(map(self._places.has_place_elsewhere, replicas)):
                 chosen.add(machine.id)
         return chosen
 
-    def _is_silent(self, machine: Machine, now: float) -> bool:
+    def _is_silent(self, machine: Machine) -> bool:
         return (
             machine.confirmed
             and not machine.lease_expired
             and not machine.deleting
-            and now - machine.reported_at > self.silence_s
+            and self._probe.is_unreachable(machine)
         )
 
     def _late_workers(self, now: float) -> _Zones:
@@ -101,17 +95,6 @@
 
     def _budget(self) -> int:
         machines = self._registry.machines.values()
-        under_way = sum(1 for machine in machines if machine.deleting and _replicas(machine))
+        under_way = sum(1 for machine in machines if machine.deleting and replicas_on(machine))
         most = max(DELETIONS_LEAST, int(DELETIONS_SHARE * len(machines)))
         return max(0, most - under_way)
-
-
-def _replicas(machine: Machine) -> list[Attempt]:
-    """Replicas of live services that may be running there."""
-    return [
-        attempt
-        for attempt in machine.attempts.values()
-        if attempt.job_state.record.sub.is_service
-        and not attempt.job_state.record.aborted
-        and not attempt.never_sent
-    ]
--- a/spoolcourse/control/machines/replica_places.py
+++ b/spoolcourse/control/machines/replica_places.py
@@ -65,6 +65,17 @@
         return not sub.spread_over_zones or zones[machine.zone] < most_in_a_zone
 
 
+def replicas_on(machine: Machine) -> list[Attempt]:
+    """Replicas of live services that may be running there."""
+    return [
+        attempt
+        for attempt in machine.attempts.values()
+        if attempt.job_state.record.sub.is_service
+        and not attempt.job_state.record.aborted
+        and not attempt.never_sent
+    ]
+
+
 def _takes(machine: Machine, machine_type: MachineType, job_state: JobState) -> bool:
     """Whether the job may run there, and what stays leaves room for one task of it."""
     sub = job_state.record.sub
--- /dev/null
+++ b/spoolcourse/control/machines/replica_probe.py
@@ -0,0 +1,111 @@
+"""Asks machines that hold replicas, and whose reports are late, whether they are there.
+
+A late report alone says little: it may hang somewhere, or its worker may be between two
+controllers. A machine that answers no call either is dead, hangs, or is cut off.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from spoolcourse.control.fleet.worker_registry import Machine, WorkerRegistry
+from spoolcourse.control.machines.replica_places import ReplicaPlaces, replicas_on
+from spoolcourse.control.net import Net, NetError
+from spoolcourse.wire.messages import Malformed, Report, parse
+
+log = logging.getLogger(__name__)
+
+PERIOD_S = 0.5
+TIMEOUT_S = 1.0
+FAILURES_NEEDED = 2  # in a row; one call may be lost like one report
+PROBES_MAX = 64  # at once; calls behind a cut hang until they time out
+
+
+@dataclass(slots=True)
+class _Failures:
+    """Failed calls since a machine's last report."""
+
+    reported_at: float
+    count: int = 0
+
+
+class ReplicaProbe:
+    """Calls late machines, and remembers which of them have not answered."""
+
+    def __init__(
+        self,
+        net: Net,
+        registry: WorkerRegistry,
+        places: ReplicaPlaces,
+        clock: Callable[[], float],
+    ) -> None:
+        self._net = net
+        self._registry = registry
+        self._late_s = places.late_s
+        self._clock = clock
+        self._failures: dict[str, _Failures] = {}
+        self._under_way: dict[str, asyncio.Task[None]] = {}
+
+    def is_unreachable(self, machine: Machine) -> bool:
+        """Whether it has answered none of the last calls and sent no report since."""
+        failures = self._failures.get(machine.id)
+        return (
+            failures is not None
+            and failures.reported_at == machine.reported_at
+            and failures.count >= FAILURES_NEEDED
+        )
+
+    async def run(self) -> None:
+        """Probe until cancelled."""
+        try:
+            while True:
+                await asyncio.sleep(PERIOD_S)
+                self._start_probes()
+        finally:
+            for task in self._under_way.values():
+                task.cancel()
+
+    def _start_probes(self) -> None:
+        late = [m for m in self._registry.machines.values() if self._is_late(m)]
+        names = {machine.id for machine in late}
+        self._failures = {name: f for name, f in self._failures.items() if name in names}
+        for machine in late:
+            if len(self._under_way) >= PROBES_MAX:
+                return
+            if machine.id in self._under_way or self.is_unreachable(machine):
+                continue
+            task = asyncio.get_running_loop().create_task(self._probe(machine))
+            self._under_way[machine.id] = task
+
+    def _is_late(self, machine: Machine) -> bool:
+        return (
+            machine.confirmed
+            and not machine.lease_expired
+            and not machine.deleting
+            and self._clock() - machine.reported_at > self._late_s
+            and bool(machine.address)
+            and bool(replicas_on(machine))
+        )
+
+    async def _probe(self, machine: Machine) -> None:
+        reported_at = machine.reported_at
+        try:
+            reply = await self._net.call(
+                machine.address, "GET", "/show", timeout=TIMEOUT_S, keep=False
+            )
+            self._registry.observe(parse(reply.data, Report))
+            self._failures.pop(machine.id, None)
+        except (NetError, Malformed) as exc:
+            log.debug("%s: late, and does not answer: %s", machine.id, exc)
+            self._note_failure(machine, reported_at)
+        finally:
+            self._under_way.pop(machine.id, None)
+
+    def _note_failure(self, machine: Machine, reported_at: float) -> None:
+        failures = self._failures.get(machine.id)
+        if failures is None or failures.reported_at != reported_at:
+            failures = self._failures[machine.id] = _Failures(reported_at)
+        failures.count += 1
