--- a/spoolcourse/control/fleet/command_dispatcher.py
+++ b/spoolcourse/control/fleet/command_dispatcher.py
@@ -10,7 +10,8 @@
 import asyncio
 import logging
 
-from spoolcourse.control.fleet.worker_registry import Machine, WorkerRegistry
+from spoolcourse.control.fleet.machine import Machine
+from spoolcourse.control.fleet.worker_registry import WorkerRegistry
 from spoolcourse.control.net import Net, NetError
 from spoolcourse.wire.commands import CommandRequest, Start, to_json_object
 from spoolcourse.wire.messages import Malformed, Report, parse
@@ -36,7 +37,7 @@
             while True:
                 await self.wake.wait()
                 self.wake.clear()
-                for machine in self._registry.due(self._busy):
+                for machine in self._registry.commands.due(self._busy):
                     if len(self._busy) >= AT_ONCE:
                         break  # whoever comes back sees to the rest
                     task = asyncio.get_running_loop().create_task(self._send(machine))
@@ -55,12 +56,12 @@
 
     async def _send(self, machine: Machine) -> None:
         try:
-            attempts = self._registry.take_fresh_starts(machine)
+            attempts = self._registry.commands.take_fresh_starts(machine)
             session = machine.session
-            commands = self._registry.take_stops(machine) + [
+            commands = self._registry.commands.take_stops(machine) + [
                 Start(a.name, a.number) for a in attempts
             ]
-            request = CommandRequest(self._registry.term, session, commands)
+            request = CommandRequest(self._registry.fencing_token, session, commands)
             try:
                 reply = await self._net.call(
                     machine.address,
--- /dev/null
+++ b/spoolcourse/control/fleet/report_reconciler.py
@@ -0,0 +1,185 @@
+"""What a report proves about the attempts that may be on its machine.
+
+A worker has one report in flight, executes an answer within its time-out or never, and drops it in
+a later session; so the next newer report under our fencing token tells for certain whether a
+start in an answer arrived. Starts sent to the worker's address may come late: they stay possible
+until the session or our term ends.
+"""
+
+from __future__ import annotations
+
+import logging
+from typing import TYPE_CHECKING
+
+from spoolcourse.control.fleet.machine import Machine
+from spoolcourse.control.jobs.backoff import ARRAY_BACKOFF, REPLICA_BACKOFF, Backoff
+from spoolcourse.control.jobs.job_queue import Attempt, JobState
+from spoolcourse.wire.messages import Report, Submission, TaskReport, split_task_name
+
+if TYPE_CHECKING:
+    from spoolcourse.control.fleet.worker_registry import Leader, WorkerRegistry
+
+log = logging.getLogger(__name__)
+
+AVOID_S = 60.0  # a machine that a job failed on; for ever, it might be left with none
+HEALTHY_S = 20.0  # a replica that has run for so long clears its service's pause
+REFUSED_START_PAUSE_S = 2.0  # after a start that the worker has refused
+
+
+class ReportReconciler:
+    """Brings the registry in line with reports under our fencing token."""
+
+    def __init__(self, registry: WorkerRegistry, leader: Leader) -> None:
+        self._registry = registry
+        self._job_queue = registry.job_queue
+        self._leader = leader
+
+    def reconcile(self, machine: Machine, report: Report, now: float) -> None:
+        """A report under our fencing token is proof of what is on the machine, and what is not."""
+        revision = (report.session, report.sequence)
+        present: set[tuple[str, int]] = set()
+        unexpected_tasks = set(machine.unexpected_tasks)
+        machine.unexpected_tasks.clear()
+        for item in report.tasks:
+            job, task = split_task_name(item.task)
+            attempt = machine.attempts.get((job, task))
+            if attempt is not None and attempt.number == item.attempt:
+                present.add((job, task))
+                self._take_progress(machine, attempt, item, now)
+            elif self._take_unexpected(machine, job, task, item, now):
+                present.add((job, task))
+        if unexpected_tasks != machine.unexpected_tasks:
+            machine.changes += 1
+        if any(
+            a.stage == "assigned" and a.start_sent_with is not None and key not in present
+            for key, a in machine.attempts.items()
+        ):
+            self._registry.note_ineffective_answer(machine)
+        for key, attempt in list(machine.attempts.items()):
+            if key in present:
+                continue
+            if (
+                attempt.in_flight_session is not None
+                and attempt.in_flight_session != report.session
+            ):
+                attempt.in_flight_session = None  # another session: it would be refused
+            if attempt.stage == "assigned" and (
+                attempt.start_sent_with is None or attempt.start_sent_with < revision
+            ):
+                attempt.start_sent_with = None  # that start never arrived and can't any more
+                unwanted = attempt.job_state.record.aborted or attempt.stopping
+                unwanted = unwanted or machine.unresponsive_since is not None
+                if unwanted and attempt.in_flight_session is None:
+                    self._registry.drop(attempt)
+            elif attempt.stage != "assigned":
+                log.info("%s/%d: no longer on %s", *key, machine.id)
+                self._registry.drop(attempt)
+        machine.pulling = {
+            image: machine.pulling.get(image, now)
+            for image in {
+                a.job_state.record.sub.image
+                for a in machine.attempts.values()
+                if a.stage == "pulling"
+            }
+            if image not in machine.images
+        }
+        if machine.attempts:
+            machine.idle_since = None
+        elif machine.idle_since is None:
+            machine.idle_since = now
+
+    def _take_progress(
+        self, machine: Machine, attempt: Attempt, item: TaskReport, now: float
+    ) -> None:
+        """What a report says of the attempt that counts there."""
+        if item.stage == "ended":
+            self._take_end(machine, attempt, item.cause or "", now)
+            return
+        if item.stage != attempt.stage:
+            log.debug("%s: %s on %s", item.task, item.stage, machine.id)
+            attempt.stage, attempt.since = item.stage, now
+            machine.changes += 1
+        if item.stage in ("running", "flushing"):
+            job_state = attempt.job_state
+            self._note_image(machine, job_state.record.sub)
+            machine.errors.discard(job_state.id)
+            runs_well = now - attempt.since > HEALTHY_S
+            if job_state.record.sub.is_service and job_state.failures and runs_well:
+                job_state.failures = 0
+
+    def _take_end(self, machine: Machine, attempt: Attempt, cause: str, now: float) -> None:
+        job_state = attempt.job_state
+        log.debug("%s: ended, %s, on %s", attempt.name, cause, machine.id)
+        if attempt.in_flight_session is not None or (attempt.sent_directly and cause != "done"):
+            # A copy of the start may still be on its way to the worker's address. While the
+            # worker remembers the attempt, the copy has no effect; once it has forgotten it, the
+            # copy would start it.
+            machine.unacknowledged.add((job_state.id, attempt.task, attempt.number))
+        if cause == "done":
+            self._take_result(machine, attempt, now)
+        elif cause == "error":
+            self._take_error(machine, attempt, now)
+        elif cause == "no_room":
+            machine.full_until = now + REFUSED_START_PAUSE_S
+            log.info("%s: no room on %s", attempt.name, machine.id)
+        elif cause in ("in_use", "no_such"):
+            job_state.retry_at = now + REFUSED_START_PAUSE_S
+            log.info("%s: %s on %s", attempt.name, cause, machine.id)
+        self._registry.drop(attempt)
+
+    def _take_result(self, machine: Machine, attempt: Attempt, now: float) -> None:
+        job_state = attempt.job_state
+        self._note_image(machine, job_state.record.sub)
+        if job_state.record.sub.is_service:
+            _count_failure(job_state, REPLICA_BACKOFF, now)
+            return
+        job_state.failures = 0
+        self._job_queue.complete(job_state, attempt.task)
+
+    def _take_error(self, machine: Machine, attempt: Attempt, now: float) -> None:
+        job_state = attempt.job_state
+        job_state.bad_machines[machine.id] = now + AVOID_S
+        machine.errors.add(job_state.id)
+        is_service = job_state.record.sub.is_service
+        _count_failure(job_state, REPLICA_BACKOFF if is_service else ARRAY_BACKOFF, now)
+        log.info("%s: failed on %s", attempt.name, machine.id)
+
+    def _note_image(self, machine: Machine, submission: Submission) -> None:
+        disk_gb = self._leader.disk_gb(machine.machine_type or "")
+        machine.note_image(submission.image, submission.image_gb, disk_gb)
+
+    def _take_unexpected(
+        self, machine: Machine, job: str, task: int, item: TaskReport, now: float
+    ) -> bool:
+        """Something on the machine that is not the attempt we count there; true if it
+        was taken over as such."""
+        job_state = self._job_queue.jobs.get(job)
+        if job_state is not None and task < job_state.record.sub.task_count:
+            if item.stage == "ended":
+                if item.cause == "done" and not job_state.record.sub.is_service:
+                    self._job_queue.complete(job_state, task)
+                    other = job_state.attempts.get(task)
+                    if other is not None:
+                        self._registry.stop(other)
+                return False
+            if (
+                task not in job_state.attempts
+                and not job_state.is_done(task)
+                and not job_state.record.aborted
+            ):
+                # It runs and nobody else does: keep it.
+                attempt = self._job_queue.adopt(job_state, task, machine.id, item.attempt, now)
+                attempt.stage = item.stage
+                machine.attempts[job, task] = attempt
+                machine.changes += 1
+                return True
+        if item.stage != "ended":
+            machine.unexpected_tasks.add((job, task, item.attempt))
+        return False
+
+
+def _count_failure(job_state: JobState, backoff: Backoff, now: float) -> None:
+    job_state.failures += 1
+    pause_s = backoff.pause_s(job_state.failures)
+    if pause_s > 0:
+        job_state.retry_at = now + pause_s
--- a/spoolcourse/control/leader_term.py
+++ b/spoolcourse/control/leader_term.py
@@ -102,14 +102,10 @@
         self.registry = WorkerRegistry(
             self.job_queue,
             term.number,
-            params.workers.lease_s,
+            params.workers,
             self._clock,
-            self._may_start,
-            self._is_over,
-            self._wake.set,
+            self,
         )
-        self.registry.disk_gb = self._disk_gb
-        self.registry.quiet_s = params.workers.quiet_s
         self.command_dispatcher = CommandDispatcher(
             net, self.registry, params.machine_limits.sockets
         )
@@ -213,7 +209,8 @@
 
     # -- what may be done ---------------------------------------------------------------
 
-    def _may_start(self) -> bool:
+    def may_start(self) -> bool:
+        """Whether nobody else can lead by now."""
         return self._leadership.valid()
 
     def _may_renew(self) -> bool:
@@ -228,7 +225,7 @@
             )
         return may
 
-    def _is_over(self, job: str) -> bool:
+    def is_over(self, job: str) -> bool:
         """True if the job can't be live: every start was preceded by its record."""
         return (
             self.ready.is_set()
@@ -257,7 +254,8 @@
         if outcome.ok:
             self._watch_cache.apply(BASE, value, outcome.store_revision)
 
-    def _disk_gb(self, machine_type: str) -> float:
+    def disk_gb(self, machine_type: str) -> float:
+        """How much a machine of the type caches."""
         known = self._machine_types().get(machine_type)
         return known.disk_gb if known else 0.0
 
@@ -279,6 +277,10 @@
             if job_state.pending > 0 and not job_state.record.aborted
         ]
 
+    def on_room(self) -> None:
+        """Something may be placed now that could not be before."""
+        self._wake.set()
+
     # -- changes of jobs ------------------------------------------------------------------
 
     def on_change(self, key: str, value: Any, revision: int) -> None:
@@ -348,7 +350,7 @@
             except TimeoutError:
                 pass
             self._wake.clear()
-            if self._may_start():
+            if self.may_start():
                 began = time.process_time()
                 with self._load.spent("pass"):
                     self._run_pass()
--- a/spoolcourse/control/machines/autoscaler.py
+++ b/spoolcourse/control/machines/autoscaler.py
@@ -11,7 +11,8 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from spoolcourse.control.fleet.worker_registry import Machine, WorkerRegistry
+from spoolcourse.control.fleet.machine import Machine
+from spoolcourse.control.fleet.worker_registry import WorkerRegistry
 from spoolcourse.control.load import SUMMARY_S
 from spoolcourse.control.machines.cancelled import Cancelled
 from spoolcourse.control.machines.cloud import Cloud, CloudError, NoCapacity
@@ -145,7 +146,7 @@
         try:
             shown = await self._net.call(machine.address, "GET", "/show", timeout=1.0, keep=False)
             report = parse(shown.data, Report)
-            request = CommandRequest(self._registry.term, report.session, [])
+            request = CommandRequest(self._registry.fencing_token, report.session, [])
             reply = await self._net.call(
                 machine.address, "POST", "/orders", to_json_object(request), timeout=1.0, keep=False
             )
@@ -175,7 +176,7 @@
     async def _rent(self, kind: MachineKind, count: int) -> None:
         # The name holds the term, so no other leader uses it, nor does this one again.
         self._hires += 1
-        name = f"t{self._registry.term}-{self._hires}"
+        name = f"t{self._registry.fencing_token}-{self._hires}"
         for _ in range(3):
             asked = self._clock()
             try:
--- a/spoolcourse/control/machines/cancelled.py
+++ b/spoolcourse/control/machines/cancelled.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 
-from spoolcourse.control.fleet.worker_registry import Machine
+from spoolcourse.control.fleet.machine import Machine
 from spoolcourse.control.jobs.job_queue import JobQueue
 from spoolcourse.wire.settings import Workers
 
--- a/spoolcourse/control/machines/early_deletion.py
+++ b/spoolcourse/control/machines/early_deletion.py
@@ -13,7 +13,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from spoolcourse.control.fleet.worker_registry import Machine, WorkerRegistry
+from spoolcourse.control.fleet.machine import Machine
+from spoolcourse.control.fleet.worker_registry import WorkerRegistry
 from spoolcourse.control.machines.replica_places import ReplicaPlaces, replicas_on
 from spoolcourse.control.machines.replica_probe import ReplicaProbe
 
--- a/spoolcourse/control/machines/service_reserve.py
+++ b/spoolcourse/control/machines/service_reserve.py
@@ -11,7 +11,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from spoolcourse.control.fleet.worker_registry import Machine, WorkerRegistry
+from spoolcourse.control.fleet.machine import Machine
+from spoolcourse.control.fleet.worker_registry import WorkerRegistry
 from spoolcourse.policy.keys import Policy
 from spoolcourse.wire.messages import MachineType
 
--- a/spoolcourse/control/placement/snapshot_builder.py
+++ b/spoolcourse/control/placement/snapshot_builder.py
@@ -5,7 +5,8 @@
 import logging
 from math import inf
 
-from spoolcourse.control.fleet.worker_registry import Machine, WorkerRegistry
+from spoolcourse.control.fleet.machine import Machine
+from spoolcourse.control.fleet.worker_registry import WorkerRegistry
 from spoolcourse.control.jobs.job_queue import Attempt, JobQueue, JobState
 from spoolcourse.control.placement.model import Job, Node, Snapshot, Team
 from spoolcourse.control.placement.snapshot_cache import Index, SnapshotCache
--- a/spoolcourse/control/placement/snapshot_cache.py
+++ b/spoolcourse/control/placement/snapshot_cache.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from spoolcourse.control.fleet.worker_registry import Machine
+from spoolcourse.control.fleet.machine import Machine
 from spoolcourse.control.jobs.job_queue import Attempt, JobState
 from spoolcourse.control.placement.model import Node, RunningTask
 from spoolcourse.wire.messages import RANKS, MachineType
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,6 +11,7 @@
 from spoolcourse.control.store.records import JobRecord, Progress
 from spoolcourse.wire.commands import to_json_object
 from spoolcourse.wire.messages import Malformed, Report, Submission, parse, parse_report
+from spoolcourse.wire.settings import Workers
 from tests.fakes.world import job
 
 TERM = 7
@@ -26,16 +27,26 @@
         self.registry = WorkerRegistry(
             self.job_queue,
             TERM,
-            10.0,
+            Workers(report_s=1.5, lease_s=10.0, cancel_s=40.0),
             lambda: self.now,
-            lambda: self.valid,
-            lambda job: job not in self.job_queue.jobs,
-            lambda: None,
+            self,
         )
         sub = parse(job(**fields), Submission)
         self.job_state: JobState = self.job_queue.add(JobRecord(sub, 1.0, 170, None, 5), self.now)
         self.sequence = 0
 
+    def may_start(self) -> bool:
+        return self.valid
+
+    def is_over(self, job: str) -> bool:
+        return job not in self.job_queue.jobs
+
+    def disk_gb(self, machine_type: str) -> float:
+        return 0.0
+
+    def on_room(self) -> None:
+        pass
+
     def report(self, *pieces: dict[str, Any], **fields: Any) -> list[dict[str, Any]] | None:
         commands = self.registry.accept(self._made(pieces, fields))
         return None if commands is None else [to_json_object(command) for command in commands]
@@ -218,8 +229,8 @@
     crew.report()
     attempt = crew.assign()
     machine = crew.registry.machines["m-1"]
-    assert crew.registry.take_fresh_starts(machine) == [attempt]
-    assert crew.registry.due(()) == [], "sent that way once only"
+    assert crew.registry.commands.take_fresh_starts(machine) == [attempt]
+    assert crew.registry.commands.due(()) == [], "sent that way once only"
     crew.job_state.record.aborted_at = 100.0
     crew.report()
     crew.report()
@@ -232,7 +243,7 @@
     crew = Crew()
     crew.report()
     attempt = crew.assign()
-    crew.registry.take_fresh_starts(crew.registry.machines["m-1"])
+    crew.registry.commands.take_fresh_starts(crew.registry.machines["m-1"])
     attempt.in_flight_session = None  # it was answered, but a copy may come late
     crew.report(on())
     assert crew.report(on(stage="ended", cause="halted")) == []
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -60,13 +60,13 @@
     crew.observed()
     assert not crew.registry.is_quiet(machine)
     crew.assign()
-    assert crew.registry.due(()) == [machine]
+    assert crew.registry.commands.due(()) == [machine]
     crew.now += 1.5
     crew.observed()
     assert machine.heard_at == crew.now and crew.registry.is_quiet(machine)
-    assert crew.registry.due(()) == [], "nor are starts sent"
+    assert crew.registry.commands.due(()) == [], "nor are starts sent"
     crew.report()
-    assert crew.registry.due(()) == [machine]
+    assert crew.registry.commands.due(()) == [machine]
 
 
 def test_the_first_answer_after_a_change_of_leader_ends_what_is_cancelled() -> None:
