--- a/spoolcourse/control/fleet/worker_registry.py
+++ b/spoolcourse/control/fleet/worker_registry.py
@@ -65,7 +65,7 @@
         # After it a lease is over for certain.
         self._lease_over_s = workers.lease_s * (1 + DRIFT) + LEASE_MARGIN_S
         self._clock = clock
-        self._leader = leader
+        self.leader = leader
         self._reconciler = ReportReconciler(self, leader)
         self.commands = CommandBuilder(self, leader, clock)
         self.machines: dict[str, Machine] = {}
@@ -110,7 +110,7 @@
                 del machine.attempts[key]
                 machine.changes += 1
         self.job_queue.drop(attempt)
-        self._leader.on_room()
+        self.leader.on_room()
 
     def confirm_deleted(self, name: str) -> None:
         """The cloud has confirmed that the machine and all on it are gone."""
@@ -237,5 +237,5 @@
                 # for gone while they run.
                 machine.leased_at = now
                 log.debug("%s: confirmed in session %d", machine.id, report.session)
-                self._leader.on_room()
+                self.leader.on_room()
             self._reconciler.reconcile(machine, report, now)
--- /dev/null
+++ b/spoolcourse/control/leader/termination.py
@@ -0,0 +1,70 @@
+"""Machines with a termination notice: their tasks are stopped in time, or moved."""
+
+from __future__ import annotations
+
+import asyncio
+
+from spoolcourse.control.context import ControllerContext
+from spoolcourse.control.fleet.machine import Machine
+from spoolcourse.control.fleet.worker_registry import WorkerRegistry
+from spoolcourse.control.jobs.job_queue import Attempt
+from spoolcourse.control.machines.replica_places import ReplicaPlaces
+from spoolcourse.control.placement.snapshot_builder import SnapshotBuilder
+
+PERIOD_S = 0.5
+REPORTS_NEEDED = 2  # to hear of the end of a task that was stopped in time
+MARGIN_S = 1.0
+HOPELESS_SHARE = 1.5  # of the time left: a task that needs more is not waited for
+
+
+class TerminationLoop:
+    """Goes through the machines with a notice."""
+
+    def __init__(
+        self,
+        context: ControllerContext,
+        registry: WorkerRegistry,
+        snapshot_builder: SnapshotBuilder,
+        places: ReplicaPlaces,
+    ) -> None:
+        self._clock = context.clock
+        self._registry = registry
+        self._snapshot_builder = snapshot_builder
+        self._places = places
+        self._last_call_s = REPORTS_NEEDED * context.params.workers.report_s + MARGIN_S
+
+    async def run(self) -> None:
+        """Run until cancelled."""
+        while True:
+            await asyncio.sleep(PERIOD_S)
+            for machine in list(self._registry.machines.values()):
+                if machine.terminates_at is not None:
+                    self._drain(machine, machine.terminates_at - self._clock())
+
+    def _drain(self, machine: Machine, left_s: float) -> None:
+        for attempt in list(machine.attempts.values()):
+            if attempt.stopping:
+                continue
+            if attempt.never_sent:
+                self._registry.drop(attempt)
+            elif attempt.stage != "assigned" and self._must_stop(attempt, left_s):
+                self._registry.stop(attempt)
+
+    def _must_stop(self, attempt: Attempt, left_s: float) -> bool:
+        """Save what can be saved at the last moment, and don't wait for what can't finish."""
+        submission = attempt.job_state.record.sub
+        if submission.is_service:
+            return self._must_move(attempt, left_s)
+        if submission.checkpoint_every_s > 0:
+            return left_s < submission.checkpoint_cost_s + self._last_call_s
+        ran_s = self._clock() - attempt.since if attempt.stage == "running" else 0.0
+        needed_s = self._snapshot_builder.estimate(attempt.job_state) - ran_s
+        return needed_s > HOPELESS_SHARE * left_s
+
+    def _must_move(self, replica: Attempt, left_s: float) -> bool:
+        """Its next place is ready sooner than its machine is proven gone, so it moves; but one
+        replica at a time, none while another is missing or while there is nowhere to go to, as
+        long as there is time."""
+        if left_s < self._last_call_s:
+            return True
+        return replica.job_state.all_running and self._places.has_place_elsewhere(replica)
--- a/spoolcourse/control/leadership/cancellation_query.py
+++ b/spoolcourse/control/leadership/cancellation_query.py
@@ -5,29 +5,25 @@
 from __future__ import annotations
 
 import asyncio
-import logging
 from collections.abc import Callable
 from typing import Any
 
 import msgspec
 
+from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.jobs.cancellations import Cancellation
 from spoolcourse.control.jobs.job_index import JobIndex
 from spoolcourse.control.leadership.election import Term
+from spoolcourse.control.leadership.peers import ask_peers
 from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
-from spoolcourse.control.net import Net, NetError
 from spoolcourse.control.store.keys import TERM
 from spoolcourse.control.store.records import TermRecord
 from spoolcourse.control.store.watch_cache import WatchCache
-from spoolcourse.wire.messages import Malformed, parse
-from spoolcourse.wire.settings import Seed
-
-log = logging.getLogger(__name__)
+from spoolcourse.wire.messages import Malformed
 
 PATH = "/cancellations"
 PERIOD_S = 1.0
 LATE_S = 2.0  # without a read of the state service: the health check makes one each second
-TIMEOUT_S = 1.0
 
 
 class CancellationReply(msgspec.Struct, frozen=True):
@@ -56,22 +52,18 @@
 class CancellationQuery:
     def __init__(
         self,
-        net: Net,
-        seeds: list[Seed],
+        context: ControllerContext,
         term: Term,
-        watch_cache: WatchCache,
-        job_index: JobIndex,
         renewal_deadline: RenewalDeadline,
-        clock: Callable[[], float],
         depose: Callable[[str], None],
     ) -> None:
-        self._net = net
-        self._seeds = seeds
+        self._net = context.net
+        self._peers = context.peers
+        self._watch_cache = context.watch_cache
+        self._job_index = context.job_index
+        self._clock = context.clock
         self._term = term
-        self._watch_cache = watch_cache
-        self._job_index = job_index
         self._renewal_deadline = renewal_deadline
-        self._clock = clock
         self._depose = depose
 
     async def run(self) -> None:
@@ -83,7 +75,7 @@
     async def ask(self) -> None:
         asked = self._clock()
         path = f"{PATH}?beyond={self._watch_cache.store_revision}"
-        told = await asyncio.gather(*(self._ask(seed, path) for seed in self._seeds))
+        told = await ask_peers(self._net, self._peers, path, CancellationReply)
         for reply in told:
             if reply is not None and reply.term > self._term.number:
                 self._depose(f"a peer knows of term {reply.term}")
@@ -94,11 +86,3 @@
         self._renewal_deadline.vouched(
             asked, [t is not None and t.informed and t.cancelled is not None for t in told]
         )
-
-    async def _ask(self, seed: Seed, path: str) -> CancellationReply | None:
-        try:
-            reply = await self._net.call(seed.endpoint, "GET", path, timeout=TIMEOUT_S)
-            return parse(reply.data, CancellationReply) if reply.status == 200 else None
-        except (NetError, Malformed) as exc:
-            log.debug("%s does not say what it knows of cancellations: %s", seed.label, exc)
-            return None
--- a/spoolcourse/control/leadership/feature_level.py
+++ b/spoolcourse/control/leadership/feature_level.py
@@ -10,13 +10,15 @@
 import asyncio
 import logging
 
+import msgspec
+
+from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.leadership.election import Term
-from spoolcourse.control.net import Net, NetError
-from spoolcourse.control.store.client import Refused, StoreClient, Unclear
+from spoolcourse.control.leadership.peers import ask_peers
+from spoolcourse.control.store.client import Refused, Unclear
 from spoolcourse.control.store.keys import LEVEL, TERM
 from spoolcourse.control.store.records import level_of, level_value
 from spoolcourse.control.store.watch_cache import WatchCache
-from spoolcourse.wire.settings import Seed
 from spoolcourse.wire.state_service import Put
 
 log = logging.getLogger(__name__)
@@ -26,7 +28,14 @@
 PERIOD_S = 1.0
 
 
+class LevelReply(msgspec.Struct, frozen=True):
+    """What a controller answers."""
+
+    level: int
+
+
 def answer() -> dict[str, int]:
+    """The answer of this version."""
     return level_value(SERVICES)
 
 
@@ -39,35 +48,20 @@
 class FeatureLevel:
     """The leader's loop; it ends once it is noted."""
 
-    def __init__(
-        self,
-        net: Net,
-        client: StoreClient,
-        watch_cache: WatchCache,
-        seeds: list[Seed],
-        term: Term,
-    ) -> None:
-        self._net = net
-        self._client = client
-        self._watch_cache = watch_cache
-        self._seeds = seeds
+    def __init__(self, context: ControllerContext, term: Term) -> None:
+        self._net = context.net
+        self._client = context.client
+        self._watch_cache = context.watch_cache
+        self._peers = context.peers
         self._term = term
 
     async def run(self) -> None:
         while not all_new(self._watch_cache):
-            if all(await asyncio.gather(*(self._knows(seed) for seed in self._seeds))):
+            replies = await ask_peers(self._net, self._peers, PATH, LevelReply)
+            if all(reply is not None and reply.level >= SERVICES for reply in replies):
                 await self._note()
             await asyncio.sleep(PERIOD_S)
 
-    async def _knows(self, seed: Seed) -> bool:
-        """No answer, or one of a version that doesn't know the question, is a no."""
-        try:
-            reply = await self._net.call(seed.endpoint, "GET", PATH, timeout=1.0)
-        except NetError:
-            return False
-        level = reply.data.get("level") if isinstance(reply.data, dict) else None
-        return reply.status == 200 and isinstance(level, int) and level >= SERVICES
-
     async def _note(self) -> None:
         value = level_value(SERVICES)
         conditions = {LEVEL: self._watch_cache.revision(LEVEL), TERM: self._term.revision}
--- /dev/null
+++ b/spoolcourse/control/machines/fleet_summary.py
@@ -0,0 +1,51 @@
+"""What machines there are and what they do, in the log for the operators."""
+
+from __future__ import annotations
+
+import logging
+from dataclasses import dataclass
+
+from spoolcourse.control.fleet.machine import Machine
+from spoolcourse.control.fleet.worker_registry import WorkerRegistry
+from spoolcourse.control.machines.fleet_view import FleetView
+
+log = logging.getLogger(__name__)
+
+
+@dataclass(slots=True)
+class _KindSummary:
+    machines: int = 0
+    booting: int = 0
+    surplus: int = 0
+    empty: int = 0
+    cpus: float = 0.0
+    taken_cpus: float = 0.0
+
+    def add(self, machine: Machine, cpus: float) -> None:
+        self.machines += 1
+        self.booting += machine.heard_at is None
+        self.surplus += machine.surplus
+        self.empty += machine.heard_at is not None and not machine.attempts
+        self.cpus += cpus
+        self.taken_cpus += sum(a.job_state.record.sub.cpus for a in machine.attempts.values())
+
+
+def log_fleet(registry: WorkerRegistry, view: FleetView) -> None:
+    """A line for each machine type, spot and ordinary apart."""
+    kinds: dict[tuple[str, bool], _KindSummary] = {}
+    for machine in registry.machines.values():
+        kind = (machine.machine_type or "?", bool(machine.spot))
+        kinds.setdefault(kind, _KindSummary()).add(machine, view.cpus(machine))
+    for (machine_type, spot), summary in sorted(kinds.items()):
+        log.info(
+            "fleet: %s, spot %s: %d machines, %d booting, %d surplus, %d empty; "
+            "%.0f CPUs, %.0f taken",
+            machine_type,
+            "yes" if spot else "no",
+            summary.machines,
+            summary.booting,
+            summary.surplus,
+            summary.empty,
+            summary.cpus,
+            summary.taken_cpus,
+        )
--- /dev/null
+++ b/spoolcourse/control/machines/fleet_view.py
@@ -0,0 +1,31 @@
+"""Sizes and boot times of machines by their types, as several parts here need them."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from spoolcourse.control.fleet.machine import Machine
+from spoolcourse.wire.messages import MachineType
+
+UNKNOWN_BOOT_S = 60.0  # for a type that the catalog does not name
+
+
+class FleetView:
+    """Looks machines' types up in the catalog as it is now."""
+
+    def __init__(self, machine_types: Callable[[], dict[str, MachineType]]) -> None:
+        self.machine_types = machine_types
+
+    def type_of(self, machine: Machine) -> MachineType | None:
+        """The machine's type, if it is known."""
+        return self.machine_types().get(machine.machine_type or "")
+
+    def cpus(self, machine: Machine) -> float:
+        """The machine's CPUs; 0 if its type is not known."""
+        machine_type = self.type_of(machine)
+        return machine_type.cpus if machine_type else 0.0
+
+    def boot_s(self, machine: Machine) -> float:
+        """How long a machine of the type usually boots."""
+        machine_type = self.type_of(machine)
+        return machine_type.boot_s if machine_type else UNKNOWN_BOOT_S
--- /dev/null
+++ b/spoolcourse/control/machines/machine_list.py
@@ -0,0 +1,121 @@
+"""The cloud's machine list, taken into the registry, and machines that have to learn our term."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Awaitable, Callable
+
+from spoolcourse.control.context import ControllerContext
+from spoolcourse.control.fleet.machine import Machine
+from spoolcourse.control.fleet.worker_registry import WorkerRegistry
+from spoolcourse.control.machines.cloud import CloudError
+from spoolcourse.control.machines.fleet_view import FleetView
+from spoolcourse.control.net import NetError
+from spoolcourse.wire.commands import CommandRequest, to_json_object
+from spoolcourse.wire.messages import Host, Malformed, Report, parse
+
+log = logging.getLogger(__name__)
+
+LIST_PERIOD_S = 2.0  # at least; half of the list's lag if that is longer
+CALL_TIMEOUT_S = 1.0
+# Machines asked at once. Those behind a cut let the call time out, so with a few at once a
+# takeover would grow by a second for every few silent machines.
+CALLS_MAX = 64
+
+
+class MachineListLoop:
+    """Reads the list again and again."""
+
+    def __init__(
+        self,
+        context: ControllerContext,
+        registry: WorkerRegistry,
+        view: FleetView,
+        on_list: Callable[[list[Host]], Awaitable[None]],
+    ) -> None:
+        self._net = context.net
+        self._cloud = context.cloud
+        self._clock = context.clock
+        self._period_s = max(LIST_PERIOD_S, context.params.cloud.list_lag_s / 2)
+        self._registry = registry
+        self._view = view
+        self._on_list = on_list
+
+    async def run(self) -> None:
+        """Run until cancelled."""
+        while True:
+            try:
+                asked_at = self._clock()
+                hosts = await self._cloud.hosts()
+                self._take(hosts, asked_at)
+                await self._on_list(hosts)
+                await self._raise_tokens(hosts)
+            except CloudError as exc:
+                log.info("machine list: %s", exc)
+            await asyncio.sleep(self._period_s)
+
+    def _take(self, hosts: list[Host], now: float) -> None:
+        for host in hosts:
+            if host.id not in self._registry.deleted_names:
+                self._take_host(self._registry.machine(host.id), host, now)
+
+    def _take_host(self, machine: Machine, host: Host, now: float) -> None:
+        """What the machine itself has reported counts more than the list, which lags."""
+        if host.stage == "running" and machine.listed_stage != "running":
+            machine.running_at = now
+        machine.listed_stage = host.stage
+        machine.machine_type = machine.machine_type or host.machine_type
+        machine.zone = machine.zone or host.zone
+        if machine.spot is None:
+            machine.spot = host.spot
+        machine.address = machine.address or host.address
+        if machine.rented_at is None:
+            machine.rented_at = now - host.age_s
+        if machine.heard_at is None and machine.up_at is None:
+            machine.up_at = machine.rented_at + self._view.boot_s(machine)
+
+    async def _raise_tokens(self, hosts: list[Host]) -> None:
+        """Raise the fencing token on machines that have not spoken under it yet, with no
+        commands: they may be reporting to a node that can't know of us."""
+        gate = asyncio.Semaphore(CALLS_MAX)
+
+        async def raise_one(machine: Machine) -> None:
+            async with gate:
+                if not machine.confirmed:  # its own report may have come meanwhile
+                    await self._raise_token(machine)
+
+        await asyncio.gather(*(raise_one(machine) for machine in self._unconfirmed(hosts)))
+
+    def _unconfirmed(self, hosts: list[Host]) -> list[Machine]:
+        running = [self._registry.machines.get(h.id) for h in hosts if h.stage == "running"]
+        return [
+            machine
+            for machine in running
+            if machine is not None
+            and machine.address
+            and not machine.confirmed
+            and not machine.lease_expired  # it has spoken under it, and will come by itself
+        ]
+
+    async def _raise_token(self, machine: Machine) -> None:
+        try:
+            shown = await self._net.call(
+                machine.address, "GET", "/show", timeout=CALL_TIMEOUT_S, keep=False
+            )
+            session = parse(shown.data, Report).session
+            request = CommandRequest(self._registry.fencing_token, session, [])
+            reply = await self._net.call(
+                machine.address,
+                "POST",
+                "/orders",
+                to_json_object(request),
+                timeout=CALL_TIMEOUT_S,
+                keep=False,
+            )
+            report = parse(reply.data, Report)
+        except (NetError, Malformed) as exc:
+            log.debug("%s: fencing token not raised: %s", machine.id, exc)
+            return
+        if report.machine == machine.id:
+            self._registry.observe(report)
--- /dev/null
+++ b/spoolcourse/control/machines/returning.py
@@ -0,0 +1,174 @@
+"""Which machines are returned to the cloud, and why."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+
+from spoolcourse.control.context import ControllerContext
+from spoolcourse.control.fleet.machine import Machine
+from spoolcourse.control.fleet.worker_registry import WorkerRegistry
+from spoolcourse.control.machines.cancelled import Cancelled
+from spoolcourse.control.machines.early_deletion import EarlyDeletion
+from spoolcourse.control.machines.fleet_view import FleetView
+from spoolcourse.control.machines.service_reserve import ServiceReserve
+from spoolcourse.control.machines.surplus import Surplus
+from spoolcourse.policy.keys import Policy
+
+log = logging.getLogger(__name__)
+
+ISOLATED_LEAST = 3  # machines that must be known before their silence says anything of us
+FAULTY_JOBS = 2  # jobs whose tasks failed on a machine: then it is the machine
+
+
+class Returning:
+    """Judges each machine anew every time it is asked."""
+
+    def __init__(
+        self,
+        context: ControllerContext,
+        policy: Policy,
+        registry: WorkerRegistry,
+        view: FleetView,
+        surplus: Surplus,
+        reserve: ServiceReserve,
+        early_deletion: EarlyDeletion,
+        base: Callable[[], frozenset[str]],
+        is_rare: Callable[[str], bool],
+    ) -> None:
+        self._clock = context.clock
+        self._workers = context.params.workers
+        self._list_lag_s = context.params.cloud.list_lag_s
+        self._policy = policy
+        self._registry = registry
+        self._view = view
+        self._surplus = surplus
+        self._reserve = reserve
+        self._early_deletion = early_deletion
+        self._base = base
+        self._is_rare = is_rare
+        self._cancelled = Cancelled(
+            registry.job_queue,
+            context.params.workers,
+            context.params.skew_ms / 1000,
+            context.clock,
+            context.wall_clock,
+        )
+
+    def machines(self, leads: bool) -> list[str]:
+        """The names of the machines to be deleted now.
+
+        After a standstill, or cut off from the state service, this node may lead no more
+        (`leads`): what looks idle or silent here may be at work for another. What a withdrawn
+        job may hold goes all the same; nobody else may be there to see to it.
+        """
+        now = self._clock()
+        blind = self._isolated() or not leads
+        overdue = self._cancelled.overdue()
+        early = set() if blind else self._early_deletion.due()
+        reserved = self._reserve.machines()
+        base = self._base()
+        spare_cpus = -self._surplus.short_cpus(now)
+        self._surplus.mark(now, base, reserved)
+        names = []
+        for machine in self._registry.machines.values():
+            reason = self._reason(machine, now, blind, overdue)
+            if reason is None and machine.id in early:
+                reason = "it is silent, and replicas wait for a proof that they are gone"
+            kept = machine.id in reserved or machine.id in base
+            if reason is None and leads and not kept and self._is_idle(machine, now):
+                cpus = self._view.cpus(machine)
+                if machine.surplus or cpus <= spare_cpus:
+                    reason = "it is idle"
+                    spare_cpus -= cpus
+            if reason is None:
+                continue
+            if not machine.deleting:
+                log.info("%s: returned: %s", machine.id, reason)
+            names.append(machine.id)
+        return names
+
+    def _isolated(self) -> bool:
+        """Most machines silent at once: more likely we are cut off than they are dead."""
+        known = [m for m in self._registry.machines.values() if m.heard_at is not None]
+        quiet = sum(1 for machine in known if self._is_out_of_touch(machine))
+        return len(known) >= ISOLATED_LEAST and quiet * 2 > len(known)
+
+    def _is_out_of_touch(self, machine: Machine) -> bool:
+        return (
+            not machine.confirmed
+            or machine.unresponsive_since is not None
+            or self._registry.is_quiet(machine)
+        )
+
+    def _reason(
+        self, machine: Machine, now: float, blind: bool, overdue: dict[str, float]
+    ) -> str | None:
+        if machine.deleting:
+            return "asked for before"
+        if machine.listed_stage == "failed":
+            return "it failed"
+        if self._cancelled.holds(machine, overdue):
+            return "a cancelled job may be on it, and it can't be told"
+        if self._is_booting(machine):
+            late = not blind and self._is_overdue(machine, now)
+            return "it does not come up" if late else None
+        if not blind:
+            reason = self._silence(machine, now)
+            if reason is not None:
+                return reason
+        if len(machine.errors) >= FAULTY_JOBS and not machine.attempts:
+            return "tasks of several jobs fail on it"
+        return None
+
+    @staticmethod
+    def _is_booting(machine: Machine) -> bool:
+        return (
+            machine.heard_at is None
+            and machine.up_at is not None
+            and machine.listed_stage != "running"
+            and not machine.attempts
+        )
+
+    def _is_overdue(self, machine: Machine, now: float) -> bool:
+        if machine.up_at is None:
+            return False
+        boot_s = self._view.boot_s(machine)
+        boots_for_s = now - (machine.up_at - boot_s)
+        # A leader that was just elected has heard nobody yet, and its list may be old.
+        # Measured: 100 to 150 idle machines returned a second after each change.
+        known_for_s = now - machine.since
+        return (
+            boots_for_s > self._policy.boot_patience * boot_s
+            and known_for_s > self._workers.quiet_s + 2 * self._list_lag_s
+        )
+
+    def _silence(self, machine: Machine, now: float) -> str | None:
+        patience_s = self._policy.silent_leases * self._workers.lease_s
+        last_sign = machine.heard_at
+        if last_sign is None:
+            last_sign = machine.running_at or machine.since
+        if now - last_sign > patience_s:
+            return "it is silent"
+        unresponsive_since = machine.unresponsive_since
+        if unresponsive_since is not None and now - unresponsive_since > patience_s:
+            return "it takes no answers"
+        if now - machine.token_seen_at > patience_s:
+            # What it holds would stay open for ever.
+            return "our fencing token does not reach it"
+        return None
+
+    def _is_idle(self, machine: Machine, now: float) -> bool:
+        if not machine.confirmed or machine.idle_since is None:
+            return False
+        if machine.attempts or machine.unexpected_tasks:
+            return False
+        return now - machine.idle_since > self._idle_limit_s(machine)
+
+    def _idle_limit_s(self, machine: Machine) -> float:
+        if self._is_rare(machine.machine_type or ""):
+            return self._policy.rare_s
+        if machine.surplus:
+            return self._policy.surplus_idle_s
+        boots_s = self._policy.idle_boots * self._view.boot_s(machine)
+        return max(self._policy.idle_min_s, boots_s)
--- a/spoolcourse/control/machines/service_reserve.py
+++ b/spoolcourse/control/machines/service_reserve.py
@@ -8,13 +8,12 @@
 from __future__ import annotations
 
 from collections import defaultdict
-from collections.abc import Callable
 from dataclasses import dataclass, field
 
 from spoolcourse.control.fleet.machine import Machine
 from spoolcourse.control.fleet.worker_registry import WorkerRegistry
+from spoolcourse.control.machines.fleet_view import FleetView
 from spoolcourse.policy.keys import Policy
-from spoolcourse.wire.messages import MachineType
 
 
 @dataclass(slots=True)
@@ -33,11 +32,11 @@
         self,
         registry: WorkerRegistry,
         policy: Policy,
-        machine_types: Callable[[], dict[str, MachineType]],
+        view: FleetView,
     ) -> None:
         self._registry = registry
         self._policy = policy
-        self._machine_types = machine_types
+        self._view = view
 
     def machines(self) -> set[str]:
         """The names of machines that take what the replicas hold, and the policy's spares."""
@@ -49,7 +48,7 @@
                 if wanted <= 0:
                     break
                 chosen.add(machine.id)
-                wanted -= self._cpus(machine)
+                wanted -= self._view.cpus(machine)
         return chosen
 
     def _zones(self) -> dict[str, _Zone]:
@@ -62,13 +61,9 @@
             zone.machines.append((held_cpus, machine))
             if held_cpus > 0:
                 zone.held_cpus += held_cpus
-                zone.largest_cpus = max(zone.largest_cpus, self._cpus(machine))
+                zone.largest_cpus = max(zone.largest_cpus, self._view.cpus(machine))
         return zones
 
-    def _cpus(self, machine: Machine) -> float:
-        machine_type = self._machine_types().get(machine.machine_type or "")
-        return machine_type.cpus if machine_type else 0.0
-
 
 def _held_by_replicas(machine: Machine) -> float:
     """CPUs that replicas hold there which may run on ordinary machines only."""
--- /dev/null
+++ b/spoolcourse/control/machines/surplus.py
@@ -0,0 +1,64 @@
+"""How much capacity there is beside what was wanted of late, and which machines are too many."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from spoolcourse.control.fleet.machine import Machine
+from spoolcourse.control.fleet.worker_registry import WorkerRegistry
+from spoolcourse.control.machines.demand import Demand
+from spoolcourse.control.machines.fleet_view import FleetView
+from spoolcourse.policy.keys import KEYS, Policy
+
+
+class Surplus:
+    """Compares the fleet with the peaks of demand."""
+
+    def __init__(
+        self,
+        policy: Policy,
+        registry: WorkerRegistry,
+        view: FleetView,
+        is_rare: Callable[[str], bool],
+    ) -> None:
+        self._policy = policy
+        self._registry = registry
+        self._view = view
+        self._is_rare = is_rare
+        self.demand = Demand(KEYS["keep_s"].high)
+
+    def short_cpus(self, now: float) -> float:
+        """CPUs missing for what may be wanted next; negative: CPUs to spare."""
+        wanted = self._policy.headroom * self.demand.peak(now, self._policy.keep_s)
+        return wanted - self._capacity()
+
+    def mark(self, now: float, base: frozenset[str], reserved: set[str]) -> None:
+        """Ordinary machines cost a multiple of spot ones: those above what was wanted of
+        late are marked, the emptiest first, to run empty and go. Types that some jobs
+        depend on stay, and so do those reserved for services."""
+        peak = self.demand.peak(now, self._policy.ordinary_keep_s)
+        spare = self._capacity() - self._policy.ordinary_headroom * peak
+        ordinary = [
+            machine
+            for machine in self._registry.machines.values()
+            if machine.spot is False and machine.placeable and machine.id not in base
+        ]
+        # Those already marked stay marked if possible: they have run emptier since.
+        for machine in sorted(ordinary, key=lambda m: (not m.surplus, len(m.attempts))):
+            cpus = self._view.cpus(machine)
+            needed = machine.id in reserved or self._is_rare(machine.machine_type or "")
+            machine.surplus = cpus <= spare and not needed
+            if machine.surplus:
+                spare -= cpus
+
+    def _capacity(self) -> float:
+        sizes = {name: kind.cpus for name, kind in self._view.machine_types().items()}
+        return sum(
+            sizes.get(machine.machine_type or "", 0.0)
+            for machine in self._registry.machines.values()
+            if machine.placeable or _is_coming(machine)
+        )
+
+
+def _is_coming(machine: Machine) -> bool:
+    return machine.heard_at is None and not machine.deleting and machine.listed_stage != "failed"
--- a/spoolcourse/control/service.py
+++ b/spoolcourse/control/service.py
@@ -10,9 +10,10 @@
 from typing import Any
 
 from spoolcourse.control import view
+from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.fleet.relay import Relay, redirect
 from spoolcourse.control.jobs.job_index import JobIndex
-from spoolcourse.control.leader_term import LeaderTerm
+from spoolcourse.control.leader.leader_term import LeaderTerm
 from spoolcourse.control.leadership import feature_level
 from spoolcourse.control.leadership.cancellation_query import PATH as CANCELLATIONS
 from spoolcourse.control.leadership.cancellation_query import answer_query
@@ -46,8 +47,6 @@
         self._settings = settings
         self.label = settings.label
         self._net = net
-        self._policy = policy or check_policy({}, "defaults")
-        self._wall_clock = wall_clock
         self._clock = asyncio.get_running_loop().time
         nodes = len(settings.seeds) + 1
         self.client = StoreClient(net, settings.outside.state, params.state, nodes)
@@ -59,21 +58,24 @@
         self.leadership.on_elected = self._elected
         self.leadership.on_deposed = self._deposed
         self.machine_types: dict[str, MachineType] = {}
-        self.user_api = UserApi(
-            self.job_index,
-            self.watch_cache,
-            self.client,
+        self.load = Load()
+        self._context = ControllerContext(
             net,
+            self.client,
+            self.watch_cache,
+            self.job_index,
+            self.cloud,
             settings.seeds,
             params,
+            policy or check_policy({}, "defaults"),
             lambda: self.machine_types,
+            self._clock,
             wall_clock,
-            lambda: self.leadership.leader_label,
-            lambda: feature_level.all_new(self.watch_cache),
+            self.load,
         )
+        self.user_api = UserApi(self._context, lambda: self.leadership.leader_label)
         self.relay = Relay(net, settings.label, settings.seeds, params.workers.report_s)
         self.leader_term: LeaderTerm | None = None
-        self.load = Load()
         self.watch_cache.listen(self._on_change)
         self._tasks: list[asyncio.Task[None]] = []
         self.ready = False
@@ -115,21 +117,7 @@
 
     def _elected(self, term: Term) -> None:
         self.watch_cache.watch_gap_s = WATCH_GAP_LEADING_S
-        self.leader_term = LeaderTerm(
-            term,
-            self.leadership,
-            self.client,
-            self.watch_cache,
-            self.job_index,
-            self._net,
-            self.cloud,
-            self._settings.seeds,
-            self._settings.settings,
-            self._policy,
-            lambda: self.machine_types,
-            self._wall_clock,
-            self.load,
-        )
+        self.leader_term = LeaderTerm(term, self.leadership, self._context)
         self.leader_term.start()
 
     def _deposed(self) -> None:
--- a/spoolcourse/control/user_api/api.py
+++ b/spoolcourse/control/user_api/api.py
@@ -15,11 +15,12 @@
 
 import msgspec
 
-from spoolcourse.control.jobs.job_index import JobIndex, TooLong
-from spoolcourse.control.net import Net, NetError, Reply, Request, later
-from spoolcourse.control.store.client import Refused, StoreClient, Unclear
+from spoolcourse.control.context import ControllerContext
+from spoolcourse.control.jobs.job_index import TooLong
+from spoolcourse.control.leadership.feature_level import all_new
+from spoolcourse.control.net import NetError, Reply, Request, later
+from spoolcourse.control.store.client import Refused, Unclear
 from spoolcourse.control.store.records import FinalState
-from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.control.user_api.checks import refusal, usable_machine_types
 from spoolcourse.wire.messages import (
     JOB_ID,
@@ -33,7 +34,6 @@
     parse,
     parse_submission,
 )
-from spoolcourse.wire.settings import Params, Seed
 
 log = logging.getLogger(__name__)
 
@@ -54,29 +54,16 @@
 
 
 class UserApi:
-    def __init__(
-        self,
-        job_index: JobIndex,
-        watch_cache: WatchCache,
-        client: StoreClient,
-        net: Net,
-        seeds: list[Seed],
-        params: Params,
-        machine_types: Callable[[], dict[str, MachineType]],
-        wall_clock: Callable[[], float],
-        leader_label: Callable[[], str | None],
-        all_new: Callable[[], bool],
-    ) -> None:
-        self._job_index = job_index
-        self._watch_cache = watch_cache
-        self._client = client
-        self._net = net
-        self._seeds = seeds
-        self._params = params
-        self._machine_types = machine_types
-        self._wall_clock = wall_clock
+    def __init__(self, context: ControllerContext, leader_label: Callable[[], str | None]) -> None:
+        self._job_index = context.job_index
+        self._watch_cache = context.watch_cache
+        self._client = context.client
+        self._net = context.net
+        self._peers = context.peers
+        self._params = context.params
+        self._machine_types = context.machine_types
+        self._wall_clock = context.wall_clock
         self._leader_label = leader_label
-        self._all_new = all_new
 
     async def handle(self, request: Request, hop: bool = False) -> Reply:
         """`hop`: the request comes from a peer and goes no further."""
@@ -109,7 +96,7 @@
         leader_label = self._leader_label()
         clock = asyncio.get_running_loop().time
         until = clock() + (ASK_PEERS_POLL_S if request.method == "GET" else ASK_PEERS_S)
-        for seed in sorted(self._seeds, key=lambda s: s.label != leader_label):
+        for seed in sorted(self._peers, key=lambda s: s.label != leader_label):
             left = until - clock()
             if left <= 0:
                 break
@@ -166,11 +153,11 @@
         why = refusal(sub, machine_types, self._params)
         if why is not None:
             return await self._refuse(sub.id, Reply(422, {"error": why}))
-        if sub.is_service and not self._all_new():
+        if sub.is_service and not all_new(self._watch_cache):
             # What this node learns by a sync no peer knows better. Asking them all the same kept
             # users waiting for a second or more where one of them was cut off.
             await self._sync()
-            if not self._all_new():
+            if not all_new(self._watch_cache):
                 return later("not all controllers know services yet")
         try:
             accepted = await self._job_index.accept(
--- a/spoolcourse/control/view.py
+++ b/spoolcourse/control/view.py
@@ -7,16 +7,29 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from spoolcourse.control.leader_term import LeaderTerm
+    from spoolcourse.control.leader.leader_term import LeaderTerm
+    from spoolcourse.control.leader.scheduling_loop import WaitingJob
     from spoolcourse.control.service import Controller
 
 JOBS_SHOWN = 200
 
 
+def _waiting_row(job: WaitingJob) -> dict[str, Any]:
+    """The field names are those that operators' tools know."""
+    return {
+        "id": job.id,
+        "lane": job.job_class,
+        "crew": job.team,
+        "pieces": job.tasks,
+        "waitsS": job.waits_s,
+        "why": job.reason,
+    }
+
+
 def _leader(leader_term: LeaderTerm) -> dict[str, Any]:
     machines = leader_term.registry.machines.values()
     attempts = [a for w in leader_term.job_queue.jobs.values() for a in w.attempts.values()]
-    waiting = leader_term.waiting()
+    waiting = leader_term.scheduling.waiting()
     services = [
         w
         for w in leader_term.job_queue.jobs.values()
@@ -24,9 +37,9 @@
     ]
     return {
         "jobs": len(leader_term.job_queue.jobs),
-        "waiting": waiting[:JOBS_SHOWN],
+        "waiting": [_waiting_row(job) for job in waiting[:JOBS_SHOWN]],
         "waitingJobs": len(waiting),
-        "waitingPieces": sum(entry["pieces"] for entry in waiting),
+        "waitingPieces": sum(job.tasks for job in waiting),
         "services": len(services),
         "replicasMissing": sum(w.pending for w in services),
         "attempts": len(attempts),
@@ -36,8 +49,8 @@
         "fetchesBooked": sum(len(m.pulling) for m in machines),
         "machines": len(machines),
         "machinesConfirmed": sum(1 for m in machines if m.confirmed),
-        "passes": leader_term.passes,
-        "passCostS": leader_term.pass_cost_s,
+        "passes": leader_term.scheduling.passes,
+        "passCostS": leader_term.scheduling.pass_cost_s,
         "unsavedKeys": len(leader_term.job_queue.dirty),
     }
 
--- a/tests/test_snapshot_cache.py
+++ b/tests/test_snapshot_cache.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any
 
-from spoolcourse.control.leader_term import LeaderTerm
+from spoolcourse.control.leader.leader_term import LeaderTerm
 from spoolcourse.control.placement.backfill import place
 from spoolcourse.control.placement.preempt import choose_victims
 from spoolcourse.control.placement.snapshot_builder import SnapshotBuilder
@@ -53,9 +53,9 @@
 
         def compare(leader_term: LeaderTerm) -> None:
             nonlocal compared
-            now, builds = world.now(), leader_term._machine_types()
+            now, builds = world.now(), leader_term._context.machine_types()
             fresh = surveyor(leader_term.job_queue, leader_term.registry)
-            kept = seen(leader_term._snapshot_builder, now, builds)
+            kept = seen(leader_term.snapshot_builder, now, builds)
             assert kept == seen(fresh, now, builds)
             compared += sum(len(row[3]) for row in kept.values())
 
@@ -72,7 +72,7 @@
                 if (
                     leader is not None
                     and leader.leader_term is not None
-                    and leader.leader_term.passes
+                    and leader.leader_term.scheduling.passes
                 ):
                     compare(leader.leader_term)
             if number == 4:
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -203,7 +203,7 @@
         assert (reply.data["stage"], reply.data["done"]) == ("done", 4)
         leader = world.nodes[str(world.leader)]
         assert leader.leader_term is not None
-        assert leader.leader_term.autoscaler.base() == {"m-000000"}
+        assert leader.leader_term.base() == {"m-000000"}
         assert world.cloud.broken == []
 
     play(story())
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -521,7 +521,7 @@
         await world.up()
         await asyncio.sleep(5)
         leader_term = world.nodes[str(world.leader)].leader_term
-        assert leader_term is not None and leader_term.autoscaler.base() == frozenset(names)
+        assert leader_term is not None and leader_term.base() == frozenset(names)
 
     play(story())
 
@@ -540,7 +540,7 @@
         before = set(world.cloud.hosts)
         world.state.out = True
         await asyncio.sleep(300)  # idle for long, and above the peak of late
-        assert not leader_term.autoscaler._may_rent()
+        assert not leader_term.may_start()
         assert before and set(world.cloud.hosts) == before
         world.state.out = False
         await world.until(lambda: not world.cloud.hosts, 300)
@@ -561,7 +561,7 @@
         leader_term = world.nodes[leader].leader_term
         assert leader_term is not None
         world.cut_off(names[0])
-        await asyncio.sleep(leader_term._params.workers.quiet_s + 0.5)
+        await asyncio.sleep(leader_term._context.params.workers.quiet_s + 0.5)
         assert not leader_term.registry.machines[names[0]].lease_expired
         calls: list[str] = []
 
