--- a/run.py
+++ b/run.py
@@ -13,6 +13,7 @@
 
 
 def up_to_date() -> bool:
+    """Whether the compiled copy is newer than every source."""
     try:
         built = (APP / "built").stat().st_mtime
         return all(p.stat().st_mtime <= built for p in (ROOT / "spoolcourse").rglob("*.py"))
--- a/spoolcourse/cli.py
+++ b/spoolcourse/cli.py
@@ -147,6 +147,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Run a command; the exit code."""
     args = _parser().parse_args(argv)
     try:
         return _run(args)
--- a/spoolcourse/control/__init__.py
+++ b/spoolcourse/control/__init__.py
@@ -0,0 +1,1 @@
+"""The control service: what runs on every controller."""
--- a/spoolcourse/control/fleet/__init__.py
+++ b/spoolcourse/control/fleet/__init__.py
@@ -0,0 +1,1 @@
+"""Workers: their reports, their commands, and what proves an end."""
--- a/spoolcourse/control/fleet/command_builder.py
+++ b/spoolcourse/control/fleet/command_builder.py
@@ -73,8 +73,11 @@
         return job_state.record.aborted
 
     def _stops_of_cancelled_starts(self, machine: Machine, report: Report) -> list[Command]:
-        """A start may be on its way to the machine's address and not reported yet. Whichever
-        arrives first: if it is the stop, a later report shows the attempt."""
+        """Stops of cancelled starts that no report shows yet.
+
+        A start may be on its way to the machine's address. Whichever arrives first: if it is the
+        stop, a later report shows the attempt.
+        """
         cancelled = [
             attempt
             for attempt in machine.attempts.values()
@@ -102,8 +105,10 @@
     # -- at the machine's address ---------------------------------------------------------
 
     def due(self, busy: Container[str]) -> list[Machine]:
-        """Machines that something can be sent to now. What may become due later stays on
-        the list; the fleet as a whole is never gone through."""
+        """Machines that something can be sent to now.
+
+        What may become due later stays on the list; the fleet as a whole is never gone through.
+        """
         now, may_start = self._clock(), self._leader.may_start()
         found = []
         for name in list(self._registry.pending_commands):
--- a/spoolcourse/control/fleet/command_dispatcher.py
+++ b/spoolcourse/control/fleet/command_dispatcher.py
@@ -14,7 +14,7 @@
 from spoolcourse.control.fleet.worker_registry import WorkerRegistry
 from spoolcourse.control.net import Net, NetError
 from spoolcourse.wire.commands import CommandRequest, Start, to_json_object
-from spoolcourse.wire.messages import Malformed, Report, parse
+from spoolcourse.wire.messages import MalformedError, Report, parse
 
 log = logging.getLogger(__name__)
 
@@ -25,6 +25,8 @@
 
 
 class CommandDispatcher:
+    """Sends what is due to machines' addresses, to each one request at a time."""
+
     def __init__(self, net: Net, registry: WorkerRegistry, sockets: int = 0) -> None:
         self._net = net
         self._registry = registry
@@ -33,6 +35,7 @@
         self._busy: dict[str, asyncio.Task[None]] = {}
 
     async def run(self) -> None:
+        """Run until cancelled."""
         try:
             while True:
                 await self.wake.wait()
@@ -47,9 +50,11 @@
                 task.cancel()
 
     def may_keep(self) -> bool:
-        """Whether connections to machines may stay open beside those that their reports
-        come on. With two for each machine a fleet would use up the controller's sockets, and
-        workers' and users' new connections would fail."""
+        """Whether connections to machines may stay open beside those of their reports.
+
+        With two for each machine a fleet would use up the controller's sockets, and workers' and
+        users' new connections would fail.
+        """
         if not self._sockets:
             return True
         return 2 * len(self._registry.machines) < self._sockets * (1 - SPARE)
@@ -72,7 +77,7 @@
                     keep=self.may_keep(),
                 )
                 report = parse(reply.data, Report)
-            except (NetError, Malformed) as exc:
+            except (NetError, MalformedError) as exc:
                 # Until it can be reached, the report responses have to do.
                 machine.unreachable_until = asyncio.get_running_loop().time() + PAUSE_S
                 log.debug("%s: %d orders without an answer: %s", machine.id, len(commands), exc)
--- a/spoolcourse/control/fleet/relay.py
+++ b/spoolcourse/control/fleet/relay.py
@@ -15,7 +15,7 @@
 
 from spoolcourse.control.net import Net, NetError, Reply
 from spoolcourse.wire.commands import Redirect, ReportReply, to_json_object
-from spoolcourse.wire.messages import Malformed, parse
+from spoolcourse.wire.messages import MalformedError, parse
 from spoolcourse.wire.settings import Seed
 
 log = logging.getLogger(__name__)
@@ -31,6 +31,8 @@
 
 
 class Relay:
+    """Passes reports on, and decides when a worker is sent to the leader."""
+
     def __init__(self, net: Net, label: str, seeds: list[Seed], report_s: float) -> None:
         self._net = net
         self._label = label
@@ -42,8 +44,11 @@
     async def handle(
         self, worker: str, raw: bytes, leader_label: str | None, informed: bool
     ) -> Reply:
-        """`informed`: the leader's name is no older than a lease or two. A node that was
-        cut off must not send workers to one that was replaced long ago."""
+        """Answer a worker's report, by the leader's answer if there is one.
+
+        `informed`: the leader's name is no older than a lease or two. A node that was cut off must
+        not send workers to one that was replaced long ago.
+        """
         named = redirect(leader_label if informed else None)
         if leader_label is None or leader_label == self._label or leader_label not in self._peers:
             return redirect(None)
@@ -66,7 +71,7 @@
             return named
         try:
             answer = parse(reply.data, ReportReply) if reply.status == 200 else None
-        except Malformed as exc:
+        except MalformedError as exc:
             log.debug("%s: the leader's answer can't be read: %s", worker, exc)
             answer = None
         if answer is None:
--- a/spoolcourse/control/fleet/report_reconciler.py
+++ b/spoolcourse/control/fleet/report_reconciler.py
@@ -35,8 +35,24 @@
         self._leader = leader
 
     def reconcile(self, machine: Machine, report: Report, now: float) -> None:
-        """A report under our fencing token is proof of what is on the machine, and what is not."""
-        revision = (report.session, report.sequence)
+        """Bring what is known of a machine in line with its report."""
+        present = self._take_tasks(machine, report, now)
+        if any(
+            _awaits_effect(attempt) and key not in present
+            for key, attempt in machine.attempts.items()
+        ):
+            self._registry.note_ineffective_answer(machine)
+        for key, attempt in list(machine.attempts.items()):
+            if key not in present:
+                self._take_absence(machine, attempt, report)
+        self._note_fetches(machine, now)
+        if machine.attempts:
+            machine.idle_since = None
+        elif machine.idle_since is None:
+            machine.idle_since = now
+
+    def _take_tasks(self, machine: Machine, report: Report, now: float) -> set[tuple[str, int]]:
+        """What the report lists; the tasks whose attempts are there."""
         present: set[tuple[str, int]] = set()
         unexpected_tasks = set(machine.unexpected_tasks)
         machine.unexpected_tasks.clear()
@@ -50,43 +66,41 @@
                 present.add((job, task))
         if unexpected_tasks != machine.unexpected_tasks:
             machine.changes += 1
-        if any(
-            a.stage == "assigned" and a.start_sent_with is not None and key not in present
-            for key, a in machine.attempts.items()
-        ):
-            self._registry.note_ineffective_answer(machine)
-        for key, attempt in list(machine.attempts.items()):
-            if key in present:
-                continue
-            if (
-                attempt.in_flight_session is not None
-                and attempt.in_flight_session != report.session
-            ):
-                attempt.in_flight_session = None  # another session: it would be refused
-            if attempt.stage == "assigned" and (
-                attempt.start_sent_with is None or attempt.start_sent_with < revision
-            ):
-                attempt.start_sent_with = None  # that start never arrived and can't any more
-                unwanted = attempt.job_state.record.aborted or attempt.stopping
-                unwanted = unwanted or machine.unresponsive_since is not None
-                if unwanted and attempt.in_flight_session is None:
-                    self._registry.drop(attempt)
-            elif attempt.stage != "assigned":
-                log.info("%s/%d: no longer on %s", *key, machine.id)
-                self._registry.drop(attempt)
+        return present
+
+    def _take_absence(self, machine: Machine, attempt: Attempt, report: Report) -> None:
+        """An attempt that the report does not list."""
+        if attempt.in_flight_session != report.session:
+            attempt.in_flight_session = None  # of another session: it would be refused
+        if attempt.stage != "assigned":
+            log.info("%s: no longer on %s", attempt.name, machine.id)
+            self._registry.drop(attempt)
+            return
+        sent_with = attempt.start_sent_with
+        if sent_with is not None and sent_with >= (report.session, report.sequence):
+            return
+        attempt.start_sent_with = None  # that start never arrived and can't any more
+        unwanted = (
+            attempt.job_state.record.aborted
+            or attempt.stopping
+            or machine.unresponsive_since is not None
+        )
+        if unwanted and attempt.in_flight_session is None:
+            self._registry.drop(attempt)
+
+    @staticmethod
+    def _note_fetches(machine: Machine, now: float) -> None:
+        """Since when images are being fetched there."""
+        fetched = {
+            attempt.job_state.record.sub.image
+            for attempt in machine.attempts.values()
+            if attempt.stage == "pulling"
+        }
         machine.pulling = {
             image: machine.pulling.get(image, now)
-            for image in {
-                a.job_state.record.sub.image
-                for a in machine.attempts.values()
-                if a.stage == "pulling"
-            }
+            for image in fetched
             if image not in machine.images
         }
-        if machine.attempts:
-            machine.idle_since = None
-        elif machine.idle_since is None:
-            machine.idle_since = now
 
     def _take_progress(
         self, machine: Machine, attempt: Attempt, item: TaskReport, now: float
@@ -151,8 +165,10 @@
     def _take_unexpected(
         self, machine: Machine, job: str, task: int, item: TaskReport, now: float
     ) -> bool:
-        """Something on the machine that is not the attempt we count there; true if it
-        was taken over as such."""
+        """Take in a task that is not the attempt counted there.
+
+        True if it was taken over as the attempt.
+        """
         job_state = self._job_queue.jobs.get(job)
         if job_state is not None and task < job_state.record.sub.task_count:
             if item.stage == "ended":
@@ -178,6 +194,11 @@
         return False
 
 
+def _awaits_effect(attempt: Attempt) -> bool:
+    """An answer carried its start, so the next report should show it."""
+    return attempt.stage == "assigned" and attempt.start_sent_with is not None
+
+
 def _count_failure(job_state: JobState, backoff: Backoff, now: float) -> None:
     job_state.failures += 1
     pause_s = backoff.pause_s(job_state.failures)
--- a/spoolcourse/control/fleet/worker_registry.py
+++ b/spoolcourse/control/fleet/worker_registry.py
@@ -74,6 +74,7 @@
         self.quiet_s = workers.quiet_s
 
     def machine(self, name: str) -> Machine:
+        """The machine of this name; made known if it was not."""
         machine = self.machines.get(name)
         if machine is None:
             machine = self.machines[name] = Machine(
@@ -82,15 +83,17 @@
         return machine
 
     def is_quiet(self, machine: Machine) -> bool:
-        """It has missed its reports for certain. Its answers to calls don't count: a machine
-        that reaches no controller loses with its lease whatever calls start there. That proves
-        nothing about what it holds, but nothing new is put there, nor is it called: with a zone
-        cut off, hundreds of calls that hang would keep those to the rest waiting, and work would
-        be bound until leases end.
+        """Whether a machine has missed its reports for certain.
+
+        Its answers to calls don't count: a machine that reaches no controller loses with its lease
+        whatever calls start there. That proves nothing about what it holds, but nothing new is put
+        there, nor is it called: with a zone cut off, hundreds of calls that hang would keep those
+        to the rest waiting, and work would be bound until leases end.
         """
         return machine.heard_at is not None and self._clock() - machine.reported_at > self.quiet_s
 
     def link(self, attempt: Attempt) -> None:
+        """Note on its machine that an attempt may be there."""
         machine = self.machine(attempt.machine)
         machine.attempts[attempt.job_state.id, attempt.task] = attempt
         machine.changes += 1
@@ -98,11 +101,13 @@
         self.pending_commands.add(machine.id)
 
     def stop(self, attempt: Attempt) -> None:
+        """Have an attempt stopped; it counts until it is proven gone."""
         attempt.stopping = True
         self.machine(attempt.machine).changes += 1
         self.pending_commands.add(attempt.machine)
 
     def drop(self, attempt: Attempt) -> None:
+        """Forget an attempt that is proven gone."""
         machine = self.machines.get(attempt.machine)
         if machine is not None:
             key = (attempt.job_state.id, attempt.task)
@@ -123,8 +128,11 @@
                 self.drop(attempt)
 
     def expire(self) -> None:
-        """Silence alone proves nothing. A lease proves an end only for a worker that has
-        reported our fencing token in this session: nobody else's answer can have renewed it."""
+        """Drop what is proven gone by leases that have run out.
+
+        Silence alone proves nothing. A lease proves an end only for a worker that has reported our
+        fencing token in this session: nobody else's answer can have renewed it.
+        """
         now = self._clock()
         for machine in self.machines.values():
             if (
@@ -147,9 +155,11 @@
     # -- machines that don't get our answers ------------------------------------------
 
     def note_ineffective_answer(self, machine: Machine) -> None:
-        """An answer had no effect. After some of them the machine gets no more work, and
-        what it was to start goes elsewhere once that is proven not to have arrived: those
-        tasks would stay bound to it for ever, for its reports go on and it is never silent.
+        """Count an answer that had no effect.
+
+        After some of them the machine gets no more work, and what it was to start goes elsewhere
+        once that is proven not to have arrived: those tasks would stay bound to it for ever, for
+        its reports go on and it is never silent.
         """
         machine.ineffective_answers += 1
         machine.answers_doubted_at = self._clock()
@@ -199,6 +209,7 @@
             self.learn(machine, report)
 
     def learn(self, machine: Machine, report: Report) -> None:
+        """Take in a report that is newer than what is known."""
         now = self._clock()
         if report.session != machine.session or machine.lease_expired or machine.heard_at is None:
             if (
--- a/spoolcourse/control/jobs/__init__.py
+++ b/spoolcourse/control/jobs/__init__.py
@@ -0,0 +1,1 @@
+"""Jobs: index for users' questions, queue and progress for the leader."""
--- a/spoolcourse/control/jobs/cancellations.py
+++ b/spoolcourse/control/jobs/cancellations.py
@@ -1,8 +1,8 @@
-"""Cancellations that this node has confirmed or seen, for a leader that can't ask the state
-service.
+"""Cancellations that this node has confirmed or seen.
 
-Whatever a node tells its users has come by its mirror before: its own writes, and what it
-read. So to remember what the mirror showed is to remember what was confirmed.
+They are for a leader that can't ask the state service. Whatever a node tells its users has come by
+its watch cache before: its own writes, and what it read. So to remember what the cache showed is to
+remember what was confirmed.
 """
 
 from __future__ import annotations
@@ -15,18 +15,23 @@
 
 
 class Cancellation(msgspec.Struct, frozen=True):
+    """A cancellation, with the time and the revision of its record."""
+
     job: str
     at: float  # time of day
     revision: int = msgspec.field(name="stamp")
 
 
 class Cancellations:
+    """The most recent cancellations that this node knows of."""
+
     def __init__(self, most: int = MOST) -> None:
         self._most = most
         self._known: OrderedDict[str, Cancellation] = OrderedDict()
         self._floor = 0  # of what happened up to this revision some may be forgotten
 
     def note(self, found: Cancellation) -> None:
+        """Remember a cancellation."""
         if found.job in self._known:
             return
         self._known[found.job] = found
--- a/spoolcourse/control/jobs/job_index.py
+++ b/spoolcourse/control/jobs/job_index.py
@@ -9,7 +9,7 @@
 import orjson
 
 from spoolcourse.control.jobs.cancellations import Cancellation, Cancellations
-from spoolcourse.control.store.client import StoreClient, Unclear
+from spoolcourse.control.store.client import StoreClient, UnclearError
 from spoolcourse.control.store.keys import (
     FINAL,
     JOB,
@@ -27,7 +27,7 @@
 WITHDRAWN_BYTES = 64  # what a cancellation adds to a record
 
 
-class TooLong(Exception):
+class RecordTooLargeError(Exception):
     """The job's record fits into no value of the state service."""
 
 
@@ -66,6 +66,7 @@
             self.remember_final(key[len(FINAL) :], FinalState.from_value(value))
 
     def remember_final(self, job: str, final: FinalState) -> None:
+        """Remember how a job ended; the oldest are forgotten here."""
         self._finals[job] = final
         self._finals.move_to_end(job)
         while len(self._finals) > FINALS_KEPT:
@@ -110,13 +111,15 @@
         return JobStatus(job, final.stage, final.done)
 
     async def accept(self, sub: Submission, at: float) -> bool:
-        """Write a new job. False: the id is known already. Raises if it is not known
-        whether the write was carried out."""
+        """Write a new job; False if the id is known already.
+
+        Raises if it is not known whether the write was carried out.
+        """
         record = JobRecord(sub, at, chunk_tasks(self._client.limits.value_kb), None, 0)
         key = job_key(sub.id)
         value = record.value()
         if len(orjson.dumps(value)) > self._client.limits.value_kb * 1024 - WITHDRAWN_BYTES:
-            raise TooLong("the job is too long to be stored")
+            raise RecordTooLargeError("the job is too long to be stored")
         return await self._write(key, value, {key: 0, final_key(sub.id): 0})
 
     def learn_cancelled(self, found: Cancellation) -> None:
@@ -142,7 +145,7 @@
         """Write a record; where the answer is unclear, read back whether it is there."""
         try:
             outcome = await self._client.txn(conditions, [Put(key, value)])
-        except Unclear:
+        except UnclearError:
             entry = await self._client.get(key)
             if entry is None or entry.value != value:
                 raise
--- a/spoolcourse/control/jobs/job_queue.py
+++ b/spoolcourse/control/jobs/job_queue.py
@@ -33,6 +33,7 @@
 
     @property
     def name(self) -> str:
+        """The task's name in reports and commands."""
         return task_name(self.job_state.id, self.task)
 
     @property
@@ -46,6 +47,7 @@
 
     @property
     def saved(self) -> bool:
+        """Whether the record of the attempt is durable."""
         return self.job_state.chunk(self.task).saved >= self.version
 
 
@@ -82,14 +84,17 @@
 
     @property
     def id(self) -> str:
+        """The job's id."""
         return self.record.sub.id
 
     @property
     def order(self) -> tuple[float, str]:
+        """What jobs are ordered by: their arrival."""
         return (self.record.at, self.id)
 
     @property
     def pending(self) -> int:
+        """How many tasks are neither done nor held by an attempt."""
         return self.record.sub.task_count - self.done - len(self.attempts)
 
     @property
@@ -126,6 +131,7 @@
         return self.done == self.record.sub.task_count
 
     def chunk(self, task: int) -> Chunk:
+        """The chunk that a task belongs to."""
         index = task // self.record.chunk
         chunk = self.chunks.get(index)
         if chunk is None:
@@ -133,6 +139,7 @@
         return chunk
 
     def is_done(self, task: int) -> bool:
+        """Whether the task has a result."""
         chunk = self.chunks.get(task // self.record.chunk)
         return chunk is not None and bool(chunk.progress.done >> (task % self.record.chunk) & 1)
 
@@ -179,9 +186,11 @@
         self._attempts_of_finished_jobs: dict[tuple[str, int], Attempt] = {}
 
     def attempts_of_finished_jobs(self) -> list[Attempt]:
+        """Attempts that outlive their finished job and are not proven gone yet."""
         return list(self._attempts_of_finished_jobs.values())
 
     def touch(self, job_state: JobState, chunk: Chunk) -> int:
+        """Note that a chunk has changed and must be saved; its new version."""
         chunk.version += 1
         self.dirty[job_state.id, chunk.index] = chunk
         self.on_dirty()
@@ -195,6 +204,7 @@
     def assign(
         self, job_state: JobState, task: int, machine: str, number: int, now: float
     ) -> Attempt:
+        """Make a new attempt at a free task on a machine."""
         if task in job_state.attempts or job_state.is_done(task) or job_state.record.aborted:
             raise ValueError(f"{job_state.id}/{task} is not free to start")
         chunk = job_state.chunk(task)
@@ -236,8 +246,11 @@
         self.check(job_state)
 
     def complete(self, job_state: JobState, task: int) -> None:
-        """The task's result exists. Its attempt, if it is the one that ended, is dropped
-        by the caller. A replica of a service has none, however it ended."""
+        """Note that a task has a result.
+
+        Its attempt, if it is the one that ended, is dropped by the caller. A replica of a service
+        has no result, however it ended.
+        """
         if job_state.record.sub.is_service or job_state.is_done(task):
             return
         chunk = job_state.chunk(task)
@@ -248,11 +261,13 @@
         self.check(job_state)
 
     def check(self, job_state: JobState) -> None:
+        """Have the final state written if nothing else is left to do."""
         if job_state.finished and not job_state.final:
             self.finished[job_state.id] = job_state
             self.on_dirty()
 
     def add(self, record: JobRecord, now: float) -> JobState:
+        """Take up a newly accepted job."""
         job_state = self._begin(record, now)
         self.check(job_state)
         return job_state
@@ -266,6 +281,7 @@
         return job_state
 
     def remove(self, job_state: JobState) -> None:
+        """Forget a job whose final state is durable."""
         job_state.final = True
         for attempt in job_state.attempts.values():
             self._attempts_of_finished_jobs[job_state.id, attempt.task] = attempt
--- a/spoolcourse/control/jobs/writer.py
+++ b/spoolcourse/control/jobs/writer.py
@@ -17,7 +17,7 @@
 
 from spoolcourse.control.jobs.job_queue import Chunk, JobQueue, JobState
 from spoolcourse.control.leadership.election import Term
-from spoolcourse.control.store.client import Refused, StoreClient, Unclear
+from spoolcourse.control.store.client import RefusedError, StoreClient, UnclearError
 from spoolcourse.control.store.keys import TERM, final_key, job_key, progress_key
 from spoolcourse.control.store.records import FinalState
 from spoolcourse.control.store.watch_cache import WatchCache
@@ -31,6 +31,8 @@
 
 
 class Writer:
+    """Writes dirty chunks and final states, within the budget for writes."""
+
     def __init__(
         self,
         client: StoreClient,
@@ -50,6 +52,7 @@
         job_queue.on_dirty = self._wake.set
 
     async def run(self) -> None:
+        """Run until cancelled."""
         delay = 0.1
         while True:
             await self._wake.wait()
@@ -61,7 +64,7 @@
                     if not self._job_queue.starting and not self._job_queue.finished:
                         await self._save_results()
                     delay = 0.1
-            except (Refused, Unclear) as exc:
+            except (RefusedError, UnclearError) as exc:
                 log.debug("write: %s", exc)
                 self._wake.set()
                 await asyncio.sleep(delay * random.uniform(0.5, 1.0))
@@ -74,8 +77,10 @@
         await self._save(sorted(keys, key=lambda key: RANKS.index(jobs[key[0]].record.sub.rank)))
 
     async def _save_results(self) -> None:
-        """Results and ends, which nobody waits for: the workers keep them meanwhile. They
-        take what is to spare, or starts would queue for the budget behind them."""
+        """Save results and ends, which nobody waits for: the workers keep them meanwhile.
+
+        They take what is to spare, or starts would queue for the budget behind them.
+        """
         while self._job_queue.dirty and not self._client.writes_to_spare():
             if self._job_queue.starting or self._job_queue.finished:
                 return
@@ -193,7 +198,7 @@
     async def _commit(self, conditions: dict[str, int], ops: list[Put | Delete]) -> Outcome:
         try:
             return await self._client.txn(conditions, ops)
-        except Unclear:
+        except UnclearError:
             # It may have been carried out, or may still be. Look; the same conditions
             # make sure that it and the next try can't both be carried out.
             if not await self._watch_cache.sync():
@@ -204,10 +209,10 @@
     async def _after_conflict(self, outcome: Outcome) -> None:
         if TERM in outcome.failed:
             self._depose("a write was refused: the term has passed")
-            raise Refused("deposed")
+            raise RefusedError("deposed")
         log.debug("write conflict: %s", outcome.failed)
         if not await self._watch_cache.sync():
-            raise Refused("no sync after a conflict")
+            raise RefusedError("no sync after a conflict")
         self._adopt()
 
     def _adopt(self) -> None:
--- a/spoolcourse/control/leader/__init__.py
+++ b/spoolcourse/control/leader/__init__.py
@@ -0,0 +1,1 @@
+"""The parts of a leader, for one term."""
--- a/spoolcourse/control/leader/base_machines.py
+++ b/spoolcourse/control/leader/base_machines.py
@@ -12,7 +12,7 @@
 
 from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.leadership.election import Term
-from spoolcourse.control.store.client import Refused, Unclear
+from spoolcourse.control.store.client import RefusedError, UnclearError
 from spoolcourse.control.store.keys import BASE, TERM
 from spoolcourse.control.store.records import base_machines, base_value
 from spoolcourse.wire.messages import Host
@@ -45,7 +45,7 @@
         conditions = {BASE: 0, TERM: self._term.revision}
         try:
             outcome = await self._client.txn(conditions, [Put(BASE, value)])
-        except (Refused, Unclear) as exc:
+        except (RefusedError, UnclearError) as exc:
             log.info("the fleet found at the start is not noted yet: %s", exc)
             return
         if outcome.ok:
--- a/spoolcourse/control/leader/leader_term.py
+++ b/spoolcourse/control/leader/leader_term.py
@@ -24,7 +24,7 @@
 from spoolcourse.control.machines.autoscaler import FleetAutoscaler
 from spoolcourse.control.net import Reply, later
 from spoolcourse.control.placement.snapshot_builder import SnapshotBuilder
-from spoolcourse.control.store.client import Refused, Unclear
+from spoolcourse.control.store.client import RefusedError, UnclearError
 from spoolcourse.control.store.keys import JOB
 from spoolcourse.control.store.records import JobRecord, chunk_tasks
 from spoolcourse.wire.messages import Host, Report
@@ -124,7 +124,7 @@
     async def _sweep(self, leftover_keys: list[str]) -> None:
         try:
             await self.writer.sweep(leftover_keys)
-        except (Refused, Unclear) as exc:
+        except (RefusedError, UnclearError) as exc:
             log.info("progress of finished jobs is left for the next term: %s", exc)
 
     def _on_saved(self) -> None:
--- a/spoolcourse/control/leader/termination.py
+++ b/spoolcourse/control/leader/termination.py
@@ -62,9 +62,12 @@
         return needed_s > HOPELESS_SHARE * left_s
 
     def _must_move(self, replica: Attempt, left_s: float) -> bool:
-        """Its next place is ready sooner than its machine is proven gone, so it moves; but one
-        replica at a time, none while another is missing or while there is nowhere to go to, as
-        long as there is time."""
+        """Whether a replica has to leave its machine now.
+
+        Its next place is ready sooner than its machine is proven gone, so it moves; but one replica
+        at a time, none while another is missing or while there is nowhere to go to, as long as
+        there is time.
+        """
         if left_s < self._last_call_s:
             return True
         return replica.job_state.all_running and self._places.has_place_elsewhere(replica)
--- a/spoolcourse/control/leadership/__init__.py
+++ b/spoolcourse/control/leadership/__init__.py
@@ -0,0 +1,1 @@
+"""Election, term, and what a leader may not know."""
--- a/spoolcourse/control/leadership/cancellation_query.py
+++ b/spoolcourse/control/leadership/cancellation_query.py
@@ -1,6 +1,8 @@
-"""A leader that can't ask the state service asks the other controllers for the cancellations
-that they have confirmed or seen, so that work survives an outage in which nobody can confirm
-any, and a cancellation that somebody could confirm still ends its tasks in time."""
+"""A leader's question to its peers for cancellations that it can't know of.
+
+It is asked while the state service does not answer, so that work survives an outage in which nobody
+can confirm any, and a cancellation that somebody could confirm still ends its tasks in time.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +21,7 @@
 from spoolcourse.control.store.keys import TERM
 from spoolcourse.control.store.records import TermRecord
 from spoolcourse.control.store.watch_cache import WatchCache
-from spoolcourse.wire.messages import Malformed
+from spoolcourse.wire.messages import MalformedError
 
 PATH = "/cancellations"
 PERIOD_S = 1.0
@@ -38,7 +40,7 @@
     """The answer to a leader that knows everything up to the revision it names."""
     name, _, text = query.partition("=")
     if name != "beyond" or not text.isascii() or not text.isdigit():
-        raise Malformed("beyond: a revision is needed")
+        raise MalformedError("beyond: a revision is needed")
     term = watch_cache.get(TERM)
     told = CancellationReply(
         TermRecord.number_of(term.value if term is not None else None),
@@ -50,6 +52,8 @@
 
 
 class CancellationQuery:
+    """Asks the peers while the state service does not answer."""
+
     def __init__(
         self,
         context: ControllerContext,
@@ -67,12 +71,14 @@
         self._depose = depose
 
     async def run(self) -> None:
+        """Run until cancelled."""
         while True:
             await asyncio.sleep(PERIOD_S)
             if self._clock() - self._watch_cache.synced_at > LATE_S:
                 await self.ask()
 
     async def ask(self) -> None:
+        """Ask every peer once, and act on what they tell."""
         asked = self._clock()
         path = f"{PATH}?beyond={self._watch_cache.store_revision}"
         told = await ask_peers(self._net, self._peers, path, CancellationReply)
--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 from spoolcourse.control.leadership.renewal_deadline import DRIFT
-from spoolcourse.control.store.client import LeaseGone, Refused, StoreClient, Unclear
+from spoolcourse.control.store.client import LeaseGoneError, RefusedError, StoreClient, UnclearError
 from spoolcourse.control.store.keys import LEADER, TERM
 from spoolcourse.control.store.records import LeaderRecord, TermRecord
 from spoolcourse.control.store.watch_cache import WatchCache
@@ -94,6 +94,7 @@
                 self.depose("a newer term was elected")
 
     async def run(self) -> None:
+        """Stand for election, lead, and stand again, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             await self._watch_cache.loaded.wait()
@@ -113,7 +114,7 @@
                 continue
             try:
                 await self._stand()
-            except (Refused, Unclear, LeaseGone) as exc:
+            except (RefusedError, UnclearError, LeaseGoneError) as exc:
                 log.debug("election: %s", exc)
                 await asyncio.sleep(random.uniform(0.1, 0.4))
 
@@ -126,7 +127,7 @@
     async def _stand(self) -> None:
         loop = asyncio.get_running_loop()
         if not await self._watch_cache.sync():
-            raise Unclear("the state service did not answer")
+            raise UnclearError("the state service did not answer")
         leader, former = self._watch_cache.get(LEADER), self._watch_cache.get(TERM)
         if leader is not None and not self._is_former_self(leader.value):
             return
@@ -156,7 +157,7 @@
                 await self._watch_cache.sync()
                 return
             revision = outcome.store_revision
-        except Unclear:
+        except UnclearError:
             # Perhaps it was carried out: the term key tells, and says whose it is.
             found = await self._client.get(TERM)
             if found is None or found.value != tenure:
@@ -189,10 +190,10 @@
                             self.depose("the term has passed")
                             return
                     self._valid_until = sent + self._ttl_s * (1 - DRIFT)
-            except LeaseGone:
+            except LeaseGoneError:
                 self.depose("the lease is gone")
                 return
-            except (Refused, Unclear) as exc:
+            except (RefusedError, UnclearError) as exc:
                 log.debug("renewal: %s", exc)
                 pause = self._ttl_s / 12
             try:
--- a/spoolcourse/control/leadership/feature_level.py
+++ b/spoolcourse/control/leadership/feature_level.py
@@ -15,7 +15,7 @@
 from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.leadership.peers import ask_peers
-from spoolcourse.control.store.client import Refused, Unclear
+from spoolcourse.control.store.client import RefusedError, UnclearError
 from spoolcourse.control.store.keys import LEVEL, TERM
 from spoolcourse.control.store.records import level_of, level_value
 from spoolcourse.control.store.watch_cache import WatchCache
@@ -56,6 +56,7 @@
         self._term = term
 
     async def run(self) -> None:
+        """Ask until every controller is new, and note that."""
         while not all_new(self._watch_cache):
             replies = await ask_peers(self._net, self._peers, PATH, LevelReply)
             if all(reply is not None and reply.level >= SERVICES for reply in replies):
@@ -67,7 +68,7 @@
         conditions = {LEVEL: self._watch_cache.revision(LEVEL), TERM: self._term.revision}
         try:
             outcome = await self._client.txn(conditions, [Put(LEVEL, value)])
-        except (Refused, Unclear) as exc:
+        except (RefusedError, UnclearError) as exc:
             log.info("that all controllers are new is not noted yet: %s", exc)
             return
         if outcome.ok:
--- a/spoolcourse/control/leadership/peers.py
+++ b/spoolcourse/control/leadership/peers.py
@@ -7,7 +7,7 @@
 from typing import TypeVar
 
 from spoolcourse.control.net import Net, NetError
-from spoolcourse.wire.messages import Malformed, parse
+from spoolcourse.wire.messages import MalformedError, parse
 from spoolcourse.wire.settings import Seed
 
 log = logging.getLogger(__name__)
@@ -17,8 +17,10 @@
 
 
 async def ask_peers(net: Net, peers: list[Seed], path: str, kind: type[T]) -> list[T | None]:
-    """Their answers, all asked at once. None for one that does not answer in time, or whose
-    version does not know the question."""
+    """Ask all peers at once; their answers in the same order.
+
+    None for one that does not answer in time, or whose version does not know the question.
+    """
     return await asyncio.gather(*(_ask(net, peer, path, kind) for peer in peers))
 
 
@@ -26,6 +28,6 @@
     try:
         reply = await net.call(peer.endpoint, "GET", path, timeout=TIMEOUT_S)
         return parse(reply.data, kind) if reply.status == 200 else None
-    except (NetError, Malformed) as exc:
+    except (NetError, MalformedError) as exc:
         log.debug("%s does not answer %s: %s", peer.label, path, exc)
         return None
--- a/spoolcourse/control/leadership/renewal_deadline.py
+++ b/spoolcourse/control/leadership/renewal_deadline.py
@@ -20,6 +20,8 @@
 
 
 class RenewalDeadline:
+    """Up to when workers may be answered."""
+
     def __init__(self, workers: Workers) -> None:
         self.window_s = workers.cancel_s * (1 - DRIFT) - workers.lease_s * (1 + DRIFT) - MARGIN_S
         self.known_to = float("-inf")
@@ -29,14 +31,16 @@
         self.known_to = max(self.known_to, sent)
 
     def vouched(self, asked: float, informed: Iterable[bool]) -> bool:
-        """All other controllers were asked, the first of them at `asked`, and what they told
-        has been acted on. `informed` says of each whether it answered and has read the state
-        service since its process began.
-
-        Every confirmation was given by one of them, or by this node. Whoever gave one
-        remembers it; whoever began anew since knows from the state service what was confirmed
-        before. One that is silent, too old to know the question, or has read nothing since it
-        began may have confirmed what nobody here knows of.
+        """Take in what the peers have told; whether all of them could vouch.
+
+        All other controllers were asked, the first of them at `asked`, and what they told has been
+        acted on. `informed` says of each whether it answered and has read the state service since
+        its process began.
+
+        Every confirmation was given by one of them, or by this node. Whoever gave one remembers it;
+        whoever began anew since knows from the state service what was confirmed before. One that is
+        silent, too old to know the question, or has read nothing since it began may have confirmed
+        what nobody here knows of.
         """
         if not all(informed):
             return False
@@ -44,6 +48,8 @@
         return True
 
     def may_renew(self, now: float) -> bool:
-        """Whether a worker may be answered now: an unknown confirmed cancellation would still
-        be gone within `cancel_s`."""
+        """Whether a worker may be answered now.
+
+        An unknown confirmed cancellation would still be gone within `cancel_s`.
+        """
         return now <= self.known_to + self.window_s
--- a/spoolcourse/control/load.py
+++ b/spoolcourse/control/load.py
@@ -21,11 +21,15 @@
 
 @dataclass(slots=True)
 class Part:
+    """How often something was done in the period, and how long it took."""
+
     calls: int = 0
     seconds: float = 0.0
 
 
 class Load:
+    """Measures this process, period by period."""
+
     def __init__(self) -> None:
         self.parts: dict[str, Part] = {}
         self.lag_s = 0.0  # the longest of the last period
@@ -33,6 +37,7 @@
 
     @contextmanager
     def spent(self, name: str) -> Iterator[None]:
+        """Count the time that the body takes as spent on something."""
         began = time.perf_counter()  # costs no call into the kernel
         try:
             yield
@@ -44,6 +49,7 @@
             part.seconds += time.perf_counter() - began
 
     async def run(self) -> None:
+        """Sum up each period, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             began, used, longest = loop.time(), time.process_time(), 0.0
--- a/spoolcourse/control/machines/__init__.py
+++ b/spoolcourse/control/machines/__init__.py
@@ -0,0 +1,1 @@
+"""Machines: listing, renting, returning."""
--- a/spoolcourse/control/machines/autoscaler.py
+++ b/spoolcourse/control/machines/autoscaler.py
@@ -13,7 +13,7 @@
 from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.fleet.worker_registry import WorkerRegistry
 from spoolcourse.control.load import SUMMARY_S
-from spoolcourse.control.machines.cloud import CloudError, NoCapacity
+from spoolcourse.control.machines.cloud import CloudError, NoCapacityError
 from spoolcourse.control.machines.early_deletion import EarlyDeletion
 from spoolcourse.control.machines.fleet_summary import log_fleet
 from spoolcourse.control.machines.fleet_view import FleetView
@@ -111,7 +111,7 @@
             self._registry.machines[name].deleting = True
         try:
             await self._cloud.delete(names)
-        except (CloudError, NoCapacity) as exc:
+        except (CloudError, NoCapacityError) as exc:
             log.info("deletion: %s", exc)
             return
         for name in names:
--- a/spoolcourse/control/machines/cancelled.py
+++ b/spoolcourse/control/machines/cancelled.py
@@ -16,6 +16,8 @@
 
 
 class Cancelled:
+    """Finds machines that may hold cancelled work and can't be told."""
+
     def __init__(
         self,
         job_queue: JobQueue,
@@ -31,16 +33,21 @@
         self._wall_clock = wall_clock
 
     def _patience(self, age_when_learned: float) -> float:
-        """How long machines are given to be told. A leader that took over, or learned late,
-        has less left; but each is given its next report, or a fleet that is about to be told
-        would be deleted (and leases end what no leader that knows less may keep alive)."""
+        """How long machines are given to be told.
+
+        A leader that took over, or learned late, has less left; but each is given its next report,
+        or a fleet that is about to be told would be deleted (and leases end what no leader that
+        knows less may keep alive).
+        """
         next_report = 1.25 * self._workers.report_s + 0.5
         left = self._workers.cancel_s - LAST_CALL_S - age_when_learned
         return min(self._workers.quiet_s, max(left, next_report))
 
     def overdue(self) -> dict[str, float]:
-        """Cancelled jobs whose tasks should have ended by now, and the time that a machine
-        is given after this leader first heard of it."""
+        """Cancelled jobs whose tasks should have ended by now.
+
+        With each, the time that a machine is given after this leader first heard of it.
+        """
         now, wall_clock = self._clock(), self._wall_clock()
         found = {}
         for job_state in self._job_queue.jobs.values():
@@ -55,8 +62,11 @@
         return found
 
     def holds(self, machine: Machine, overdue: dict[str, float]) -> bool:
-        """A task of these jobs may be there. Whether the machine is silent or only our
-        answers don't reach it: it can't be told, so it goes itself."""
+        """Whether a task of these jobs may be there.
+
+        Whether the machine is silent or only our answers don't reach it: it can't be told, so it
+        goes itself.
+        """
         if not overdue:
             return False
         known = self._clock() - machine.since
--- a/spoolcourse/control/machines/cloud.py
+++ b/spoolcourse/control/machines/cloud.py
@@ -5,9 +5,9 @@
 import logging
 
 from spoolcourse.control.net import Net, NetError, Reply
-from spoolcourse.control.store.budget import Bucket, Busy
+from spoolcourse.control.store.budget import Bucket, BudgetSpentError
 from spoolcourse.wire.cloud import NO_CAPACITY, MachineKind, delete_body, hire_body, list_path
-from spoolcourse.wire.messages import Catalog, Hired, Host, HostPage, Malformed, parse
+from spoolcourse.wire.messages import Catalog, Hired, Host, HostPage, MalformedError, parse
 
 log = logging.getLogger(__name__)
 
@@ -16,11 +16,13 @@
     """Not carried out, or not known whether it was."""
 
 
-class NoCapacity(Exception):
+class NoCapacityError(Exception):
     """None available of this type, zone and kind."""
 
 
 class Cloud:
+    """The cloud's calls, each carried out, refused, or unclear."""
+
     def __init__(self, net: Net, addr: str, rps: float, timeout: float = 4.0) -> None:
         self._net = net
         self._addr = addr
@@ -31,7 +33,7 @@
     async def _call(self, method: str, path: str, body: object = None) -> Reply:
         try:
             await self._bucket.take()
-        except Busy as exc:
+        except BudgetSpentError as exc:
             raise CloudError(str(exc)) from exc
         try:
             reply = await self._net.call(self._addr, method, path, body, timeout=self._timeout)
@@ -40,26 +42,28 @@
         if reply.status == 429:
             self._bucket.drain()
         if reply.status == 503 and reply.data and reply.data.get("error") == NO_CAPACITY:
-            raise NoCapacity
+            raise NoCapacityError
         if reply.status != 200:
             raise CloudError(f"{method} {path}: status {reply.status}")
         return reply
 
     async def catalog(self) -> Catalog:
+        """The machine types with their current prices."""
         reply = await self._call("GET", "/catalog")
         try:
             return parse(reply.data, Catalog)
-        except Malformed as exc:
+        except MalformedError as exc:
             raise CloudError(f"catalog: {exc}") from exc
 
     async def hosts(self) -> list[Host]:
+        """All machines that the cloud lists; the list lags."""
         found: list[Host] = []
         since = ""
         while True:
             reply = await self._call("GET", list_path(since))
             try:
                 page = parse(reply.data, HostPage)
-            except Malformed as exc:
+            except MalformedError as exc:
                 raise CloudError(f"hosts: {exc}") from exc
             found += page.hosts
             if not page.has_next or not page.hosts:
@@ -67,11 +71,11 @@
             since = page.hosts[-1].id
 
     async def hire(self, name: str, kind: MachineKind, count: int) -> list[str]:
-        """Rents machines; their names. Raises `NoCapacity` if there are none of this kind."""
+        """Rents machines; their names. Raises `NoCapacityError` if there are none of this kind."""
         reply = await self._call("POST", "/hosts", hire_body(name, kind, count))
         try:
             return parse(reply.data, Hired).machines
-        except Malformed as exc:
+        except MalformedError as exc:
             raise CloudError(f"hire: {exc}") from exc
 
     async def delete(self, names: list[str]) -> None:
--- a/spoolcourse/control/machines/demand.py
+++ b/spoolcourse/control/machines/demand.py
@@ -15,6 +15,7 @@
         self._memory_s = memory_s
 
     def note(self, now: float, cpus: float) -> None:
+        """Take in how much was wanted at a moment."""
         if self._steps and now - self._steps[-1][0] < STEP_S:
             began, peak = self._steps.pop()
             self._steps.append((began, max(peak, cpus)))
@@ -24,4 +25,5 @@
             self._steps.popleft()
 
     def peak(self, now: float, window_s: float) -> float:
+        """The most that was wanted in the last so many seconds."""
         return max((cpus for at, cpus in self._steps if at >= now - window_s), default=0.0)
--- a/spoolcourse/control/machines/machine_list.py
+++ b/spoolcourse/control/machines/machine_list.py
@@ -13,7 +13,7 @@
 from spoolcourse.control.machines.fleet_view import FleetView
 from spoolcourse.control.net import NetError
 from spoolcourse.wire.commands import CommandRequest, to_json_object
-from spoolcourse.wire.messages import Host, Malformed, Report, parse
+from spoolcourse.wire.messages import Host, MalformedError, Report, parse
 
 log = logging.getLogger(__name__)
 
@@ -76,8 +76,10 @@
             machine.up_at = machine.rented_at + self._view.boot_s(machine)
 
     async def _raise_tokens(self, hosts: list[Host]) -> None:
-        """Raise the fencing token on machines that have not spoken under it yet, with no
-        commands: they may be reporting to a node that can't know of us."""
+        """Raise the fencing token on machines that have not spoken under it yet.
+
+        The request carries no commands. They may be reporting to a node that can't know of us.
+        """
         gate = asyncio.Semaphore(CALLS_MAX)
 
         async def raise_one(machine: Machine) -> None:
@@ -114,7 +116,7 @@
                 keep=False,
             )
             report = parse(reply.data, Report)
-        except (NetError, Malformed) as exc:
+        except (NetError, MalformedError) as exc:
             log.debug("%s: fencing token not raised: %s", machine.id, exc)
             return
         if report.machine == machine.id:
--- a/spoolcourse/control/machines/planner.py
+++ b/spoolcourse/control/machines/planner.py
@@ -26,6 +26,8 @@
 
 @dataclass(slots=True)
 class Hire:
+    """So many machines of a kind to be asked for."""
+
     offer: Offer
     count: int
 
@@ -91,6 +93,27 @@
         return served
 
 
+def _best_offer(
+    job: Job, zones: _Zones, count: int, offers: list[Offer], now: float
+) -> Offer | None:
+    """The cheapest for a task of the job, by price, boot and slots."""
+    best: tuple[float, Offer] | None = None
+    for offer in offers:
+        if not job.takes(offer.machine_type, offer.spot) or zones.room(offer.zone) < 1:
+            continue
+        if not offer.spot and job.spot_allowed and now < job.ordinary_at:
+            continue
+        slots = min(count, fit(offer.cpus, offer.gpus, offer.memory, job), zones.room(offer.zone))
+        if slots < 1:
+            continue
+        # A service runs for no known time: by price alone, nearly.
+        runs = min(job.estimate, LONGEST_S)
+        cost = offer.price * (offer.boot_s + runs) / slots
+        if best is None or cost < best[0]:
+            best = (cost, offer)
+    return best[1] if best is not None else None
+
+
 def plan_hires(
     demand: list[tuple[Job, int]],
     nodes: list[Node],
@@ -118,25 +141,9 @@
             count -= freed_soon.take(job, zones, count)
         count = _fill(job, zones, count, coming)
         while count > 0 and sum(hires.values()) < most:
-            best: tuple[float, Offer] | None = None
-            for offer in offers:
-                if not job.takes(offer.machine_type, offer.spot) or zones.room(offer.zone) < 1:
-                    continue
-                if not offer.spot and job.spot_allowed and now < job.ordinary_at:
-                    continue
-                slots = min(
-                    count, fit(offer.cpus, offer.gpus, offer.memory, job), zones.room(offer.zone)
-                )
-                if slots < 1:
-                    continue
-                # A service runs for no known time: by price alone, nearly.
-                runs = min(job.estimate, LONGEST_S)
-                cost = offer.price * (offer.boot_s + runs) / slots
-                if best is None or cost < best[0]:
-                    best = (cost, offer)
-            if best is None:
+            offer = _best_offer(job, zones, count, offers, now)
+            if offer is None:
                 break
-            offer = best[1]
             hires[offer] = hires.get(offer, 0) + 1
             fresh = Node(
                 offer.machine_type,
@@ -154,8 +161,10 @@
 
 
 def top_up(short: float, offers: list[Offer], most: int = 10) -> list[Hire]:
-    """Spot machines, the cheapest by CPU, to have `short` CPUs more at hand. Whatever is
-    started on them later does not wait for a machine to boot."""
+    """Spot machines, the cheapest by CPU, to have `short` CPUs more at hand.
+
+    Whatever is started on them later does not wait for a machine to boot.
+    """
     hires = []
     cheap = sorted((o for o in offers if o.spot and o.cpus > 0), key=lambda o: o.price / o.cpus)
     for offer in cheap:
--- a/spoolcourse/control/machines/renting.py
+++ b/spoolcourse/control/machines/renting.py
@@ -9,7 +9,7 @@
 
 from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.fleet.worker_registry import WorkerRegistry
-from spoolcourse.control.machines.cloud import CloudError, NoCapacity
+from spoolcourse.control.machines.cloud import CloudError, NoCapacityError
 from spoolcourse.control.machines.fleet_view import FleetView
 from spoolcourse.policy.keys import Policy
 from spoolcourse.wire.cloud import MachineKind
@@ -86,7 +86,7 @@
             asked_at = self._clock()
             try:
                 names = await self._cloud.hire(name, kind, count)
-            except NoCapacity:
+            except NoCapacityError:
                 self._note_refusal(kind)
                 return
             except CloudError as exc:
--- a/spoolcourse/control/machines/replica_places.py
+++ b/spoolcourse/control/machines/replica_places.py
@@ -35,8 +35,10 @@
         self.late_s = REPORT_JITTER * workers.report_s + LATE_S
 
     def has_place_elsewhere(self, replica: Attempt) -> bool:
-        """Whether some other machine takes the replica under the rules of any start. Work of
-        lower rank does not count: it is stopped for a replica."""
+        """Whether some other machine takes the replica under the rules of any start.
+
+        Work of lower rank does not count: it is stopped for a replica.
+        """
         now = self._clock()
         types = self._machine_types()
         for machine in self._registry.machines.values():
--- a/spoolcourse/control/machines/replica_probe.py
+++ b/spoolcourse/control/machines/replica_probe.py
@@ -15,7 +15,7 @@
 from spoolcourse.control.fleet.worker_registry import WorkerRegistry
 from spoolcourse.control.machines.replica_places import ReplicaPlaces, replicas_on
 from spoolcourse.control.net import Net, NetError
-from spoolcourse.wire.messages import Malformed, Report, parse
+from spoolcourse.wire.messages import MalformedError, Report, parse
 
 log = logging.getLogger(__name__)
 
@@ -99,7 +99,7 @@
             )
             self._registry.observe(parse(reply.data, Report))
             self._failures.pop(machine.id, None)
-        except (NetError, Malformed) as exc:
+        except (NetError, MalformedError) as exc:
             log.debug("%s: late, and does not answer: %s", machine.id, exc)
             self._note_failure(machine, reported_at)
         finally:
--- a/spoolcourse/control/machines/surplus.py
+++ b/spoolcourse/control/machines/surplus.py
@@ -33,9 +33,11 @@
         return wanted - self._capacity()
 
     def mark(self, now: float, base: frozenset[str], reserved: set[str]) -> None:
-        """Ordinary machines cost a multiple of spot ones: those above what was wanted of
-        late are marked, the emptiest first, to run empty and go. Types that some jobs
-        depend on stay, and so do those reserved for services."""
+        """Mark ordinary machines above what was wanted of late, the emptiest first.
+
+        They cost a multiple of spot ones; marked, they run empty and go. Types that some jobs
+        depend on stay, and so do those reserved for services.
+        """
         peak = self.demand.peak(now, self._policy.ordinary_keep_s)
         spare = self._capacity() - self._policy.ordinary_headroom * peak
         ordinary = [
--- a/spoolcourse/control/net.py
+++ b/spoolcourse/control/net.py
@@ -38,6 +38,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
+    """An answer; `data` is decoded JSON or, on the server side, what is to be encoded."""
+
     status: int
     data: Any = None
     headers: dict[str, str] = field(default_factory=dict)
@@ -45,19 +47,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
+    """A request as it came, with its body undecoded."""
+
     method: str
     path: str
     body: bytes = b""
 
 
 def later(why: str, after: float = 1.0) -> Reply:
-    """Can't say now. The other side is told when to come back (30 s is the longest that
-    counts)."""
+    """An answer that says when to come back.
+
+    30 s is the longest that counts.
+    """
     seconds = max(1, min(30, math.ceil(after)))
     return Reply(503, {"error": why}, {"Retry-After": str(seconds)})
 
 
 class Net(Protocol):
+    """Calls to other hosts."""
+
     async def call(
         self,
         addr: str,
@@ -115,6 +123,7 @@
         timeout: float = 1.0,
         keep: bool = True,
     ) -> Reply:
+        """Call a host; raises `NetError` if it does not answer in time."""
         raw = None if body is None else body if isinstance(body, bytes) else orjson.dumps(body)
         try:
             async with asyncio.timeout(timeout):
@@ -135,5 +144,6 @@
             raise NetError(f"{method} {addr}{path}: {_reason(exc, timeout)}") from exc
 
     async def close(self) -> None:
+        """Close all connections."""
         if self._session is not None:
             await self._session.close()
--- a/spoolcourse/control/placement/__init__.py
+++ b/spoolcourse/control/placement/__init__.py
@@ -0,0 +1,1 @@
+"""The pure placement pass and its snapshot."""
--- a/spoolcourse/control/placement/backfill.py
+++ b/spoolcourse/control/placement/backfill.py
@@ -79,6 +79,7 @@
         )
 
     def run(self) -> Plan:
+        """Place what can be placed, in order."""
         for index, job in enumerate(self.s.jobs):
             if job.pending <= 0:
                 continue
@@ -132,7 +133,26 @@
         return (ahead + job.image_gb) / rate
 
     def _place(self, index: int, job: Job, wanted: int) -> int:
+        """Start so many tasks where they fit; how many were started."""
         zones = self._zones(job)
+        choices, fetch_blocked = self._choices(job, zones)
+        if job.one_zone and not job.held and choices:
+            self._narrow(job, choices, wanted)
+        placed = self._put_all(index, job, choices, wanted)
+        if placed:
+            self._open = [n for n in self._open if self._roomy(self.s.nodes[n])]
+        if fetch_blocked and placed < wanted:
+            self.plan.why[index] = "image fetch"
+            if self.plan.head is None and self.s.zone_fetches < 1:
+                # A start larger than the budget waits for its zone to be quiet.
+                self._closed_zones |= zones
+        return placed
+
+    def _choices(self, job: Job, zones: set[int]) -> tuple[list[_Choice], bool]:
+        """Machines that take a task of the job, the best first.
+
+        Also whether others would, if one more image could be fetched there.
+        """
         choices: list[_Choice] = []
         fetch_blocked = False
         for number in self._open:
@@ -141,46 +161,48 @@
                 continue
             if not self._suits(job, number, node) or node.fit(job) < 1:
                 continue
-            if not self._may_fetch(job, node):
+            if self._may_fetch(job, node):
+                choices.append(self._choice(job, number, node))
+            else:
                 fetch_blocked = True
-                continue
-            # Machines that other waiting jobs depend on come last, and those that should
-            # run empty before them; then a short fetch counts; then the fullest machine,
-            # for empty ones can be returned.
-            delay = round(self._fetch_s(job, node), 1)
-            # Where the image has to be fetched, the emptiest comes first: see below. But what
-            # is left for surplus machines is gathered on few, or none of them runs empty.
-            free = node.cpus if delay == 0.0 or node.surplus else -node.cpus
-            group = node.rare + 2 * node.surplus
-            if job.claim and delay > 0.0:
-                group += 4  # people wait: an image at hand counts most
-            # Replicas of a service lie on different machines where that costs nothing, so that
-            # the loss of one machine takes one of them.
-            beside = job.replicas_on.get(number, 0)
-            choices.append((group, delay, beside, free, number))
         choices.sort()
-        if job.one_zone and not job.held and choices:
-            self._narrow(job, choices, wanted)
-        placed = 0
+        return choices, fetch_blocked
+
+    def _choice(self, job: Job, number: int, node: Node) -> _Choice:
+        # Machines that other waiting jobs depend on come last, and those that should
+        # run empty before them; then a short fetch counts; then the fullest machine,
+        # for empty ones can be returned.
+        delay = round(self._fetch_s(job, node), 1)
+        # Where the image has to be fetched, the emptiest comes first: see `_put_all`. But what
+        # is left for surplus machines is gathered on few, or none of them runs empty.
+        free = node.cpus if delay == 0.0 or node.surplus else -node.cpus
+        group = node.rare + 2 * node.surplus
+        if job.claim and delay > 0.0:
+            group += 4  # people wait: an image at hand counts most
+        # Replicas of a service lie on different machines where that costs nothing, so that
+        # the loss of one machine takes one of them.
+        return (group, delay, job.replicas_on.get(number, 0), free, number)
+
+    def _put_all(self, index: int, job: Job, choices: list[_Choice], wanted: int) -> int:
         # Machines that must fetch the image get one task each at first: the fetches run
         # side by side, and the more machines have an image, the sooner its next job starts.
+        # So do replicas, which should lie apart.
+        placed = 0
+        again: list[int] = []
         for _, delay, _, _, number in choices:
             if placed >= wanted:
-                break
-            whole = (delay == 0.0 or self.s.nodes[number].surplus) and not job.service
-            placed += self._put(index, job, number, wanted - placed if whole else 1)
-        for _, delay, _, _, number in choices:
+                return placed
+            if job.service or (delay > 0.0 and not self.s.nodes[number].surplus):
+                placed += self._put(index, job, number, 1)
+                again.append(number)
+            else:
+                placed += self._put(index, job, number, wanted - placed)
+                if delay > 0.0:
+                    again.append(number)
+        for number in again:
             if placed >= wanted:
                 break
-            if delay > 0.0 or job.service:
-                placed += self._put(index, job, number, wanted - placed)
-        if placed:
-            self._open = [n for n in self._open if self._roomy(self.s.nodes[n])]
-        if fetch_blocked and placed < wanted:
-            self.plan.why[index] = "image fetch"
-            if self.plan.head is None and self.s.zone_fetches < 1:
-                # A start larger than the budget waits for its zone to be quiet.
-                self._closed_zones |= zones
+            placed += self._put(index, job, number, wanted - placed)
         return placed
 
     def _narrow(self, job: Job, choices: list[_Choice], want: int) -> None:
@@ -224,20 +246,10 @@
 
     def _protect(self, index: int, job: Job, left: int) -> None:
         """Work out when the head's next tasks can start, and guard that."""
-        # The next moment at which each machine's room grows: when, node, tasks ended so far.
-        events: list[tuple[float, int, int]] = []
-        zones, now = self._zones(job), self.s.now
-        for number, node in enumerate(self.s.nodes):
-            if node.zone not in zones or not self._suits(job, number, node):
-                continue
-            if node.fit(job):  # it boots, or the head waits for a fetch there
-                events.append((max(node.ready_at, now), number, 0))
-            elif node.tasks and node.tasks[0].end < inf:
-                events.append((max(node.tasks[0].end, now), number, 1))
-        heapify(events)
         self.plan.head = index
+        events = self._first_events(job)
         want = min(left, RESERVED_MAX)
-        last: dict[int, tuple[float, int]] = {}
+        starts: dict[int, tuple[float, int]] = {}  # node: when its last one starts, how many
         free: dict[int, Room] = {}
         while events and want > 0:
             at, number, ended = heappop(events)
@@ -247,10 +259,7 @@
                 room = free[number] = Room()
                 room.cpus, room.gpus, room.memory = node.cpus, node.gpus, node.memory
             if ended:
-                task = node.tasks[ended - 1]
-                room.cpus += task.cpus
-                room.gpus += task.gpus
-                room.memory += task.memory
+                room.add(node.tasks[ended - 1])
             # Services have no end: what they hold is promised to nobody.
             if ended < len(node.tasks) and node.tasks[ended].end < inf:
                 heappush(events, (max(node.tasks[ended].end, at), number, ended + 1))
@@ -261,20 +270,38 @@
             want -= take
             if self.plan.head_start is None:
                 self.plan.head_start = at
-            before = last.get(number, (at, 0))[1]
-            last[number] = (at, before + take)
-        for number, (at, count) in last.items():
-            node = self.s.nodes[number]
-            cpus, gpus, memory = node.cpus, node.gpus, node.memory
-            for task in node.tasks:
-                if task.end <= at + EPSILON:
-                    cpus, gpus, memory = cpus + task.cpus, gpus + task.gpus, memory + task.memory
-            self._guards[number] = _Guard(
-                at,
-                cpus - count * job.cpus,
-                gpus - count * job.gpus,
-                memory - count * job.memory,
-            )
+            before = starts.get(number, (at, 0))[1]
+            starts[number] = (at, before + take)
+        for number, (at, count) in starts.items():
+            self._guards[number] = self._guard(self.s.nodes[number], job, at, count)
+
+    def _first_events(self, job: Job) -> list[tuple[float, int, int]]:
+        """A heap of each machine's next moment at which its room grows.
+
+        Each with the node and how many of its tasks have ended by then.
+        """
+        events: list[tuple[float, int, int]] = []
+        zones, now = self._zones(job), self.s.now
+        for number, node in enumerate(self.s.nodes):
+            if node.zone not in zones or not self._suits(job, number, node):
+                continue
+            if node.fit(job):  # it boots, or the head waits for a fetch there
+                events.append((max(node.ready_at, now), number, 0))
+            elif node.tasks and node.tasks[0].end < inf:
+                events.append((max(node.tasks[0].end, now), number, 1))
+        heapify(events)
+        return events
+
+    @staticmethod
+    def _guard(node: Node, job: Job, at: float, count: int) -> _Guard:
+        """What is left on a node at a moment beside so many tasks of the head."""
+        room = Room()
+        room.cpus, room.gpus, room.memory = node.cpus, node.gpus, node.memory
+        for task in node.tasks:
+            if task.end <= at + EPSILON:
+                room.add(task)
+        room.use(job, count)
+        return _Guard(at, room.cpus, room.gpus, room.memory)
 
 
 def place(snapshot: Snapshot) -> Plan:
--- a/spoolcourse/control/placement/model.py
+++ b/spoolcourse/control/placement/model.py
@@ -50,9 +50,17 @@
     memory: float
 
     def fit(self, job: Job) -> int:
+        """How many tasks of the job fit."""
         return fit(self.cpus, self.gpus, self.memory, job)
 
+    def add(self, task: RunningTask) -> None:
+        """Count the resources of a task that has ended."""
+        self.cpus += task.cpus
+        self.gpus += task.gpus
+        self.memory += task.memory
+
     def use(self, job: Job, count: int) -> None:
+        """Book so many tasks of the job."""
         self.cpus -= count * job.cpus
         self.gpus -= count * job.gpus
         self.memory -= count * job.memory
@@ -79,6 +87,7 @@
     freed: tuple[float, float, float] = (0.0, 0.0, 0.0)  # by tasks that are being stopped
 
     def free(self, task: RunningTask) -> None:
+        """Count on a task that is being stopped to free its resources soon."""
         cpus, gpus, memory = self.freed
         self.freed = (cpus + task.cpus, gpus + task.gpus, memory + task.memory)
 
@@ -121,8 +130,10 @@
         return self.one_zone and any(n for z, n in self.held.items() if z != zone)
 
     def zone_room(self, zone: int) -> int:
-        """How many more of its tasks may start in the zone at this moment. Those on
-        machines whose zone isn't known may be anywhere: they count against every zone."""
+        """How many more of its tasks may start in the zone at this moment.
+
+        Those on machines whose zone isn't known may be anywhere: they count against every zone.
+        """
         if self.zone not in (None, zone) or self.elsewhere(zone) or (self.one_zone and self.lost):
             return 0
         if self.spread is not None:
@@ -132,6 +143,8 @@
 
 @dataclass(slots=True)
 class Team:
+    """What a team may still use."""
+
     cpus: float  # still free below its limit
     gpus: float
     over: float = 0.0  # CPUs that it uses beyond its guarantee
@@ -139,6 +152,8 @@
 
 @dataclass(slots=True)
 class Snapshot:
+    """Everything that a pass looks at."""
+
     now: float
     jobs: list[Job]  # in the order to be served
     nodes: list[Node]
@@ -159,6 +174,8 @@
 
 @dataclass(slots=True)
 class Plan:
+    """What a pass has decided."""
+
     decisions: list[Decision] = field(default_factory=list)
     head: int | None = None
     head_start: float | None = None
--- a/spoolcourse/control/placement/snapshot_builder.py
+++ b/spoolcourse/control/placement/snapshot_builder.py
@@ -55,6 +55,7 @@
                     self._rare_until[name] = now + self._policy.rare_s
 
     def is_rare(self, machine_type: str, now: float) -> bool:
+        """Whether some job of late can use this type only, or few beside it."""
         return self._rare_until.get(machine_type, 0.0) > now
 
     def estimate(self, job_state: JobState) -> float:
@@ -74,82 +75,100 @@
         return [found[number] for number in numbers]
 
     def take(self, now: float, machine_types: dict[str, MachineType]) -> Snapshot:
-        room = [Team(t.cpus_max, t.gpus_max) for t in self._team_settings]
+        """The snapshot of this moment."""
+        self._order_jobs(now)
+        self._snapshot_cache.judge(self._within, self._job_queue.jobs)
+        self._mark_rare(now, machine_types)
+        self._boot_s = max((kind.boot_s for kind in machine_types.values()), default=0.0)
+        nodes = self._take_nodes(now, machine_types)
+        number_of = {machine.id: number for number, machine in enumerate(self.machines)}
+        return Snapshot(
+            now=now,
+            jobs=[self._safe_job(state, now, number_of) for state in self.job_states],
+            nodes=nodes,
+            teams=self._teams(),
+            zones=len(self.zones),
+            node_fetches=int(self._policy.node_fetches),
+            zone_fetches=int(self._policy.zone_fetches),
+        )
+
+    def _order_jobs(self, now: float) -> None:
+        """Put the jobs in the order of service.
+
+        The first exception to the arrival order (docs/design.md): rank goes first, then work
+        within its team's guarantee, then arrival. Stopping follows the same order: otherwise
+        two claims would stop each other in turn.
+        """
         self.job_states = sorted(
-            (w for w in self._job_queue.jobs.values() if not w.record.aborted),
-            key=lambda w: w.order,
+            (state for state in self._job_queue.jobs.values() if not state.record.aborted),
+            key=lambda state: state.order,
         )
-        self.unbegun = {w.id for w in self.job_states if self._unbegun(w, now)}
+        self.unbegun = {state.id for state in self.job_states if self._unbegun(state, now)}
         self._within = self._guarantees()
-        # The first exception to the arrival order (docs/design.md): rank goes first, then
-        # work within its team's guarantee, then arrival. Stopping follows the same order:
-        # otherwise two claims would stop each other in turn.
         self.job_states.sort(
-            key=lambda w: (
-                w.id not in self.unbegun,
-                RANKS.index(w.record.sub.rank),
-                w.id not in self._within,
-                w.order,
+            key=lambda state: (
+                state.id not in self.unbegun,
+                RANKS.index(state.record.sub.rank),
+                state.id not in self._within,
+                state.order,
             )
         )
-        self._snapshot_cache.judge(self._within, self._job_queue.jobs)
-        for job_state in self._job_queue.jobs.values():
-            sub = job_state.record.sub
-            team = room[self.teams.of(sub.team)]
-            team.cpus -= sub.cpus * len(job_state.attempts)
-            team.gpus -= sub.gpus * len(job_state.attempts)
+
+    def _teams(self) -> list[Team]:
+        """What each team may still use.
+
+        All that may be running counts, also what outlives its job, or what is on a machine
+        without being the attempt that counts there.
+        """
+        teams = [Team(t.cpus_max, t.gpus_max) for t in self._team_settings]
+        for state in self._job_queue.jobs.values():
+            self._charge(teams, state, len(state.attempts))
         for attempt in self._job_queue.attempts_of_finished_jobs():
-            sub = attempt.job_state.record.sub
-            team = room[self.teams.of(sub.team)]
-            team.cpus -= sub.cpus
-            team.gpus -= sub.gpus
-        for team, settings in zip(room, self._team_settings, strict=True):
+            self._charge(teams, attempt.job_state, 1)
+        for team, settings in zip(teams, self._team_settings, strict=True):
             team.over = (settings.cpus_max - team.cpus) - settings.cpus
-        self.machines = []
-        self._mark_rare(now, machine_types)
-        self._boot_s = max((b.boot_s for b in machine_types.values()), default=0.0)
+        for state in self._unexpected_jobs():
+            self._charge(teams, state, 1)
+        return teams
+
+    def _charge(self, teams: list[Team], state: JobState, tasks: int) -> None:
+        submission = state.record.sub
+        team = teams[self.teams.of(submission.team)]
+        team.cpus -= submission.cpus * tasks
+        team.gpus -= submission.gpus * tasks
+
+    def _take_nodes(self, now: float, machine_types: dict[str, MachineType]) -> list[Node]:
         rare_types = {name for name in machine_types if self.is_rare(name, now)}
         self._snapshot_cache.keep(self._registry.machines)
+        self.machines = []
         nodes: list[Node] = []
-        number_of: dict[str, int] = {}
         for machine in self._registry.machines.values():
             machine_type = machine_types.get(machine.machine_type or "")
-            if machine_type is None:
-                continue
-            booting = machine.heard_at is None and machine.up_at is not None
-            if booting and (machine.deleting or machine.listed_stage == "failed"):
-                continue
-            if not booting and not (machine.placeable and machine.full_until <= now):
-                continue
-            if self._registry.is_quiet(machine):
+            if machine_type is None or not self._counts(machine, now):
                 continue
             rare = machine_type.name in rare_types
             node = self._snapshot_cache.node(machine, machine_type, self._job_queue.jobs, now, rare)
-            if booting and machine.up_at is not None:
+            if machine.heard_at is None and machine.up_at is not None:
                 # An overdue machine comes up later than thought, or never.
                 late = max(0.0, now - machine.up_at)
                 node.ready_at = now + max(machine.up_at - now, 1.0 + late)
-            number_of[machine.id] = len(nodes)
             nodes.append(node)
             self.machines.append(machine)
-        jobs = [self._safe_job(w, now, number_of) for w in self.job_states]
-        for job_state in self._unexpected_jobs():
-            team = room[self.teams.of(job_state.record.sub.team)]
-            team.cpus -= job_state.record.sub.cpus
-            team.gpus -= job_state.record.sub.gpus
-        return Snapshot(
-            now=now,
-            jobs=jobs,
-            nodes=nodes,
-            teams=room,
-            zones=len(self.zones),
-            node_fetches=int(self._policy.node_fetches),
-            zone_fetches=int(self._policy.zone_fetches),
-        )
+        return nodes
+
+    def _counts(self, machine: Machine, now: float) -> bool:
+        """Whether it takes work now, or will once it has booted."""
+        if machine.heard_at is None and machine.up_at is not None:
+            return not machine.deleting and machine.listed_stage != "failed"
+        takes_work = machine.placeable and machine.full_until <= now
+        return takes_work and not self._registry.is_quiet(machine)
 
     def _unbegun(self, job_state: JobState, now: float) -> bool:
-        """The fourth exception: urgent work that keeps arriving must not keep a job from
-        ever beginning, so after a while its first task, and no more, goes before rank."""
+        """Whether the job has waited so long that its first task goes before rank.
+
+        The fourth exception: urgent work that keeps arriving must not keep a job from ever
+        beginning. It holds for the first task, and no more.
+        """
         return (
             not job_state.attempts
             and job_state.done == 0
@@ -157,10 +176,13 @@
         )
 
     def _ordinary_at(self, job_state: JobState) -> float:
-        """Ordinary machines cost a multiple of spot ones. They are for deadlines that
-        would be missed otherwise, and for work without one; the rest waits for spot
-        machines as long as it can. A wait aim or a guarantee is missed by the time that a
-        machine has booted, so neither is a reason to rent one."""
+        """From when on ordinary machines may be rented for the job.
+
+        They cost a multiple of spot ones. They are for deadlines that would be missed otherwise,
+        and for work without one; the rest waits for spot machines as long as it can. A wait aim or
+        a guarantee is missed by the time that a machine has booted, so neither is a reason to rent
+        one.
+        """
         sub = job_state.record.sub
         if sub.is_service:
             return job_state.waiting_since  # each second without its replicas is missed
@@ -192,61 +214,76 @@
         ]
 
     def _safe_job(self, job_state: JobState, now: float, number_of: dict[str, int]) -> Job:
-        """One job that can't be judged must not keep all the others from running: a rule
-        that failed for jobs without a deadline once stopped every pass of every leader."""
+        """The job as the pass sees it; one that can't be judged is left out alone.
+
+        A rule that failed for jobs without a deadline once stopped every pass of every leader.
+        """
         try:
             return self._job(job_state, now, number_of)
         except Exception:
             log.exception("%s is left out of this pass", job_state.id)
             return Job(0, 0.0, 0.0, 0.0, 0, 0.0, self.teams.of(job_state.record.sub.team), 0.0)
 
-    def _job(self, job_state: JobState, now: float, number_of: dict[str, int]) -> Job:
-        sub = job_state.record.sub
+    def _job(self, state: JobState, now: float, number_of: dict[str, int]) -> Job:
+        sub = state.record.sub
+        types = sub.machine_types
         job = Job(
-            pending=0
-            if job_state.retry_at > now
-            else 1
-            if job_state.id in self.unbegun
-            else job_state.assignable,
+            pending=self._pending(state, now),
             cpus=sub.cpus,
             gpus=sub.gpus,
             memory=sub.memory_gb,
             image=self._images.of(sub.image),
             image_gb=sub.image_gb,
             team=self.teams.of(sub.team),
-            estimate=self.estimate(job_state),
-            machine_types=None
-            if sub.machine_types is None
-            else frozenset(map(self.machine_types.of, sub.machine_types)),
+            estimate=self.estimate(state),
+            machine_types=None if types is None else frozenset(map(self.machine_types.of, types)),
             zone=None if sub.zone is None else self.zones.of(sub.zone),
             spot_allowed=sub.spot_allowed,
             one_zone=sub.one_zone,
             spread=-(-sub.task_count // 2) if sub.spread_over_zones else None,
             rank=RANKS.index(sub.rank),
-            guaranteed=job_state.id in self._within,
-            ordinary_at=self._ordinary_at(job_state),
+            guaranteed=state.id in self._within,
+            ordinary_at=self._ordinary_at(state),
+            service=sub.is_service,
         )
         job.claim = job.guaranteed or sub.is_service or sub.job_class in self._prompt_classes
-        job.service = sub.is_service
         if sub.is_service:
-            for attempt in job_state.attempts.values():
-                number = number_of.get(attempt.machine)
-                if number is not None:
-                    job.replicas_on[number] = job.replicas_on.get(number, 0) + 1
-        if job_state.bad_machines:
-            bad = [m for m, until in job_state.bad_machines.items() if until > now]
-            job.avoid = frozenset(number_of[m] for m in bad if m in number_of)
+            self._note_replicas(job, state, number_of)
+        if state.bad_machines:
+            bad = [name for name, until in state.bad_machines.items() if until > now]
+            job.avoid = frozenset(number_of[name] for name in bad if name in number_of)
         if sub.one_zone or sub.spread_over_zones:
-            for attempt in job_state.attempts.values():
-                machine = self._registry.machines.get(attempt.machine)
-                if machine is None or machine.zone is None:
-                    job.lost += 1
-                else:
-                    zone = self.zones.of(machine.zone)
-                    job.held[zone] = job.held.get(zone, 0) + 1
-            for machine in self._registry.machines.values():
-                for unexpected in machine.unexpected_tasks:
-                    if unexpected[0] == sub.id:
-                        zone = self.zones.of(machine.zone or "")
-                        job.held[zone] = job.held.get(zone, 0) + 1
+            self._note_zones(job, state)
         return job
+
+    def _pending(self, state: JobState, now: float) -> int:
+        """How many tasks the pass may place."""
+        if state.retry_at > now:
+            return 0
+        if state.id in self.unbegun:
+            return 1
+        return state.assignable
+
+    @staticmethod
+    def _note_replicas(job: Job, state: JobState, number_of: dict[str, int]) -> None:
+        for attempt in state.attempts.values():
+            number = number_of.get(attempt.machine)
+            if number is not None:
+                job.replicas_on[number] = job.replicas_on.get(number, 0) + 1
+
+    def _note_zones(self, job: Job, state: JobState) -> None:
+        """Where its tasks may be; what may be anywhere counts against every zone."""
+        for attempt in state.attempts.values():
+            machine = self._registry.machines.get(attempt.machine)
+            if machine is None or machine.zone is None:
+                job.lost += 1
+            else:
+                _hold(job, self.zones.of(machine.zone))
+        for machine in self._registry.machines.values():
+            for unexpected in machine.unexpected_tasks:
+                if unexpected[0] == state.id:
+                    _hold(job, self.zones.of(machine.zone or ""))
+
+
+def _hold(job: Job, zone: int) -> None:
+    job.held[zone] = job.held.get(zone, 0) + 1
--- a/spoolcourse/control/placement/snapshot_cache.py
+++ b/spoolcourse/control/placement/snapshot_cache.py
@@ -28,6 +28,7 @@
             self.of(name)
 
     def of(self, name: str) -> int:
+        """The index of a name; a new name gets the next one."""
         number = self._numbers.get(name)
         if number is None:
             number = self._numbers[name] = len(self.names)
@@ -35,6 +36,7 @@
         return number
 
     def __len__(self) -> int:
+        """How many names there are."""
         return len(self.names)
 
 
@@ -56,6 +58,8 @@
 
 
 class SnapshotCache:
+    """Keeps what passes see of machines until it changes."""
+
     def __init__(
         self,
         teams: Index,
@@ -92,6 +96,7 @@
         now: float,
         rare: bool,
     ) -> Node:
+        """What the pass sees of a machine, made anew only if something changed there."""
         known = self._known.get(machine.id)
         if known is None or known.changes != machine.changes or known.until <= now:
             known = self._known[machine.id] = self._look(machine, machine_type, jobs, now)
--- a/spoolcourse/control/server.py
+++ b/spoolcourse/control/server.py
@@ -70,16 +70,19 @@
         self.active_at = loop.time()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Note a new connection."""
         super().connection_made(transport)
         self._open.add(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
+        """Note its end."""
         # What was asked for is still carried out: only its answer has nowhere to go.
         super().connection_lost(exc)
         self._open.discard(self)
         self._queue.clear()
 
     def resume_reading(self, resume_parser: bool = True) -> None:
+        """Go on reading, if reading was paused."""
         # The parser's streams call this with every body that is read, paused or not, and it
         # would come back here with the next request before this one is answered.
         if self._reading_paused:
@@ -87,13 +90,16 @@
 
     @property
     def idle(self) -> bool:
+        """Whether no request is being answered."""
         return self._task is None
 
     def shut(self) -> None:
+        """Close the connection."""
         if self.transport is not None:
             self.transport.close()
 
     def data_received(self, data: bytes) -> None:
+        """Take in bytes, and answer the requests that they complete."""
         if self.transport is None or self.transport.is_closing():
             return
         self.active_at = self._loop.time()
@@ -182,15 +188,19 @@
 
 
 class Server:
+    """An address that is being served."""
+
     def __init__(self, server: asyncio.Server, sweeper: asyncio.Task[None]) -> None:
         self._server = server
         self._sweeper = sweeper
 
     @property
     def sockets(self) -> tuple[Any, ...]:
+        """The sockets that are listened on."""
         return self._server.sockets
 
     def close(self) -> None:
+        """Take no more connections."""
         self._server.close()
         self._sweeper.cancel()
 
--- a/spoolcourse/control/service.py
+++ b/spoolcourse/control/service.py
@@ -19,15 +19,15 @@
 from spoolcourse.control.leadership.cancellation_query import answer_query
 from spoolcourse.control.leadership.election import Leadership, Term
 from spoolcourse.control.load import Load
-from spoolcourse.control.machines.cloud import Cloud, CloudError, NoCapacity
+from spoolcourse.control.machines.cloud import Cloud, CloudError, NoCapacityError
 from spoolcourse.control.net import Net, NetError, Reply, Request, later
-from spoolcourse.control.store.client import Refused, StoreClient, Unclear
+from spoolcourse.control.store.client import RefusedError, StoreClient, UnclearError
 from spoolcourse.control.store.keys import CATALOG, PREFIX
 from spoolcourse.control.store.records import catalog_value
 from spoolcourse.control.store.watch_cache import WATCH_GAP_LEADING_S, WATCH_GAP_S, WatchCache
 from spoolcourse.control.user_api.api import PATH, UserApi
 from spoolcourse.policy.keys import PolicySource, check_policy
-from spoolcourse.wire.messages import Catalog, MachineType, Malformed, parse, parse_report
+from spoolcourse.wire.messages import Catalog, MachineType, MalformedError, parse, parse_report
 from spoolcourse.wire.settings import Settings
 from spoolcourse.wire.state_service import Put
 
@@ -35,6 +35,8 @@
 
 
 class Controller:
+    """A controller: its parts, its loops, and the requests that come to it."""
+
     def __init__(
         self,
         settings: Settings,
@@ -84,6 +86,7 @@
     # -- life -------------------------------------------------------------------------
 
     def start(self) -> None:
+        """Begin all loops."""
         loop = asyncio.get_running_loop()
         for run in (
             self.watch_cache.run,
@@ -105,6 +108,7 @@
             await asyncio.sleep(1.0)
 
     def stop(self) -> None:
+        """End all loops at once."""
         if self.leader_term is not None:
             self.leader_term.stop()
         for task in self._tasks:
@@ -130,7 +134,7 @@
         if key == CATALOG and value is not None and not self.machine_types:
             try:
                 self._take_catalog(parse(value, Catalog))
-            except Malformed as exc:
+            except MalformedError as exc:
                 log.error("stored catalog: %s", exc)
         if self.leader_term is not None:
             self.leader_term.on_change(key, value, revision)
@@ -141,18 +145,21 @@
         self.machine_types = {b.name: b for b in catalog.machine_types}
 
     async def _catalog_loop(self) -> None:
-        """Machine types and prices. The types are kept in the state service as well, so
-        that a node that starts while the cloud is out can take submissions."""
+        """Read machine types and prices now and then.
+
+        The types are kept in the state service as well, so that a node that starts while the cloud
+        is out can take submissions.
+        """
         while True:
             try:
                 catalog = await self.cloud.catalog()
                 self._take_catalog(catalog)
                 await self._store_catalog(catalog)
                 pause = 20.0 if self.leadership.term else 60.0
-            except (CloudError, NoCapacity) as exc:
+            except (CloudError, NoCapacityError) as exc:
                 log.info("catalog: %s", exc)
                 pause = 1.0
-            except (Refused, Unclear) as exc:
+            except (RefusedError, UnclearError) as exc:
                 log.debug("catalog not stored: %s", exc)
                 pause = 5.0
             await asyncio.sleep(pause * random.uniform(0.8, 1.2))
@@ -176,9 +183,11 @@
     # -- health -------------------------------------------------------------------------
 
     async def _health_loop(self) -> None:
-        """Healthy: requests can be answered, here or by a peer. When nobody reaches the
-        state service all nodes stay healthy: taking them out would only lengthen the
-        outage for the users."""
+        """Find out whether requests can be answered, here or by a peer.
+
+        When nobody reaches the state service all nodes stay healthy: taking them out would only
+        lengthen the outage for the users.
+        """
         while True:
             await asyncio.sleep(1.0)
             if self.watch_cache.loaded.is_set() and self.machine_types:
@@ -220,7 +229,7 @@
         if path == CANCELLATIONS and request.method == "GET":
             try:
                 return Reply(200, answer_query(self.job_index, self.watch_cache, query))
-            except Malformed as exc:
+            except MalformedError as exc:
                 return Reply(400, {"error": str(exc)})
         if path == feature_level.PATH and request.method == "GET":
             return Reply(200, feature_level.answer())
@@ -242,12 +251,14 @@
         return await self.user_api.handle(request, hop)
 
     def _report(self, raw: bytes, hop: bool) -> Reply | Awaitable[Reply]:
-        """A worker's report; `hop`: a follower passes it on, and it goes no further. A
-        leader answers at once."""
+        """Answer a worker's report; a leader does so at once.
+
+        `hop`: a follower passes it on, and it goes no further.
+        """
         try:
             with self.load.spent("parse"):
                 report = parse_report(raw)
-        except Malformed as exc:
+        except MalformedError as exc:
             return Reply(400, {"error": str(exc)})
         if self.leader_term is None:
             if hop:
--- a/spoolcourse/control/store/__init__.py
+++ b/spoolcourse/control/store/__init__.py
@@ -0,0 +1,1 @@
+"""The state service: client, budgets, watch cache, keys and records."""
--- a/spoolcourse/control/store/budget.py
+++ b/spoolcourse/control/store/budget.py
@@ -5,7 +5,7 @@
 import asyncio
 
 
-class Busy(Exception):
+class BudgetSpentError(Exception):
     """The budget is spent for a while: come back in `after` seconds."""
 
     def __init__(self, after: float) -> None:
@@ -37,7 +37,7 @@
         self._refill(asyncio.get_running_loop().time())
         wait = (amount - self._level) / self.rate
         if not urgent and wait > self.longest_s and self._level < self.burst:
-            raise Busy(wait)
+            raise BudgetSpentError(wait)
         self._level -= amount
         if wait > 0 and not urgent:
             try:
--- a/spoolcourse/control/store/client.py
+++ b/spoolcourse/control/store/client.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from spoolcourse.control.net import Net, NetError, Reply
-from spoolcourse.control.store.budget import Bucket, Busy
+from spoolcourse.control.store.budget import Bucket, BudgetSpentError
 from spoolcourse.wire import state_service as wire
 from spoolcourse.wire.settings import State
 from spoolcourse.wire.state_service import Change, Entry, Operation, Outcome
@@ -18,25 +18,25 @@
 SUSPECT_S = 0.5
 
 
-class Refused(Exception):
+class RefusedError(Exception):
     """The request was not carried out (429, 503, no such lease, or our own budget)."""
 
     after = 1.0  # seconds until it is worth another try
 
 
-class TooLarge(Refused):
+class TooLargeError(RefusedError):
     """The state service will never carry it out as it is: a limit was lowered."""
 
 
-class Unclear(Exception):
+class UnclearError(Exception):
     """The request may have been carried out, or may still be."""
 
 
-class LeaseGone(Exception):
+class LeaseGoneError(Exception):
     """The state service no longer knows the lease."""
 
 
-class Compacted(Exception):
+class CompactedError(Exception):
     """The watch's revision is too old: read the keys again."""
 
 
@@ -61,6 +61,7 @@
         self.set_leader(False)
 
     def set_leader(self, leading: bool) -> None:
+        """Take the leader's share of the writes, or a follower's."""
         share = 0.5 if leading else 0.4 / max(self._nodes - 1, 1)
         rate = self.limits.write_rps * share
         self._writes.rate = rate
@@ -74,7 +75,7 @@
         began = asyncio.get_running_loop().time()
         try:
             reply = await self._send(method, path, body, wait)
-        except (Refused, Unclear):
+        except (RefusedError, UnclearError):
             self.failed += 1
             if self._failing_since is None:
                 self._failing_since = began
@@ -88,14 +89,15 @@
         return min(self.limits.txn_ops, max(3, int(self._writes.burst)))
 
     def writes_to_spare(self) -> bool:
+        """Whether much of the budget for writes is left."""
         return self._writes.spare()
 
     @staticmethod
     async def _pay(bucket: Bucket, amount: int, urgent: bool) -> None:
         try:
             await bucket.take(amount, urgent=urgent)
-        except Busy as exc:
-            refused = Refused(str(exc))
+        except BudgetSpentError as exc:
+            refused = RefusedError(str(exc))
             refused.after = exc.after
             raise refused from exc
 
@@ -110,33 +112,36 @@
                 self._addr, method, path, body, timeout=self.timeout + wait
             )
         except NetError as exc:
-            raise Unclear(str(exc)) from exc
+            raise UnclearError(str(exc)) from exc
         if reply.status == 429:
             self._requests.drain()
-            raise Refused("429")
+            raise RefusedError("429")
         if reply.status == 503:
-            raise Refused("503")
+            raise RefusedError("503")
         if reply.status >= 500:
-            raise Unclear(f"{method} {path}: status {reply.status}")
+            raise UnclearError(f"{method} {path}: status {reply.status}")
         return reply
 
     async def get(self, key: str) -> Entry | None:
+        """Read a key consistently; None if it does not exist."""
         reply = await self._call("GET", wire.entry_path(key))
         if reply.status == 404:
             return None
         if reply.status != 200:
-            raise Unclear(f"get {key}: status {reply.status}")
+            raise UnclearError(f"get {key}: status {reply.status}")
         return wire.read_entry(key, reply.data)
 
     async def read_all(self, prefix: str) -> tuple[list[Entry], int]:
-        """All keys with the prefix, and the revision of the first page: changes made while
-        later pages were read come again with a watch from there."""
+        """All keys with the prefix, and the revision of the first page.
+
+        Changes made while later pages were read come again with a watch from there.
+        """
         entries: list[Entry] = []
         store_revision, since = -1, ""
         while True:
             reply = await self._call("GET", wire.page_path(prefix, PAGE, since))
             if reply.status != 200:
-                raise Unclear(f"list {prefix}: status {reply.status}")
+                raise UnclearError(f"list {prefix}: status {reply.status}")
             page = wire.read_page(reply.data)
             if store_revision < 0:
                 store_revision = page.store_revision
@@ -152,6 +157,7 @@
         *,
         urgent: bool = False,
     ) -> Outcome:
+        """Carry out a transaction if every key has the revision given for it."""
         if ops:
             await self._pay(self._writes, len(ops), urgent)
             self.written += len(ops)
@@ -162,34 +168,37 @@
         if reply.status == 409:
             return wire.conditions_failed(reply.data)
         if reply.status == 400 and reply.data and reply.data.get("error") == wire.NO_SUCH_LEASE:
-            raise LeaseGone
+            raise LeaseGoneError
         if reply.status == 400 and self.value_bytes > self.limits.value_kb * 1024:
             # What was written while the former limit held may be larger than the one to come.
             log.info("the state service's lower limits hold from now on")
             self.value_bytes = int(self.limits.value_kb * 1024)
-            raise TooLarge(f"txn: status 400: {reply.data}")
-        raise Refused(f"txn: status {reply.status}: {reply.data}")
+            raise TooLargeError(f"txn: status 400: {reply.data}")
+        raise RefusedError(f"txn: status {reply.status}: {reply.data}")
 
     async def grant(self, ttl_s: float) -> int:
+        """A new lease."""
         reply = await self._call("POST", "/holds", wire.grant_body(ttl_s), urgent=True)
         if reply.status != 200:
-            raise Refused(f"grant: status {reply.status}")
+            raise RefusedError(f"grant: status {reply.status}")
         return wire.read_lease(reply.data)
 
     async def renew(self, lease: int) -> None:
+        """Renew a lease; raises `LeaseGoneError` if it has ended."""
         reply = await self._call("POST", wire.renew_path(lease), urgent=True)
         if reply.status == 404:
-            raise LeaseGone
+            raise LeaseGoneError
         if reply.status != 200:
-            raise Unclear(f"renew: status {reply.status}")
+            raise UnclearError(f"renew: status {reply.status}")
 
     async def watch(
         self, prefix: str, since: int, block_s: float, *, urgent: bool = False
     ) -> tuple[int, list[Change]]:
+        """Wait for changes after a revision: the revision reached, and the changes."""
         path = wire.watch_path(prefix, since, block_s)
         reply = await self._call("GET", path, wait=block_s, urgent=urgent)
         if reply.status == 410:
-            raise Compacted
+            raise CompactedError
         if reply.status != 200:
-            raise Unclear(f"watch: status {reply.status}")
+            raise UnclearError(f"watch: status {reply.status}")
         return wire.read_changes(reply.data)
--- a/spoolcourse/control/store/keys.py
+++ b/spoolcourse/control/store/keys.py
@@ -13,17 +13,21 @@
 
 
 def job_key(job: str) -> str:
+    """The key of a live job's record."""
     return JOB + job
 
 
 def final_key(job: str) -> str:
+    """The key of a job's final state."""
     return FINAL + job
 
 
 def progress_key(job: str, chunk: int) -> str:
+    """The key of one chunk of a job's progress."""
     return f"{PROGRESS}{job}/{chunk}"
 
 
 def split_progress(key: str) -> tuple[str, int]:
+    """The job and the chunk that a progress key names."""
     job, _, chunk = key[len(PROGRESS) :].partition("/")
     return job, int(chunk)
--- a/spoolcourse/control/store/records.py
+++ b/spoolcourse/control/store/records.py
@@ -25,13 +25,16 @@
 
     @property
     def aborted(self) -> bool:
+        """Whether the job was cancelled."""
         return self.aborted_at is not None
 
     @property
     def chunks(self) -> int:
+        """How many progress keys the job has at most."""
         return -(-self.sub.task_count // self.chunk)
 
     def value(self) -> dict[str, Any]:
+        """The stored form."""
         value = {"sub": msgspec.to_builtins(self.sub), "at": self.at, "chunk": self.chunk}
         if self.aborted_at is not None:
             value["aborted"] = self.aborted_at
@@ -39,6 +42,7 @@
 
     @staticmethod
     def from_value(value: dict[str, Any], revision: int) -> JobRecord:
+        """The record of a stored form."""
         return JobRecord(
             msgspec.convert(value["sub"], Submission),
             value["at"],
@@ -59,6 +63,7 @@
     held: dict[int, tuple[str, int]] = field(default_factory=dict)
 
     def value(self) -> dict[str, Any]:
+        """The stored form."""
         return {
             "done": f"{self.done:x}",
             "held": {str(p): [m, t] for p, (m, t) in self.held.items()},
@@ -66,14 +71,17 @@
 
     @staticmethod
     def from_value(value: dict[str, Any]) -> Progress:
+        """The progress of a stored form."""
         return Progress(
             int(value["done"], 16), {int(p): (m, t) for p, (m, t) in value["held"].items()}
         )
 
     @staticmethod
     def counts_of(value: dict[str, Any]) -> tuple[int, int]:
-        """How many tasks are done and how many are held, without unpacking them: every node
-        sees every write of progress."""
+        """How many tasks are done and how many are held.
+
+        The value is not unpacked: every node sees every write of progress.
+        """
         return int(value["done"], 16).bit_count(), len(value["held"])
 
 
@@ -91,10 +99,12 @@
     accepted_at: float = 0.0  # time of day
 
     def value(self) -> dict[str, Any]:
+        """The stored form."""
         return {"stage": self.stage.value, "done": self.done, "at": self.accepted_at}
 
     @staticmethod
     def from_value(value: dict[str, Any]) -> FinalState:
+        """The final state of a stored form, or of a peer's answer."""
         return FinalState(JobStage(value["stage"]), value.get("done", 0), value.get("at", 0.0))
 
 
@@ -110,6 +120,7 @@
     lease: int
 
     def value(self) -> dict[str, Any]:
+        """The stored form."""
         return {"term": self.number, "run": self.run, "hold": self.lease}
 
     @staticmethod
@@ -126,14 +137,17 @@
     label: str
 
     def value(self) -> dict[str, Any]:
+        """The stored form."""
         return self.term.value() | {"label": self.label}
 
     @staticmethod
     def label_of(value: dict[str, Any]) -> str:
+        """The leader's label."""
         return str(value["label"])
 
     @staticmethod
     def run_of(value: dict[str, Any]) -> str | None:
+        """The leader's run."""
         return value.get("run")
 
 
--- a/spoolcourse/control/store/watch_cache.py
+++ b/spoolcourse/control/store/watch_cache.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from spoolcourse.control.store.client import Compacted, Refused, StoreClient, Unclear
+from spoolcourse.control.store.client import CompactedError, RefusedError, StoreClient, UnclearError
 from spoolcourse.wire.state_service import Entry
 
 log = logging.getLogger(__name__)
@@ -43,15 +43,19 @@
         self.watch_gap_s = WATCH_GAP_S
 
     def listen(self, listener: Listener) -> None:
+        """Have a listener told of every change."""
         self._listeners.append(listener)
 
     def get(self, key: str) -> Entry | None:
+        """The entry of a key, if it exists."""
         return self._entries.get(key)
 
     def below(self, prefix: str) -> list[Entry]:
+        """The entries below a prefix."""
         return [e for k, e in self._entries.items() if k.startswith(prefix)]
 
     def revision(self, key: str) -> int:
+        """The revision of a key's last change; 0 if it does not exist."""
         entry = self._entries.get(key)
         return entry.revision if entry else 0
 
@@ -115,10 +119,10 @@
                 # A leader at work writes many times a second, and every node is woken by
                 # each write. What comes within this pause comes with one answer.
                 await asyncio.sleep(self.watch_gap_s)
-            except Compacted:
+            except CompactedError:
                 log.info("watch fell behind; reading all keys again")
                 self.loaded.clear()
-            except (Refused, Unclear) as exc:
+            except (RefusedError, UnclearError) as exc:
                 log.debug("watch: %s", exc)
                 await asyncio.sleep(delay * random.uniform(0.5, 1.0))
                 delay = min(delay * 2, 1.0)
@@ -135,7 +139,7 @@
         try:
             async with asyncio.timeout(timeout):
                 await waiter
-        except (TimeoutError, Refused, Unclear):
+        except (TimeoutError, RefusedError, UnclearError):
             return False
         return True
 
@@ -151,10 +155,10 @@
                 self._advance(store_revision, changes)
                 self.synced_at = max(self.synced_at, start)
                 error: Exception | None = None
-            except Compacted:
+            except CompactedError:
                 self.loaded.clear()
-                error = Unclear("watch fell behind")
-            except (Refused, Unclear) as exc:
+                error = UnclearError("watch fell behind")
+            except (RefusedError, UnclearError) as exc:
                 error = exc
             for waiter in batch:
                 if not waiter.done():
--- a/spoolcourse/control/user_api/__init__.py
+++ b/spoolcourse/control/user_api/__init__.py
@@ -0,0 +1,1 @@
+"""The users' interface."""
--- a/spoolcourse/control/user_api/api.py
+++ b/spoolcourse/control/user_api/api.py
@@ -16,10 +16,10 @@
 import msgspec
 
 from spoolcourse.control.context import ControllerContext
-from spoolcourse.control.jobs.job_index import TooLong
+from spoolcourse.control.jobs.job_index import RecordTooLargeError
 from spoolcourse.control.leadership.feature_level import all_new
 from spoolcourse.control.net import NetError, Reply, Request, later
-from spoolcourse.control.store.client import Refused, Unclear
+from spoolcourse.control.store.client import RefusedError, UnclearError
 from spoolcourse.control.store.records import FinalState
 from spoolcourse.control.user_api.checks import refusal, usable_machine_types
 from spoolcourse.wire.messages import (
@@ -28,7 +28,7 @@
     JobStage,
     JobStatus,
     MachineType,
-    Malformed,
+    MalformedError,
     Submission,
     decode,
     parse,
@@ -49,11 +49,13 @@
 WITHDRAW_TRIES = 4  # the leader may finish the job, or a peer withdraw it, in between
 
 
-class Unable(Exception):
+class CannotAnswerError(Exception):
     """This node can't answer for sure just now."""
 
 
 class UserApi:
+    """Answers users' requests, by itself or with a peer's help."""
+
     def __init__(self, context: ControllerContext, leader_label: Callable[[], str | None]) -> None:
         self._job_index = context.job_index
         self._watch_cache = context.watch_cache
@@ -84,15 +86,17 @@
                     return await self._poll(parts[0])
                 if len(parts) == 2 and parts[1] == "withdraw" and request.method == "POST":
                     return await self._withdraw(parts[0])
-        except (Unable, Refused, Unclear, TimeoutError) as exc:
+        except (CannotAnswerError, RefusedError, UnclearError, TimeoutError) as exc:
             log.debug("%s %s: %s", request.method, path, exc)
-            after = exc.after if isinstance(exc, Refused) else after
+            after = exc.after if isinstance(exc, RefusedError) else after
             return later("try again", after) if hop else await self._pass_on(request, after)
         return Reply(404, {"error": "no such resource"})
 
     async def _pass_on(self, request: Request, after: float) -> Reply:
-        """Perhaps only this node lost the state service: a peer may still be served. Peers
-        that hang, as behind a cut, must not use up the time that the user waits."""
+        """Ask the peers: perhaps only this node lost the state service.
+
+        Peers that hang, as behind a cut, must not use up the time that the user waits.
+        """
         leader_label = self._leader_label()
         clock = asyncio.get_running_loop().time
         until = clock() + (ASK_PEERS_POLL_S if request.method == "GET" else ASK_PEERS_S)
@@ -120,7 +124,7 @@
         """A final state that a peer has told never changes."""
         try:
             status = parse(answer, JobStatus)
-        except Malformed as exc:
+        except MalformedError as exc:
             log.debug("a peer's answer is no job status: %s", exc)
             return
         if status.stage.is_final:
@@ -128,7 +132,7 @@
 
     async def _sync(self) -> None:
         if not await self._watch_cache.sync(1.2):
-            raise Unable("no sync")
+            raise CannotAnswerError("no sync")
 
     async def _known(self, job: str) -> JobStatus | None:
         """The job's current state for certain; None if it was never accepted."""
@@ -140,39 +144,52 @@
 
     async def _submit(self, raw: bytes) -> Reply:
         try:
-            sub = parse_submission(raw)
-        except Malformed as exc:
+            submission = parse_submission(raw)
+        except MalformedError as exc:
             return await self._refuse(_id_of(raw), Reply(400, {"error": str(exc)}))
-        if sub.id in self._job_index.live or self._job_index.final(sub.id) is not None:
-            known = await self._known(sub.id)
+        job = submission.id
+        if job in self._job_index.live or self._job_index.final(job) is not None:
+            known = await self._known(job)
             if known is not None:
                 return _reply(200, known)
         machine_types = self._machine_types()
         if not machine_types:
-            raise Unable("the machine types are not known yet")
-        why = refusal(sub, machine_types, self._params)
+            raise CannotAnswerError("the machine types are not known yet")
+        why = refusal(submission, machine_types, self._params)
         if why is not None:
-            return await self._refuse(sub.id, Reply(422, {"error": why}))
-        if sub.is_service and not all_new(self._watch_cache):
-            # What this node learns by a sync no peer knows better. Asking them all the same kept
-            # users waiting for a second or more where one of them was cut off.
-            await self._sync()
-            if not all_new(self._watch_cache):
-                return later("not all controllers know services yet")
+            return await self._refuse(job, Reply(422, {"error": why}))
+        if submission.is_service and not await self._takes_services():
+            return later("not all controllers know services yet")
+        return await self._accept(self._narrowed(submission, machine_types))
+
+    async def _takes_services(self) -> bool:
+        """Whether every controller knows services.
+
+        What this node learns by a sync no peer knows better. Asking them all the same kept
+        users waiting for a second or more where one of them was cut off.
+        """
+        if all_new(self._watch_cache):
+            return True
+        await self._sync()
+        return all_new(self._watch_cache)
+
+    async def _accept(self, submission: Submission) -> Reply:
         try:
-            accepted = await self._job_index.accept(
-                self._narrowed(sub, machine_types), self._wall_clock()
-            )
-        except TooLong as exc:
-            return await self._refuse(sub.id, Reply(422, {"error": str(exc)}))
+            accepted = await self._job_index.accept(submission, self._wall_clock())
+        except RecordTooLargeError as exc:
+            return await self._refuse(submission.id, Reply(422, {"error": str(exc)}))
         if accepted:
             log.info(
-                "%s accepted: %d tasks, %s, %s", sub.id, sub.task_count, sub.job_class, sub.team
+                "%s accepted: %d tasks, %s, %s",
+                submission.id,
+                submission.task_count,
+                submission.job_class,
+                submission.team,
             )
-            return _reply(201, JobAnswer(sub.id, JobStage.QUEUED))
-        known = await self._known(sub.id)
+            return _reply(201, JobAnswer(submission.id, JobStage.QUEUED))
+        known = await self._known(submission.id)
         if known is None:
-            raise Unable("the record changed while it was read")
+            raise CannotAnswerError("the record changed while it was read")
         return _reply(200, known)
 
     def _narrowed(self, sub: Submission, machine_types: dict[str, MachineType]) -> Submission:
@@ -210,7 +227,7 @@
             ):
                 log.info("%s withdrawn", job)
                 return _reply(200, JobAnswer(job, JobStage.ABORTED))
-        raise Unable("the job kept changing")
+        raise CannotAnswerError("the job kept changing")
 
 
 def _reply(status: int, answer: JobStatus | JobAnswer) -> Reply:
@@ -220,7 +237,7 @@
 def _id_of(raw: bytes) -> str | None:
     try:
         data = decode(raw)
-    except Malformed:
+    except MalformedError:
         return None
     job = data.get("id") if isinstance(data, dict) else None
     return job if isinstance(job, str) and JOB_ID.fullmatch(job) else None
--- a/spoolcourse/control/view.py
+++ b/spoolcourse/control/view.py
@@ -109,8 +109,11 @@
 
 
 def metrics(node: Controller) -> bytes:
-    """The same as numbers, in Prometheus' text format. Made only when asked for, so that
-    it costs nothing in between; its library is loaded by the first such call."""
+    """The same as numbers, in Prometheus' text format.
+
+    Made only when asked for, so that it costs nothing in between; its library is loaded by the
+    first such call.
+    """
     from prometheus_client import CollectorRegistry, generate_latest
     from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
     from prometheus_client.registry import Collector
--- a/spoolcourse/policy/__init__.py
+++ b/spoolcourse/policy/__init__.py
@@ -0,0 +1,1 @@
+"""The operators' policy: keys, expression language, checker."""
--- a/spoolcourse/policy/keys.py
+++ b/spoolcourse/policy/keys.py
@@ -26,6 +26,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Key:
+    """A choice of the operators: its default, its range and its meaning."""
+
     default: str
     low: float
     high: float
@@ -102,6 +104,7 @@
         self._varying = {k: e for k, e in expressions.items() if not e.constant}
 
     def initial(self) -> Policy:
+        """The values with all inputs at their lowest."""
         policy = Policy()
         self._put(policy, self._expressions, {name: r.low for name, r in INPUTS.items()})
         return policy
@@ -138,6 +141,7 @@
 
 
 def load_policy(path: str | None) -> PolicySource:
+    """The policy of a file, or the defaults without one."""
     if path is None:
         return check_policy({}, "defaults")
     try:
--- a/spoolcourse/policy/lang.py
+++ b/spoolcourse/policy/lang.py
@@ -28,18 +28,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Range:
+    """The values that an expression can take."""
+
     low: float
     high: float
 
 
 @dataclass(frozen=True, slots=True)
 class Flaw:
+    """A problem in an expression, and where it is."""
+
     column: int  # counted from 1
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Expression:
+    """A checked expression."""
+
     text: str
     range: Range
     evaluate: Evaluate
--- a/spoolcourse/wire/__init__.py
+++ b/spoolcourse/wire/__init__.py
@@ -0,0 +1,1 @@
+"""Messages in the protocol's spelling, and the settings."""
--- a/spoolcourse/wire/commands.py
+++ b/spoolcourse/wire/commands.py
@@ -33,8 +33,10 @@
 
 
 class CommandRequest(msgspec.Struct, frozen=True):
-    """Commands sent to a worker's address. A worker in another session refuses them, and so
-    does one that has seen a higher fencing token."""
+    """Commands sent to a worker's address.
+
+    A worker in another session refuses them, and so does one that has seen a higher fencing token.
+    """
 
     fencing_token: int = msgspec.field(name="baton")
     session: int = msgspec.field(name="shift")
--- a/spoolcourse/wire/messages.py
+++ b/spoolcourse/wire/messages.py
@@ -37,7 +37,7 @@
         return self in (JobStage.DONE, JobStage.ABORTED)
 
 
-class Malformed(Exception):
+class MalformedError(Exception):
     """A message that does not follow the protocol."""
 
 
@@ -184,14 +184,14 @@
     try:
         return orjson.loads(raw)
     except orjson.JSONDecodeError as exc:
-        raise Malformed(f"not JSON: {exc}") from exc
+        raise MalformedError(f"not JSON: {exc}") from exc
 
 
 def decode(raw: bytes) -> Any:
     """JSON with finite numbers only."""
     data = _load(raw)
     if not _finite(data):
-        raise Malformed("a number is not finite")
+        raise MalformedError("a number is not finite")
     return data
 
 
@@ -200,17 +200,17 @@
     try:
         return msgspec.convert(data, kind)
     except msgspec.ValidationError as exc:
-        raise Malformed(str(exc)) from exc
+        raise MalformedError(str(exc)) from exc
 
 
 def parse_submission(raw: bytes) -> Submission:
-    """Check a user's submission; raises `Malformed`."""
+    """Check a user's submission; raises `MalformedError`."""
     data = decode(raw)
     if not isinstance(data, dict):
-        raise Malformed("not an object")
+        raise MalformedError("not an object")
     submission = parse(data, Submission)
     if not JOB_ID.fullmatch(submission.id):
-        raise Malformed("id: not of the form job-000412")
+        raise MalformedError("id: not of the form job-000412")
     return submission
 
 
@@ -224,7 +224,7 @@
     """The job and the index of the task that a name of a report means."""
     job, slash, index = name.partition("/")
     if not slash or not JOB_ID.fullmatch(job) or not index.isascii() or not index.isdigit():
-        raise Malformed(f"piece: {name[:60]!r} is not JOB/NUMBER")
+        raise MalformedError(f"piece: {name[:60]!r} is not JOB/NUMBER")
     return job, int(index)
 
 
@@ -232,9 +232,9 @@
     """Check a worker's report. Reports are by far the most frequent message."""
     report = parse(_load(raw), Report)
     if report.terminates_in_s is not None and not math.isfinite(report.terminates_in_s):
-        raise Malformed("recallS: a number is not finite")
+        raise MalformedError("recallS: a number is not finite")
     for item in report.tasks:
         split_task_name(item.task)
         if item.stage == "ended" and not item.cause:
-            raise Malformed(f"pieces: {item.task}: ended without a cause")
+            raise MalformedError(f"pieces: {item.task}: ended without a cause")
     return report
--- a/spoolcourse/wire/settings.py
+++ b/spoolcourse/wire/settings.py
@@ -24,11 +24,15 @@
 
 
 class Outside(msgspec.Struct, frozen=True):
+    """The addresses of the cloud and the state service."""
+
     cloud: str
     state: str
 
 
 class Team(msgspec.Struct, frozen=True):
+    """A team, with what it is guaranteed and what it may use at most."""
+
     name: str
     cpus: Amount = 0.0
     cpus_max: Amount = 0.0
@@ -47,6 +51,8 @@
 
 
 class Workers(msgspec.Struct, frozen=True):
+    """How workers behave, and how soon cancelled work must be gone."""
+
     report_s: Positive
     lease_s: Positive
     cancel_s: Positive
@@ -67,6 +73,8 @@
 
 
 class State(msgspec.Struct, frozen=True):
+    """The limits of the state service."""
+
     rps: Positive
     write_rps: Positive
     value_kb: Positive
@@ -88,6 +96,8 @@
 
 
 class Cloud(msgspec.Struct, frozen=True):
+    """The cloud's limits."""
+
     rps: Positive
     list_lag_s: Amount
 
@@ -99,6 +109,8 @@
 
 
 class Params(msgspec.Struct, frozen=True):
+    """What the deployment is like."""
+
     zones: list[str]
     teams: list[Team]
     workers: Workers
@@ -110,6 +122,8 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
+    """The settings file of one controller."""
+
     label: str
     listen: str
     cluster_listen: str
@@ -120,6 +134,7 @@
 
 
 def split_address(text: str, field: str) -> tuple[str, int]:
+    """Host and port of an address; raises `UserError` naming the field."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 <= int(port) <= 65535:
         raise UserError(f"{field}: {text!r} is not HOST:PORT")
@@ -156,6 +171,7 @@
 
 
 def load_settings(path: str) -> Settings:
+    """Read and check a settings file."""
     try:
         raw = Path(path).read_bytes()
     except OSError as exc:
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -27,7 +27,8 @@
 class Task:
     def __init__(self, name: str, number: int) -> None:
         self.name, self.number = name, number
-        self.stage, self.cause = "pulling", None
+        self.stage = "pulling"
+        self.cause: str | None = None
         self.started: float | None = None
 
     @property
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,7 +10,7 @@
 from spoolcourse.control.jobs.job_queue import Attempt, JobQueue, JobState
 from spoolcourse.control.store.records import JobRecord, Progress
 from spoolcourse.wire.commands import to_json_object
-from spoolcourse.wire.messages import Malformed, Report, Submission, parse, parse_report
+from spoolcourse.wire.messages import MalformedError, Report, Submission, parse, parse_report
 from spoolcourse.wire.settings import Workers
 from tests.fakes.world import job
 
@@ -215,7 +215,7 @@
 
 def test_malformed_reports_are_refused() -> None:
     for raw in (b"", b"[]", b'{"spindle":"m-1"}', b"\xff"):
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedError):
             parse_report(raw)
 
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -8,7 +8,7 @@
 import pytest
 
 from spoolcourse.control.leadership.election import Leadership
-from spoolcourse.control.store.client import StoreClient, Unclear
+from spoolcourse.control.store.client import StoreClient, UnclearError
 from spoolcourse.control.store.keys import (
     FINAL,
     JOB,
@@ -100,7 +100,7 @@
         for _ in range(2):
             try:
                 await node._stand()
-            except Unclear:
+            except UnclearError:
                 if len(wire.held) == 2:
                     break
                 # The first claim is carried out while the second one is under way.
@@ -208,9 +208,7 @@
             body = job(number, pieces=3, crew="blue" if number % 2 else "red")
             await insist(world, lambda label, body=body: world.submit(body, label))
             if number % 3 == 0:
-                asyncio.create_task(
-                    insist(world, lambda label, n=number: world.cancel(n, label))  # type: ignore[misc]
-                )
+                asyncio.create_task(insist(world, lambda label, n=number: world.cancel(n, label)))
             if number == 5:
                 await shift_leader(world, 0.3)
         await asyncio.sleep(60)
--- a/tests/test_snapshot_cache.py
+++ b/tests/test_snapshot_cache.py
@@ -47,7 +47,7 @@
     # given away, and room that is there never used.
     async def story() -> None:
         world = World()
-        world.cloud.run_s = lambda name: 3.0 + sum(name.encode()) % 7  # type: ignore[method-assign]
+        world.cloud.run_s = lambda name: 3.0 + sum(name.encode()) % 7
         await world.up()
         compared = 0
 
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any
 
-from spoolcourse.control.net import Request
+from spoolcourse.control.net import Reply, Request
 from tests.fakes.clock import play
 from tests.fakes.world import LABELS, World, job
 
@@ -36,7 +36,7 @@
     async def story() -> None:
         world = World()
         await world.up()
-        for body in (
+        bodies: tuple[Any, ...] = (
             [],
             "x",
             {k: v for k, v in job().items() if k != "pieces"},
@@ -48,8 +48,9 @@
             job(rank="urgent"),
             job(id="job 1"),
             job(loaners=1),
-        ):
-            assert (await world.submit(body)).status == 400, body
+        )
+        for malformed in bodies:
+            assert (await world.submit(malformed)).status == 400, malformed
         for body in (
             job(crew="green"),
             job(vcpus=9.0),
@@ -314,6 +315,7 @@
         seen = await world.wire.call("op", f"{other}:81", "GET", "/status", None, 2.0)
         assert (seen.data["role"], seen.data["leader"]) == ("follower", leader)
         reply = world.nodes[leader].peers(Request("GET", "/metrics"))
+        assert isinstance(reply, Reply)
         text = reply.data.decode()
         assert "spoolcourse_leader 1.0" in text and "spoolcourse_waiting_jobs 2.0" in text
         # Not on the users' address.
@@ -460,7 +462,7 @@
                 raise TypeError("unforeseen")
             return judge(work, now, number_of)
 
-        leader_term.snapshot_builder._job = partly  # type: ignore[method-assign]
+        leader_term.snapshot_builder._job = partly  # type: ignore[assignment,method-assign]
         await world.submit(job(1))
         await world.submit(job(2))
         await world.finish(2)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -17,7 +17,7 @@
 from tests.test_services import service
 
 # The stored forms of the production version, as of its commit.
-OLD_JOB = {
+OLD_JOB: dict[str, Any] = {
     "sub": {
         "id": "job-000001",
         "lane": "batch",
@@ -48,7 +48,7 @@
     """What the production version makes of a value; it raises where that would."""
     if "/live/job/" in key:
         assert set(value) <= {"sub", "at", "chunk", "aborted"}
-        assert set(OLD_JOB["sub"]) <= set(value["sub"])  # type: ignore[arg-type]
+        assert set(OLD_JOB["sub"]) <= set(value["sub"])
         assert value["sub"]["shape"] == "array"
         assert isinstance(value["chunk"], int) and value["chunk"] > 0
         assert isinstance(value["at"], float)
