--- a/spoolcourse/control/fleet/command_dispatcher.py
+++ b/spoolcourse/control/fleet/command_dispatcher.py
@@ -1,7 +1,7 @@
-"""Takes starts and halts to workers at once instead of waiting for their next reports.
+"""Takes starts and stops to workers at once instead of waiting for their next reports.
 
-A command sent to `/orders` may be executed minutes late, so a start that got no answer
-stays possible on that machine until its session or our term ends (`Attempt.loose`).
+A command sent to a machine's address may be executed minutes late, so a start that got no answer
+stays possible on that machine until its session or our term ends (`Attempt.in_flight_session`).
 Every attempt is sent this way once; what goes wrong is left to the report responses.
 """
 
@@ -80,7 +80,7 @@
             except (NetError, MalformedError) as exc:
                 # Until it can be reached, the report responses have to do.
                 machine.unreachable_until = asyncio.get_running_loop().time() + PAUSE_S
-                log.debug("%s: %d orders without an answer: %s", machine.id, len(commands), exc)
+                log.debug("%s: %d commands without an answer: %s", machine.id, len(commands), exc)
                 return
             if reply.status in (200, 409) and report.machine == machine.id:
                 for attempt in attempts:
--- a/spoolcourse/control/fleet/relay.py
+++ b/spoolcourse/control/fleet/relay.py
@@ -21,7 +21,7 @@
 log = logging.getLogger(__name__)
 
 TIMEOUT_S = 1.5
-PROBE_S = 15.0  # while the leader is deaf, one worker in so long tries it again
+PROBE_S = 15.0  # while the leader hears no worker, one of them in so long tries it again
 KNOWN_MOST = 10_000
 
 
@@ -38,7 +38,9 @@
         self._label = label
         self._peers = {seed.label: seed.endpoint for seed in seeds}
         self._report_s = report_s
-        self._passed: dict[str, tuple[float, bool]] = {}  # worker: when, was the leader deaf
+        self._passed: dict[
+            str, tuple[float, bool]
+        ] = {}  # worker: when, and whether the leader heard none
         self._probe_at = float("-inf")
 
     async def handle(
--- a/spoolcourse/control/fleet/worker_registry.py
+++ b/spoolcourse/control/fleet/worker_registry.py
@@ -173,7 +173,7 @@
     # -- reports ------------------------------------------------------------------
 
     def accept(self, report: Report) -> list[Command] | None:
-        """Take in a report that carries no higher fencing token than ours; the orders to answer.
+        """Take in a report that carries no higher fencing token than ours; the commands to answer.
 
         None for one that is no newer than what is known, or whose machine is gone: a copy
         that was late on the way. It is no sign of life and must get no answer that could
@@ -201,7 +201,7 @@
             machine.reported_at = self._clock()
 
     def observe(self, report: Report) -> None:
-        """Take in a report that came as the answer to `/orders` or `/show`."""
+        """Take in a report that came as the answer to a call."""
         if report.machine in self.deleted_names:
             return
         machine = self.machine(report.machine)
@@ -223,7 +223,7 @@
             machine.answers_doubted_at = now
         elif now - machine.answers_doubted_at > self._lease_over_s:
             # The session has outlived a lease since, so answers do arrive. Commands that
-            # arrive by `/orders` are no such proof: they renew nothing.
+            # arrive at its address are no such proof: they renew nothing.
             machine.ineffective_answers = 0
             machine.unresponsive_since = None
         if machine.heard_at is None:
--- a/spoolcourse/control/jobs/cancellations.py
+++ b/spoolcourse/control/jobs/cancellations.py
@@ -9,19 +9,11 @@
 
 from collections import OrderedDict
 
-import msgspec
+from spoolcourse.wire.peers import Cancellation
 
 MOST = 20_000
 
 
-class Cancellation(msgspec.Struct, frozen=True):
-    """A cancellation, with the time and the revision of its record."""
-
-    job: str
-    at: float  # time of day
-    revision: int = msgspec.field(name="stamp")
-
-
 class Cancellations:
     """The most recent cancellations that this node knows of."""
 
--- a/spoolcourse/control/jobs/job_index.py
+++ b/spoolcourse/control/jobs/job_index.py
@@ -1,4 +1,4 @@
-"""Every node's view of the jobs, made from the mirror, and the writes of the intake."""
+"""Every node's view of the jobs, made from the watch cache, and the writes of the user API."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import orjson
 
-from spoolcourse.control.jobs.cancellations import Cancellation, Cancellations
+from spoolcourse.control.jobs.cancellations import Cancellations
 from spoolcourse.control.store.client import StoreClient, UnclearError
 from spoolcourse.control.store.keys import (
     FINAL,
@@ -21,6 +21,7 @@
 from spoolcourse.control.store.records import FinalState, JobRecord, Progress, chunk_tasks
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.messages import JobStage, JobStatus, Submission
+from spoolcourse.wire.peers import Cancellation
 from spoolcourse.wire.state_service import Put
 
 FINALS_KEPT = 20_000
@@ -98,7 +99,7 @@
         return self._status(job, JobStage.RUNNING if busy else JobStage.QUEUED)
 
     async def look_up(self, job: str) -> JobStatus | None:
-        """A consistent answer about a job that the synced mirror does not hold live.
+        """A consistent answer about a job that the synced cache does not hold live.
 
         The sync comes first, then this read: a job that was final by the sync is found
         here, and one that was not has never been accepted by then.
@@ -132,7 +133,7 @@
     async def withdraw(self, job: str, at: float) -> bool:
         """Mark a live job aborted; False if it changed meanwhile (look again).
 
-        Conditional on the record's stamp, like the leader's `done`: one of them wins.
+        Conditional on the record's revision, like the leader's `done`: one of them wins.
         """
         record = self.live[job]
         if record.aborted:
--- a/spoolcourse/control/jobs/job_queue.py
+++ b/spoolcourse/control/jobs/job_queue.py
@@ -25,11 +25,11 @@
     since: float  # when `stage` began
     stage: str = "assigned"  # open (taken over), assigned, pulling, running, flushing
     start_sent_with: tuple[int, int] | None = None  # the report whose response carried the start
-    sent_directly: bool = False  # the start was also sent to `/orders`
+    sent_directly: bool = False  # the start was also sent to the machine's address
     in_flight_session: int | None = None  # the session in which that may still arrive
     first: bool = False  # it went before rank, so that its job begins: no claim stops it
     stopping: bool = False
-    stop_sent: bool = False  # to `/orders`
+    stop_sent: bool = False  # to the machine's address
 
     @property
     def name(self) -> str:
--- a/spoolcourse/control/jobs/writer.py
+++ b/spoolcourse/control/jobs/writer.py
@@ -1,7 +1,7 @@
 """Saves the leader's progress: one batched summary per changed chunk, final states too.
 
-Every write is conditional on the term's stamp, on the job record's stamp and on the
-stamp of the key itself. So neither a deposed leader's write nor an earlier write of
+Every write is conditional on the term's revision, on the job record's revision and on the
+revision of the key itself. So neither a deposed leader's write nor an earlier write of
 our own that arrives late can undo a newer one, and no assignment becomes durable for
 a job that was withdrawn before.
 """
@@ -216,7 +216,7 @@
         self._adopt()
 
     def _adopt(self) -> None:
-        """Take over the stamps, and finished jobs, that the synced mirror shows."""
+        """Take over the revisions, and finished jobs, that the synced cache shows."""
         for job, job_state in list(self._job_queue.jobs.items()):
             revision = self._watch_cache.revision(job_key(job))
             if revision == 0 and job in self._job_queue.finished:
--- a/spoolcourse/control/leadership/cancellation_query.py
+++ b/spoolcourse/control/leadership/cancellation_query.py
@@ -13,7 +13,6 @@
 import msgspec
 
 from spoolcourse.control.context import ControllerContext
-from spoolcourse.control.jobs.cancellations import Cancellation
 from spoolcourse.control.jobs.job_index import JobIndex
 from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.leadership.peers import ask_peers
@@ -22,20 +21,13 @@
 from spoolcourse.control.store.records import TermRecord
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.messages import MalformedError
+from spoolcourse.wire.peers import CancellationReply
 
 PATH = "/cancellations"
 PERIOD_S = 1.0
 LATE_S = 2.0  # without a read of the state service: the health check makes one each second
 
 
-class CancellationReply(msgspec.Struct, frozen=True):
-    """What a controller answers. `cancelled` is null if it may have forgotten some."""
-
-    term: int
-    informed: bool
-    cancelled: list[Cancellation] | None
-
-
 def answer_query(job_index: JobIndex, watch_cache: WatchCache, query: str) -> dict[str, Any]:
     """The answer to a leader that knows everything up to the revision it names."""
     name, _, text = query.partition("=")
--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -1,6 +1,6 @@
 """One leader at a time: a leased key says who, a term key fences what it writes.
 
-The term is the workers' `fencing token`. Every write of a leader is conditional on the stamp
+The term is the workers' fencing token. Every write of a leader is conditional on the revision
 that the term key got when it was elected, so a deposed leader's writes fail however
 late they arrive. The lease only decides when others may stand for election; nothing
 is safe because of it alone.
@@ -77,7 +77,7 @@
         )
 
     def depose(self, reason: str) -> None:
-        """Give the office up, at once."""
+        """Step down at once."""
         if self.term is None:
             return
         log.info("term %d: stepping down: %s", self.term.number, reason)
@@ -133,7 +133,7 @@
             return
         number = TermRecord.number_of(former.value if former else None) + 1
         # What the number was taken from is what the claim is conditional on. The watch may
-        # bring another's election while the lease is granted: with the stamps of that, this
+        # bring another's election while the lease is granted: with the revisions of that, this
         # claim would push it out under the very same number, and two would share a fencing token.
         conditions = {
             LEADER: leader.revision if leader else 0,
@@ -174,7 +174,7 @@
         self.on_elected(self.term)
 
     async def _lead(self) -> None:
-        """Renew until deposed. Without answers the office is kept, but not `valid`."""
+        """Renew until deposed. Without answers the term goes on, but is not `valid`."""
         loop = asyncio.get_running_loop()
         while self.term is not None:
             term = self.term
--- a/spoolcourse/control/leadership/feature_level.py
+++ b/spoolcourse/control/leadership/feature_level.py
@@ -10,8 +10,6 @@
 import asyncio
 import logging
 
-import msgspec
-
 from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.leadership.peers import ask_peers
@@ -19,6 +17,7 @@
 from spoolcourse.control.store.keys import LEVEL, TERM
 from spoolcourse.control.store.records import level_of, level_value
 from spoolcourse.control.store.watch_cache import WatchCache
+from spoolcourse.wire.peers import LevelReply
 from spoolcourse.wire.state_service import Put
 
 log = logging.getLogger(__name__)
@@ -28,12 +27,6 @@
 PERIOD_S = 1.0
 
 
-class LevelReply(msgspec.Struct, frozen=True):
-    """What a controller answers."""
-
-    level: int
-
-
 def answer() -> dict[str, int]:
     """The answer of this version."""
     return level_value(SERVICES)
--- a/spoolcourse/control/machines/cancelled.py
+++ b/spoolcourse/control/machines/cancelled_work.py
@@ -15,7 +15,7 @@
 LAST_CALL_S = 5.0  # for the deletion itself
 
 
-class Cancelled:
+class CancelledWork:
     """Finds machines that may hold cancelled work and can't be told."""
 
     def __init__(
@@ -61,7 +61,7 @@
                 found[job_state.id] = patience
         return found
 
-    def holds(self, machine: Machine, overdue: dict[str, float]) -> bool:
+    def may_be_on(self, machine: Machine, overdue: dict[str, float]) -> bool:
         """Whether a task of these jobs may be there.
 
         Whether the machine is silent or only our answers don't reach it: it can't be told, so it
--- a/spoolcourse/control/machines/returning.py
+++ b/spoolcourse/control/machines/returning.py
@@ -8,7 +8,7 @@
 from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.fleet.machine import Machine
 from spoolcourse.control.fleet.worker_registry import WorkerRegistry
-from spoolcourse.control.machines.cancelled import Cancelled
+from spoolcourse.control.machines.cancelled_work import CancelledWork
 from spoolcourse.control.machines.early_deletion import EarlyDeletion
 from spoolcourse.control.machines.fleet_view import FleetView
 from spoolcourse.control.machines.service_reserve import ServiceReserve
@@ -47,7 +47,7 @@
         self._early_deletion = early_deletion
         self._base = base
         self._is_rare = is_rare
-        self._cancelled = Cancelled(
+        self._cancelled = CancelledWork(
             registry.job_queue,
             context.params.workers,
             context.params.skew_ms / 1000,
@@ -108,7 +108,7 @@
             return "asked for before"
         if machine.listed_stage == "failed":
             return "it failed"
-        if self._cancelled.holds(machine, overdue):
+        if self._cancelled.may_be_on(machine, overdue):
             return "a cancelled job may be on it, and it can't be told"
         if self._is_booting(machine):
             late = not blind and self._is_overdue(machine, now)
--- a/spoolcourse/control/net.py
+++ b/spoolcourse/control/net.py
@@ -105,7 +105,7 @@
         if self._session is None:
             # No limit for all hosts together: calls to machines behind a cut hang until they
             # time out, and a renewal of the leader's lease must never queue behind them. Who
-            # calls many hosts at once bounds that itself (`courier`, `keeper`).
+            # calls many hosts at once bounds that itself (`command_dispatcher`, `machine_list`).
             connector = aiohttp.TCPConnector(
                 limit=0, limit_per_host=24, keepalive_timeout=20.0, use_dns_cache=False
             )
--- a/spoolcourse/control/placement/snapshot_builder.py
+++ b/spoolcourse/control/placement/snapshot_builder.py
@@ -278,12 +278,12 @@
             if machine is None or machine.zone is None:
                 job.lost += 1
             else:
-                _hold(job, self.zones.of(machine.zone))
+                _note_held(job, self.zones.of(machine.zone))
         for machine in self._registry.machines.values():
             for unexpected in machine.unexpected_tasks:
                 if unexpected[0] == state.id:
-                    _hold(job, self.zones.of(machine.zone or ""))
+                    _note_held(job, self.zones.of(machine.zone or ""))
 
 
-def _hold(job: Job, zone: int) -> None:
+def _note_held(job: Job, zone: int) -> None:
     job.held[zone] = job.held.get(zone, 0) + 1
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -8,8 +8,9 @@
 
 import pytest
 
-from spoolcourse.control.jobs.cancellations import Cancellation, Cancellations
+from spoolcourse.control.jobs.cancellations import Cancellations
 from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
+from spoolcourse.wire.peers import Cancellation
 from spoolcourse.wire.settings import Workers
 from tests.fakes.clock import play
 from tests.fakes.world import LABELS, World, job
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -11,10 +11,11 @@
 
 import orjson
 
-from spoolcourse.control.jobs.cancellations import Cancellation, Cancellations
+from spoolcourse.control.jobs.cancellations import Cancellations
 from spoolcourse.control.net import Reply, Request
 from spoolcourse.control.store.keys import CATALOG
 from spoolcourse.control.store.records import JobRecord, Progress
+from spoolcourse.wire.peers import Cancellation
 from tests.fakes.clock import play
 from tests.fakes.world import World, job
 from tests.test_gap import Gap
