--- a/spoolcourse/control/machines/autoscaler.py
+++ b/spoolcourse/control/machines/autoscaler.py
@@ -87,7 +87,13 @@
             self._view,
             self.surplus,
             self.reserve,
-            EarlyDeletion(registry, self.places, self.replica_probe, context.clock),
+            EarlyDeletion(
+                registry,
+                self.places,
+                self.replica_probe,
+                context.clock,
+                context.params.workers.lease_s,
+            ),
             owner.base,
             owner.is_rare,
         )
--- a/spoolcourse/control/machines/early_deletion.py
+++ b/spoolcourse/control/machines/early_deletion.py
@@ -50,31 +50,51 @@
         places: ReplicaPlaces,
         probe: ReplicaProbe,
         clock: Callable[[], float],
+        lease_s: float,
     ) -> None:
         self._registry = registry
         self._places = places
         self._probe = probe
         self._clock = clock
+        self._lease_s = lease_s
+        # When many workers were late at once the last time: of each zone, and of all.
+        self._troubled_at: dict[str, float] = {}
+        self._all_troubled_at = float("-inf")
 
     def due(self) -> set[str]:
-        """Names of machines to be deleted now; a leader without a valid lease must not ask."""
+        """Names of machines to be deleted now; a leader without a valid lease must not ask.
+
+        To be called all the time: whoever is still late after a trouble of many is not taken for
+        dead. Found on a recorded day, where a leader was cut off from all workers for seconds
+        and then deleted those that were back last.
+        """
         now = self._clock()
-        candidates = [m for m in self._registry.machines.values() if self._is_silent(m)]
-        if not candidates:
-            return set()
-        zones = self._late_workers(now)
-        if zones.all_troubled:
+        self._note_troubles(now)
+        if now - self._all_troubled_at <= self._lease_s:
             return set()
         chosen: set[str] = set()
         budget = self._budget()
-        for machine in candidates:
-            replicas = replicas_on(machine)
-            if len(chosen) >= budget or zones.troubled(machine.zone or ""):
+        for machine in self._registry.machines.values():
+            if not self._is_silent(machine) or self._zone_is_troubled(machine.zone or "", now):
                 continue
+            if len(chosen) >= budget:
+                break
+            replicas = replicas_on(machine)
             if replicas and all(map(self._places.has_place_elsewhere, replicas)):
                 chosen.add(machine.id)
         return chosen
 
+    def _note_troubles(self, now: float) -> None:
+        zones = self._late_workers(now)
+        if zones.all_troubled:
+            self._all_troubled_at = now
+        for zone in zones.heard:
+            if zones.troubled(zone):
+                self._troubled_at[zone] = now
+
+    def _zone_is_troubled(self, zone: str, now: float) -> bool:
+        return now - self._troubled_at.get(zone, float("-inf")) <= self._lease_s
+
     def _is_silent(self, machine: Machine) -> bool:
         return (
             machine.confirmed
--- a/spoolcourse/control/machines/returning.py
+++ b/spoolcourse/control/machines/returning.py
@@ -65,7 +65,9 @@
         now = self._clock()
         blind = self._isolated() or not leads
         overdue = self._cancelled.overdue()
-        early = set() if blind else self._early_deletion.due()
+        early = self._early_deletion.due()
+        if blind:
+            early = set()
         reserved = self._reserve.machines()
         base = self._base()
         spare_cpus = -self._surplus.short_cpus(now)
--- a/tests/test_early_deletion.py
+++ b/tests/test_early_deletion.py
@@ -149,6 +149,27 @@
     play(story())
 
 
+def test_who_is_back_last_after_a_trouble_of_many_is_not_taken_for_dead() -> None:
+    async def story() -> None:
+        world = await begin("aaaabbbb")
+        asked, leader, name = deletions(world), str(world.leader), home(world)
+
+        def apart(src: str, dst: str, *rest: Any) -> str | None:
+            return "cut" if dst == f"{leader}:80" or src == leader and dst[:2] == "m-" else None
+
+        world.wire.filters.append(apart)
+        await asyncio.sleep(4)
+        world.wire.filters.remove(apart)
+        cut = unreachable(world, name)
+        await asyncio.sleep(6)
+        assert asked == []
+        world.wire.filters.remove(cut)
+        await asyncio.sleep(10)
+        assert world.cloud.broken == []
+
+    play(story())
+
+
 def test_no_machine_is_deleted_early_whose_replicas_have_no_other_place() -> None:
     async def story() -> None:
         world = await begin("ab", yard=None)
