--- a/spoolcourse/control/fleet/command_builder.py
+++ b/spoolcourse/control/fleet/command_builder.py
@@ -162,8 +162,8 @@
         job_state = self._job_queue.jobs.get(job)
         if job_state is None:
             return self._leader.is_over(job)
-        sub = job_state.record.sub
-        if task >= sub.task_count or item.cause != "done" or sub.is_service:
+        submission = job_state.record.submission
+        if task >= submission.task_count or item.cause != "done" or submission.is_service:
             return True
         chunk = job_state.chunk(task)
         return job_state.is_done(task) and chunk.saved == chunk.version
@@ -184,8 +184,8 @@
 
 
 def _grace(job_state: JobState) -> float:
-    sub = job_state.record.sub
-    return sub.checkpoint_cost_s + 1.0 if sub.checkpoint_every_s > 0 else 0.0
+    submission = job_state.record.submission
+    return submission.checkpoint_cost_s + 1.0 if submission.checkpoint_every_s > 0 else 0.0
 
 
 def _must_stop(attempt: Attempt) -> bool:
--- a/spoolcourse/control/fleet/report_reconciler.py
+++ b/spoolcourse/control/fleet/report_reconciler.py
@@ -92,7 +92,7 @@
     def _note_fetches(machine: Machine, now: float) -> None:
         """Since when images are being fetched there."""
         fetched = {
-            attempt.job_state.record.sub.image
+            attempt.job_state.record.submission.image
             for attempt in machine.attempts.values()
             if attempt.stage == "pulling"
         }
@@ -115,10 +115,10 @@
             machine.changes += 1
         if item.stage in ("running", "flushing"):
             job_state = attempt.job_state
-            self._note_image(machine, job_state.record.sub)
+            self._note_image(machine, job_state.record.submission)
             machine.errors.discard(job_state.id)
             runs_well = now - attempt.since > HEALTHY_S
-            if job_state.record.sub.is_service and job_state.failures and runs_well:
+            if job_state.record.submission.is_service and job_state.failures and runs_well:
                 job_state.failures = 0
 
     def _take_end(self, machine: Machine, attempt: Attempt, cause: str, now: float) -> None:
@@ -143,8 +143,8 @@
 
     def _take_result(self, machine: Machine, attempt: Attempt, now: float) -> None:
         job_state = attempt.job_state
-        self._note_image(machine, job_state.record.sub)
-        if job_state.record.sub.is_service:
+        self._note_image(machine, job_state.record.submission)
+        if job_state.record.submission.is_service:
             _count_failure(job_state, REPLICA_BACKOFF, now)
             return
         job_state.failures = 0
@@ -154,7 +154,7 @@
         job_state = attempt.job_state
         job_state.bad_machines[machine.id] = now + AVOID_S
         machine.errors.add(job_state.id)
-        is_service = job_state.record.sub.is_service
+        is_service = job_state.record.submission.is_service
         _count_failure(job_state, REPLICA_BACKOFF if is_service else ARRAY_BACKOFF, now)
         log.info("%s: failed on %s", attempt.name, machine.id)
 
@@ -170,9 +170,9 @@
         True if it was taken over as the attempt.
         """
         job_state = self._job_queue.jobs.get(job)
-        if job_state is not None and task < job_state.record.sub.task_count:
+        if job_state is not None and task < job_state.record.submission.task_count:
             if item.stage == "ended":
-                if item.cause == "done" and not job_state.record.sub.is_service:
+                if item.cause == "done" and not job_state.record.submission.is_service:
                     self._job_queue.complete(job_state, task)
                     other = job_state.attempts.get(task)
                     if other is not None:
--- a/spoolcourse/control/jobs/job_index.py
+++ b/spoolcourse/control/jobs/job_index.py
@@ -111,17 +111,17 @@
         self.remember_final(job, final)
         return JobStatus(job, final.stage, final.done)
 
-    async def accept(self, sub: Submission, at: float) -> bool:
+    async def accept(self, submission: Submission, at: float) -> bool:
         """Write a new job; False if the id is known already.
 
         Raises if it is not known whether the write was carried out.
         """
-        record = JobRecord(sub, at, chunk_tasks(self._client.limits.value_kb), None, 0)
-        key = job_key(sub.id)
+        record = JobRecord(submission, at, chunk_tasks(self._client.limits.value_kb), None, 0)
+        key = job_key(submission.id)
         value = record.value()
         if len(orjson.dumps(value)) > self._client.limits.value_kb * 1024 - WITHDRAWN_BYTES:
             raise RecordTooLargeError("the job is too long to be stored")
-        return await self._write(key, value, {key: 0, final_key(sub.id): 0})
+        return await self._write(key, value, {key: 0, final_key(submission.id): 0})
 
     def learn_cancelled(self, found: Cancellation) -> None:
         """Take over a peer's word for a cancellation that is in the state service."""
--- a/spoolcourse/control/jobs/job_queue.py
+++ b/spoolcourse/control/jobs/job_queue.py
@@ -85,7 +85,7 @@
     @property
     def id(self) -> str:
         """The job's id."""
-        return self.record.sub.id
+        return self.record.submission.id
 
     @property
     def order(self) -> tuple[float, str]:
@@ -95,7 +95,7 @@
     @property
     def pending(self) -> int:
         """How many tasks are neither done nor held by an attempt."""
-        return self.record.sub.task_count - self.done - len(self.attempts)
+        return self.record.submission.task_count - self.done - len(self.attempts)
 
     @property
     def all_running(self) -> bool:
@@ -109,7 +109,7 @@
         """Pending tasks that may be assigned now: see `held_most`."""
         if self.held_most is None:
             return self.pending
-        size, tasks, total = self.record.chunk, self.record.sub.task_count, 0
+        size, tasks, total = self.record.chunk, self.record.submission.task_count, 0
         for index in range(self.record.chunks):
             here = min(size, tasks - index * size)
             chunk = self.chunks.get(index)
@@ -126,9 +126,9 @@
         """Nothing is left to do but to write the final state."""
         if self.record.aborted:
             return not self.attempts
-        if self.record.sub.is_service:
+        if self.record.submission.is_service:
             return False  # only its user ends it
-        return self.done == self.record.sub.task_count
+        return self.done == self.record.submission.task_count
 
     def chunk(self, task: int) -> Chunk:
         """The chunk that a task belongs to."""
@@ -158,7 +158,7 @@
     def _candidates(self) -> Iterator[int]:
         yield from sorted(p for p in self.requeued if p not in self.attempts)
         task = self.fresh
-        while task < self.record.sub.task_count:
+        while task < self.record.submission.task_count:
             if task not in self.attempts and task not in self.requeued:
                 if not self.is_done(task):
                     yield task
@@ -251,7 +251,7 @@
         Its attempt, if it is the one that ended, is dropped by the caller. A replica of a service
         has no result, however it ended.
         """
-        if job_state.record.sub.is_service or job_state.is_done(task):
+        if job_state.record.submission.is_service or job_state.is_done(task):
             return
         chunk = job_state.chunk(task)
         chunk.progress.done |= 1 << (task % job_state.record.chunk)
@@ -273,7 +273,7 @@
         return job_state
 
     def _begin(self, record: JobRecord, now: float) -> JobState:
-        job_state = self.jobs[record.sub.id] = JobState(
+        job_state = self.jobs[record.submission.id] = JobState(
             record, waiting_since=now, cancelled_known_at=now
         )
         if self._chunk_tasks is not None and record.chunk > self._chunk_tasks:
--- a/spoolcourse/control/jobs/writer.py
+++ b/spoolcourse/control/jobs/writer.py
@@ -74,7 +74,9 @@
         """What holds back starts, by rank: people wait for it."""
         jobs = self._job_queue.jobs
         keys = [key for key in self._job_queue.starting if key[0] in jobs]
-        await self._save(sorted(keys, key=lambda key: RANKS.index(jobs[key[0]].record.sub.rank)))
+        await self._save(
+            sorted(keys, key=lambda key: RANKS.index(jobs[key[0]].record.submission.rank))
+        )
 
     async def _save_results(self) -> None:
         """Save results and ends, which nobody waits for: the workers keep them meanwhile.
--- a/spoolcourse/control/leader/scheduling_loop.py
+++ b/spoolcourse/control/leader/scheduling_loop.py
@@ -114,7 +114,7 @@
 
     def _held_cpus(self) -> float:
         return sum(
-            job_state.record.sub.cpus * len(job_state.attempts)
+            job_state.record.submission.cpus * len(job_state.attempts)
             for job_state in self._job_queue.jobs.values()
         )
 
@@ -214,8 +214,8 @@
         return [
             WaitingJob(
                 job_state.id,
-                job_state.record.sub.job_class,
-                job_state.record.sub.team,
+                job_state.record.submission.job_class,
+                job_state.record.submission.team,
                 job_state.pending,
                 round(now - job_state.waiting_since, 1),
                 self._reason(job_state, now),
--- a/spoolcourse/control/leader/termination.py
+++ b/spoolcourse/control/leader/termination.py
@@ -52,7 +52,7 @@
 
     def _must_stop(self, attempt: Attempt, left_s: float) -> bool:
         """Save what can be saved at the last moment, and don't wait for what can't finish."""
-        submission = attempt.job_state.record.sub
+        submission = attempt.job_state.record.submission
         if submission.is_service:
             return self._must_move(attempt, left_s)
         if submission.checkpoint_every_s > 0:
--- a/spoolcourse/control/machines/fleet_summary.py
+++ b/spoolcourse/control/machines/fleet_summary.py
@@ -27,7 +27,9 @@
         self.surplus += machine.surplus
         self.empty += machine.heard_at is not None and not machine.attempts
         self.cpus += cpus
-        self.taken_cpus += sum(a.job_state.record.sub.cpus for a in machine.attempts.values())
+        self.taken_cpus += sum(
+            a.job_state.record.submission.cpus for a in machine.attempts.values()
+        )
 
 
 def log_fleet(registry: WorkerRegistry, view: FleetView) -> None:
--- a/spoolcourse/control/machines/replica_places.py
+++ b/spoolcourse/control/machines/replica_places.py
@@ -55,17 +55,17 @@
 
     def _zone_takes(self, replica: Attempt, machine: Machine) -> bool:
         """Zone rules, with all attempts but the replica's own counted."""
-        sub = replica.job_state.record.sub
+        submission = replica.job_state.record.submission
         zones = Counter(
             host.zone
             for attempt in replica.job_state.attempts.values()
             if attempt is not replica
             and (host := self._registry.machines.get(attempt.machine)) is not None
         )
-        if sub.one_zone and any(zone != machine.zone for zone in zones):
+        if submission.one_zone and any(zone != machine.zone for zone in zones):
             return False
-        most_in_a_zone = -(-sub.task_count // 2)
-        return not sub.spread_over_zones or zones[machine.zone] < most_in_a_zone
+        most_in_a_zone = -(-submission.task_count // 2)
+        return not submission.spread_over_zones or zones[machine.zone] < most_in_a_zone
 
 
 def replicas_on(machine: Machine) -> list[Attempt]:
@@ -73,7 +73,7 @@
     return [
         attempt
         for attempt in machine.attempts.values()
-        if attempt.job_state.record.sub.is_service
+        if attempt.job_state.record.submission.is_service
         and not attempt.job_state.record.aborted
         and not attempt.never_sent
     ]
@@ -81,19 +81,20 @@
 
 def _takes(machine: Machine, machine_type: MachineType, job_state: JobState) -> bool:
     """Whether the job may run there, and what stays leaves room for one task of it."""
-    sub = job_state.record.sub
-    if not fits(sub, machine_type) or (machine.spot and not sub.spot_allowed):
+    submission = job_state.record.submission
+    if not fits(submission, machine_type) or (machine.spot and not submission.spot_allowed):
         return False
-    if sub.zone not in (None, machine.zone):
+    if submission.zone not in (None, machine.zone):
         return False
-    rank = RANKS.index(sub.rank)
+    rank = RANKS.index(submission.rank)
     staying = [
-        attempt.job_state.record.sub
+        attempt.job_state.record.submission
         for attempt in machine.attempts.values()
-        if RANKS.index(attempt.job_state.record.sub.rank) <= rank
+        if RANKS.index(attempt.job_state.record.submission.rank) <= rank
     ]
     return (
-        sum(other.cpus for other in staying) + sub.cpus <= machine_type.cpus
-        and sum(other.gpus for other in staying) + sub.gpus <= machine_type.gpus
-        and sum(other.memory_gb for other in staying) + sub.memory_gb <= machine_type.memory_gb
+        sum(other.cpus for other in staying) + submission.cpus <= machine_type.cpus
+        and sum(other.gpus for other in staying) + submission.gpus <= machine_type.gpus
+        and sum(other.memory_gb for other in staying) + submission.memory_gb
+        <= machine_type.memory_gb
     )
--- a/spoolcourse/control/machines/service_reserve.py
+++ b/spoolcourse/control/machines/service_reserve.py
@@ -70,5 +70,6 @@
     return sum(
         submission.cpus
         for attempt in machine.attempts.values()
-        if (submission := attempt.job_state.record.sub).is_service and not submission.spot_allowed
+        if (submission := attempt.job_state.record.submission).is_service
+        and not submission.spot_allowed
     )
--- a/spoolcourse/control/placement/snapshot_builder.py
+++ b/spoolcourse/control/placement/snapshot_builder.py
@@ -49,7 +49,9 @@
     def _mark_rare(self, now: float, machine_types: dict[str, MachineType]) -> None:
         """Machine types that some job of late depends on, while others have a choice."""
         for job_state in self._job_queue.jobs.values():
-            fitting = [b.name for b in machine_types.values() if fits(job_state.record.sub, b)]
+            fitting = [
+                b.name for b in machine_types.values() if fits(job_state.record.submission, b)
+            ]
             if len(fitting) < len(machine_types):
                 for name in fitting:
                     self._rare_until[name] = now + self._policy.rare_s
@@ -60,8 +62,12 @@
 
     def estimate(self, job_state: JobState) -> float:
         """How long a task of it runs; a service has no end."""
-        sub = job_state.record.sub
-        return inf if sub.is_service else sub.expected_run_s or self._policy.default_estimate_s
+        submission = job_state.record.submission
+        return (
+            inf
+            if submission.is_service
+            else submission.expected_run_s or self._policy.default_estimate_s
+        )
 
     def attempts(self, numbers: list[int]) -> list[Attempt]:
         """Those that the pass knows by number, in the same order."""
@@ -108,7 +114,7 @@
         self.job_states.sort(
             key=lambda state: (
                 state.id not in self.unbegun,
-                RANKS.index(state.record.sub.rank),
+                RANKS.index(state.record.submission.rank),
                 state.id not in self._within,
                 state.order,
             )
@@ -132,7 +138,7 @@
         return teams
 
     def _charge(self, teams: list[Team], state: JobState, tasks: int) -> None:
-        submission = state.record.sub
+        submission = state.record.submission
         team = teams[self.teams.of(submission.team)]
         team.cpus -= submission.cpus * tasks
         team.gpus -= submission.gpus * tasks
@@ -183,24 +189,24 @@
         a guarantee is missed by the time that a machine has booted, so neither is a reason to rent
         one.
         """
-        sub = job_state.record.sub
-        if sub.is_service:
+        submission = job_state.record.submission
+        if submission.is_service:
             return job_state.waiting_since  # each second without its replicas is missed
         soon = job_state.waiting_since + self._policy.ordinary_wait_s
-        if sub.due_s is None:
+        if submission.due_s is None:
             return soon
         needed = self._policy.rescue_estimates * self.estimate(job_state) + self._boot_s
-        return max(soon, job_state.waiting_since + sub.due_s - needed)
+        return max(soon, job_state.waiting_since + submission.due_s - needed)
 
     def _guarantees(self) -> set[str]:
         """Jobs that fit into their teams' guarantees together with the earlier ones."""
         found: set[str] = set()
         left = [[t.cpus, t.gpus] for t in self._team_settings]
         for job_state in self.job_states:
-            sub = job_state.record.sub
-            room = left[self.teams.of(sub.team)]
-            room[0] -= sub.cpus * (sub.task_count - job_state.done)
-            room[1] -= sub.gpus * (sub.task_count - job_state.done)
+            submission = job_state.record.submission
+            room = left[self.teams.of(submission.team)]
+            room[0] -= submission.cpus * (submission.task_count - job_state.done)
+            room[1] -= submission.gpus * (submission.task_count - job_state.done)
             if room[0] >= 0 and room[1] >= 0:
                 found.add(job_state.id)
         return found
@@ -222,37 +228,41 @@
             return self._job(job_state, now, number_of)
         except Exception:
             log.exception("%s is left out of this pass", job_state.id)
-            return Job(0, 0.0, 0.0, 0.0, 0, 0.0, self.teams.of(job_state.record.sub.team), 0.0)
+            return Job(
+                0, 0.0, 0.0, 0.0, 0, 0.0, self.teams.of(job_state.record.submission.team), 0.0
+            )
 
     def _job(self, state: JobState, now: float, number_of: dict[str, int]) -> Job:
-        sub = state.record.sub
-        types = sub.machine_types
+        submission = state.record.submission
+        types = submission.machine_types
         job = Job(
             pending=self._pending(state, now),
-            cpus=sub.cpus,
-            gpus=sub.gpus,
-            memory=sub.memory_gb,
-            image=self._images.of(sub.image),
-            image_gb=sub.image_gb,
-            team=self.teams.of(sub.team),
+            cpus=submission.cpus,
+            gpus=submission.gpus,
+            memory=submission.memory_gb,
+            image=self._images.of(submission.image),
+            image_gb=submission.image_gb,
+            team=self.teams.of(submission.team),
             estimate=self.estimate(state),
             machine_types=None if types is None else frozenset(map(self.machine_types.of, types)),
-            zone=None if sub.zone is None else self.zones.of(sub.zone),
-            spot_allowed=sub.spot_allowed,
-            one_zone=sub.one_zone,
-            spread=-(-sub.task_count // 2) if sub.spread_over_zones else None,
-            rank=RANKS.index(sub.rank),
+            zone=None if submission.zone is None else self.zones.of(submission.zone),
+            spot_allowed=submission.spot_allowed,
+            one_zone=submission.one_zone,
+            spread=-(-submission.task_count // 2) if submission.spread_over_zones else None,
+            rank=RANKS.index(submission.rank),
             guaranteed=state.id in self._within,
             ordinary_at=self._ordinary_at(state),
-            service=sub.is_service,
+            service=submission.is_service,
+        )
+        job.claim = (
+            job.guaranteed or submission.is_service or submission.job_class in self._prompt_classes
         )
-        job.claim = job.guaranteed or sub.is_service or sub.job_class in self._prompt_classes
-        if sub.is_service:
+        if submission.is_service:
             self._note_replicas(job, state, number_of)
         if state.bad_machines:
             bad = [name for name, until in state.bad_machines.items() if until > now]
             job.avoid = frozenset(number_of[name] for name in bad if name in number_of)
-        if sub.one_zone or sub.spread_over_zones:
+        if submission.one_zone or submission.spread_over_zones:
             self._note_zones(job, state)
         return job
 
--- a/spoolcourse/control/placement/snapshot_cache.py
+++ b/spoolcourse/control/placement/snapshot_cache.py
@@ -136,33 +136,33 @@
         for attempt in attempts:
             if attempt.stage in ("running", "flushing"):
                 continue
-            sub = attempt.job_state.record.sub
-            if sub.image not in machine.images:
-                since = machine.pulling.get(sub.image, now)
-                left = max(sub.image_gb - rate * (now - since), 0.1)
-                node.pulling[self.images.of(sub.image)] = left
+            submission = attempt.job_state.record.submission
+            if submission.image not in machine.images:
+                since = machine.pulling.get(submission.image, now)
+                left = max(submission.image_gb - rate * (now - since), 0.1)
+                node.pulling[self.images.of(submission.image)] = left
         fetch = sum(node.pulling.values()) / rate
         until = float("inf")
         for attempt in attempts:
-            sub = attempt.job_state.record.sub
-            node.cpus -= sub.cpus
-            node.gpus -= sub.gpus
-            node.memory -= sub.memory_gb
+            submission = attempt.job_state.record.submission
+            node.cpus -= submission.cpus
+            node.gpus -= submission.gpus
+            node.memory -= submission.memory_gb
             end, steady = self._ends(attempt, now, fetch)
             until = min(until, end if steady else now + AGAIN_S)
             going = attempt.stage in ("running", "flushing")
-            saves = sub.checkpoint_every_s > 0
+            saves = submission.checkpoint_every_s > 0
             task = RunningTask(
                 end,
-                sub.cpus,
-                sub.gpus,
-                sub.memory_gb,
+                submission.cpus,
+                submission.gpus,
+                submission.memory_gb,
                 attempt.number,
                 # What goes before rank must not be stopped by rank, or the two would take
                 # turns. Measured: one first task stopped a hundred times on a busy day.
-                0 if attempt.first else RANKS.index(sub.rank),
-                self._teams.of(sub.team),
-                sub.cpus * sub.checkpoint_cost_s if going and saves else 0.0,
+                0 if attempt.first else RANKS.index(submission.rank),
+                self._teams.of(submission.team),
+                submission.cpus * submission.checkpoint_cost_s if going and saves else 0.0,
                 attempt.stopping,
                 attempt.first or attempt.job_state.id in self._within,
                 attempt.since if going and not saves else None,
@@ -173,10 +173,10 @@
         for job, _, _ in machine.unexpected_tasks:
             job_state = jobs.get(job)
             if job_state is not None:
-                sub = job_state.record.sub
-                node.cpus -= sub.cpus
-                node.gpus -= sub.gpus
-                node.memory -= sub.memory_gb
+                submission = job_state.record.submission
+                node.cpus -= submission.cpus
+                node.gpus -= submission.gpus
+                node.memory -= submission.memory_gb
         node.tasks.sort(key=lambda t: t.end)
         return MachineSnapshot(
             machine.changes,
--- a/spoolcourse/control/store/records.py
+++ b/spoolcourse/control/store/records.py
@@ -17,7 +17,7 @@
 class JobRecord:
     """A live job: accepted, not final yet; an aborted one stays until its tasks are gone."""
 
-    sub: Submission
+    submission: Submission
     at: float  # time of day of the acceptance: the order of arrival
     chunk: int  # tasks per progress key
     aborted_at: float | None  # time of day of the withdrawal
@@ -31,11 +31,11 @@
     @property
     def chunks(self) -> int:
         """How many progress keys the job has at most."""
-        return -(-self.sub.task_count // self.chunk)
+        return -(-self.submission.task_count // self.chunk)
 
     def value(self) -> dict[str, Any]:
         """The stored form."""
-        value = {"sub": msgspec.to_builtins(self.sub), "at": self.at, "chunk": self.chunk}
+        value = {"sub": msgspec.to_builtins(self.submission), "at": self.at, "chunk": self.chunk}
         if self.aborted_at is not None:
             value["aborted"] = self.aborted_at
         return value
--- a/spoolcourse/control/user_api/api.py
+++ b/spoolcourse/control/user_api/api.py
@@ -192,12 +192,14 @@
             raise CannotAnswerError("the record changed while it was read")
         return _reply(200, known)
 
-    def _narrowed(self, sub: Submission, machine_types: dict[str, MachineType]) -> Submission:
+    def _narrowed(
+        self, submission: Submission, machine_types: dict[str, MachineType]
+    ) -> Submission:
         """Only known types are kept, so that a record stays small."""
-        if sub.machine_types is None:
-            return sub
-        usable = usable_machine_types(sub, machine_types, self._params.zones)
-        return msgspec.structs.replace(sub, machine_types=usable)
+        if submission.machine_types is None:
+            return submission
+        usable = usable_machine_types(submission, machine_types, self._params.zones)
+        return msgspec.structs.replace(submission, machine_types=usable)
 
     async def _refuse(self, job: str | None, reply: Reply) -> Reply:
         """A job that was accepted once is never refused, whatever the repeat looks like."""
--- a/spoolcourse/control/user_api/checks.py
+++ b/spoolcourse/control/user_api/checks.py
@@ -7,47 +7,52 @@
 
 
 def usable_machine_types(
-    sub: Submission, machine_types: dict[str, MachineType], zones: list[str]
+    submission: Submission, machine_types: dict[str, MachineType], zones: list[str]
 ) -> list[str]:
     """The allowed machine types that a task of the job fits on."""
     return [
         machine_type.name
         for machine_type in machine_types.values()
-        if fits(sub, machine_type)
-        and any(z in zones and sub.zone in (None, z) for z in machine_type.zones)
+        if fits(submission, machine_type)
+        and any(z in zones and submission.zone in (None, z) for z in machine_type.zones)
     ]
 
 
-def refusal(sub: Submission, machine_types: dict[str, MachineType], params: Params) -> str | None:
+def refusal(
+    submission: Submission, machine_types: dict[str, MachineType], params: Params
+) -> str | None:
     """Why the job can never run; None if it can."""
-    team = next((t for t in params.teams if t.name == sub.team), None)
+    team = next((t for t in params.teams if t.name == submission.team), None)
     if team is None:
-        return f"unknown team {sub.team!r}"
-    if sub.cpus > team.cpus_max or sub.gpus > team.gpus_max:
+        return f"unknown team {submission.team!r}"
+    if submission.cpus > team.cpus_max or submission.gpus > team.gpus_max:
         return "a task needs more than the team's limit"
-    usable = usable_machine_types(sub, machine_types, params.zones)
+    usable = usable_machine_types(submission, machine_types, params.zones)
     if not usable:
         return "a task fits no allowed machine type"
     return (
-        _standing_refusal(sub, team, usable, machine_types, params.zones)
-        if sub.is_service
+        _standing_refusal(submission, team, usable, machine_types, params.zones)
+        if submission.is_service
         else None
     )
 
 
 def _standing_refusal(
-    sub: Submission,
+    submission: Submission,
     team: Team,
     usable: list[str],
     machine_types: dict[str, MachineType],
     zones: list[str],
 ) -> str | None:
     """The replicas of a service run all at once; an array may take one task after another."""
-    if sub.task_count * sub.cpus > team.cpus_max or sub.task_count * sub.gpus > team.gpus_max:
+    if (
+        submission.task_count * submission.cpus > team.cpus_max
+        or submission.task_count * submission.gpus > team.gpus_max
+    ):
         return "all replicas together need more than the team's limit"
-    if not sub.spread_over_zones or sub.task_count < 2:
+    if not submission.spread_over_zones or submission.task_count < 2:
         return None
     where = {z for name in usable for z in machine_types[name].zones if z in zones}
-    if sub.one_zone or sub.zone is not None or len(where) < 2:
+    if submission.one_zone or submission.zone is not None or len(where) < 2:
         return "the replicas can't be spread over zones"
     return None
--- a/spoolcourse/control/view.py
+++ b/spoolcourse/control/view.py
@@ -33,7 +33,7 @@
     services = [
         w
         for w in leader_term.job_queue.jobs.values()
-        if w.record.sub.is_service and not w.record.aborted
+        if w.record.submission.is_service and not w.record.aborted
     ]
     return {
         "jobs": len(leader_term.job_queue.jobs),
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -31,8 +31,10 @@
             lambda: self.now,
             self,
         )
-        sub = parse(job(**fields), Submission)
-        self.job_state: JobState = self.job_queue.add(JobRecord(sub, 1.0, 170, None, 5), self.now)
+        submission = parse(job(**fields), Submission)
+        self.job_state: JobState = self.job_queue.add(
+            JobRecord(submission, 1.0, 170, None, 5), self.now
+        )
         self.sequence = 0
 
     def may_start(self) -> bool:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -86,7 +86,11 @@
 
 def test_the_new_version_reads_what_the_old_one_stored() -> None:
     record = JobRecord.from_value(OLD_JOB, 3)
-    assert record.sub.task_count == 200 and not record.sub.is_service and record.value() == OLD_JOB
+    assert (
+        record.submission.task_count == 200
+        and not record.submission.is_service
+        and record.value() == OLD_JOB
+    )
     progress = Progress.from_value(OLD_PROGRESS)
     assert progress.done == 6 and progress.value() == OLD_PROGRESS
 
--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -74,7 +74,7 @@
         await client.txn({}, [Put(TERM, {"term": 1})], urgent=True)
         term = Term(1, state.store_revision, 0)
         record = JobRecord(parse(job(pieces=170), Submission), 1.0, 170, None, 0)
-        key = job_key(record.sub.id)
+        key = job_key(record.submission.id)
         await client.txn({}, [Put(key, record.value())], urgent=True)
         record.revision = state.store_revision
         work = works.add(record, 0.0)
