--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -39,7 +39,7 @@
     assert attempt.stage == "running"
 
 
-def test_a_report_under_an_older_baton_confirms_nothing() -> None:
+def test_a_report_under_an_older_fencing_token_confirms_nothing() -> None:
     harness = RegistryHarness()
     attempt = harness.job_queue.adopt(harness.job_state, 0, "m-1", 1, harness.now)
     harness.registry.link(attempt)
@@ -49,7 +49,7 @@
     assert not harness.job_state.attempts and harness.job_state.pending == 4
 
 
-def test_a_result_is_reaped_only_when_it_is_durable() -> None:
+def test_a_result_is_acknowledged_only_when_it_is_durable() -> None:
     harness = RegistryHarness()
     harness.report()
     harness.assign()
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("cause", ["halted", "error", "no_room", "in_use", "no_such"])
-def test_an_ended_attempt_frees_its_piece(cause: str) -> None:
+def test_an_ended_attempt_frees_its_task(cause: str) -> None:
     harness = RegistryHarness()
     harness.report()
     harness.assign()
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -99,7 +99,7 @@
     assert plan.head is None and plan.why[0] == "team limit"
 
 
-def test_zone_rules_count_pieces_that_may_be_anywhere() -> None:
+def test_zone_rules_count_tasks_that_may_be_anywhere() -> None:
     def zoned() -> list[Node]:
         return [node(4.0), Node(0, 1, False, 8.0, 0.0, 64.0, 8.0, 1.0)]
 
--- a/tests/test_unresponsive_machines.py
+++ b/tests/test_unresponsive_machines.py
@@ -13,7 +13,7 @@
 from tests.fakes.world import World, job
 
 
-def test_no_piece_stays_bound_to_a_machine_that_gets_no_answers() -> None:
+def test_no_task_stays_bound_to_a_machine_that_gets_no_answers() -> None:
     async def story() -> None:
         world = World()
         world.cloud.capacity = 2
@@ -104,7 +104,7 @@
     play(story())
 
 
-def test_a_machine_that_boots_for_long_is_given_the_time_to_see_our_baton() -> None:
+def test_a_machine_that_boots_for_long_is_given_the_time_to_see_our_fencing_token() -> None:
     # Measured: with the time since the rental counted, 88 machines that took longer to boot
     # than the patience with unproven ones went back at their first report.
     async def story() -> None:
