--- a/spoolcourse/control/fleet/command_builder.py
+++ b/spoolcourse/control/fleet/command_builder.py
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING
 
 from spoolcourse.control.fleet.machine import Machine
-from spoolcourse.control.jobs.job_queue import Attempt, JobState
+from spoolcourse.control.jobs.job_queue import Attempt, AttemptStage, JobState
 from spoolcourse.wire.commands import Acknowledge, Command, Start, Stop
-from spoolcourse.wire.messages import Report, TaskReport, split_task_name
+from spoolcourse.wire.messages import EndCause, Report, TaskReport, TaskStage, split_task_name
 
 if TYPE_CHECKING:
     from spoolcourse.control.fleet.worker_registry import Leader, WorkerRegistry
@@ -50,12 +50,12 @@
         others: list[Command] = []
         for item in report.tasks:
             job, task = split_task_name(item.task)
-            if item.stage != "ended" and self._is_cancelled(job):
+            if item.stage is not TaskStage.ENDED and self._is_cancelled(job):
                 urgent.append(Stop(item.task, item.attempt, 0.0))
                 continue
             if not under_our_token:
                 continue
-            if item.stage != "ended":
+            if item.stage is not TaskStage.ENDED:
                 grace_s = self._stop_grace_s(machine, job, task, item)
                 if grace_s is not None:
                     others.append(Stop(item.task, item.attempt, grace_s))
@@ -98,7 +98,7 @@
         for attempt in machine.attempts.values():
             if len(commands) >= COMMANDS_MAX:
                 return
-            if attempt.stage == "assigned" and self._startable(attempt):
+            if attempt.stage is AttemptStage.ASSIGNED and self._startable(attempt):
                 attempt.start_sent_with = (report.session, report.sequence)
                 commands.append(Start(attempt.name, attempt.number))
 
@@ -163,7 +163,7 @@
         if job_state is None:
             return self._leader.is_over(job)
         submission = job_state.record.submission
-        if task >= submission.task_count or item.cause != "done" or submission.is_service:
+        if task >= submission.task_count or item.cause != EndCause.DONE or submission.is_service:
             return True
         chunk = job_state.chunk(task)
         return job_state.is_done(task) and chunk.saved == chunk.version
@@ -178,7 +178,7 @@
         if (job, task, item.attempt) in machine.unexpected_tasks:
             return 0.0
         attempt = machine.attempts.get((job, task))
-        if attempt is not None and attempt.stopping and item.stage != "flushing":
+        if attempt is not None and attempt.stopping and item.stage is not TaskStage.SAVING:
             return _grace(job_state)
         return None
 
@@ -189,9 +189,13 @@
 
 
 def _must_stop(attempt: Attempt) -> bool:
-    return attempt.stopping and not attempt.stop_sent and attempt.stage in ("pulling", "running")
+    return (
+        attempt.stopping
+        and not attempt.stop_sent
+        and attempt.stage in (AttemptStage.FETCHING, AttemptStage.RUNNING)
+    )
 
 
 def _must_start(attempt: Attempt) -> bool:
     """Not sent to the worker's address yet; perhaps not saved yet either."""
-    return attempt.stage == "assigned" and not attempt.sent_directly
+    return attempt.stage is AttemptStage.ASSIGNED and not attempt.sent_directly
--- a/spoolcourse/control/fleet/machine.py
+++ b/spoolcourse/control/fleet/machine.py
@@ -6,6 +6,7 @@
 from dataclasses import dataclass, field
 
 from spoolcourse.control.jobs.job_queue import Attempt
+from spoolcourse.wire.messages import HostStage
 
 
 @dataclass(slots=True, eq=False)
@@ -32,7 +33,7 @@
     answers_doubted_at: float = 0.0  # the last of them, or when this session was first heard of
     unresponsive_since: float | None = None  # its reports arrive, our answers don't
     token_seen_at: float = 0.0  # the last report under our fencing token, or `since`
-    listed_stage: str | None = None  # its stage in the cloud's list
+    listed_stage: HostStage | None = None  # its stage in the cloud's list
     running_at: float | None = None  # since when it is listed as running
     rented_at: float | None = None
     up_at: float | None = None  # when it is expected, while it boots
--- a/spoolcourse/control/fleet/report_reconciler.py
+++ b/spoolcourse/control/fleet/report_reconciler.py
@@ -13,8 +13,15 @@
 
 from spoolcourse.control.fleet.machine import Machine
 from spoolcourse.control.jobs.backoff import ARRAY_BACKOFF, REPLICA_BACKOFF, Backoff
-from spoolcourse.control.jobs.job_queue import Attempt, JobState
-from spoolcourse.wire.messages import Report, Submission, TaskReport, split_task_name
+from spoolcourse.control.jobs.job_queue import REPORTED_STAGES, Attempt, AttemptStage, JobState
+from spoolcourse.wire.messages import (
+    EndCause,
+    Report,
+    Submission,
+    TaskReport,
+    TaskStage,
+    split_task_name,
+)
 
 if TYPE_CHECKING:
     from spoolcourse.control.fleet.worker_registry import Leader, WorkerRegistry
@@ -72,7 +79,7 @@
         """An attempt that the report does not list."""
         if attempt.in_flight_session != report.session:
             attempt.in_flight_session = None  # of another session: it would be refused
-        if attempt.stage != "assigned":
+        if attempt.stage is not AttemptStage.ASSIGNED:
             log.info("%s: no longer on %s", attempt.name, machine.id)
             self._registry.drop(attempt)
             return
@@ -94,7 +101,7 @@
         fetched = {
             attempt.job_state.record.submission.image
             for attempt in machine.attempts.values()
-            if attempt.stage == "pulling"
+            if attempt.stage is AttemptStage.FETCHING
         }
         machine.pulling = {
             image: machine.pulling.get(image, now)
@@ -106,14 +113,15 @@
         self, machine: Machine, attempt: Attempt, item: TaskReport, now: float
     ) -> None:
         """What a report says of the attempt that counts there."""
-        if item.stage == "ended":
+        if item.stage is TaskStage.ENDED:
             self._take_end(machine, attempt, item.cause or "", now)
             return
-        if item.stage != attempt.stage:
-            log.debug("%s: %s on %s", item.task, item.stage, machine.id)
-            attempt.stage, attempt.since = item.stage, now
+        stage = REPORTED_STAGES[item.stage]
+        if stage is not attempt.stage:
+            log.debug("%s: %s on %s", item.task, stage.value, machine.id)
+            attempt.stage, attempt.since = stage, now
             machine.changes += 1
-        if item.stage in ("running", "flushing"):
+        if attempt.is_on:
             job_state = attempt.job_state
             self._note_image(machine, job_state.record.submission)
             machine.errors.discard(job_state.id)
@@ -124,19 +132,21 @@
     def _take_end(self, machine: Machine, attempt: Attempt, cause: str, now: float) -> None:
         job_state = attempt.job_state
         log.debug("%s: ended, %s, on %s", attempt.name, cause, machine.id)
-        if attempt.in_flight_session is not None or (attempt.sent_directly and cause != "done"):
+        if attempt.in_flight_session is not None or (
+            attempt.sent_directly and cause != EndCause.DONE
+        ):
             # A copy of the start may still be on its way to the worker's address. While the
             # worker remembers the attempt, the copy has no effect; once it has forgotten it, the
             # copy would start it.
             machine.unacknowledged.add((job_state.id, attempt.task, attempt.number))
-        if cause == "done":
+        if cause == EndCause.DONE:
             self._take_result(machine, attempt, now)
-        elif cause == "error":
+        elif cause == EndCause.ERROR:
             self._take_error(machine, attempt, now)
-        elif cause == "no_room":
+        elif cause == EndCause.NO_ROOM:
             machine.full_until = now + REFUSED_START_PAUSE_S
             log.info("%s: no room on %s", attempt.name, machine.id)
-        elif cause in ("in_use", "no_such"):
+        elif cause in (EndCause.OTHER_ATTEMPT_THERE, EndCause.NO_SUCH_TASK):
             job_state.retry_at = now + REFUSED_START_PAUSE_S
             log.info("%s: %s on %s", attempt.name, cause, machine.id)
         self._registry.drop(attempt)
@@ -171,8 +181,8 @@
         """
         job_state = self._job_queue.jobs.get(job)
         if job_state is not None and task < job_state.record.submission.task_count:
-            if item.stage == "ended":
-                if item.cause == "done" and not job_state.record.submission.is_service:
+            if item.stage is TaskStage.ENDED:
+                if item.cause == EndCause.DONE and not job_state.record.submission.is_service:
                     self._job_queue.complete(job_state, task)
                     other = job_state.attempts.get(task)
                     if other is not None:
@@ -185,18 +195,18 @@
             ):
                 # It runs and nobody else does: keep it.
                 attempt = self._job_queue.adopt(job_state, task, machine.id, item.attempt, now)
-                attempt.stage = item.stage
+                attempt.stage = REPORTED_STAGES[item.stage]
                 machine.attempts[job, task] = attempt
                 machine.changes += 1
                 return True
-        if item.stage != "ended":
+        if item.stage is not TaskStage.ENDED:
             machine.unexpected_tasks.add((job, task, item.attempt))
         return False
 
 
 def _awaits_effect(attempt: Attempt) -> bool:
     """An answer carried its start, so the next report should show it."""
-    return attempt.stage == "assigned" and attempt.start_sent_with is not None
+    return attempt.stage is AttemptStage.ASSIGNED and attempt.start_sent_with is not None
 
 
 def _count_failure(job_state: JobState, backoff: Backoff, now: float) -> None:
--- a/spoolcourse/control/jobs/job_queue.py
+++ b/spoolcourse/control/jobs/job_queue.py
@@ -8,9 +8,27 @@
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
+from enum import Enum
 
 from spoolcourse.control.store.records import JobRecord, Progress
-from spoolcourse.wire.messages import task_name
+from spoolcourse.wire.messages import TaskStage, task_name
+
+
+class AttemptStage(Enum):
+    """What is known of an attempt."""
+
+    OPEN = "open"  # taken over from the records; it may be anywhere
+    ASSIGNED = "assigned"  # not seen on its machine
+    FETCHING = "fetching"
+    RUNNING = "running"
+    SAVING = "saving"
+
+
+REPORTED_STAGES = {
+    TaskStage.FETCHING: AttemptStage.FETCHING,
+    TaskStage.RUNNING: AttemptStage.RUNNING,
+    TaskStage.SAVING: AttemptStage.SAVING,
+}
 
 
 @dataclass(slots=True, eq=False)
@@ -23,7 +41,7 @@
     machine: str
     version: int  # of its chunk when it was assigned
     since: float  # when `stage` began
-    stage: str = "assigned"  # open (taken over), assigned, pulling, running, flushing
+    stage: AttemptStage = AttemptStage.ASSIGNED
     start_sent_with: tuple[int, int] | None = None  # the report whose response carried the start
     sent_directly: bool = False  # the start was also sent to the machine's address
     in_flight_session: int | None = None  # the session in which that may still arrive
@@ -36,11 +54,16 @@
         """The task's name in reports and commands."""
         return task_name(self.job_state.id, self.task)
 
+    @property
+    def is_on(self) -> bool:
+        """Whether it has its image: it runs, or saves its progress."""
+        return self.stage is AttemptStage.RUNNING or self.stage is AttemptStage.SAVING
+
     @property
     def never_sent(self) -> bool:
         """No start is under way, nor can have arrived."""
         return (
-            self.stage == "assigned"
+            self.stage is AttemptStage.ASSIGNED
             and self.start_sent_with is None
             and self.in_flight_session is None
         )
@@ -101,7 +124,7 @@
     def all_running(self) -> bool:
         """All its tasks run, and none is being stopped."""
         return self.pending == 0 and all(
-            a.stage == "running" and not a.stopping for a in self.attempts.values()
+            a.stage is AttemptStage.RUNNING and not a.stopping for a in self.attempts.values()
         )
 
     @property
@@ -224,7 +247,7 @@
         if chunk.progress.held.get(task) != (machine, number):
             chunk.progress.held[task] = (machine, number)
             version = self.touch(job_state, chunk)
-        attempt = Attempt(job_state, task, number, machine, version, now, stage="open")
+        attempt = Attempt(job_state, task, number, machine, version, now, stage=AttemptStage.OPEN)
         job_state.attempts[task] = attempt
         job_state.requeued.discard(task)
         return attempt
--- a/spoolcourse/control/jobs/writer.py
+++ b/spoolcourse/control/jobs/writer.py
@@ -21,7 +21,7 @@
 from spoolcourse.control.store.keys import TERM, final_key, job_key, progress_key
 from spoolcourse.control.store.records import FinalState
 from spoolcourse.control.store.watch_cache import WatchCache
-from spoolcourse.wire.messages import RANKS, JobStage
+from spoolcourse.wire.messages import JobStage
 from spoolcourse.wire.state_service import Delete, Outcome, Put
 
 log = logging.getLogger(__name__)
@@ -74,9 +74,7 @@
         """What holds back starts, by rank: people wait for it."""
         jobs = self._job_queue.jobs
         keys = [key for key in self._job_queue.starting if key[0] in jobs]
-        await self._save(
-            sorted(keys, key=lambda key: RANKS.index(jobs[key[0]].record.submission.rank))
-        )
+        await self._save(sorted(keys, key=lambda key: jobs[key[0]].record.submission.rank_number))
 
     async def _save_results(self) -> None:
         """Save results and ends, which nobody waits for: the workers keep them meanwhile.
--- a/spoolcourse/control/leader/base_machines.py
+++ b/spoolcourse/control/leader/base_machines.py
@@ -15,7 +15,7 @@
 from spoolcourse.control.store.client import RefusedError, UnclearError
 from spoolcourse.control.store.keys import BASE, TERM
 from spoolcourse.control.store.records import base_machines, base_value
-from spoolcourse.wire.messages import Host
+from spoolcourse.wire.messages import Host, HostStage
 from spoolcourse.wire.state_service import Put
 
 log = logging.getLogger(__name__)
@@ -54,7 +54,7 @@
     def _value(self, hosts: list[Host]) -> dict[str, object]:
         if self._term.number != FIRST_TERM:
             return base_value([])  # some may have been rented by an earlier leader
-        value = base_value([h.id for h in hosts if not h.spot and h.stage == "running"])
+        value = base_value([h.id for h in hosts if not h.spot and h.stage is HostStage.RUNNING])
         if len(orjson.dumps(value)) > self._value_bytes:
             return base_value([])  # a fleet of that size is not kept by name
         return value
--- a/spoolcourse/control/leader/termination.py
+++ b/spoolcourse/control/leader/termination.py
@@ -7,7 +7,7 @@
 from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.fleet.machine import Machine
 from spoolcourse.control.fleet.worker_registry import WorkerRegistry
-from spoolcourse.control.jobs.job_queue import Attempt
+from spoolcourse.control.jobs.job_queue import Attempt, AttemptStage
 from spoolcourse.control.machines.replica_places import ReplicaPlaces
 from spoolcourse.control.placement.snapshot_builder import SnapshotBuilder
 
@@ -47,7 +47,7 @@
                 continue
             if attempt.never_sent:
                 self._registry.drop(attempt)
-            elif attempt.stage != "assigned" and self._must_stop(attempt, left_s):
+            elif attempt.stage is not AttemptStage.ASSIGNED and self._must_stop(attempt, left_s):
                 self._registry.stop(attempt)
 
     def _must_stop(self, attempt: Attempt, left_s: float) -> bool:
@@ -57,7 +57,7 @@
             return self._must_move(attempt, left_s)
         if submission.checkpoint_every_s > 0:
             return left_s < submission.checkpoint_cost_s + self._last_call_s
-        ran_s = self._clock() - attempt.since if attempt.stage == "running" else 0.0
+        ran_s = self._clock() - attempt.since if attempt.stage is AttemptStage.RUNNING else 0.0
         needed_s = self._snapshot_builder.estimate(attempt.job_state) - ran_s
         return needed_s > HOPELESS_SHARE * left_s
 
--- a/spoolcourse/control/machines/early_deletion.py
+++ b/spoolcourse/control/machines/early_deletion.py
@@ -17,6 +17,7 @@
 from spoolcourse.control.fleet.worker_registry import WorkerRegistry
 from spoolcourse.control.machines.replica_places import ReplicaPlaces, replicas_on
 from spoolcourse.control.machines.replica_probe import ReplicaProbe
+from spoolcourse.wire.messages import HostStage
 
 # More late workers than that in a zone: the zone is cut off, or this controller is.
 LATE_SHARE = 0.25
@@ -106,7 +107,7 @@
     def _late_workers(self, now: float) -> _Zones:
         zones = _Zones(Counter(), Counter())
         for machine in self._registry.machines.values():
-            if machine.heard_at is None or machine.listed_stage == "failed":
+            if machine.heard_at is None or machine.listed_stage is HostStage.FAILED:
                 continue
             zone = machine.zone or ""
             zones.heard[zone] += 1
--- a/spoolcourse/control/machines/machine_list.py
+++ b/spoolcourse/control/machines/machine_list.py
@@ -13,7 +13,7 @@
 from spoolcourse.control.machines.fleet_view import FleetView
 from spoolcourse.control.net import NetError
 from spoolcourse.wire.commands import CommandRequest, to_json_object
-from spoolcourse.wire.messages import Host, MalformedError, Report, parse
+from spoolcourse.wire.messages import Host, HostStage, MalformedError, Report, parse
 
 log = logging.getLogger(__name__)
 
@@ -62,7 +62,7 @@
 
     def _take_host(self, machine: Machine, host: Host, now: float) -> None:
         """What the machine itself has reported counts more than the list, which lags."""
-        if host.stage == "running" and machine.listed_stage != "running":
+        if host.stage is HostStage.RUNNING and machine.listed_stage is not HostStage.RUNNING:
             machine.running_at = now
         machine.listed_stage = host.stage
         machine.machine_type = machine.machine_type or host.machine_type
@@ -90,7 +90,7 @@
         await asyncio.gather(*(raise_one(machine) for machine in self._unconfirmed(hosts)))
 
     def _unconfirmed(self, hosts: list[Host]) -> list[Machine]:
-        running = [self._registry.machines.get(h.id) for h in hosts if h.stage == "running"]
+        running = [self._registry.machines.get(h.id) for h in hosts if h.stage is HostStage.RUNNING]
         return [
             machine
             for machine in running
--- a/spoolcourse/control/machines/replica_places.py
+++ b/spoolcourse/control/machines/replica_places.py
@@ -12,7 +12,7 @@
 from spoolcourse.control.fleet.machine import Machine
 from spoolcourse.control.fleet.worker_registry import WorkerRegistry
 from spoolcourse.control.jobs.job_queue import Attempt, JobState
-from spoolcourse.wire.messages import RANKS, MachineType, fits
+from spoolcourse.wire.messages import MachineType, fits
 from spoolcourse.wire.settings import Workers
 
 REPORT_JITTER = 1.25  # reports are sent every `report_s`, give or take a quarter
@@ -86,11 +86,11 @@
         return False
     if submission.zone not in (None, machine.zone):
         return False
-    rank = RANKS.index(submission.rank)
+    rank = submission.rank_number
     staying = [
         attempt.job_state.record.submission
         for attempt in machine.attempts.values()
-        if RANKS.index(attempt.job_state.record.submission.rank) <= rank
+        if attempt.job_state.record.submission.rank_number <= rank
     ]
     return (
         sum(other.cpus for other in staying) + submission.cpus <= machine_type.cpus
--- a/spoolcourse/control/machines/returning.py
+++ b/spoolcourse/control/machines/returning.py
@@ -14,6 +14,7 @@
 from spoolcourse.control.machines.service_reserve import ServiceReserve
 from spoolcourse.control.machines.surplus import Surplus
 from spoolcourse.policy.keys import Policy
+from spoolcourse.wire.messages import HostStage
 
 log = logging.getLogger(__name__)
 
@@ -108,7 +109,7 @@
     ) -> str | None:
         if machine.deleting:
             return "asked for before"
-        if machine.listed_stage == "failed":
+        if machine.listed_stage is HostStage.FAILED:
             return "it failed"
         if self._cancelled.may_be_on(machine, overdue):
             return "a cancelled job may be on it, and it can't be told"
@@ -128,7 +129,7 @@
         return (
             machine.heard_at is None
             and machine.up_at is not None
-            and machine.listed_stage != "running"
+            and machine.listed_stage is not HostStage.RUNNING
             and not machine.attempts
         )
 
--- a/spoolcourse/control/machines/surplus.py
+++ b/spoolcourse/control/machines/surplus.py
@@ -9,6 +9,7 @@
 from spoolcourse.control.machines.demand import Demand
 from spoolcourse.control.machines.fleet_view import FleetView
 from spoolcourse.policy.keys import KEYS, Policy
+from spoolcourse.wire.messages import HostStage
 
 
 class Surplus:
@@ -63,4 +64,8 @@
 
 
 def _is_coming(machine: Machine) -> bool:
-    return machine.heard_at is None and not machine.deleting and machine.listed_stage != "failed"
+    return (
+        machine.heard_at is None
+        and not machine.deleting
+        and machine.listed_stage is not HostStage.FAILED
+    )
--- a/spoolcourse/control/placement/snapshot_builder.py
+++ b/spoolcourse/control/placement/snapshot_builder.py
@@ -11,7 +11,7 @@
 from spoolcourse.control.placement.model import Job, Node, Snapshot, Team
 from spoolcourse.control.placement.snapshot_cache import Index, SnapshotCache
 from spoolcourse.policy.keys import Policy
-from spoolcourse.wire.messages import RANKS, MachineType, fits
+from spoolcourse.wire.messages import HostStage, MachineType, fits
 from spoolcourse.wire.settings import Params
 
 log = logging.getLogger(__name__)
@@ -114,7 +114,7 @@
         self.job_states.sort(
             key=lambda state: (
                 state.id not in self.unbegun,
-                RANKS.index(state.record.submission.rank),
+                state.record.submission.rank_number,
                 state.id not in self._within,
                 state.order,
             )
@@ -165,7 +165,7 @@
     def _counts(self, machine: Machine, now: float) -> bool:
         """Whether it takes work now, or will once it has booted."""
         if machine.heard_at is None and machine.up_at is not None:
-            return not machine.deleting and machine.listed_stage != "failed"
+            return not machine.deleting and machine.listed_stage is not HostStage.FAILED
         takes_work = machine.placeable and machine.full_until <= now
         return takes_work and not self._registry.is_quiet(machine)
 
@@ -249,7 +249,7 @@
             spot_allowed=submission.spot_allowed,
             one_zone=submission.one_zone,
             spread=-(-submission.task_count // 2) if submission.spread_over_zones else None,
-            rank=RANKS.index(submission.rank),
+            rank=submission.rank_number,
             guaranteed=state.id in self._within,
             ordinary_at=self._ordinary_at(state),
             service=submission.is_service,
--- a/spoolcourse/control/placement/snapshot_cache.py
+++ b/spoolcourse/control/placement/snapshot_cache.py
@@ -13,7 +13,7 @@
 from spoolcourse.control.fleet.machine import Machine
 from spoolcourse.control.jobs.job_queue import Attempt, JobState
 from spoolcourse.control.placement.model import Node, RunningTask
-from spoolcourse.wire.messages import RANKS, MachineType
+from spoolcourse.wire.messages import MachineType
 
 AGAIN_S = 0.5  # an overrun or a fetch under way is looked at again after so long
 
@@ -134,7 +134,7 @@
         rate = max(machine_type.fetch_gb_per_s, 1e-3)
         attempts = machine.attempts.values()
         for attempt in attempts:
-            if attempt.stage in ("running", "flushing"):
+            if attempt.is_on:
                 continue
             submission = attempt.job_state.record.submission
             if submission.image not in machine.images:
@@ -150,7 +150,7 @@
             node.memory -= submission.memory_gb
             end, steady = self._ends(attempt, now, fetch)
             until = min(until, end if steady else now + AGAIN_S)
-            going = attempt.stage in ("running", "flushing")
+            going = attempt.is_on
             saves = submission.checkpoint_every_s > 0
             task = RunningTask(
                 end,
@@ -160,7 +160,7 @@
                 attempt.number,
                 # What goes before rank must not be stopped by rank, or the two would take
                 # turns. Measured: one first task stopped a hundred times on a busy day.
-                0 if attempt.first else RANKS.index(submission.rank),
+                0 if attempt.first else submission.rank_number,
                 self._teams.of(submission.team),
                 submission.cpus * submission.checkpoint_cost_s if going and saves else 0.0,
                 attempt.stopping,
@@ -196,7 +196,7 @@
         """When it is expected to end, and whether that stays so while time passes."""
         estimate = self._estimate(attempt.job_state)
         elapsed = now - attempt.since
-        if attempt.stage in ("running", "flushing"):
+        if attempt.is_on:
             if elapsed < estimate:
                 return attempt.since + estimate, True
             # A task that overran its estimate is expected to need half again of what it
--- a/spoolcourse/control/view.py
+++ b/spoolcourse/control/view.py
@@ -4,12 +4,14 @@
 
 from typing import TYPE_CHECKING, Any
 
+from spoolcourse.control.jobs.job_queue import AttemptStage
+
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
     from spoolcourse.control.leader.leader_term import LeaderTerm
     from spoolcourse.control.leader.scheduling_loop import WaitingJob
-    from spoolcourse.control.service import Controller
+    from spoolcourse.control.controller import Controller
 
 JOBS_SHOWN = 200
 
@@ -44,7 +46,7 @@
         "replicasMissing": sum(w.pending for w in services),
         "attempts": len(attempts),
         "unprovenAttempts": sum(
-            1 for a in attempts if a.stage == "open" or a.in_flight_session is not None
+            1 for a in attempts if a.stage is AttemptStage.OPEN or a.in_flight_session is not None
         ),
         "fetchesBooked": sum(len(m.pulling) for m in machines),
         "machines": len(machines),
--- a/spoolcourse/wire/messages.py
+++ b/spoolcourse/wire/messages.py
@@ -4,7 +4,7 @@
 
 import math
 import re
-from enum import Enum
+from enum import Enum, StrEnum
 from functools import lru_cache
 from typing import Annotated, Any, Literal, TypeVar
 
@@ -23,6 +23,34 @@
 Seconds = Annotated[float, msgspec.Meta(ge=0)]
 
 
+class TaskStage(StrEnum):
+    """What a worker reports of a task."""
+
+    FETCHING = "pulling"
+    RUNNING = "running"
+    SAVING = "flushing"
+    ENDED = "ended"
+
+
+class EndCause(StrEnum):
+    """Why a task has ended; a worker may name causes that are not listed here."""
+
+    DONE = "done"
+    STOPPED = "halted"
+    ERROR = "error"
+    NO_ROOM = "no_room"
+    OTHER_ATTEMPT_THERE = "in_use"
+    NO_SUCH_TASK = "no_such"
+
+
+class HostStage(StrEnum):
+    """A machine's stage in the cloud's list."""
+
+    STARTING = "starting"
+    RUNNING = "running"
+    FAILED = "failed"
+
+
 class JobStage(Enum):
     """What users are told of a job. The last two are final."""
 
@@ -67,6 +95,11 @@
     zone: Name | None = msgspec.field(name="yard", default=None)
     due_s: Seconds | None = msgspec.field(name="dueS", default=None)
 
+    @property
+    def rank_number(self) -> int:
+        """0 for the highest rank."""
+        return RANKS.index(self.rank)
+
     @property
     def is_service(self) -> bool:
         """Whether its tasks, the replicas, run until the job is cancelled."""
@@ -104,7 +137,7 @@
 
     task: str = msgspec.field(name="piece")
     attempt: Token = msgspec.field(name="try")
-    stage: Literal["pulling", "running", "flushing", "ended"]
+    stage: TaskStage
     cause: str | None = None
     stored: bool = False
 
@@ -152,7 +185,7 @@
     machine_type: Name = msgspec.field(name="build")
     zone: Name = msgspec.field(name="yard")
     spot: bool = msgspec.field(name="loaners")
-    stage: Literal["starting", "running", "failed"]
+    stage: HostStage
     age_s: float = msgspec.field(name="ageS")
     address: str = ""
 
@@ -235,6 +268,6 @@
         raise MalformedError("recallS: a number is not finite")
     for item in report.tasks:
         split_task_name(item.task)
-        if item.stage == "ended" and not item.cause:
+        if item.stage is TaskStage.ENDED and not item.cause:
             raise MalformedError(f"pieces: {item.task}: ended without a cause")
     return report
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -36,7 +36,7 @@
     assert attempt.start_sent_with == (1, 2)
     assert harness.report() == [START], "a newer report without it: it never arrived"
     assert harness.report(on()) == []
-    assert attempt.stage == "running"
+    assert attempt.stage is AttemptStage.RUNNING
 
 
 def test_a_report_under_an_older_fencing_token_confirms_nothing() -> None:
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -22,7 +22,7 @@
 made = []
 real = ssl.SSLContext.__new__
 ssl.SSLContext.__new__ = lambda *a, **k: (made.append(a), real(*a, **k))[1]
-import spoolcourse.control.service
+import spoolcourse.control.controller
 import urllib.request, sys
 print(len(made), hasattr(urllib.request, "HTTPSHandler"), sys.modules["ssl"] is ssl)
 """
@@ -32,7 +32,7 @@
 def test_what_only_operators_or_users_need_is_not_loaded() -> None:
     code = """
 import sys
-import spoolcourse.control.service
+import spoolcourse.control.controller
 print(sorted({m.split(".")[0] for m in sys.modules} & {"prometheus_client", "certifi"}))
 """
     assert run(code) == "[]"
