--- a/spoolcourse/cli.py
+++ b/spoolcourse/cli.py
@@ -74,9 +74,9 @@
 
 
 async def _serve(settings: Settings, policy: PolicySource) -> None:
+    from spoolcourse.control.controller import Controller
     from spoolcourse.control.net import HttpNet
     from spoolcourse.control.server import listen
-    from spoolcourse.control.controller import Controller
 
     controller = Controller(settings, HttpNet(), policy)
     for field, handler in (
--- a/spoolcourse/control/view.py
+++ b/spoolcourse/control/view.py
@@ -9,9 +9,9 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
+    from spoolcourse.control.controller import Controller
     from spoolcourse.control.leader.leader_term import LeaderTerm
     from spoolcourse.control.leader.scheduling_loop import WaitingJob
-    from spoolcourse.control.controller import Controller
 
 JOBS_SHOWN = 200
 
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -7,8 +7,8 @@
 
 import orjson
 
-from spoolcourse.control.net import NetError, Reply, Request
 from spoolcourse.control.controller import Controller
+from spoolcourse.control.net import NetError, Reply, Request
 from spoolcourse.policy.keys import check_policy
 from spoolcourse.wire.settings import Settings, parse_settings
 from tests.fakes.cloud import FakeCloud, FakeWorker, Task
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,6 +4,7 @@
 
 import pytest
 
+from spoolcourse.control.jobs.job_queue import AttemptStage
 from spoolcourse.control.store.records import Progress
 from spoolcourse.wire.messages import MalformedError, parse_report
 from tests.fakes.registry import TERM, RegistryHarness, on
