--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -33,6 +33,13 @@
 
 log = logging.getLogger(__name__)
 
+# Between reads of the catalog: prices move, and only the leader rents by them.
+CATALOG_LEADING_S = 20.0
+CATALOG_S = 60.0
+CATALOG_RETRY_S = 1.0  # without it nothing can be accepted
+CATALOG_STORE_RETRY_S = 5.0  # the stored one is for starts during an outage of the cloud
+CATALOG_JITTER = (0.8, 1.2)  # so that the nodes don't ask in step
+
 
 class Controller:
     """A controller: its parts, its loops, and the requests that come to it."""
@@ -155,14 +162,14 @@
                 catalog = await self.cloud.catalog()
                 self._take_catalog(catalog)
                 await self._store_catalog(catalog)
-                pause = 20.0 if self.leadership.term else 60.0
+                pause = CATALOG_LEADING_S if self.leadership.term else CATALOG_S
             except (CloudError, NoCapacityError) as exc:
                 log.info("catalog: %s", exc)
-                pause = 1.0
+                pause = CATALOG_RETRY_S
             except (RefusedError, UnclearError) as exc:
                 log.debug("catalog not stored: %s", exc)
-                pause = 5.0
-            await asyncio.sleep(pause * random.uniform(0.8, 1.2))
+                pause = CATALOG_STORE_RETRY_S
+            await asyncio.sleep(pause * random.uniform(*CATALOG_JITTER))
 
     async def _store_catalog(self, catalog: Catalog) -> None:
         if not self.leadership.valid():
--- a/spoolcourse/control/fleet/relay.py
+++ b/spoolcourse/control/fleet/relay.py
@@ -23,6 +23,7 @@
 TIMEOUT_S = 1.5
 PROBE_S = 15.0  # while the leader hears no worker, one of them in so long tries it again
 KNOWN_MOST = 10_000
+RECENT_REPORTS = 3  # periods in which a worker that came here counts as one that comes again
 
 
 def redirect(leader: str | None) -> Reply:
@@ -56,7 +57,7 @@
             return redirect(None)
         now = asyncio.get_running_loop().time()
         at, hears_no_worker = self._passed.get(worker, (float("-inf"), True))
-        recent = now - at < 3 * self._report_s
+        recent = now - at < RECENT_REPORTS * self._report_s
         if informed and recent and (not hears_no_worker or now - self._probe_at > PROBE_S):
             if hears_no_worker:
                 self._probe_at = now
--- a/spoolcourse/control/jobs/writer.py
+++ b/spoolcourse/control/jobs/writer.py
@@ -10,7 +10,6 @@
 
 import asyncio
 import logging
-import random
 from collections.abc import Callable
 
 import orjson
@@ -20,6 +19,7 @@
 from spoolcourse.control.store.client import RefusedError, StoreClient, UnclearError
 from spoolcourse.control.store.keys import TERM, final_key, job_key, progress_key
 from spoolcourse.control.store.records import FinalState
+from spoolcourse.control.store.retry import RetryDelay
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.messages import JobStage
 from spoolcourse.wire.state_service import Delete, Outcome, Put
@@ -27,6 +27,7 @@
 log = logging.getLogger(__name__)
 
 PAUSE_S = 0.1  # between looks whether there is budget to spare
+KEYS_BYTES = 300  # of a change: its key, its conditions and their spelling, at the most
 TXN_BYTES = 48 * 1024  # of 64 KiB: the rest is for conditions and spelling
 
 
@@ -53,7 +54,7 @@
 
     async def run(self) -> None:
         """Run until cancelled."""
-        delay = 0.1
+        retry = RetryDelay()
         while True:
             await self._wake.wait()
             self._wake.clear()
@@ -63,12 +64,11 @@
                     await self._finish_one()
                     if not self._job_queue.starting and not self._job_queue.finished:
                         await self._save_results()
-                    delay = 0.1
+                    retry.reset()
             except (RefusedError, UnclearError) as exc:
                 log.debug("write: %s", exc)
                 self._wake.set()
-                await asyncio.sleep(delay * random.uniform(0.5, 1.0))
-                delay = min(delay * 2, 1.0)
+                await retry.wait()
 
     async def _save_starts(self) -> None:
         """What holds back starts, by rank: people wait for it."""
@@ -110,7 +110,7 @@
                 # what it holds has ended and it fits. It comes back with its next change.
                 self._job_queue.forget(job, index)
                 continue
-            size += length + 300
+            size += length + KEYS_BYTES
             if ops and (size > TXN_BYTES or len(ops) >= self._client.ops_most):
                 break
             put = Put(progress_key(job, index), value)
--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -23,6 +23,11 @@
 
 log = logging.getLogger(__name__)
 
+LEASE_S = 2.5  # of the leader key; so long nobody else can lead
+RENEW_SHARE = 1 / 4  # of the lease, between renewals
+RENEW_RETRY_SHARE = 1 / 12  # after one that failed
+ELECTION_PAUSE_S = (0.1, 0.4)  # by chance, so that two candidates don't stand in step
+
 
 @dataclass(frozen=True, slots=True)
 class Term:
@@ -42,7 +47,7 @@
         watch_cache: WatchCache,
         label: str,
         run_id: str,
-        ttl_s: float = 2.5,
+        ttl_s: float = LEASE_S,
     ) -> None:
         self._client = client
         self._watch_cache = watch_cache
@@ -116,7 +121,7 @@
                 await self._stand()
             except (RefusedError, UnclearError, LeaseGoneError) as exc:
                 log.debug("election: %s", exc)
-                await asyncio.sleep(random.uniform(0.1, 0.4))
+                await asyncio.sleep(random.uniform(*ELECTION_PAUSE_S))
 
     def _is_former_self(self, value: dict[str, str]) -> bool:
         # A restarted process need not wait for its own lease: the run that held it is
@@ -178,7 +183,7 @@
         loop = asyncio.get_running_loop()
         while self.term is not None:
             term = self.term
-            pause = self._ttl_s / 4
+            pause = self._ttl_s * RENEW_SHARE
             sent = loop.time()
             try:
                 await self._client.renew(term.lease)
@@ -195,7 +200,7 @@
                 return
             except (RefusedError, UnclearError) as exc:
                 log.debug("renewal: %s", exc)
-                pause = self._ttl_s / 12
+                pause = self._ttl_s * RENEW_RETRY_SHARE
             try:
                 async with asyncio.timeout(pause):
                     await self._deposed.wait()
--- a/spoolcourse/control/machines/cloud.py
+++ b/spoolcourse/control/machines/cloud.py
@@ -11,6 +11,10 @@
 
 log = logging.getLogger(__name__)
 
+TIMEOUT_S = 4.0
+LEADER_SHARE = 0.8  # of the request limit
+QUEUE_S = 10.0  # that a call waits for the budget before it is given up
+
 
 class CloudError(Exception):
     """Not carried out, or not known whether it was."""
@@ -23,12 +27,12 @@
 class Cloud:
     """The cloud's calls, each carried out, refused, or unclear."""
 
-    def __init__(self, net: Net, addr: str, rps: float, timeout: float = 4.0) -> None:
+    def __init__(self, net: Net, addr: str, rps: float, timeout: float = TIMEOUT_S) -> None:
         self._net = net
         self._addr = addr
         self._timeout = timeout
         # Only the leader works with the cloud; other nodes read the catalog now and then.
-        self._bucket = Bucket(rps * 0.8, rps, longest_s=10.0)
+        self._bucket = Bucket(rps * LEADER_SHARE, rps, longest_s=QUEUE_S)
 
     async def _call(self, method: str, path: str, body: object = None) -> Reply:
         try:
--- a/spoolcourse/control/machines/planner.py
+++ b/spoolcourse/control/machines/planner.py
@@ -7,7 +7,9 @@
 
 from spoolcourse.control.placement.model import EPSILON, Job, Node, fit
 
-LONGEST_S = 3600.0
+LONGEST_S = 3600.0  # that a task is taken to run at most, for its price
+HIRES_MAX = 50  # machines asked for by one pass
+TOP_UP_MAX = 10  # of them for headroom
 
 
 @dataclass(frozen=True, slots=True)
@@ -120,7 +122,7 @@
     offers: list[Offer],
     now: float,
     team_room: list[float],
-    most: int = 50,
+    most: int = HIRES_MAX,
 ) -> list[Hire]:
     """`demand` is in order: jobs with tasks that found no machine in the pass."""
     boot = min((o.boot_s for o in offers), default=0.0)
@@ -131,7 +133,7 @@
     for job, wanted in demand:
         count = wanted
         if job.cpus > 0:
-            count = min(count, max(0, math.floor(room[job.team] / job.cpus + 1e-6)))
+            count = min(count, max(0, math.floor(room[job.team] / job.cpus + EPSILON)))
             room[job.team] -= count * job.cpus
         # Machines in a zone that takes no more of the job would be rented again and again,
         # while its tasks wait for ever: of one that is spread over zones, and lost machines
@@ -160,7 +162,7 @@
     return [Hire(offer, count) for offer, count in hires.items()]
 
 
-def top_up(short: float, offers: list[Offer], most: int = 10) -> list[Hire]:
+def top_up(short: float, offers: list[Offer], most: int = TOP_UP_MAX) -> list[Hire]:
     """Spot machines, the cheapest by CPU, to have `short` CPUs more at hand.
 
     Whatever is started on them later does not wait for a machine to boot.
--- a/spoolcourse/control/net.py
+++ b/spoolcourse/control/net.py
@@ -32,6 +32,11 @@
 selector_events._SelectorTransport.max_size = 32 * 1024  # type: ignore[attr-defined]
 
 
+CONNECTIONS_PER_HOST = 24
+KEEPALIVE_S = 20.0
+RETRY_AFTER_MAX_S = 30  # users wait no longer than that
+
+
 class NetError(Exception):
     """No answer. The request may have been carried out, or may still be."""
 
@@ -59,7 +64,7 @@
 
     30 s is the longest that counts.
     """
-    seconds = max(1, min(30, math.ceil(after)))
+    seconds = max(1, min(RETRY_AFTER_MAX_S, math.ceil(after)))
     return Reply(503, {"error": why}, {"Retry-After": str(seconds)})
 
 
@@ -95,6 +100,12 @@
     return f"{type(exc).__name__}: {exc}"
 
 
+def _encode(body: Any) -> bytes | None:
+    if body is None or isinstance(body, bytes):
+        return body
+    return orjson.dumps(body)
+
+
 class HttpNet:
     """The network as it is: one pooled client session."""
 
@@ -107,7 +118,10 @@
             # time out, and a renewal of the leader's lease must never queue behind them. Who
             # calls many hosts at once bounds that itself (`command_dispatcher`, `machine_list`).
             connector = aiohttp.TCPConnector(
-                limit=0, limit_per_host=24, keepalive_timeout=20.0, use_dns_cache=False
+                limit=0,
+                limit_per_host=CONNECTIONS_PER_HOST,
+                keepalive_timeout=KEEPALIVE_S,
+                use_dns_cache=False,
             )
             self._session = aiohttp.ClientSession(
                 connector=connector, auto_decompress=False, cookie_jar=aiohttp.DummyCookieJar()
@@ -124,7 +138,7 @@
         keep: bool = True,
     ) -> Reply:
         """Call a host; raises `NetError` if it does not answer in time."""
-        raw = None if body is None else body if isinstance(body, bytes) else orjson.dumps(body)
+        raw = _encode(body)
         try:
             async with asyncio.timeout(timeout):
                 async with self._client().request(
--- a/spoolcourse/control/placement/backfill.py
+++ b/spoolcourse/control/placement/backfill.py
@@ -15,6 +15,7 @@
 
 from spoolcourse.control.placement.model import (
     EPSILON,
+    LEAST_RATE,
     PLENTY,
     Decision,
     Job,
@@ -126,7 +127,7 @@
     def _fetch_s(self, job: Job, node: Node) -> float:
         if job.image_gb <= 0 or job.image in node.images:
             return 0.0
-        rate = max(node.pull_rate, 1e-3)
+        rate = max(node.pull_rate, LEAST_RATE)
         ahead = sum(node.pulling.values())
         if job.image in node.pulling:
             return ahead / rate
--- a/spoolcourse/control/placement/model.py
+++ b/spoolcourse/control/placement/model.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass, field
 
 EPSILON = 1e-6
+LEAST_RATE = 1e-3  # GB a second: a type whose rate is given as 0 still fetches
 PLENTY = 100_000  # tasks: no job has more
 
 
--- a/spoolcourse/control/placement/snapshot_cache.py
+++ b/spoolcourse/control/placement/snapshot_cache.py
@@ -12,10 +12,14 @@
 
 from spoolcourse.control.fleet.machine import Machine
 from spoolcourse.control.jobs.job_queue import Attempt, JobState
-from spoolcourse.control.placement.model import Node, RunningTask
+from spoolcourse.control.placement.model import LEAST_RATE, Node, RunningTask
 from spoolcourse.wire.messages import MachineType
 
 AGAIN_S = 0.5  # an overrun or a fetch under way is looked at again after so long
+OVERRUN_SHARE = 0.5  # of what a task took so far: what one that overran is expected to need
+OVERRUN_LEAST_S = 1.0
+LEAST_LEFT_GB = 0.1  # of an image whose fetch should be over
+LEAST_FETCH_S = 0.5
 
 
 class Index:
@@ -131,7 +135,7 @@
             machine_type.cpus,
             machine_type.fetch_gb_per_s,
         )
-        rate = max(machine_type.fetch_gb_per_s, 1e-3)
+        rate = max(machine_type.fetch_gb_per_s, LEAST_RATE)
         attempts = machine.attempts.values()
         for attempt in attempts:
             if attempt.is_on:
@@ -139,7 +143,7 @@
             submission = attempt.job_state.record.submission
             if submission.image not in machine.images:
                 since = machine.pulling.get(submission.image, now)
-                left = max(submission.image_gb - rate * (now - since), 0.1)
+                left = max(submission.image_gb - rate * (now - since), LEAST_LEFT_GB)
                 node.pulling[self.images.of(submission.image)] = left
         fetch = sum(node.pulling.values()) / rate
         until = float("inf")
@@ -202,5 +206,5 @@
             # A task that overran its estimate is expected to need half again of what it
             # took so far; else it would be due at any moment, and push the head back
             # for ever.
-            return now + elapsed * 0.5 + 1.0, False
-        return now + max(fetch - elapsed, 0.5) + estimate, False
+            return now + elapsed * OVERRUN_SHARE + OVERRUN_LEAST_S, False
+        return now + max(fetch - elapsed, LEAST_FETCH_S) + estimate, False
--- a/spoolcourse/control/store/client.py
+++ b/spoolcourse/control/store/client.py
@@ -16,6 +16,11 @@
 
 PAGE = 1000
 SUSPECT_S = 0.5
+TIMEOUT_S = 1.0
+SPARE_NODES = 0.5  # shares of the requests that nobody takes
+LEADER_WRITES = 0.5  # of the writes; the leader makes most of them
+FOLLOWERS_WRITES = 0.4  # of the writes, for all of them together
+FINAL_CHANGES = 3  # of the transaction that ends a job of one chunk
 
 
 class RefusedError(Exception):
@@ -43,7 +48,7 @@
 class StoreClient:
     """Requests to the state service within this node's share of its limits."""
 
-    def __init__(self, net: Net, addr: str, state: State, nodes: int, timeout: float = 1.0):
+    def __init__(self, net: Net, addr: str, state: State, nodes: int, timeout: float = TIMEOUT_S):
         self._net = net
         self._addr = addr
         # Limits may drop at any moment: all that is new keeps to the smaller ones. Only values
@@ -53,7 +58,8 @@
         self.timeout = timeout
         # The limits are for all nodes together. The leader writes most, so its share of
         # writes is larger; shares add up to less than the whole.
-        self._requests = Bucket(limits.rps / (nodes + 0.5), limits.rps / (nodes + 0.5))
+        rate = limits.rps / (nodes + SPARE_NODES)
+        self._requests = Bucket(rate, rate)
         self._nodes = nodes
         self.sent = self.failed = self.written = 0
         self._failing_since: float | None = None
@@ -62,7 +68,8 @@
 
     def set_leader(self, leading: bool) -> None:
         """Take the leader's share of the writes, or a follower's."""
-        share = 0.5 if leading else 0.4 / max(self._nodes - 1, 1)
+        followers = max(self._nodes - 1, 1)
+        share = LEADER_WRITES if leading else FOLLOWERS_WRITES / followers
         rate = self.limits.write_rps * share
         self._writes.rate = rate
         self._writes.burst = max(rate, 1.0)
@@ -86,7 +93,7 @@
     @property
     def ops_most(self) -> int:
         """Puts and deletes in one transaction: no more than can be had at once."""
-        return min(self.limits.txn_ops, max(3, int(self._writes.burst)))
+        return min(self.limits.txn_ops, max(FINAL_CHANGES, int(self._writes.burst)))
 
     def writes_to_spare(self) -> bool:
         """Whether much of the budget for writes is left."""
--- a/spoolcourse/control/store/records.py
+++ b/spoolcourse/control/store/records.py
@@ -85,9 +85,13 @@
         return int(value["done"], 16).bit_count(), len(value["held"])
 
 
+HELD_BYTES = 48  # of a held task in a progress value, at the most
+CHUNK_LEAST = 16  # tasks
+
+
 def chunk_tasks(value_kb: float) -> int:
     """Tasks per key so that every task held at once still fits into one value."""
-    return max(16, int(value_kb * 1024) // 48)
+    return max(CHUNK_LEAST, int(value_kb * 1024) // HELD_BYTES)
 
 
 @dataclass(frozen=True, slots=True)
--- a/spoolcourse/control/store/watch_cache.py
+++ b/spoolcourse/control/store/watch_cache.py
@@ -8,17 +8,20 @@
 
 import asyncio
 import logging
-import random
 from collections.abc import Callable
 from typing import Any
 
 from spoolcourse.control.store.client import CompactedError, RefusedError, StoreClient, UnclearError
+from spoolcourse.control.store.retry import RetryDelay
 from spoolcourse.wire.state_service import Entry
 
 log = logging.getLogger(__name__)
 
 WATCH_GAP_S = 0.25  # nothing waits for the watch but the next election, and new jobs' starts
 WATCH_GAP_LEADING_S = 0.05
+WATCH_BLOCK_S = 10.0  # a watch that brings nothing is opened anew
+SYNC_GAP_S = 0.1  # between syncs, so that one answers more callers
+SYNC_TIMEOUT_S = 1.5
 
 Listener = Callable[[str, Any, int], None]
 
@@ -26,7 +29,7 @@
 class WatchCache:
     """Keys below `prefix + "live/"`; changes elsewhere below `prefix` go to listeners only."""
 
-    def __init__(self, client: StoreClient, prefix: str, block_s: float = 10.0) -> None:
+    def __init__(self, client: StoreClient, prefix: str, block_s: float = WATCH_BLOCK_S) -> None:
         self._client = client
         self.prefix = prefix
         self.live = prefix + "live/"
@@ -39,7 +42,7 @@
         self.loaded = asyncio.Event()
         self._sync_waiters: list[asyncio.Future[None]] = []
         self._sync_task: asyncio.Task[None] | None = None
-        self.sync_gap_s = 0.1
+        self.sync_gap_s = SYNC_GAP_S
         self.watch_gap_s = WATCH_GAP_S
 
     def listen(self, listener: Listener) -> None:
@@ -104,7 +107,7 @@
     async def run(self) -> None:
         """Keep the copy warm until cancelled."""
         loop = asyncio.get_running_loop()
-        delay = 0.1
+        retry = RetryDelay()
         while True:
             try:
                 if not self.loaded.is_set():
@@ -115,7 +118,7 @@
                 )
                 self._advance(store_revision, changes)
                 self.synced_at = max(self.synced_at, start)
-                delay = 0.1
+                retry.reset()
                 # A leader at work writes many times a second, and every node is woken by
                 # each write. What comes within this pause comes with one answer.
                 await asyncio.sleep(self.watch_gap_s)
@@ -124,10 +127,9 @@
                 self.loaded.clear()
             except (RefusedError, UnclearError) as exc:
                 log.debug("watch: %s", exc)
-                await asyncio.sleep(delay * random.uniform(0.5, 1.0))
-                delay = min(delay * 2, 1.0)
+                await retry.wait()
 
-    async def sync(self, timeout: float = 1.5) -> bool:
+    async def sync(self, timeout: float = SYNC_TIMEOUT_S) -> bool:
         """True once the copy is as new as this call; False if that can't be had in time."""
         if not self.loaded.is_set():
             return False
--- a/spoolcourse/control/user_api/api.py
+++ b/spoolcourse/control/user_api/api.py
@@ -40,6 +40,7 @@
 PATH = "/submissions"
 # Users wait 5 s for an answer, and 2 s for one to a poll; this node itself tries first.
 OWN_TRY_S = 3.0
+SYNC_S = 1.2  # a poll waits 2 s, and then a peer is asked
 ASK_PEER_S = 1.0
 ASK_PEERS_S = 1.5
 ASK_PEERS_POLL_S = 0.6
@@ -131,7 +132,7 @@
             self._job_index.remember_final(status.id, FinalState(status.stage, status.done))
 
     async def _sync(self) -> None:
-        if not await self._watch_cache.sync(1.2):
+        if not await self._watch_cache.sync(SYNC_S):
             raise CannotAnswerError("no sync")
 
     async def _known(self, job: str) -> JobStatus | None:
--- a/tests/fakes/upgrade.py
+++ b/tests/fakes/upgrade.py
@@ -4,7 +4,8 @@
 
 from typing import Any
 
-from tests.fakes.world import World
+from spoolcourse.control.store.keys import TERM, job_key, progress_key
+from tests.fakes.world import World, job
 
 # The stored forms of the production version, as of its commit.
 OLD_JOB: dict[str, Any] = {
@@ -81,3 +82,17 @@
 def with_next(**limits: Any) -> dict[str, Any]:
     state = {"rps": 200.0, "write_rps": 100.0, "value_kb": 8.0, "txn_ops": 24}
     return {"state": state | {"next": limits}}
+
+
+def store_large_job(world: World) -> None:
+    """A job of the old version: its one chunk holds more than fits into a smaller value."""
+    held = {str(p): ["m-000000", 16777217 + p] for p in range(100)}
+    world.state._apply(
+        [
+            {"set": TERM, "v": OLD_TERM},
+            {"set": job_key("job-000001"), "v": OLD_JOB},
+            {"set": progress_key("job-000001", 0), "v": {"done": "0", "held": held}},
+        ]
+    )
+    world.jobs["job-000001"] = job(pieces=200, vcpus=1.0)
+    world.cloud.add()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -19,6 +19,7 @@
     OLD_TERM,
     old_can_read,
     old_peers,
+    store_large_job,
     with_next,
     written,
 )
@@ -109,16 +110,7 @@
         world = World(params=with_next(value_kb=1.0, txn_ops=3, write_rps=40.0))
         world.cloud.run_s = lambda task: 12.0
         world.cloud.capacity = 30
-        held = {str(p): ["m-000000", 16777217 + p] for p in range(100)}
-        world.state._apply(
-            [
-                {"set": TERM, "v": OLD_TERM},
-                {"set": job_key("job-000001"), "v": OLD_JOB},
-                {"set": progress_key("job-000001", 0), "v": {"done": "0", "held": held}},
-            ]
-        )
-        world.jobs["job-000001"] = job(pieces=200, vcpus=1.0)
-        world.cloud.add()
+        store_large_job(world)
         await world.up()
         await world.submit(job(2, pieces=60, vcpus=1.0, crew="blue"))
         await asyncio.sleep(drop_after)
--- a/tests/test_upgrade_troubles.py
+++ b/tests/test_upgrade_troubles.py
@@ -8,10 +8,10 @@
 import orjson
 import pytest
 
-from spoolcourse.control.store.keys import LEVEL, TERM, job_key, progress_key
+from spoolcourse.control.store.keys import LEVEL
 from tests.fakes.clock import play
 from tests.fakes.services import served, service
-from tests.fakes.upgrade import OLD_JOB, OLD_TERM, old_peers, with_next, written
+from tests.fakes.upgrade import old_peers, store_large_job, with_next, written
 from tests.fakes.world import LABELS, World, job
 
 PROMPT_S = 0.2  # a submission that can't be taken yet is answered within it
@@ -152,16 +152,7 @@
         world = World(params=lower)
         world.cloud.run_s = lambda task: 10_000.0 if "job-000009" in task else 8.0
         world.cloud.capacity = 30
-        held = {str(p): ["m-000000", 16777217 + p] for p in range(100)}
-        world.state._apply(
-            [
-                {"set": TERM, "v": OLD_TERM},
-                {"set": job_key("job-000001"), "v": OLD_JOB},
-                {"set": progress_key("job-000001", 0), "v": {"done": "0", "held": held}},
-            ]
-        )
-        world.jobs["job-000001"] = job(pieces=200, vcpus=1.0)
-        world.cloud.add()
+        store_large_job(world)
         turn = old_peers(world, LABELS[2])
         await world.up()
 
