--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -222,12 +222,12 @@
         """Users, workers and health checks."""
         path = request.path.partition("?")[0]
         if path == "/v1/report" and request.method == "POST":
-            return self._report(request.body, hop=False)
+            return self._report(request.body, from_peer=False)
         if path == "/healthz":
             ok = self.ready and self.healthy
             return Reply(200 if ok else 503, {"ok": ok})
         if path == PATH or path.startswith(PATH + "/"):
-            return self._users(request, hop=False)
+            return self._users(request, from_peer=False)
         return Reply(404, {"error": "no such resource"})
 
     def peers(self, request: Request) -> Reply | Awaitable[Reply]:
@@ -243,24 +243,24 @@
         if path == "/healthz":
             return Reply(200 if self.ready else 503, {})
         if path == "/v1/report" and request.method == "POST":
-            return self._report(request.body, hop=True)
+            return self._report(request.body, from_peer=True)
         if path == "/status" and request.method == "GET":
             return Reply(200, view.status(self))
         if path == "/metrics" and request.method == "GET":
             return Reply(200, view.metrics(self), {"Content-Type": "text/plain; version=0.0.4"})
         if path == PATH or path.startswith(PATH + "/"):
-            return self._users(request, hop=True)
+            return self._users(request, from_peer=True)
         return Reply(404, {"error": "no such resource"})
 
-    async def _users(self, request: Request, hop: bool) -> Reply:
+    async def _users(self, request: Request, from_peer: bool) -> Reply:
         if not self.ready:
             return later("starting")
-        return await self.user_api.handle(request, hop)
+        return await self.user_api.handle(request, from_peer)
 
-    def _report(self, raw: bytes, hop: bool) -> Reply | Awaitable[Reply]:
+    def _report(self, raw: bytes, from_peer: bool) -> Reply | Awaitable[Reply]:
         """Answer a worker's report; a leader does so at once.
 
-        `hop`: a follower passes it on, and it goes no further.
+        `from_peer`: a follower passes it on, and it goes no further.
         """
         try:
             with self.load.spent("parse"):
@@ -268,10 +268,10 @@
         except MalformedError as exc:
             return Reply(400, {"error": str(exc)})
         if self.leader_term is None:
-            if hop:
+            if from_peer:
                 return redirect(None)
             leadership = self.leadership
             return self.relay.handle(
                 report.machine, raw, leadership.leader_label, leadership.informed
             )
-        return self.leader_term.report(report, relayed=hop)
+        return self.leader_term.report(report, relayed=from_peer)
--- a/spoolcourse/control/jobs/cancellations.py
+++ b/spoolcourse/control/jobs/cancellations.py
@@ -11,13 +11,13 @@
 
 from spoolcourse.wire.peers import Cancellation
 
-MOST = 20_000
+KNOWN_MAX = 20_000
 
 
 class Cancellations:
     """The most recent cancellations that this node knows of."""
 
-    def __init__(self, most: int = MOST) -> None:
+    def __init__(self, most: int = KNOWN_MAX) -> None:
         self._most = most
         self._known: OrderedDict[str, Cancellation] = OrderedDict()
         self._floor = 0  # of what happened up to this revision some may be forgotten
--- a/spoolcourse/control/jobs/job_index.py
+++ b/spoolcourse/control/jobs/job_index.py
@@ -24,7 +24,7 @@
 from spoolcourse.wire.peers import Cancellation
 from spoolcourse.wire.state_service import Put
 
-FINALS_KEPT = 20_000
+FINALS_MAX = 20_000
 WITHDRAWN_BYTES = 64  # what a cancellation adds to a record
 
 
@@ -70,7 +70,7 @@
         """Remember how a job ended; the oldest are forgotten here."""
         self._finals[job] = final
         self._finals.move_to_end(job)
-        while len(self._finals) > FINALS_KEPT:
+        while len(self._finals) > FINALS_MAX:
             self._finals.popitem(last=False)
 
     def final(self, job: str) -> JobStatus | None:
--- a/spoolcourse/control/jobs/job_queue.py
+++ b/spoolcourse/control/jobs/job_queue.py
@@ -94,7 +94,7 @@
     attempts: dict[int, Attempt] = field(default_factory=dict)
     done: int = 0
     requeued: set[int] = field(default_factory=set)
-    fresh: int = 0  # tasks from here on were never assigned, but for those held or done
+    first_unassigned: int = 0  # tasks from here on were never assigned, but for those held or done
     retry_at: float = 0.0
     failures: int = 0  # attempts in a row that ended in error
     bad_machines: dict[str, float] = field(default_factory=dict)  # it failed there: until when
@@ -180,15 +180,15 @@
 
     def _candidates(self) -> Iterator[int]:
         yield from sorted(p for p in self.requeued if p not in self.attempts)
-        task = self.fresh
+        task = self.first_unassigned
         while task < self.record.submission.task_count:
             if task not in self.attempts and task not in self.requeued:
                 if not self.is_done(task):
                     yield task
-                elif task == self.fresh:
-                    self.fresh += 1
-            elif task == self.fresh:
-                self.fresh += 1
+                elif task == self.first_unassigned:
+                    self.first_unassigned += 1
+            elif task == self.first_unassigned:
+                self.first_unassigned += 1
             task += 1
 
 
--- a/spoolcourse/control/load.py
+++ b/spoolcourse/control/load.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class Part:
+class TimeSpent:
     """How often something was done in the period, and how long it took."""
 
     calls: int = 0
@@ -31,7 +31,7 @@
     """Measures this process, period by period."""
 
     def __init__(self) -> None:
-        self.parts: dict[str, Part] = {}
+        self.parts: dict[str, TimeSpent] = {}
         self.lag_s = 0.0  # the longest of the last period
         self.share = 0.0  # of a core, in the last period
 
@@ -44,7 +44,7 @@
         finally:
             part = self.parts.get(name)
             if part is None:
-                part = self.parts[name] = Part()
+                part = self.parts[name] = TimeSpent()
             part.calls += 1
             part.seconds += time.perf_counter() - began
 
--- a/spoolcourse/control/machines/cloud.py
+++ b/spoolcourse/control/machines/cloud.py
@@ -5,7 +5,7 @@
 import logging
 
 from spoolcourse.control.net import Net, NetError, Reply
-from spoolcourse.control.store.budget import Bucket, BudgetSpentError
+from spoolcourse.control.store.budget import BudgetSpentError, TokenBucket
 from spoolcourse.wire.cloud import NO_CAPACITY, MachineKind, delete_body, hire_body, list_path
 from spoolcourse.wire.messages import Catalog, Hired, Host, HostPage, MalformedError, parse
 
@@ -32,11 +32,11 @@
         self._addr = addr
         self._timeout = timeout
         # Only the leader works with the cloud; other nodes read the catalog now and then.
-        self._bucket = Bucket(rps * LEADER_SHARE, rps, longest_s=QUEUE_S)
+        self._budget = TokenBucket(rps * LEADER_SHARE, rps, longest_s=QUEUE_S)
 
     async def _call(self, method: str, path: str, body: object = None) -> Reply:
         try:
-            await self._bucket.take()
+            await self._budget.take()
         except BudgetSpentError as exc:
             raise CloudError(str(exc)) from exc
         try:
@@ -44,7 +44,7 @@
         except NetError as exc:
             raise CloudError(str(exc)) from exc
         if reply.status == 429:
-            self._bucket.drain()
+            self._budget.drain()
         if reply.status == 503 and reply.data and reply.data.get("error") == NO_CAPACITY:
             raise NoCapacityError
         if reply.status != 200:
--- a/spoolcourse/control/placement/backfill.py
+++ b/spoolcourse/control/placement/backfill.py
@@ -16,7 +16,7 @@
 from spoolcourse.control.placement.model import (
     EPSILON,
     LEAST_RATE,
-    PLENTY,
+    UNBOUNDED,
     Decision,
     Job,
     Node,
@@ -44,7 +44,7 @@
 
     def allows(self, job: Job, end: float) -> int:
         if end <= self.at + EPSILON:
-            return PLENTY
+            return UNBOUNDED
         return self.fit(job)
 
     def job_index(self, job: Job, end: float, count: int) -> None:
@@ -101,7 +101,7 @@
     def _team_room(self, job: Job) -> int:
         # A team's limit knows no memory: as much as is asked for is there.
         team = self.s.teams[job.team]
-        return fit(team.cpus, team.gpus, PLENTY * job.memory, job)
+        return fit(team.cpus, team.gpus, UNBOUNDED * job.memory, job)
 
     def _zones(self, job: Job) -> set[int]:
         """Zones in which another task of the job may start at this moment."""
--- a/spoolcourse/control/placement/model.py
+++ b/spoolcourse/control/placement/model.py
@@ -6,12 +6,12 @@
 
 EPSILON = 1e-6
 LEAST_RATE = 1e-3  # GB a second: a type whose rate is given as 0 still fetches
-PLENTY = 100_000  # tasks: no job has more
+UNBOUNDED = 100_000  # tasks: no job has more
 
 
 def fit(cpus: float, gpus: float, memory: float, job: Job) -> int:
     """How many tasks of the job go into these resources."""
-    count: float = PLENTY
+    count: float = UNBOUNDED
     if job.cpus > 0:
         count = min(count, (cpus + EPSILON) // job.cpus)
     if job.memory > 0:
@@ -95,7 +95,7 @@
 
 @dataclass(slots=True)
 class Job:
-    """A job with tasks to place. `PLENTY` of them means: no bound."""
+    """A job with tasks to place. `UNBOUNDED` of them means: no bound."""
 
     pending: int
     cpus: float
@@ -139,7 +139,7 @@
             return 0
         if self.spread is not None:
             return max(0, self.spread - self.held.get(zone, 0) - self.lost)
-        return PLENTY
+        return UNBOUNDED
 
 
 @dataclass(slots=True)
--- a/spoolcourse/control/placement/preempt.py
+++ b/spoolcourse/control/placement/preempt.py
@@ -86,18 +86,18 @@
     def run(self) -> list[int]:
         # Claims that found all too few victims: the next one like them would find none. Each
         # claim looking through all tasks again cost fleet times backlog.
-        in_vain: set[tuple[object, ...]] = set()
+        without_victims: set[tuple[object, ...]] = set()
         for index, wanted in self._claims:
             job = self._snapshot.jobs[index]
             missing = wanted - self._take_freed(job, wanted)
             if missing <= 0 or not self._has_victims(job):
                 continue
             plain = not (job.avoid or job.one_zone or job.spread is not None)
-            if plain and _likeness(job) in in_vain:
+            if plain and _likeness(job) in without_victims:
                 continue
             missing -= self._stop_for(job, missing)
             if missing > 0 and plain:
-                in_vain.add(_likeness(job))
+                without_victims.add(_likeness(job))
         return self._chosen
 
     def _has_victims(self, job: Job) -> bool:
--- a/spoolcourse/control/placement/snapshot_cache.py
+++ b/spoolcourse/control/placement/snapshot_cache.py
@@ -15,7 +15,7 @@
 from spoolcourse.control.placement.model import LEAST_RATE, Node, RunningTask
 from spoolcourse.wire.messages import MachineType
 
-AGAIN_S = 0.5  # an overrun or a fetch under way is looked at again after so long
+LOOK_AGAIN_S = 0.5  # an overrun or a fetch under way is looked at again after so long
 OVERRUN_SHARE = 0.5  # of what a task took so far: what one that overran is expected to need
 OVERRUN_LEAST_S = 1.0
 LEAST_LEFT_GB = 0.1  # of an image whose fetch should be over
@@ -103,7 +103,7 @@
         """What the pass sees of a machine, made anew only if something changed there."""
         known = self._known.get(machine.id)
         if known is None or known.changes != machine.changes or known.until <= now:
-            known = self._known[machine.id] = self._look(machine, machine_type, jobs, now)
+            known = self._known[machine.id] = self._make(machine, machine_type, jobs, now)
         return Node(
             known.machine_type,
             known.zone,
@@ -122,7 +122,7 @@
             known.freed,
         )
 
-    def _look(
+    def _make(
         self, machine: Machine, machine_type: MachineType, jobs: dict[str, JobState], now: float
     ) -> MachineSnapshot:
         node = Node(
@@ -153,7 +153,7 @@
             node.gpus -= submission.gpus
             node.memory -= submission.memory_gb
             end, steady = self._ends(attempt, now, fetch)
-            until = min(until, end if steady else now + AGAIN_S)
+            until = min(until, end if steady else now + LOOK_AGAIN_S)
             going = attempt.is_on
             saves = submission.checkpoint_every_s > 0
             task = RunningTask(
--- a/spoolcourse/control/store/budget.py
+++ b/spoolcourse/control/store/budget.py
@@ -13,7 +13,7 @@
         self.after = after
 
 
-class Bucket:
+class TokenBucket:
     """A token bucket. Waiters are served in order; `urgent` ones are never held up.
 
     Nobody waits longer than `longest_s`: who would have to is told at once, and takes
--- a/spoolcourse/control/store/client.py
+++ b/spoolcourse/control/store/client.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from spoolcourse.control.net import Net, NetError, Reply
-from spoolcourse.control.store.budget import Bucket, BudgetSpentError
+from spoolcourse.control.store.budget import BudgetSpentError, TokenBucket
 from spoolcourse.wire import state_service as wire
 from spoolcourse.wire.settings import State
 from spoolcourse.wire.state_service import Change, Entry, Operation, Outcome
@@ -59,11 +59,11 @@
         # The limits are for all nodes together. The leader writes most, so its share of
         # writes is larger; shares add up to less than the whole.
         rate = limits.rps / (nodes + SPARE_NODES)
-        self._requests = Bucket(rate, rate)
+        self._requests = TokenBucket(rate, rate)
         self._nodes = nodes
         self.sent = self.failed = self.written = 0
         self._failing_since: float | None = None
-        self._writes = Bucket(1.0, 1.0)
+        self._writes = TokenBucket(1.0, 1.0)
         self.set_leader(False)
 
     def set_leader(self, leading: bool) -> None:
@@ -100,7 +100,7 @@
         return self._writes.spare()
 
     @staticmethod
-    async def _pay(bucket: Bucket, amount: int, urgent: bool) -> None:
+    async def _pay(bucket: TokenBucket, amount: int, urgent: bool) -> None:
         try:
             await bucket.take(amount, urgent=urgent)
         except BudgetSpentError as exc:
--- a/spoolcourse/control/store/watch_cache.py
+++ b/spoolcourse/control/store/watch_cache.py
@@ -35,7 +35,7 @@
         self.live = prefix + "live/"
         self._block_s = block_s
         self._entries: dict[str, Entry] = {}
-        self._graves: dict[str, int] = {}  # keys deleted ahead of the watch
+        self._deleted_ahead: dict[str, int] = {}  # keys deleted ahead of the watch
         self._listeners: list[Listener] = []
         self.store_revision = -1
         self.synced_at = float("-inf")  # a call sent then has been answered
@@ -65,15 +65,15 @@
     def apply(self, key: str, value: Any, revision: int) -> None:
         """Take over one change; older ones than what is known change nothing."""
         entry = self._entries.get(key)
-        if revision <= max(entry.revision if entry else 0, self._graves.get(key, 0)):
+        if revision <= max(entry.revision if entry else 0, self._deleted_ahead.get(key, 0)):
             return
         if key.startswith(self.live):
             if value is None:
                 self._entries.pop(key, None)
                 if revision > self.store_revision:
-                    self._graves[key] = revision
+                    self._deleted_ahead[key] = revision
             else:
-                self._graves.pop(key, None)
+                self._deleted_ahead.pop(key, None)
                 self._entries[key] = Entry(key, value, revision)
         for listener in self._listeners:
             listener(key, value, revision)
@@ -86,8 +86,10 @@
                 self.apply(change.key, change.value, change.revision)
         if store_revision > self.store_revision:
             self.store_revision = store_revision
-            if self._graves:
-                self._graves = {k: s for k, s in self._graves.items() if s > store_revision}
+            if self._deleted_ahead:
+                self._deleted_ahead = {
+                    k: s for k, s in self._deleted_ahead.items() if s > store_revision
+                }
 
     async def load(self) -> None:
         """Read all live keys afresh; keys that are gone are reported as deleted."""
--- a/spoolcourse/control/user_api/api.py
+++ b/spoolcourse/control/user_api/api.py
@@ -68,14 +68,14 @@
         self._wall_clock = context.wall_clock
         self._leader_label = leader_label
 
-    async def handle(self, request: Request, hop: bool = False) -> Reply:
-        """`hop`: the request comes from a peer and goes no further."""
+    async def handle(self, request: Request, from_peer: bool = False) -> Reply:
+        """`from_peer`: the request comes from a peer and goes no further."""
         path = unquote(urlsplit(request.path).path)
         parts = path.split("/")[2:]
         after = 1.0
-        if not hop and self._client.suspect():
+        if not from_peer and self._client.suspect():
             # Waiting for the state service once more would only cost the user time.
-            hop = True
+            from_peer = True
             reply = await self._pass_on(request, after)
             if reply.status != 503:
                 return reply
@@ -90,7 +90,7 @@
         except (CannotAnswerError, RefusedError, UnclearError, TimeoutError) as exc:
             log.debug("%s %s: %s", request.method, path, exc)
             after = exc.after if isinstance(exc, RefusedError) else after
-            return later("try again", after) if hop else await self._pass_on(request, after)
+            return later("try again", after) if from_peer else await self._pass_on(request, after)
         return Reply(404, {"error": "no such resource"})
 
     async def _pass_on(self, request: Request, after: float) -> Reply:
