--- a/spoolcourse/cli.py
+++ b/spoolcourse/cli.py
@@ -13,6 +13,7 @@
 from spoolcourse import __version__
 from spoolcourse.errors import UserError
 from spoolcourse.policy.keys import PolicySource, load_policy
+from spoolcourse.wire import paths
 from spoolcourse.wire.settings import Settings, load_settings, split_address
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
@@ -133,17 +134,17 @@
     split_address(args.node, "--node")
     if args.command == "submit":
         raw = _read_job(args.file)
-        return asyncio.run(_call(args.node, "POST", "/submissions", raw, args.timeout))
+        return asyncio.run(_call(args.node, "POST", paths.SUBMISSIONS, raw, args.timeout))
     if args.command == "view":
-        return asyncio.run(_call(args.node, "GET", "/status", None, args.timeout, indent=True))
+        return asyncio.run(_call(args.node, "GET", paths.STATUS, None, args.timeout, indent=True))
     from spoolcourse.wire.messages import JOB_ID
 
     if not JOB_ID.fullmatch(args.job):
         raise UserError(f"{args.job!r} is not a job id like job-000412")
-    path = f"/submissions/{args.job}"
+    path = f"{paths.SUBMISSIONS}/{args.job}"
     if args.command == "status":
         return asyncio.run(_call(args.node, "GET", path, None, args.timeout))
-    return asyncio.run(_call(args.node, "POST", path + "/withdraw", None, args.timeout))
+    return asyncio.run(_call(args.node, "POST", f"{path}/{paths.WITHDRAW}", None, args.timeout))
 
 
 def main(argv: list[str] | None = None) -> int:
--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -15,18 +15,18 @@
 from spoolcourse.control.jobs.job_index import JobIndex
 from spoolcourse.control.leader.leader_term import LeaderTerm
 from spoolcourse.control.leadership import feature_level
-from spoolcourse.control.leadership.cancellation_query import PATH as CANCELLATIONS
 from spoolcourse.control.leadership.cancellation_query import answer_query
 from spoolcourse.control.leadership.election import Leadership, Term
 from spoolcourse.control.load import Load
 from spoolcourse.control.machines.cloud import Cloud, CloudError, NoCapacityError
-from spoolcourse.control.net import Net, NetError, Reply, Request, later
+from spoolcourse.control.net import Net, NetError, Reply, Request, later, refusal_reply
 from spoolcourse.control.store.client import RefusedError, StoreClient, UnclearError
 from spoolcourse.control.store.keys import CATALOG, PREFIX
 from spoolcourse.control.store.records import catalog_value
 from spoolcourse.control.store.watch_cache import WATCH_GAP_LEADING_S, WATCH_GAP_S, WatchCache
-from spoolcourse.control.user_api.api import PATH, UserApi
+from spoolcourse.control.user_api.api import UserApi
 from spoolcourse.policy.keys import PolicySource, check_policy
+from spoolcourse.wire import paths
 from spoolcourse.wire.messages import Catalog, MachineType, MalformedError, parse, parse_report
 from spoolcourse.wire.settings import Settings
 from spoolcourse.wire.state_service import Put
@@ -211,7 +211,7 @@
 
     async def _ask_peer(self, endpoint: str) -> bool:
         try:
-            reply = await self._net.call(endpoint, "GET", "/healthz", timeout=1.0)
+            reply = await self._net.call(endpoint, "GET", paths.HEALTH, timeout=1.0)
         except NetError:
             return False
         return reply.status == 200
@@ -221,36 +221,36 @@
     def public(self, request: Request) -> Reply | Awaitable[Reply]:
         """Users, workers and health checks."""
         path = request.path.partition("?")[0]
-        if path == "/v1/report" and request.method == "POST":
+        if path == paths.REPORT and request.method == "POST":
             return self._report(request.body, from_peer=False)
-        if path == "/healthz":
+        if path == paths.HEALTH:
             ok = self.ready and self.healthy
             return Reply(200 if ok else 503, {"ok": ok})
-        if path == PATH or path.startswith(PATH + "/"):
+        if path == paths.SUBMISSIONS or path.startswith(paths.SUBMISSIONS + "/"):
             return self._users(request, from_peer=False)
-        return Reply(404, {"error": "no such resource"})
+        return refusal_reply(404, "no such resource")
 
     def peers(self, request: Request) -> Reply | Awaitable[Reply]:
         """Other controllers, whose requests go no further, and operators."""
         path, _, query = request.path.partition("?")
-        if path == CANCELLATIONS and request.method == "GET":
+        if path == paths.CANCELLATIONS and request.method == "GET":
             try:
                 return Reply(200, answer_query(self.job_index, self.watch_cache, query))
             except MalformedError as exc:
-                return Reply(400, {"error": str(exc)})
-        if path == feature_level.PATH and request.method == "GET":
+                return refusal_reply(400, str(exc))
+        if path == paths.LEVEL and request.method == "GET":
             return Reply(200, feature_level.answer())
-        if path == "/healthz":
+        if path == paths.HEALTH:
             return Reply(200 if self.ready else 503, {})
-        if path == "/v1/report" and request.method == "POST":
+        if path == paths.REPORT and request.method == "POST":
             return self._report(request.body, from_peer=True)
-        if path == "/status" and request.method == "GET":
+        if path == paths.STATUS and request.method == "GET":
             return Reply(200, view.status(self))
-        if path == "/metrics" and request.method == "GET":
+        if path == paths.METRICS and request.method == "GET":
             return Reply(200, view.metrics(self), {"Content-Type": "text/plain; version=0.0.4"})
-        if path == PATH or path.startswith(PATH + "/"):
+        if path == paths.SUBMISSIONS or path.startswith(paths.SUBMISSIONS + "/"):
             return self._users(request, from_peer=True)
-        return Reply(404, {"error": "no such resource"})
+        return refusal_reply(404, "no such resource")
 
     async def _users(self, request: Request, from_peer: bool) -> Reply:
         if not self.ready:
@@ -266,7 +266,7 @@
             with self.load.spent("parse"):
                 report = parse_report(raw)
         except MalformedError as exc:
-            return Reply(400, {"error": str(exc)})
+            return refusal_reply(400, str(exc))
         if self.leader_term is None:
             if from_peer:
                 return redirect(None)
--- a/spoolcourse/control/fleet/command_dispatcher.py
+++ b/spoolcourse/control/fleet/command_dispatcher.py
@@ -13,6 +13,7 @@
 from spoolcourse.control.fleet.machine import Machine
 from spoolcourse.control.fleet.worker_registry import WorkerRegistry
 from spoolcourse.control.net import Net, NetError
+from spoolcourse.wire import paths
 from spoolcourse.wire.commands import CommandRequest, Start, to_json_object
 from spoolcourse.wire.messages import MalformedError, Report, parse
 
@@ -71,7 +72,7 @@
                 reply = await self._net.call(
                     machine.address,
                     "POST",
-                    "/orders",
+                    paths.COMMANDS,
                     to_json_object(request),
                     timeout=TIMEOUT_S,
                     keep=self.may_keep(),
--- a/spoolcourse/control/fleet/machine.py
+++ b/spoolcourse/control/fleet/machine.py
@@ -51,7 +51,7 @@
     # The same of what has ended there and must not be acknowledged in this session.
     unacknowledged: set[tuple[str, int, int]] = field(default_factory=set)
     images: OrderedDict[str, float] = field(default_factory=OrderedDict)  # seen cached, by use
-    pulling: dict[str, float] = field(default_factory=dict)  # image: since when
+    fetching: dict[str, float] = field(default_factory=dict)  # image: since when
 
     @property
     def placeable(self) -> bool:
--- a/spoolcourse/control/fleet/relay.py
+++ b/spoolcourse/control/fleet/relay.py
@@ -14,6 +14,7 @@
 from msgspec.structs import replace
 
 from spoolcourse.control.net import Net, NetError, Reply
+from spoolcourse.wire import paths
 from spoolcourse.wire.commands import Redirect, ReportReply, to_json_object
 from spoolcourse.wire.messages import MalformedError, parse
 from spoolcourse.wire.settings import Seed
@@ -67,7 +68,7 @@
             self._passed.clear()
         try:
             reply = await self._net.call(
-                self._peers[leader_label], "POST", "/v1/report", raw, timeout=TIMEOUT_S
+                self._peers[leader_label], "POST", paths.REPORT, raw, timeout=TIMEOUT_S
             )
         except NetError as exc:
             log.debug("%s: report not passed on: %s", worker, exc)
--- a/spoolcourse/control/fleet/report_reconciler.py
+++ b/spoolcourse/control/fleet/report_reconciler.py
@@ -103,8 +103,8 @@
             for attempt in machine.attempts.values()
             if attempt.stage is AttemptStage.FETCHING
         }
-        machine.pulling = {
-            image: machine.pulling.get(image, now)
+        machine.fetching = {
+            image: machine.fetching.get(image, now)
             for image in fetched
             if image not in machine.images
         }
--- a/spoolcourse/control/leadership/cancellation_query.py
+++ b/spoolcourse/control/leadership/cancellation_query.py
@@ -20,10 +20,10 @@
 from spoolcourse.control.store.keys import TERM
 from spoolcourse.control.store.records import TermRecord
 from spoolcourse.control.store.watch_cache import WatchCache
+from spoolcourse.wire import paths
 from spoolcourse.wire.messages import MalformedError
 from spoolcourse.wire.peers import CancellationReply
 
-PATH = "/cancellations"
 PERIOD_S = 1.0
 LATE_S = 2.0  # without a read of the state service: the health check makes one each second
 
@@ -72,7 +72,7 @@
     async def ask(self) -> None:
         """Ask every peer once, and act on what they tell."""
         asked = self._clock()
-        path = f"{PATH}?beyond={self._watch_cache.store_revision}"
+        path = f"{paths.CANCELLATIONS}?beyond={self._watch_cache.store_revision}"
         told = await ask_peers(self._net, self._peers, path, CancellationReply)
         for reply in told:
             if reply is not None and reply.term > self._term.number:
--- a/spoolcourse/control/leadership/feature_level.py
+++ b/spoolcourse/control/leadership/feature_level.py
@@ -17,12 +17,12 @@
 from spoolcourse.control.store.keys import LEVEL, TERM
 from spoolcourse.control.store.records import level_of, level_value
 from spoolcourse.control.store.watch_cache import WatchCache
+from spoolcourse.wire import paths
 from spoolcourse.wire.peers import LevelReply
 from spoolcourse.wire.state_service import Put
 
 log = logging.getLogger(__name__)
 
-PATH = "/level"
 SERVICES = 2  # 1: arrays only
 PERIOD_S = 1.0
 
@@ -51,7 +51,7 @@
     async def run(self) -> None:
         """Ask until every controller is new, and note that."""
         while not all_new(self._watch_cache):
-            replies = await ask_peers(self._net, self._peers, PATH, LevelReply)
+            replies = await ask_peers(self._net, self._peers, paths.LEVEL, LevelReply)
             if all(reply is not None and reply.level >= SERVICES for reply in replies):
                 await self._note()
             await asyncio.sleep(PERIOD_S)
--- a/spoolcourse/control/machines/cloud.py
+++ b/spoolcourse/control/machines/cloud.py
@@ -6,6 +6,7 @@
 
 from spoolcourse.control.net import Net, NetError, Reply
 from spoolcourse.control.store.budget import BudgetSpentError, TokenBucket
+from spoolcourse.wire import paths
 from spoolcourse.wire.cloud import NO_CAPACITY, MachineKind, delete_body, hire_body, list_path
 from spoolcourse.wire.messages import Catalog, Hired, Host, HostPage, MalformedError, parse
 
@@ -53,7 +54,7 @@
 
     async def catalog(self) -> Catalog:
         """The machine types with their current prices."""
-        reply = await self._call("GET", "/catalog")
+        reply = await self._call("GET", paths.CATALOG)
         try:
             return parse(reply.data, Catalog)
         except MalformedError as exc:
@@ -76,7 +77,7 @@
 
     async def hire(self, name: str, kind: MachineKind, count: int) -> list[str]:
         """Rents machines; their names. Raises `NoCapacityError` if there are none of this kind."""
-        reply = await self._call("POST", "/hosts", hire_body(name, kind, count))
+        reply = await self._call("POST", paths.HOSTS, hire_body(name, kind, count))
         try:
             return parse(reply.data, Hired).machines
         except MalformedError as exc:
@@ -84,4 +85,4 @@
 
     async def delete(self, names: list[str]) -> None:
         """Returns once the machines and everything on them are gone; DELETE_MAX at most."""
-        await self._call("POST", "/hosts/delete", delete_body(names))
+        await self._call("POST", paths.HOSTS_DELETE, delete_body(names))
--- a/spoolcourse/control/machines/machine_list.py
+++ b/spoolcourse/control/machines/machine_list.py
@@ -12,6 +12,7 @@
 from spoolcourse.control.machines.cloud import CloudError
 from spoolcourse.control.machines.fleet_view import FleetView
 from spoolcourse.control.net import NetError
+from spoolcourse.wire import paths
 from spoolcourse.wire.commands import CommandRequest, to_json_object
 from spoolcourse.wire.messages import Host, HostStage, MalformedError, Report, parse
 
@@ -103,14 +104,14 @@
     async def _raise_token(self, machine: Machine) -> None:
         try:
             shown = await self._net.call(
-                machine.address, "GET", "/show", timeout=CALL_TIMEOUT_S, keep=False
+                machine.address, "GET", paths.SHOW, timeout=CALL_TIMEOUT_S, keep=False
             )
             session = parse(shown.data, Report).session
             request = CommandRequest(self._registry.fencing_token, session, [])
             reply = await self._net.call(
                 machine.address,
                 "POST",
-                "/orders",
+                paths.COMMANDS,
                 to_json_object(request),
                 timeout=CALL_TIMEOUT_S,
                 keep=False,
--- a/spoolcourse/control/machines/planner.py
+++ b/spoolcourse/control/machines/planner.py
@@ -155,7 +155,7 @@
                 offer.gpus,
                 offer.memory,
                 size=offer.cpus,
-                pull_rate=0.0,
+                fetch_rate=0.0,
             )
             coming.append(fresh)
             count = _fill(job, zones, count, [fresh])
--- a/spoolcourse/control/machines/replica_probe.py
+++ b/spoolcourse/control/machines/replica_probe.py
@@ -15,6 +15,7 @@
 from spoolcourse.control.fleet.worker_registry import WorkerRegistry
 from spoolcourse.control.machines.replica_places import ReplicaPlaces, replicas_on
 from spoolcourse.control.net import Net, NetError
+from spoolcourse.wire import paths
 from spoolcourse.wire.messages import MalformedError, Report, parse
 
 log = logging.getLogger(__name__)
@@ -95,7 +96,7 @@
         reported_at = machine.reported_at
         try:
             reply = await self._net.call(
-                machine.address, "GET", "/show", timeout=TIMEOUT_S, keep=False
+                machine.address, "GET", paths.SHOW, timeout=TIMEOUT_S, keep=False
             )
             self._registry.observe(parse(reply.data, Report))
             self._failures.pop(machine.id, None)
--- a/spoolcourse/control/net.py
+++ b/spoolcourse/control/net.py
@@ -59,6 +59,11 @@
     body: bytes = b""
 
 
+def refusal_reply(status: int, why: str) -> Reply:
+    """An answer that says why a request is not carried out."""
+    return Reply(status, {"error": why})
+
+
 def later(why: str, after: float = 1.0) -> Reply:
     """An answer that says when to come back.
 
--- a/spoolcourse/control/placement/backfill.py
+++ b/spoolcourse/control/placement/backfill.py
@@ -62,7 +62,7 @@
         self._fetches = [0] * snapshot.zones
         self._closed_zones: set[int] = set()
         for node in snapshot.nodes:
-            self._fetches[node.zone] += len(node.pulling)
+            self._fetches[node.zone] += len(node.fetching)
         # Only machines with room for the smallest task are looked at: with a backlog
         # nearly all are full, and a pass must not cost fleet times backlog.
         waiting = [job for job in snapshot.jobs if job.pending > 0]
@@ -113,9 +113,9 @@
 
     def _may_fetch(self, job: Job, node: Node) -> bool:
         """Whether the image is there, on its way, or one more fetch can be booked."""
-        if job.image_gb <= 0 or job.image in node.images or job.image in node.pulling:
+        if job.image_gb <= 0 or job.image in node.images or job.image in node.fetching:
             return True
-        if node.zone in self._closed_zones or len(node.pulling) >= max(self.s.node_fetches, 1):
+        if node.zone in self._closed_zones or len(node.fetching) >= max(self.s.node_fetches, 1):
             return False
         flying = self._fetches[node.zone]
         if self.s.zone_fetches < 1:  # the start needs more than the budget
@@ -127,9 +127,9 @@
     def _fetch_s(self, job: Job, node: Node) -> float:
         if job.image_gb <= 0 or job.image in node.images:
             return 0.0
-        rate = max(node.pull_rate, LEAST_RATE)
-        ahead = sum(node.pulling.values())
-        if job.image in node.pulling:
+        rate = max(node.fetch_rate, LEAST_RATE)
+        ahead = sum(node.fetching.values())
+        if job.image in node.fetching:
             return ahead / rate
         return (ahead + job.image_gb) / rate
 
@@ -232,8 +232,8 @@
             return 0
         if guard is not None:
             guard.job_index(job, end, count)
-        if job.image_gb > 0 and job.image not in node.images and job.image not in node.pulling:
-            node.pulling[job.image] = job.image_gb
+        if job.image_gb > 0 and job.image not in node.images and job.image not in node.fetching:
+            node.fetching[job.image] = job.image_gb
             self._fetches[node.zone] += 1
         node.use(job, count)
         team = self.s.teams[job.team]
--- a/spoolcourse/control/placement/model.py
+++ b/spoolcourse/control/placement/model.py
@@ -78,9 +78,9 @@
     gpus: float
     memory: float
     size: float  # CPUs in all
-    pull_rate: float
+    fetch_rate: float
     images: set[int] = field(default_factory=set)
-    pulling: dict[int, float] = field(default_factory=dict)  # image: GB still to come, about
+    fetching: dict[int, float] = field(default_factory=dict)  # image: GB still to come, about
     tasks: list[RunningTask] = field(default_factory=list)  # by their ends
     ready_at: float = 0.0
     surplus: bool = False  # should run empty to be returned
--- a/spoolcourse/control/placement/snapshot_cache.py
+++ b/spoolcourse/control/placement/snapshot_cache.py
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class MachineSnapshot:
-    """A machine as it was seen; `images`, `pulling` and `tasks` are not changed by a pass."""
+    """A machine as it was seen; `images`, `fetching` and `tasks` are not changed by a pass."""
 
     changes: int  # of the machine, when it was seen
     until: float
@@ -57,7 +57,7 @@
     memory: float
     freed: tuple[float, float, float]
     images: set[int]
-    pulling: dict[int, float]
+    fetching: dict[int, float]
     tasks: list[RunningTask]
 
 
@@ -114,7 +114,7 @@
             machine_type.cpus,
             machine_type.fetch_gb_per_s,
             known.images,
-            dict(known.pulling) if known.pulling else {},
+            dict(known.fetching) if known.fetching else {},
             known.tasks,
             0.0,
             machine.surplus,
@@ -142,10 +142,10 @@
                 continue
             submission = attempt.job_state.record.submission
             if submission.image not in machine.images:
-                since = machine.pulling.get(submission.image, now)
+                since = machine.fetching.get(submission.image, now)
                 left = max(submission.image_gb - rate * (now - since), LEAST_LEFT_GB)
-                node.pulling[self.images.of(submission.image)] = left
-        fetch = sum(node.pulling.values()) / rate
+                node.fetching[self.images.of(submission.image)] = left
+        fetch = sum(node.fetching.values()) / rate
         until = float("inf")
         for attempt in attempts:
             submission = attempt.job_state.record.submission
@@ -192,7 +192,7 @@
             node.memory,
             node.freed,
             {self.images.of(i) for i in machine.images},
-            node.pulling,
+            node.fetching,
             node.tasks,
         )
 
--- a/spoolcourse/control/server.py
+++ b/spoolcourse/control/server.py
@@ -18,7 +18,7 @@
 
 import orjson
 
-from spoolcourse.control.net import Reply, Request
+from spoolcourse.control.net import Reply, Request, later, refusal_reply
 from spoolcourse.wire.messages import BODY_LIMIT
 
 # After `net`, which sees to it that aiohttp comes without `ssl`.
@@ -107,14 +107,14 @@
         try:
             messages, upgraded, _ = self._parser.feed_data(data)
         except HttpProcessingError as exc:
-            self._write(Reply(exc.code, {"error": "not HTTP as it should be"}), close=True)
+            self._write(refusal_reply(exc.code, "not HTTP as it should be"), close=True)
             return
         except Exception:
             log.debug("a request can't be read", exc_info=True)
-            self._write(Reply(400, {"error": "not HTTP as it should be"}), close=True)
+            self._write(refusal_reply(400, "not HTTP as it should be"), close=True)
             return
         if upgraded:
-            self._write(Reply(400, {"error": "no other protocol is spoken here"}), close=True)
+            self._write(refusal_reply(400, "no other protocol is spoken here"), close=True)
             return
         self._queue.extend(messages)
         if len(self._queue) > QUEUE_MOST:
@@ -127,11 +127,11 @@
         while self._queue and self._task is None and self.transport is not None:
             message, payload = self._queue[0]
             if self._reading_paused or self._too_long(message, payload):
-                self._write(Reply(413, {"error": "body too large"}), close=True)
+                self._write(refusal_reply(413, "body too large"), close=True)
                 return
             if not payload.is_eof():
                 if payload.exception() is not None:
-                    self._write(Reply(400, {"error": "the body can't be read"}), close=True)
+                    self._write(refusal_reply(400, "the body can't be read"), close=True)
                 elif not self._continued and "Expect" in message.headers:
                     self._continued = True
                     self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -174,7 +174,7 @@
             raw = encode(reply, close)
         except Exception:
             log.exception("an answer can't be written")
-            raw = encode(Reply(503, {"error": "internal"}, {"Retry-After": "1"}), close)
+            raw = encode(later("internal"), close)
         self.transport.write(raw)
         if close:
             self._queue.clear()
@@ -184,7 +184,7 @@
 def _failed(request: Request) -> Reply:
     """Any failure inside becomes a 503 to retry."""
     log.exception("%s %s failed", request.method, request.path)
-    return Reply(503, {"error": "internal"}, {"Retry-After": "1"})
+    return later("internal")
 
 
 class Server:
--- a/spoolcourse/control/store/client.py
+++ b/spoolcourse/control/store/client.py
@@ -8,6 +8,7 @@
 
 from spoolcourse.control.net import Net, NetError, Reply
 from spoolcourse.control.store.budget import BudgetSpentError, TokenBucket
+from spoolcourse.wire import paths
 from spoolcourse.wire import state_service as wire
 from spoolcourse.wire.settings import State
 from spoolcourse.wire.state_service import Change, Entry, Operation, Outcome
@@ -169,7 +170,7 @@
             await self._pay(self._writes, len(ops), urgent)
             self.written += len(ops)
         body = wire.transaction_body(conditions, ops or [])
-        reply = await self._call("POST", "/multi", body, urgent=urgent)
+        reply = await self._call("POST", paths.TRANSACTION, body, urgent=urgent)
         if reply.status == 200:
             return wire.carried_out(reply.data)
         if reply.status == 409:
@@ -185,7 +186,7 @@
 
     async def grant(self, ttl_s: float) -> int:
         """A new lease."""
-        reply = await self._call("POST", "/holds", wire.grant_body(ttl_s), urgent=True)
+        reply = await self._call("POST", paths.LEASES, wire.grant_body(ttl_s), urgent=True)
         if reply.status != 200:
             raise RefusedError(f"grant: status {reply.status}")
         return wire.read_lease(reply.data)
--- a/spoolcourse/control/user_api/api.py
+++ b/spoolcourse/control/user_api/api.py
@@ -18,10 +18,11 @@
 from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.jobs.job_index import RecordTooLargeError
 from spoolcourse.control.leadership.feature_level import all_new
-from spoolcourse.control.net import NetError, Reply, Request, later
+from spoolcourse.control.net import NetError, Reply, Request, later, refusal_reply
 from spoolcourse.control.store.client import RefusedError, UnclearError
 from spoolcourse.control.store.records import FinalState
 from spoolcourse.control.user_api.checks import refusal, usable_machine_types
+from spoolcourse.wire import paths
 from spoolcourse.wire.messages import (
     JOB_ID,
     JobAnswer,
@@ -37,7 +38,6 @@
 
 log = logging.getLogger(__name__)
 
-PATH = "/submissions"
 # Users wait 5 s for an answer, and 2 s for one to a poll; this node itself tries first.
 OWN_TRY_S = 3.0
 SYNC_S = 1.2  # a poll waits 2 s, and then a peer is asked
@@ -46,7 +46,7 @@
 ASK_PEERS_POLL_S = 0.6
 
 
-NO_SUCH_JOB = Reply(404, {"error": "no such job"})
+NO_SUCH_JOB = refusal_reply(404, "no such job")
 WITHDRAW_TRIES = 4  # the leader may finish the job, or a peer withdraw it, in between
 
 
@@ -85,13 +85,13 @@
                     return await self._submit(request.body)
                 if len(parts) == 1 and parts[0] and request.method == "GET":
                     return await self._poll(parts[0])
-                if len(parts) == 2 and parts[1] == "withdraw" and request.method == "POST":
+                if len(parts) == 2 and parts[1] == paths.WITHDRAW and request.method == "POST":
                     return await self._withdraw(parts[0])
         except (CannotAnswerError, RefusedError, UnclearError, TimeoutError) as exc:
             log.debug("%s %s: %s", request.method, path, exc)
             after = exc.after if isinstance(exc, RefusedError) else after
             return later("try again", after) if from_peer else await self._pass_on(request, after)
-        return Reply(404, {"error": "no such resource"})
+        return refusal_reply(404, "no such resource")
 
     async def _pass_on(self, request: Request, after: float) -> Reply:
         """Ask the peers: perhaps only this node lost the state service.
@@ -147,7 +147,7 @@
         try:
             submission = parse_submission(raw)
         except MalformedError as exc:
-            return await self._refuse(_id_of(raw), Reply(400, {"error": str(exc)}))
+            return await self._refuse(_id_of(raw), refusal_reply(400, str(exc)))
         job = submission.id
         if job in self._job_index.live or self._job_index.final(job) is not None:
             known = await self._known(job)
@@ -158,7 +158,7 @@
             raise CannotAnswerError("the machine types are not known yet")
         why = refusal(submission, machine_types, self._params)
         if why is not None:
-            return await self._refuse(job, Reply(422, {"error": why}))
+            return await self._refuse(job, refusal_reply(422, why))
         if submission.is_service and not await self._takes_services():
             return later("not all controllers know services yet")
         return await self._accept(self._narrowed(submission, machine_types))
@@ -178,7 +178,7 @@
         try:
             accepted = await self._job_index.accept(submission, self._wall_clock())
         except RecordTooLargeError as exc:
-            return await self._refuse(submission.id, Reply(422, {"error": str(exc)}))
+            return await self._refuse(submission.id, refusal_reply(422, str(exc)))
         if accepted:
             log.info(
                 "%s accepted: %d tasks, %s, %s",
--- a/spoolcourse/control/view.py
+++ b/spoolcourse/control/view.py
@@ -48,7 +48,7 @@
         "unprovenAttempts": sum(
             1 for a in attempts if a.stage is AttemptStage.OPEN or a.in_flight_session is not None
         ),
-        "fetchesBooked": sum(len(m.pulling) for m in machines),
+        "fetchesBooked": sum(len(m.fetching) for m in machines),
         "machines": len(machines),
         "machinesConfirmed": sum(1 for m in machines if m.confirmed),
         "passes": leader_term.scheduling.passes,
--- a/spoolcourse/wire/cloud.py
+++ b/spoolcourse/wire/cloud.py
@@ -5,6 +5,8 @@
 from dataclasses import dataclass
 from typing import Any
 
+from spoolcourse.wire import paths
+
 LIST_PAGE = 500  # machines in one answer, at most
 DELETE_MAX = 100  # names in one deletion
 HIRE_MAX = 50  # machines in one rental request
@@ -38,4 +40,4 @@
 
 def list_path(since: str) -> str:
     """Where the machines after a name are listed; empty: from the first one on."""
-    return f"/hosts?page={LIST_PAGE}" + (f"&since={since}" if since else "")
+    return f"{paths.HOSTS}?page={LIST_PAGE}" + (f"&since={since}" if since else "")
--- /dev/null
+++ b/spoolcourse/wire/paths.py
@@ -0,0 +1,22 @@
+"""Paths of the requests between the components."""
+
+# To a controller's public address, and to that for its peers.
+REPORT = "/v1/report"
+SUBMISSIONS = "/submissions"
+WITHDRAW = "withdraw"  # the last part of a cancellation's path
+HEALTH = "/healthz"
+# To the peers' address alone.
+CANCELLATIONS = "/cancellations"
+LEVEL = "/level"
+STATUS = "/status"
+METRICS = "/metrics"
+# To a machine.
+COMMANDS = "/orders"
+SHOW = "/show"
+# To the cloud.
+CATALOG = "/catalog"
+HOSTS = "/hosts"
+HOSTS_DELETE = "/hosts/delete"
+# To the state service.
+TRANSACTION = "/multi"
+LEASES = "/holds"
--- a/spoolcourse/wire/state_service.py
+++ b/spoolcourse/wire/state_service.py
@@ -6,6 +6,8 @@
 from typing import Any
 from urllib.parse import quote
 
+from spoolcourse.wire import paths
+
 NO_SUCH_LEASE = "no such lease"
 
 
@@ -82,7 +84,7 @@
 
 def renew_path(lease: int) -> str:
     """Where a lease is renewed."""
-    return f"/holds/{lease}/touch"
+    return f"{paths.LEASES}/{lease}/touch"
 
 
 def grant_body(ttl_s: float) -> dict[str, Any]:
--- a/tests/test_snapshot_cache.py
+++ b/tests/test_snapshot_cache.py
@@ -36,7 +36,7 @@
         found[machine.id] = (
             (node.cpus, node.gpus, node.memory, node.freed, node.zone, node.surplus),
             sorted(images[i] for i in node.images),
-            sorted(images[i] for i in node.pulling),
+            sorted(images[i] for i in node.fetching),
             tasks,
         )
     return found
