--- a/spoolcourse/cli.py
+++ b/spoolcourse/cli.py
@@ -81,8 +81,8 @@
 
 async def _serve(settings: Settings, policy: PolicySource, standby: StandbySettings) -> None:
     from spoolcourse.control.controller import Controller
-    from spoolcourse.control.net import HttpNet
-    from spoolcourse.control.server import listen
+    from spoolcourse.control.http_client import HttpNet
+    from spoolcourse.control.http_server import listen
 
     controller = Controller(settings, HttpNet(), policy, standby=standby)
     for field, handler in (
@@ -102,7 +102,7 @@
 async def _call(
     node: str, method: str, path: str, body: Any, timeout: float, indent: bool = False
 ) -> int:
-    from spoolcourse.control.net import HttpNet, NetError
+    from spoolcourse.control.http_client import HttpNet, NetError
 
     net = HttpNet()
     try:
--- a/spoolcourse/control/machines/autoscaler.py
+++ b/spoolcourse/control/autoscaling/autoscaler.py
@@ -10,19 +10,19 @@
 import logging
 from typing import Protocol
 
-from spoolcourse.control.leader.leader_context import LeaderContext
-from spoolcourse.control.load import SUMMARY_S
-from spoolcourse.control.machines.cloud import CloudError, NoCapacityError, deletions_most
-from spoolcourse.control.machines.early_deletion import EarlyDeletion
-from spoolcourse.control.machines.fleet_summary import log_fleet
-from spoolcourse.control.machines.fleet_view import FleetView
-from spoolcourse.control.machines.machine_list import MachineListLoop
-from spoolcourse.control.machines.renting import Renting
-from spoolcourse.control.machines.replica_places import ReplicaPlaces
-from spoolcourse.control.machines.replica_probe import ReplicaProbe
-from spoolcourse.control.machines.returning import Returning, ReturningOwner
-from spoolcourse.control.machines.service_reserve import ServiceReserve
-from spoolcourse.control.machines.surplus import Surplus
+from spoolcourse.control.autoscaling.early_deletion import EarlyDeletion
+from spoolcourse.control.autoscaling.excess_capacity import Surplus
+from spoolcourse.control.autoscaling.fleet_summary import log_fleet
+from spoolcourse.control.autoscaling.fleet_view import FleetView
+from spoolcourse.control.autoscaling.machine_list import MachineListLoop
+from spoolcourse.control.autoscaling.replica_places import ReplicaPlaces
+from spoolcourse.control.autoscaling.replica_probe import ReplicaProbe
+from spoolcourse.control.autoscaling.scale_in import Returning, ReturningOwner
+from spoolcourse.control.autoscaling.scale_out import Renting
+from spoolcourse.control.autoscaling.service_reserve import ServiceReserve
+from spoolcourse.control.cloud.client import CloudError, NoCapacityError, deletions_most
+from spoolcourse.control.leader_context import LeaderContext
+from spoolcourse.control.process_load import SUMMARY_S
 from spoolcourse.wire.cloud import DELETE_MAX
 from spoolcourse.wire.messages import Host
 
--- a/spoolcourse/control/machines/cancelled_work.py
+++ b/spoolcourse/control/autoscaling/cancelled_work.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Callable
 
-from spoolcourse.control.fleet.machine import Machine
 from spoolcourse.control.jobs.job_queue import JobQueue
+from spoolcourse.control.workers.machine import Machine
 from spoolcourse.wire.settings import Workers
 
 SHARE = 0.4  # of `cancel_s`: its tasks should have ended by then, and a deletion may need retries
--- a/spoolcourse/control/machines/early_deletion.py
+++ b/spoolcourse/control/autoscaling/early_deletion.py
@@ -13,10 +13,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from spoolcourse.control.fleet.machine import Machine
-from spoolcourse.control.fleet.worker_registry import WorkerRegistry
-from spoolcourse.control.machines.replica_places import ReplicaPlaces, replicas_on
-from spoolcourse.control.machines.replica_probe import ReplicaProbe
+from spoolcourse.control.autoscaling.replica_places import ReplicaPlaces, replicas_on
+from spoolcourse.control.autoscaling.replica_probe import ReplicaProbe
+from spoolcourse.control.workers.machine import Machine
+from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.wire.messages import HostStage
 
 # More late workers than that in a zone: the zone is cut off, or this controller is.
--- a/spoolcourse/control/machines/surplus.py
+++ b/spoolcourse/control/autoscaling/excess_capacity.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable
 
-from spoolcourse.control.fleet.machine import Machine
-from spoolcourse.control.fleet.worker_registry import WorkerRegistry
-from spoolcourse.control.machines.demand import Demand
-from spoolcourse.control.machines.fleet_view import FleetView
+from spoolcourse.control.autoscaling.demand import Demand
+from spoolcourse.control.autoscaling.fleet_view import FleetView
+from spoolcourse.control.workers.machine import Machine
+from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.policy.keys import KEYS, Policy
 from spoolcourse.wire.messages import HostStage
 
--- a/spoolcourse/control/machines/fleet_view.py
+++ b/spoolcourse/control/autoscaling/fleet_view.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from spoolcourse.control.fleet.machine import Machine
+from spoolcourse.control.workers.machine import Machine
 from spoolcourse.wire.messages import MachineType
 
 UNKNOWN_BOOT_S = 60.0  # for a type that the catalog does not name
--- a/spoolcourse/control/machines/machine_list.py
+++ b/spoolcourse/control/autoscaling/machine_list.py
@@ -6,13 +6,13 @@
 import logging
 from collections.abc import Awaitable, Callable
 
-from spoolcourse.control.fleet.call_limit import calls_at_once
-from spoolcourse.control.fleet.machine import Machine
-from spoolcourse.control.fleet.worker_calls import raise_token
-from spoolcourse.control.leader.leader_context import LeaderContext
-from spoolcourse.control.machines.cloud import CloudError
-from spoolcourse.control.machines.fleet_view import FleetView
-from spoolcourse.control.net import NetError
+from spoolcourse.control.autoscaling.fleet_view import FleetView
+from spoolcourse.control.cloud.client import CloudError
+from spoolcourse.control.http_client import NetError
+from spoolcourse.control.leader_context import LeaderContext
+from spoolcourse.control.workers.call_limit import calls_at_once
+from spoolcourse.control.workers.machine import Machine
+from spoolcourse.control.workers.worker_calls import raise_token
 from spoolcourse.wire.messages import Host, HostStage, MalformedError
 
 log = logging.getLogger(__name__)
--- a/spoolcourse/control/machines/replica_places.py
+++ b/spoolcourse/control/autoscaling/replica_places.py
@@ -9,9 +9,9 @@
 from collections import Counter
 from collections.abc import Callable
 
-from spoolcourse.control.fleet.machine import Machine
-from spoolcourse.control.fleet.worker_registry import WorkerRegistry
 from spoolcourse.control.jobs.job_queue import Attempt, JobState
+from spoolcourse.control.workers.machine import Machine
+from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.wire.messages import MachineType, fits
 from spoolcourse.wire.settings import Workers
 
--- a/spoolcourse/control/machines/replica_probe.py
+++ b/spoolcourse/control/autoscaling/replica_probe.py
@@ -11,11 +11,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from spoolcourse.control.fleet.machine import Machine
-from spoolcourse.control.fleet.worker_calls import fetch_report
-from spoolcourse.control.fleet.worker_registry import WorkerRegistry
-from spoolcourse.control.machines.replica_places import ReplicaPlaces, replicas_on
-from spoolcourse.control.net import Net, NetError
+from spoolcourse.control.autoscaling.replica_places import ReplicaPlaces, replicas_on
+from spoolcourse.control.http_client import Net, NetError
+from spoolcourse.control.workers.machine import Machine
+from spoolcourse.control.workers.worker_calls import fetch_report
+from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.wire.messages import MalformedError
 
 log = logging.getLogger(__name__)
--- a/spoolcourse/control/machines/returning.py
+++ b/spoolcourse/control/autoscaling/scale_in.py
@@ -5,13 +5,13 @@
 import logging
 from typing import Protocol
 
-from spoolcourse.control.fleet.machine import Machine
-from spoolcourse.control.leader.leader_context import LeaderContext
-from spoolcourse.control.machines.cancelled_work import CancelledWork
-from spoolcourse.control.machines.early_deletion import EarlyDeletion
-from spoolcourse.control.machines.fleet_view import FleetView
-from spoolcourse.control.machines.service_reserve import ServiceReserve
-from spoolcourse.control.machines.surplus import Surplus
+from spoolcourse.control.autoscaling.cancelled_work import CancelledWork
+from spoolcourse.control.autoscaling.early_deletion import EarlyDeletion
+from spoolcourse.control.autoscaling.excess_capacity import Surplus
+from spoolcourse.control.autoscaling.fleet_view import FleetView
+from spoolcourse.control.autoscaling.service_reserve import ServiceReserve
+from spoolcourse.control.leader_context import LeaderContext
+from spoolcourse.control.workers.machine import Machine
 from spoolcourse.wire.messages import HostStage
 
 log = logging.getLogger(__name__)
--- a/spoolcourse/control/machines/renting.py
+++ b/spoolcourse/control/autoscaling/scale_out.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from spoolcourse.control.leader.leader_context import LeaderContext
-from spoolcourse.control.machines.cloud import CloudError, CloudWriter, NoCapacityError
-from spoolcourse.control.machines.fleet_view import FleetView
+from spoolcourse.control.autoscaling.fleet_view import FleetView
+from spoolcourse.control.cloud.client import CloudError, CloudWriter, NoCapacityError
+from spoolcourse.control.leader_context import LeaderContext
 from spoolcourse.wire.cloud import HIRE_MAX, MachineKind
 
 log = logging.getLogger(__name__)
--- a/spoolcourse/control/machines/service_reserve.py
+++ b/spoolcourse/control/autoscaling/service_reserve.py
@@ -10,9 +10,9 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from spoolcourse.control.fleet.machine import Machine
-from spoolcourse.control.fleet.worker_registry import WorkerRegistry
-from spoolcourse.control.machines.fleet_view import FleetView
+from spoolcourse.control.autoscaling.fleet_view import FleetView
+from spoolcourse.control.workers.machine import Machine
+from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.policy.keys import Policy
 
 
--- /dev/null
+++ b/spoolcourse/control/cloud/__init__.py
@@ -0,0 +1,1 @@
+"""The cloud's API: client and machine catalog."""
--- a/spoolcourse/control/catalog.py
+++ b/spoolcourse/control/cloud/catalog.py
@@ -11,14 +11,14 @@
 import random
 from typing import Any
 
+from spoolcourse.control.cloud.client import Cloud, CloudError, NoCapacityError
 from spoolcourse.control.leadership.election import Leadership
-from spoolcourse.control.machines.cloud import Cloud, CloudError, NoCapacityError
 from spoolcourse.control.store.client import RefusedError, StoreClient, UnclearError
 from spoolcourse.control.store.keys import CATALOG
 from spoolcourse.control.store.records import catalog_value
 from spoolcourse.control.store.watch_cache import WatchCache
+from spoolcourse.wire.key_value_store import Put
 from spoolcourse.wire.messages import Catalog, MachineType, MalformedError, parse
-from spoolcourse.wire.state_service import Put
 
 log = logging.getLogger(__name__)
 
--- a/spoolcourse/control/machines/cloud.py
+++ b/spoolcourse/control/cloud/client.py
@@ -6,9 +6,9 @@
 from collections.abc import Awaitable
 from typing import Protocol
 
-from spoolcourse.control.net import Net, NetError, Reply
-from spoolcourse.control.standby.proof import TakeoverProof
-from spoolcourse.control.store.budget import BudgetSpentError, TokenBucket
+from spoolcourse.control.http_client import Net, NetError, Reply
+from spoolcourse.control.leadership.failover_proof import TakeoverProof
+from spoolcourse.control.rate_limit import BudgetSpentError, TokenBucket
 from spoolcourse.wire import paths
 from spoolcourse.wire.cloud import (
     DELETE_MAX,
--- a/spoolcourse/control/context.py
+++ b/spoolcourse/control/context.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from spoolcourse.control.cloud.client import Cloud
+from spoolcourse.control.http_client import Net
 from spoolcourse.control.jobs.job_index import JobIndex
-from spoolcourse.control.load import Load
-from spoolcourse.control.machines.cloud import Cloud
-from spoolcourse.control.net import Net
+from spoolcourse.control.process_load import Load
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.policy.keys import PolicySource
--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -9,24 +9,28 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
 
-from spoolcourse.control.catalog import CatalogLoop
+from spoolcourse.control.cloud.catalog import CatalogLoop
+from spoolcourse.control.cloud.client import Cloud
 from spoolcourse.control.context import ControllerContext
-from spoolcourse.control.fleet.relay import Relay, redirect
+from spoolcourse.control.failover.hints import HintLoop
+from spoolcourse.control.failover.strategies import (
+    Takeover,
+    TakeoverFromRecords,
+    TakeoverFromShadow,
+)
+from spoolcourse.control.failover.warm_standby import Standby
+from spoolcourse.control.http_client import Net, NetError, Reply, Request, later, refusal_reply
 from spoolcourse.control.jobs.job_index import JobIndex
 from spoolcourse.control.leader.leader_term import LeaderTerm
 from spoolcourse.control.leadership.election import Leadership, Term
-from spoolcourse.control.load import Load
-from spoolcourse.control.machines.cloud import Cloud
-from spoolcourse.control.net import Net, NetError, Reply, Request, later, refusal_reply
+from spoolcourse.control.leadership.failover_timeline import Timeline
 from spoolcourse.control.peer_api import PeerApi
-from spoolcourse.control.standby.follower import Standby
-from spoolcourse.control.standby.hints import HintLoop
-from spoolcourse.control.standby.takeover import Takeover, TakeoverFromRecords, TakeoverFromShadow
-from spoolcourse.control.standby.timeline import Timeline
+from spoolcourse.control.process_load import Load
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.keys import PREFIX
 from spoolcourse.control.store.watch_cache import WATCH_GAP_LEADING_S, WATCH_GAP_S, WatchCache
 from spoolcourse.control.user_api.api import UserApi
+from spoolcourse.control.workers.heartbeat_relay import Relay, redirect
 from spoolcourse.policy.keys import PolicySource, check_policy
 from spoolcourse.wire import paths
 from spoolcourse.wire.messages import MalformedError, parse_report
@@ -108,7 +112,7 @@
             )
             self._standby_loops.append(hint_loop.run)
         if settings.trace:
-            from spoolcourse.control.standby.tracing import TakeoverTracer
+            from spoolcourse.control.failover.tracing import TakeoverTracer
 
             tracer = TakeoverTracer(self.label, self._clock, self.context.wall_clock)
             self._trace = tracer.write
--- a/spoolcourse/control/standby/comparison.py
+++ b/spoolcourse/control/failover/comparison.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from spoolcourse.control.failover.restore import RestoredJobs
 from spoolcourse.control.jobs.job_queue import Attempt, Chunk, JobState
-from spoolcourse.control.standby.restore import RestoredJobs
 
 ChunkForm = tuple[int, dict[int, tuple[str, int]], int, int, int]
 AttemptForm = tuple[int, int, str, int, str]
--- a/spoolcourse/control/standby/hints.py
+++ b/spoolcourse/control/failover/hints.py
@@ -17,10 +17,10 @@
 from urllib.parse import parse_qs, quote
 
 from spoolcourse.control.context import ControllerContext
-from spoolcourse.control.fleet.worker_registry import WorkerRegistry
-from spoolcourse.control.net import NetError
+from spoolcourse.control.http_client import NetError
 from spoolcourse.control.store.keys import TERM
 from spoolcourse.control.store.records import TermRecord
+from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.wire import paths
 from spoolcourse.wire.messages import MalformedError, parse
 from spoolcourse.wire.peers import Hint, HintPage
--- a/spoolcourse/control/standby/takeover.py
+++ b/spoolcourse/control/failover/strategies.py
@@ -8,15 +8,15 @@
 from typing import Protocol
 
 from spoolcourse.control.context import ControllerContext
-from spoolcourse.control.leadership.election import Term
-from spoolcourse.control.standby.comparison import differences
-from spoolcourse.control.standby.follower import Standby
-from spoolcourse.control.standby.proof import BehindError, ProofSource, TakeoverProof
-from spoolcourse.control.standby.restore import (
+from spoolcourse.control.failover.comparison import differences
+from spoolcourse.control.failover.restore import (
     RestoredJobs,
     note_waiting_times,
     restore_from_records,
 )
+from spoolcourse.control.failover.warm_standby import Standby
+from spoolcourse.control.leadership.election import Term
+from spoolcourse.control.leadership.failover_proof import BehindError, ProofSource, TakeoverProof
 from spoolcourse.control.store.retry import RetryDelay
 from spoolcourse.wire.peers import Hint
 from spoolcourse.wire.standby_settings import StandbySettings
--- a/spoolcourse/control/standby/tracing.py
+++ b/spoolcourse/control/failover/tracing.py
@@ -15,7 +15,7 @@
 from opentelemetry.sdk.trace.export import ConsoleSpanExporter, SimpleSpanProcessor
 from opentelemetry.trace import set_span_in_context
 
-from spoolcourse.control.standby.timeline import Timeline
+from spoolcourse.control.leadership.failover_timeline import Timeline
 
 NANOSECONDS = 1_000_000_000
 
--- a/spoolcourse/control/standby/follower.py
+++ b/spoolcourse/control/failover/warm_standby.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 from spoolcourse.control.context import ControllerContext
-from spoolcourse.control.standby.hints import HintBook
-from spoolcourse.control.standby.restore import RestoredJobs
-from spoolcourse.control.standby.shadow import MisfitError, Shadow
+from spoolcourse.control.failover.hints import HintBook
+from spoolcourse.control.failover.restore import RestoredJobs
+from spoolcourse.control.failover.shadow_queue import MisfitError, Shadow
 from spoolcourse.control.store.client import RefusedError, UnclearError
 from spoolcourse.control.store.keys import TERM
 from spoolcourse.control.store.records import TermRecord
--- a/spoolcourse/control/server.py
+++ b/spoolcourse/control/http_server.py
@@ -19,7 +19,7 @@
 
 import orjson
 
-from spoolcourse.control.net import Reply, Request, later, refusal_reply
+from spoolcourse.control.http_client import Reply, Request, later, refusal_reply
 from spoolcourse.wire.messages import BODY_LIMIT
 
 # After `net`, which sees to it that aiohttp comes without `ssl`.
--- a/spoolcourse/control/jobs/job_index.py
+++ b/spoolcourse/control/jobs/job_index.py
@@ -20,9 +20,9 @@
 )
 from spoolcourse.control.store.records import FinalState, JobRecord, Progress, chunk_tasks
 from spoolcourse.control.store.watch_cache import WatchCache
+from spoolcourse.wire.key_value_store import Put
 from spoolcourse.wire.messages import JobStage, JobStatus, Submission
 from spoolcourse.wire.peers import Cancellation
-from spoolcourse.wire.state_service import Put
 
 FINALS_MAX = 20_000
 WITHDRAWN_BYTES = 64  # what a cancellation adds to a record
--- a/spoolcourse/control/jobs/writer.py
+++ b/spoolcourse/control/jobs/writer.py
@@ -15,14 +15,14 @@
 import orjson
 
 from spoolcourse.control.jobs.job_queue import Chunk, JobQueue, JobState
-from spoolcourse.control.standby.proof import TakeoverProof
+from spoolcourse.control.leadership.failover_proof import TakeoverProof
 from spoolcourse.control.store.client import RefusedError, StoreClient, UnclearError
 from spoolcourse.control.store.keys import TERM, final_key, job_key, progress_key
 from spoolcourse.control.store.records import FinalState
 from spoolcourse.control.store.retry import RetryDelay
 from spoolcourse.control.store.watch_cache import WatchCache
+from spoolcourse.wire.key_value_store import Delete, Outcome, Put
 from spoolcourse.wire.messages import JobStage
-from spoolcourse.wire.state_service import Delete, Outcome, Put
 
 log = logging.getLogger(__name__)
 
--- a/spoolcourse/control/leader/active_leader.py
+++ b/spoolcourse/control/leader/active_leader.py
@@ -6,26 +6,26 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
+from spoolcourse.control.autoscaling.autoscaler import FleetAutoscaler
 from spoolcourse.control.context import ControllerContext
-from spoolcourse.control.fleet.command_dispatcher import CommandDispatcher
-from spoolcourse.control.fleet.worker_registry import WorkerRegistry
+from spoolcourse.control.failover.strategies import TakenOver
 from spoolcourse.control.jobs.job_queue import JobState
 from spoolcourse.control.jobs.writer import Writer
-from spoolcourse.control.leader.base_machines import BaseMachines
-from spoolcourse.control.leader.leader_context import LeaderContext
-from spoolcourse.control.leader.report_admission import ReportAdmission
-from spoolcourse.control.leader.scheduling_loop import SchedulingLoop
-from spoolcourse.control.leader.termination import TerminationLoop
+from spoolcourse.control.leader.heartbeat_handler import ReportAdmission
+from spoolcourse.control.leader.hinted_workers import HintedWorkers
+from spoolcourse.control.leader.initial_machines import BaseMachines
+from spoolcourse.control.leader_context import LeaderContext
 from spoolcourse.control.leadership.election import Leadership
+from spoolcourse.control.leadership.failover_timeline import Phase, Timeline
 from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
-from spoolcourse.control.machines.autoscaler import FleetAutoscaler
-from spoolcourse.control.placement.snapshot_builder import SnapshotBuilder
-from spoolcourse.control.standby.hinted_workers import HintedWorkers
-from spoolcourse.control.standby.takeover import TakenOver
-from spoolcourse.control.standby.timeline import Phase, Timeline
+from spoolcourse.control.scheduling.scheduling_loop import SchedulingLoop
+from spoolcourse.control.scheduling.snapshot_builder import SnapshotBuilder
+from spoolcourse.control.scheduling.termination_notices import TerminationLoop
 from spoolcourse.control.store.client import RefusedError, UnclearError
 from spoolcourse.control.store.keys import JOB
 from spoolcourse.control.store.records import JobRecord
+from spoolcourse.control.workers.command_dispatcher import CommandDispatcher
+from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.wire.messages import Host
 
 log = logging.getLogger(__name__)
--- a/spoolcourse/control/leader/report_admission.py
+++ b/spoolcourse/control/leader/heartbeat_handler.py
@@ -5,11 +5,11 @@
 import logging
 
 from spoolcourse.control.context import ControllerContext
-from spoolcourse.control.fleet.relay import redirect
-from spoolcourse.control.fleet.worker_registry import Answer, WorkerRegistry
+from spoolcourse.control.http_client import Reply, later
 from spoolcourse.control.leadership.election import Leadership
 from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
-from spoolcourse.control.net import Reply, later
+from spoolcourse.control.workers.heartbeat_relay import redirect
+from spoolcourse.control.workers.worker_registry import Answer, WorkerRegistry
 from spoolcourse.wire.commands import Command, ReportReply, to_json_object
 from spoolcourse.wire.messages import Report
 
--- a/spoolcourse/control/standby/hinted_workers.py
+++ b/spoolcourse/control/leader/hinted_workers.py
@@ -10,11 +10,11 @@
 import asyncio
 import logging
 
-from spoolcourse.control.fleet.call_limit import calls_at_once
-from spoolcourse.control.fleet.worker_calls import raise_token
-from spoolcourse.control.leader.leader_context import LeaderContext
-from spoolcourse.control.machines.machine_list import CALLS_LEAST
-from spoolcourse.control.net import NetError
+from spoolcourse.control.autoscaling.machine_list import CALLS_LEAST
+from spoolcourse.control.http_client import NetError
+from spoolcourse.control.leader_context import LeaderContext
+from spoolcourse.control.workers.call_limit import calls_at_once
+from spoolcourse.control.workers.worker_calls import raise_token
 from spoolcourse.wire.messages import MalformedError
 from spoolcourse.wire.peers import Hint
 
--- a/spoolcourse/control/leader/leader_term.py
+++ b/spoolcourse/control/leader/leader_term.py
@@ -6,16 +6,16 @@
 import logging
 
 from spoolcourse.control.context import ControllerContext
+from spoolcourse.control.failover.strategies import Takeover
+from spoolcourse.control.http_client import Reply, later
+from spoolcourse.control.jobs.cancellation_query import CancellationQuery
 from spoolcourse.control.leader.active_leader import ActiveLeader, Loop
-from spoolcourse.control.leader.report_admission import step_down_for
-from spoolcourse.control.leadership.cancellation_query import CancellationQuery
+from spoolcourse.control.leader.heartbeat_handler import step_down_for
 from spoolcourse.control.leadership.election import Leadership, Term
+from spoolcourse.control.leadership.failover_proof import SupersededError
+from spoolcourse.control.leadership.failover_timeline import Phase, Timeline
 from spoolcourse.control.leadership.feature_level import FeatureLevel
 from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
-from spoolcourse.control.net import Reply, later
-from spoolcourse.control.standby.proof import SupersededError
-from spoolcourse.control.standby.takeover import Takeover
-from spoolcourse.control.standby.timeline import Phase, Timeline
 from spoolcourse.wire.messages import Report
 
 log = logging.getLogger(__name__)
--- a/spoolcourse/control/leader/leader_context.py
+++ b/spoolcourse/control/leader_context.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 
 from spoolcourse.control.context import ControllerContext
-from spoolcourse.control.fleet.worker_registry import WorkerRegistry
 from spoolcourse.control.jobs.job_queue import JobQueue
-from spoolcourse.control.standby.proof import TakeoverProof
+from spoolcourse.control.leadership.failover_proof import TakeoverProof
+from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.policy.keys import Policy
 
 
--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -20,7 +20,7 @@
 from spoolcourse.control.store.keys import LEADER, TERM
 from spoolcourse.control.store.records import LeaderRecord, TermRecord
 from spoolcourse.control.store.watch_cache import WatchCache
-from spoolcourse.wire.state_service import Put
+from spoolcourse.wire.key_value_store import Put
 
 log = logging.getLogger(__name__)
 
--- a/spoolcourse/control/standby/timeline.py
+++ b/spoolcourse/control/leadership/failover_timeline.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from spoolcourse.control.standby.proof import TakeoverProof
+from spoolcourse.control.leadership.failover_proof import TakeoverProof
 
 log = logging.getLogger(__name__)
 
--- a/spoolcourse/control/leadership/peers.py
+++ b/spoolcourse/control/leadership/peers.py
@@ -6,7 +6,7 @@
 import logging
 from typing import TypeVar
 
-from spoolcourse.control.net import Net, NetError
+from spoolcourse.control.http_client import Net, NetError
 from spoolcourse.wire.messages import MalformedError, parse
 from spoolcourse.wire.settings import Seed
 
--- a/spoolcourse/control/metrics.py
+++ b/spoolcourse/control/metrics.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Generic, TypeVar
 
-from spoolcourse.control.view import LeaderStatus, NodeStatus, StandbyStatus, Status
+from spoolcourse.control.status import LeaderStatus, NodeStatus, StandbyStatus, Status
 
 if TYPE_CHECKING:
     from prometheus_client.core import Metric
--- a/spoolcourse/control/peer_api.py
+++ b/spoolcourse/control/peer_api.py
@@ -5,12 +5,13 @@
 from collections.abc import Awaitable
 from typing import TYPE_CHECKING
 
-from spoolcourse.control import metrics, view
+from spoolcourse.control import metrics
+from spoolcourse.control.failover.handover import HandoverRefusedError, hand_over
+from spoolcourse.control.failover.hints import hint_page
+from spoolcourse.control.http_client import Reply, Request, refusal_reply
+from spoolcourse.control.jobs.cancellation_query import answer_query
 from spoolcourse.control.leadership import feature_level
-from spoolcourse.control.leadership.cancellation_query import answer_query
-from spoolcourse.control.net import Reply, Request, refusal_reply
-from spoolcourse.control.standby.handover import HandoverRefusedError, hand_over
-from spoolcourse.control.standby.hints import hint_page
+from spoolcourse.control.status import collect_status
 from spoolcourse.wire import paths
 from spoolcourse.wire.commands import to_json_object
 from spoolcourse.wire.messages import MalformedError
@@ -46,9 +47,9 @@
         if path == paths.LEVEL:
             return Reply(200, feature_level.answer())
         if path == paths.STATUS:
-            return Reply(200, view.status(node).to_json_object())
+            return Reply(200, collect_status(node).to_json_object())
         if path == paths.METRICS:
-            return Reply(200, metrics.exposition(view.status(node)), METRICS_HEADERS)
+            return Reply(200, metrics.exposition(collect_status(node)), METRICS_HEADERS)
         if path in (paths.STANDBY, paths.HINTS):
             return self._read_standby(path, query)
         return None
--- a/spoolcourse/control/leader/scheduling_loop.py
+++ b/spoolcourse/control/scheduling/scheduling_loop.py
@@ -8,17 +8,17 @@
 from dataclasses import dataclass
 from itertools import islice
 
-from spoolcourse.control.fleet.command_dispatcher import CommandDispatcher
+from spoolcourse.control.autoscaling.autoscaler import FleetAutoscaler
+from spoolcourse.control.autoscaling.planner import Hire, Offer, plan_hires, top_up
+from spoolcourse.control.cloud.client import hires_most
 from spoolcourse.control.jobs.job_queue import JobState
-from spoolcourse.control.leader.leader_context import LeaderContext
-from spoolcourse.control.machines.autoscaler import FleetAutoscaler
-from spoolcourse.control.machines.cloud import hires_most
-from spoolcourse.control.machines.planner import Hire, Offer, plan_hires, top_up
+from spoolcourse.control.leader_context import LeaderContext
+from spoolcourse.control.leadership.failover_timeline import Phase
 from spoolcourse.control.placement.backfill import place
 from spoolcourse.control.placement.model import Decision, Plan, Snapshot
 from spoolcourse.control.placement.preempt import choose_victims
-from spoolcourse.control.placement.snapshot_builder import SnapshotBuilder
-from spoolcourse.control.standby.timeline import Phase
+from spoolcourse.control.scheduling.snapshot_builder import SnapshotBuilder
+from spoolcourse.control.workers.command_dispatcher import CommandDispatcher
 from spoolcourse.wire.cloud import MachineKind
 from spoolcourse.wire.messages import MachineType
 
--- a/spoolcourse/control/placement/snapshot_builder.py
+++ b/spoolcourse/control/scheduling/snapshot_builder.py
@@ -5,11 +5,11 @@
 import logging
 from math import inf
 
-from spoolcourse.control.fleet.machine import Machine
-from spoolcourse.control.fleet.worker_registry import WorkerRegistry
 from spoolcourse.control.jobs.job_queue import Attempt, JobQueue, JobState
 from spoolcourse.control.placement.model import Job, Node, Snapshot, Team
-from spoolcourse.control.placement.snapshot_cache import Index, SnapshotCache
+from spoolcourse.control.scheduling.snapshot_cache import Index, SnapshotCache
+from spoolcourse.control.workers.machine import Machine
+from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.policy.keys import Policy
 from spoolcourse.wire.messages import HostStage, MachineType, fits
 from spoolcourse.wire.settings import Objective, Params
--- a/spoolcourse/control/placement/snapshot_cache.py
+++ b/spoolcourse/control/scheduling/snapshot_cache.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from spoolcourse.control.fleet.machine import Machine
 from spoolcourse.control.jobs.job_queue import Attempt, JobState
 from spoolcourse.control.placement.model import LEAST_RATE, Node, RunningTask
+from spoolcourse.control.workers.machine import Machine
 from spoolcourse.wire.messages import MachineType
 
 LOOK_AGAIN_S = 0.5  # an overrun or a fetch under way is looked at again after so long
--- a/spoolcourse/control/leader/termination.py
+++ b/spoolcourse/control/scheduling/termination_notices.py
@@ -4,11 +4,11 @@
 
 import asyncio
 
-from spoolcourse.control.fleet.machine import Machine
+from spoolcourse.control.autoscaling.replica_places import ReplicaPlaces
 from spoolcourse.control.jobs.job_queue import Attempt, AttemptStage
-from spoolcourse.control.leader.leader_context import LeaderContext
-from spoolcourse.control.machines.replica_places import ReplicaPlaces
-from spoolcourse.control.placement.snapshot_builder import SnapshotBuilder
+from spoolcourse.control.leader_context import LeaderContext
+from spoolcourse.control.scheduling.snapshot_builder import SnapshotBuilder
+from spoolcourse.control.workers.machine import Machine
 
 PERIOD_S = 0.5
 REPORTS_NEEDED = 2  # to hear of the end of a task that was stopped in time
--- a/spoolcourse/control/view.py
+++ b/spoolcourse/control/status.py
@@ -8,15 +8,15 @@
 import msgspec
 from msgspec import UNSET, UnsetType
 
+from spoolcourse.control.failover.warm_standby import ShadowState
 from spoolcourse.control.jobs.job_queue import AttemptStage
-from spoolcourse.control.standby.follower import ShadowState
 
 if TYPE_CHECKING:
     from spoolcourse.control.controller import Controller
+    from spoolcourse.control.failover.warm_standby import Standby
     from spoolcourse.control.leader.active_leader import ActiveLeader
-    from spoolcourse.control.leader.scheduling_loop import WaitingJob
-    from spoolcourse.control.standby.follower import Standby
-    from spoolcourse.control.standby.timeline import Timeline
+    from spoolcourse.control.leadership.failover_timeline import Timeline
+    from spoolcourse.control.scheduling.scheduling_loop import WaitingJob
 
 JOBS_SHOWN = 200
 SILENCE_SHOWN_S = 86_400.0  # of a node that has never read the state service
@@ -208,7 +208,7 @@
         return found
 
 
-def status(node: Controller) -> Status:
+def collect_status(node: Controller) -> Status:
     """What this node knows; a leader also says what waits, and why."""
     active = node.leader_term.active if node.leader_term is not None else None
     return Status(
--- a/spoolcourse/control/store/client.py
+++ b/spoolcourse/control/store/client.py
@@ -6,12 +6,12 @@
 import logging
 from typing import Any
 
-from spoolcourse.control.net import Net, NetError, Reply
-from spoolcourse.control.store.budget import BudgetSpentError, TokenBucket
+from spoolcourse.control.http_client import Net, NetError, Reply
+from spoolcourse.control.rate_limit import BudgetSpentError, TokenBucket
+from spoolcourse.wire import key_value_store as wire
 from spoolcourse.wire import paths
-from spoolcourse.wire import state_service as wire
+from spoolcourse.wire.key_value_store import Change, Entry, Operation, Outcome
 from spoolcourse.wire.settings import State
-from spoolcourse.wire.state_service import Change, Entry, Operation, Outcome
 
 log = logging.getLogger(__name__)
 
--- a/spoolcourse/control/store/conditional_write.py
+++ b/spoolcourse/control/store/conditional_write.py
@@ -7,7 +7,7 @@
 
 from spoolcourse.control.store.client import RefusedError, StoreClient, UnclearError
 from spoolcourse.control.store.watch_cache import WatchCache
-from spoolcourse.wire.state_service import Put
+from spoolcourse.wire.key_value_store import Put
 
 log = logging.getLogger(__name__)
 
--- a/spoolcourse/control/store/watch_cache.py
+++ b/spoolcourse/control/store/watch_cache.py
@@ -14,7 +14,7 @@
 
 from spoolcourse.control.store.client import CompactedError, RefusedError, StoreClient, UnclearError
 from spoolcourse.control.store.retry import RetryDelay
-from spoolcourse.wire.state_service import Entry
+from spoolcourse.wire.key_value_store import Entry
 
 log = logging.getLogger(__name__)
 
--- a/spoolcourse/control/user_api/api.py
+++ b/spoolcourse/control/user_api/api.py
@@ -16,9 +16,9 @@
 import msgspec
 
 from spoolcourse.control.context import ControllerContext
+from spoolcourse.control.http_client import NetError, Reply, Request, later, refusal_reply
 from spoolcourse.control.jobs.job_index import RecordTooLargeError
 from spoolcourse.control.leadership.feature_level import all_new
-from spoolcourse.control.net import NetError, Reply, Request, later, refusal_reply
 from spoolcourse.control.store.client import RefusedError, UnclearError
 from spoolcourse.control.store.records import FinalState
 from spoolcourse.control.user_api.checks import refusal, usable_machine_types
--- a/spoolcourse/control/fleet/command_builder.py
+++ b/spoolcourse/control/workers/command_builder.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable, Container
 from typing import TYPE_CHECKING
 
-from spoolcourse.control.fleet.machine import Machine
 from spoolcourse.control.jobs.job_queue import Attempt, AttemptStage, JobState
-from spoolcourse.control.standby.timeline import Phase
+from spoolcourse.control.leadership.failover_timeline import Phase
+from spoolcourse.control.workers.machine import Machine
 from spoolcourse.wire.commands import Acknowledge, Command, Start, Stop
 from spoolcourse.wire.messages import EndCause, Report, TaskReport, TaskStage, split_task_name
 
 if TYPE_CHECKING:
-    from spoolcourse.control.fleet.worker_registry import Leader, WorkerRegistry
+    from spoolcourse.control.workers.worker_registry import Leader, WorkerRegistry
 
 COMMANDS_MAX = 300  # in one answer, well below 64 KiB
 
--- a/spoolcourse/control/fleet/command_dispatcher.py
+++ b/spoolcourse/control/workers/command_dispatcher.py
@@ -10,11 +10,11 @@
 import asyncio
 import logging
 
-from spoolcourse.control.fleet.call_limit import calls_at_once
-from spoolcourse.control.fleet.machine import Machine
-from spoolcourse.control.fleet.worker_calls import WorkerSession, send_commands
-from spoolcourse.control.fleet.worker_registry import WorkerRegistry
-from spoolcourse.control.net import Net, NetError
+from spoolcourse.control.http_client import Net, NetError
+from spoolcourse.control.workers.call_limit import calls_at_once
+from spoolcourse.control.workers.machine import Machine
+from spoolcourse.control.workers.worker_calls import WorkerSession, send_commands
+from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.wire.commands import Start
 from spoolcourse.wire.messages import MalformedError
 
--- a/spoolcourse/control/fleet/relay.py
+++ b/spoolcourse/control/workers/heartbeat_relay.py
@@ -13,7 +13,7 @@
 
 from msgspec.structs import replace
 
-from spoolcourse.control.net import Net, NetError, Reply
+from spoolcourse.control.http_client import Net, NetError, Reply
 from spoolcourse.wire import paths
 from spoolcourse.wire.commands import Redirect, ReportReply, to_json_object
 from spoolcourse.wire.messages import MalformedError, parse
--- a/spoolcourse/control/fleet/report_reconciler.py
+++ b/spoolcourse/control/workers/reconciliation.py
@@ -11,9 +11,9 @@
 import logging
 from typing import TYPE_CHECKING
 
-from spoolcourse.control.fleet.machine import Machine
 from spoolcourse.control.jobs.backoff import ARRAY_BACKOFF, REPLICA_BACKOFF, Backoff
 from spoolcourse.control.jobs.job_queue import REPORTED_STAGES, Attempt, AttemptStage, JobState
+from spoolcourse.control.workers.machine import Machine
 from spoolcourse.wire.messages import (
     EndCause,
     Report,
@@ -24,7 +24,7 @@
 )
 
 if TYPE_CHECKING:
-    from spoolcourse.control.fleet.worker_registry import Leader, WorkerRegistry
+    from spoolcourse.control.workers.worker_registry import Leader, WorkerRegistry
 
 log = logging.getLogger(__name__)
 
--- a/spoolcourse/control/fleet/worker_calls.py
+++ b/spoolcourse/control/workers/worker_calls.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from spoolcourse.control.net import Net, NetError
-from spoolcourse.control.standby.proof import TakeoverProof
+from spoolcourse.control.http_client import Net, NetError
+from spoolcourse.control.leadership.failover_proof import TakeoverProof
 from spoolcourse.wire import paths
 from spoolcourse.wire.commands import Command, CommandRequest, to_json_object
 from spoolcourse.wire.messages import Report, parse
--- a/spoolcourse/control/fleet/worker_registry.py
+++ b/spoolcourse/control/workers/worker_registry.py
@@ -12,13 +12,13 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from spoolcourse.control.fleet.command_builder import CommandBuilder
-from spoolcourse.control.fleet.machine import Machine
-from spoolcourse.control.fleet.report_reconciler import ReportReconciler
 from spoolcourse.control.jobs.job_queue import Attempt, JobQueue
+from spoolcourse.control.leadership.failover_proof import TakeoverProof
+from spoolcourse.control.leadership.failover_timeline import Phase
 from spoolcourse.control.leadership.renewal_deadline import DRIFT
-from spoolcourse.control.standby.proof import TakeoverProof
-from spoolcourse.control.standby.timeline import Phase
+from spoolcourse.control.workers.command_builder import CommandBuilder
+from spoolcourse.control.workers.machine import Machine
+from spoolcourse.control.workers.reconciliation import ReportReconciler
 from spoolcourse.wire.commands import Command
 from spoolcourse.wire.messages import Report
 from spoolcourse.wire.peers import Hint
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -7,7 +7,7 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from spoolcourse.control.net import NetError, Reply
+from spoolcourse.control.http_client import NetError, Reply
 from tests.fakes.net import Endpoint, FakeWire, HostNet
 
 BUILD = {
--- a/tests/fakes/net.py
+++ b/tests/fakes/net.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from spoolcourse.control.net import NetError, Reply
+from spoolcourse.control.http_client import NetError, Reply
 
 Endpoint = Callable[[str, str, Any], Awaitable[Reply]]
 Filter = Callable[[str, str, str, str, Any], str | None]
--- a/tests/fakes/proof.py
+++ b/tests/fakes/proof.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from spoolcourse.control.leadership.election import Term
-from spoolcourse.control.standby.proof import ProofSource, TakeoverProof
+from spoolcourse.control.leadership.failover_proof import ProofSource, TakeoverProof
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.keys import PREFIX, TERM
 from spoolcourse.control.store.watch_cache import WatchCache
--- a/tests/fakes/registry.py
+++ b/tests/fakes/registry.py
@@ -4,10 +4,10 @@
 
 from typing import Any
 
-from spoolcourse.control.fleet.worker_registry import Answer, WorkerRegistry
 from spoolcourse.control.jobs.job_queue import Attempt, JobQueue, JobState
-from spoolcourse.control.standby.timeline import Phase
+from spoolcourse.control.leadership.failover_timeline import Phase
 from spoolcourse.control.store.records import JobRecord
+from spoolcourse.control.workers.worker_registry import Answer, WorkerRegistry
 from spoolcourse.wire.commands import to_json_object
 from spoolcourse.wire.messages import Report, Submission, parse
 from spoolcourse.wire.settings import Workers
--- a/tests/fakes/state.py
+++ b/tests/fakes/state.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from spoolcourse.control.net import Reply
+from spoolcourse.control.http_client import Reply
 
 
 class FakeState:
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -9,8 +9,8 @@
 import orjson
 
 from spoolcourse.control.controller import Controller
+from spoolcourse.control.http_client import NetError, Reply, Request
 from spoolcourse.control.leader.active_leader import ActiveLeader
-from spoolcourse.control.net import NetError, Reply, Request
 from spoolcourse.policy.keys import check_policy
 from spoolcourse.wire.settings import Settings, parse_settings
 from spoolcourse.wire.standby_settings import OFF, StandbySettings
--- a/tests/loopback/play.py
+++ b/tests/loopback/play.py
@@ -20,7 +20,7 @@
 
 import orjson
 
-from spoolcourse.control.net import NetError, Reply
+from spoolcourse.control.http_client import NetError, Reply
 from spoolcourse.control.store.keys import LEADER, PROGRESS
 from tests.fakes.world import job
 from tests.loopback.history import Told, broken_rules
--- a/tests/loopback/standins.py
+++ b/tests/loopback/standins.py
@@ -9,8 +9,8 @@
 
 import orjson
 
-from spoolcourse.control.net import HttpNet, Reply, Request
-from spoolcourse.control.server import Connection
+from spoolcourse.control.http_client import HttpNet, Reply, Request
+from spoolcourse.control.http_server import Connection
 from spoolcourse.control.store.keys import FINAL
 from tests.fakes.cloud import FakeCloud, FakeWorker, Task
 from tests.fakes.net import Endpoint, FakeWire
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -55,7 +55,7 @@
 )
 SPELLED_HERE = ("wire/", "control/store/records.py")
 # Operators' tools know the fields of a waiting job's row.
-OPERATORS_ROWS = {"control/view.py": {"lane", "crew", "pieces"}}
+OPERATORS_ROWS = {"control/status.py": {"lane", "crew", "pieces"}}
 
 
 def names_and_words(source: str) -> set[str]:
--- a/tests/test_ordinary_machines.py
+++ b/tests/test_ordinary_machines.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from spoolcourse.control.placement.snapshot_builder import SnapshotBuilder
+from spoolcourse.control.scheduling.snapshot_builder import SnapshotBuilder
 from spoolcourse.policy.keys import check_policy
 from spoolcourse.wire.messages import MachineType
 from tests.fakes.registry import RegistryHarness
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -4,7 +4,7 @@
 
 from math import inf
 
-from spoolcourse.control.machines.planner import Offer, plan_hires, top_up
+from spoolcourse.control.autoscaling.planner import Offer, plan_hires, top_up
 from spoolcourse.control.placement.backfill import place
 from spoolcourse.control.placement.model import Job, Node, Plan, RunningTask, Snapshot, Team
 from spoolcourse.control.placement.preempt import choose_victims
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,17 +9,17 @@
 
 import orjson
 
-from spoolcourse.control.fleet.call_limit import calls_at_once
-from spoolcourse.control.fleet.machine import Machine
-from spoolcourse.control.fleet.relay import Relay
-from spoolcourse.control.fleet.worker_registry import DELETED_NAMES_KEPT_S
-from spoolcourse.control.leader.scheduling_loop import ATTEMPTS_MOST
-from spoolcourse.control.machines.planner import Offer, plan_hires
-from spoolcourse.control.net import Reply
+from spoolcourse.control.autoscaling.planner import Offer, plan_hires
+from spoolcourse.control.http_client import Reply
 from spoolcourse.control.placement.backfill import place
 from spoolcourse.control.placement.model import Job, Node, RunningTask, Snapshot, Team
+from spoolcourse.control.scheduling.scheduling_loop import ATTEMPTS_MOST
 from spoolcourse.control.store.records import base_machines, base_values
 from spoolcourse.control.store.watch_cache import CHANGES_MOST
+from spoolcourse.control.workers.call_limit import calls_at_once
+from spoolcourse.control.workers.heartbeat_relay import Relay
+from spoolcourse.control.workers.machine import Machine
+from spoolcourse.control.workers.worker_registry import DELETED_NAMES_KEPT_S
 from spoolcourse.wire.settings import Seed
 from tests.fakes.clock import play
 from tests.fakes.registry import RegistryHarness
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -6,8 +6,8 @@
 from collections.abc import Awaitable
 from typing import Any
 
-from spoolcourse.control.net import HttpNet, Reply, Request
-from spoolcourse.control.server import listen
+from spoolcourse.control.http_client import HttpNet, Reply, Request
+from spoolcourse.control.http_server import listen
 from spoolcourse.wire.messages import BODY_LIMIT
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from spoolcourse.control.net import Request
+from spoolcourse.control.http_client import Request
 from spoolcourse.control.placement.backfill import place
 from spoolcourse.control.placement.model import Job, Node, RunningTask, Snapshot, Team
 from tests.fakes.clock import play
--- a/tests/test_snapshot_cache.py
+++ b/tests/test_snapshot_cache.py
@@ -8,7 +8,7 @@
 from spoolcourse.control.leader.active_leader import ActiveLeader
 from spoolcourse.control.placement.backfill import place
 from spoolcourse.control.placement.preempt import choose_victims
-from spoolcourse.control.placement.snapshot_builder import SnapshotBuilder
+from spoolcourse.control.scheduling.snapshot_builder import SnapshotBuilder
 from spoolcourse.control.store.records import JobRecord
 from spoolcourse.policy.keys import check_policy
 from spoolcourse.wire.messages import MachineType, Submission, parse
--- a/tests/test_standby_hints.py
+++ b/tests/test_standby_hints.py
@@ -10,16 +10,16 @@
 import pytest
 from msgspec.structs import replace
 
-from spoolcourse.control.net import Reply
-from spoolcourse.control.standby.hints import (
+from spoolcourse.control.failover.hints import (
     IMAGES_MOST,
     HintBook,
     HintRefusal,
     HintRefusedError,
     hint_page,
 )
-from spoolcourse.control.standby.timeline import Phase
-from spoolcourse.control.standby.tracing import TakeoverTracer
+from spoolcourse.control.failover.tracing import TakeoverTracer
+from spoolcourse.control.http_client import Reply
+from spoolcourse.control.leadership.failover_timeline import Phase
 from spoolcourse.wire.messages import MalformedError, parse
 from spoolcourse.wire.peers import Hint, HintPage
 from spoolcourse.wire.standby_settings import StandbySettings
--- a/tests/test_standby_properties.py
+++ b/tests/test_standby_properties.py
@@ -15,16 +15,16 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from spoolcourse.control.context import ControllerContext
+from spoolcourse.control.failover.comparison import differences
+from spoolcourse.control.failover.restore import restore_from_records
+from spoolcourse.control.failover.warm_standby import ShadowState, Standby
 from spoolcourse.control.jobs.job_index import JobIndex
-from spoolcourse.control.standby.comparison import differences
-from spoolcourse.control.standby.follower import ShadowState, Standby
-from spoolcourse.control.standby.restore import restore_from_records
 from spoolcourse.control.store.keys import TERM, job_key, progress_key
 from spoolcourse.control.store.records import JobRecord, Progress
 from spoolcourse.control.store.watch_cache import WatchGap
+from spoolcourse.wire.key_value_store import Change, Entry
 from spoolcourse.wire.messages import Submission, parse
 from spoolcourse.wire.standby_settings import StandbySettings
-from spoolcourse.wire.state_service import Change, Entry
 from tests.fakes.proof import LIMITS, cache_at
 from tests.fakes.world import job
 
--- a/tests/test_standby_takeover.py
+++ b/tests/test_standby_takeover.py
@@ -8,11 +8,11 @@
 
 import pytest
 
+from spoolcourse.control.failover.strategies import TakenOver
+from spoolcourse.control.failover.warm_standby import ShadowState
+from spoolcourse.control.http_client import Reply
 from spoolcourse.control.leadership.election import Term
-from spoolcourse.control.net import Reply
-from spoolcourse.control.standby.follower import ShadowState
-from spoolcourse.control.standby.proof import ProofSource
-from spoolcourse.control.standby.takeover import TakenOver
+from spoolcourse.control.leadership.failover_proof import ProofSource
 from spoolcourse.control.store.keys import PROGRESS, TERM, split_progress
 from spoolcourse.wire.standby_settings import StandbySettings
 from tests.fakes.clock import play
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -43,8 +43,8 @@
     # Measured: with asyncio's 256 KiB, three more calls into the kernel for every report.
     code = """
 import asyncio
-from spoolcourse.control.net import Reply
-from spoolcourse.control.server import listen
+from spoolcourse.control.http_client import Reply
+from spoolcourse.control.http_server import listen
 def handler(request):
     return Reply(200, {})
 async def main():
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -11,8 +11,8 @@
 
 import orjson
 
+from spoolcourse.control.http_client import Reply, Request
 from spoolcourse.control.jobs.cancellations import Cancellations
-from spoolcourse.control.net import Reply, Request
 from spoolcourse.control.store.keys import CATALOG
 from spoolcourse.control.store.records import JobRecord, Progress
 from spoolcourse.wire.peers import Cancellation
--- a/tests/test_takeover_proof.py
+++ b/tests/test_takeover_proof.py
@@ -5,7 +5,7 @@
 import pytest
 
 from spoolcourse.control.leadership.election import Term
-from spoolcourse.control.standby.proof import (
+from spoolcourse.control.leadership.failover_proof import (
     BehindError,
     ProofSource,
     SupersededError,
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -7,8 +7,8 @@
 
 import pytest
 
+from spoolcourse.control.http_client import Reply
 from spoolcourse.control.leadership.election import Leadership
-from spoolcourse.control.net import Reply
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.keys import PREFIX, TERM
 from spoolcourse.control.store.watch_cache import WatchCache
--- a/tests/test_unresponsive_machines.py
+++ b/tests/test_unresponsive_machines.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from spoolcourse.control.fleet import command_dispatcher
+from spoolcourse.control.workers import command_dispatcher
 from tests.fakes.clock import play
 from tests.fakes.half_open import half_open
 from tests.fakes.world import World, job
--- a/tests/test_user_api.py
+++ b/tests/test_user_api.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any
 
-from spoolcourse.control.net import Reply, Request
+from spoolcourse.control.http_client import Reply, Request
 from tests.fakes.clock import play
 from tests.fakes.world import LABELS, World, job
 
--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -7,14 +7,14 @@
 from spoolcourse.control.jobs.job_queue import JobQueue, JobState
 from spoolcourse.control.jobs.writer import Writer
 from spoolcourse.control.leadership.election import Term
-from spoolcourse.control.standby.proof import ProofSource, TakeoverProof
+from spoolcourse.control.leadership.failover_proof import ProofSource, TakeoverProof
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.keys import PREFIX, TERM, job_key
 from spoolcourse.control.store.records import JobRecord
 from spoolcourse.control.store.watch_cache import WatchCache
+from spoolcourse.wire.key_value_store import Put
 from spoolcourse.wire.messages import Submission, parse
 from spoolcourse.wire.settings import NextLimits, State
-from spoolcourse.wire.state_service import Put
 from tests.fakes.clock import play
 from tests.fakes.net import FakeWire
 from tests.fakes.state import FakeState
