--- a/spoolcourse/cli.py
+++ b/spoolcourse/cli.py
@@ -81,10 +81,10 @@
 
 async def _serve(settings: Settings, policy: PolicySource, standby: StandbySettings) -> None:
     from spoolcourse.control.controller import Controller
-    from spoolcourse.control.http_client import HttpNet
+    from spoolcourse.control.http_client import AiohttpClient
     from spoolcourse.control.http_server import listen
 
-    controller = Controller(settings, HttpNet(), policy, standby=standby)
+    controller = Controller(settings, AiohttpClient(), policy, standby=standby)
     for field, handler in (
         ("cluster_listen", controller.peers),
         ("listen", controller.public),
@@ -102,12 +102,12 @@
 async def _call(
     node: str, method: str, path: str, body: Any, timeout: float, indent: bool = False
 ) -> int:
-    from spoolcourse.control.http_client import HttpNet, NetError
+    from spoolcourse.control.http_client import AiohttpClient, NoResponseError
 
-    net = HttpNet()
+    net = AiohttpClient()
     try:
         reply = await net.call(node, method, path, body, timeout=timeout)
-    except NetError as exc:
+    except NoResponseError as exc:
         raise UserError(str(exc)) from exc
     finally:
         await net.close()
@@ -154,7 +154,7 @@
     path = f"{paths.SUBMISSIONS}/{args.job}"
     if args.command == "status":
         return asyncio.run(_call(args.node, "GET", path, None, args.timeout))
-    return asyncio.run(_call(args.node, "POST", f"{path}/{paths.WITHDRAW}", None, args.timeout))
+    return asyncio.run(_call(args.node, "POST", f"{path}/{paths.CANCEL}", None, args.timeout))
 
 
 def main(argv: list[str] | None = None) -> int:
--- a/spoolcourse/control/autoscaling/autoscaler.py
+++ b/spoolcourse/control/autoscaling/autoscaler.py
@@ -11,16 +11,16 @@
 from typing import Protocol
 
 from spoolcourse.control.autoscaling.early_deletion import EarlyDeletion
-from spoolcourse.control.autoscaling.excess_capacity import Surplus
+from spoolcourse.control.autoscaling.excess_capacity import ExcessCapacity
 from spoolcourse.control.autoscaling.fleet_summary import log_fleet
 from spoolcourse.control.autoscaling.fleet_view import FleetView
 from spoolcourse.control.autoscaling.machine_list import MachineListLoop
 from spoolcourse.control.autoscaling.replica_places import ReplicaPlaces
 from spoolcourse.control.autoscaling.replica_probe import ReplicaProbe
-from spoolcourse.control.autoscaling.scale_in import Returning, ReturningOwner
-from spoolcourse.control.autoscaling.scale_out import Renting
+from spoolcourse.control.autoscaling.scale_in import ScaleIn, ScaleInOwner
+from spoolcourse.control.autoscaling.scale_out import ScaleOut
 from spoolcourse.control.autoscaling.service_reserve import ServiceReserve
-from spoolcourse.control.cloud.client import CloudError, NoCapacityError, deletions_most
+from spoolcourse.control.cloud.client import CloudError, NoCapacityError, max_deletions
 from spoolcourse.control.leader_context import LeaderContext
 from spoolcourse.control.process_load import SUMMARY_S
 from spoolcourse.wire.cloud import DELETE_MAX
@@ -28,10 +28,10 @@
 
 log = logging.getLogger(__name__)
 
-RETURN_PERIOD_S = 1.0
+SCALE_IN_PERIOD_S = 1.0
 
 
-class AutoscalerOwner(ReturningOwner, Protocol):
+class AutoscalerOwner(ScaleInOwner, Protocol):
     """What the autoscaler asks of the leader, and tells it."""
 
     def may_start(self) -> bool:
@@ -57,24 +57,24 @@
     ) -> None:
         context, policy, registry = leader.controller, leader.policy, leader.registry
         self._cloud = context.cloud.writer(leader.proof)
-        self._deletions_most = deletions_most(context.params.cloud.rps)
+        self._max_deletions = max_deletions(context.params.cloud.rps)
         self._clock = context.clock
         self._registry = registry
         self._owner = owner
         self._view = FleetView(context.machine_types)
-        self.surplus = Surplus(policy, registry, self._view, owner.is_rare)
-        self.renting = Renting(leader, self._cloud, self._view, owner.may_start)
+        self.excess_capacity = ExcessCapacity(policy, registry, self._view, owner.is_rare)
+        self.scale_out = ScaleOut(leader, self._cloud, self._view, owner.may_start)
         self.machine_list = MachineListLoop(leader, self._view, owner.on_list)
         self.places = ReplicaPlaces(
             registry, context.params.workers, context.clock, context.machine_types
         )
         self.replica_probe = ReplicaProbe(context.net, registry, self.places, context.clock)
         self.reserve = ServiceReserve(registry, policy, self._view)
-        self._returning = Returning(
+        self._scale_in = ScaleIn(
             leader,
             owner,
             self._view,
-            self.surplus,
+            self.excess_capacity,
             self.reserve,
             EarlyDeletion(
                 registry,
@@ -85,18 +85,18 @@
             ),
         )
 
-    async def return_loop(self) -> None:
+    async def scale_in_loop(self) -> None:
         """Delete what is to be returned, until cancelled."""
         logged_at = float("-inf")
         while True:
-            await asyncio.sleep(RETURN_PERIOD_S)
+            await asyncio.sleep(SCALE_IN_PERIOD_S)
             self._registry.expire()
             if log.isEnabledFor(logging.INFO) and self._clock() - logged_at > SUMMARY_S:
                 logged_at = self._clock()
                 log_fleet(self._registry, self._view)
                 self._owner.on_summary()
-            names = self._returning.machines(leads=self._owner.may_start())
-            for start in range(0, min(len(names), self._deletions_most), DELETE_MAX):
+            names = self._scale_in.machines(leads=self._owner.may_start())
+            for start in range(0, min(len(names), self._max_deletions), DELETE_MAX):
                 await self._delete(names[start : start + DELETE_MAX])
 
     async def _delete(self, names: list[str]) -> None:
--- a/spoolcourse/control/autoscaling/cancelled_work.py
+++ b/spoolcourse/control/autoscaling/cancelled_work.py
@@ -12,7 +12,7 @@
 from spoolcourse.wire.settings import Workers
 
 SHARE = 0.4  # of `cancel_s`: its tasks should have ended by then, and a deletion may need retries
-TRANSIT_S = 0.5  # of a report
+TRANSIT_S = 0.5  # of a heartbeat
 LAST_CALL_S = 5.0  # for the deletion itself
 
 
@@ -36,11 +36,11 @@
     def _patience(self, age_when_learned: float) -> float:
         """How long machines are given to be told.
 
-        A leader that took over, or learned late, has less left; but each is given its next report,
-        or a fleet that is about to be told would be deleted (and leases end what no leader that
-        knows less may keep alive).
+        A leader that took over, or learned late, has less left; but each is given its next
+        heartbeat, or a fleet that is about to be told would be deleted (and leases end what no
+        leader that knows less may keep alive).
         """
-        next_report = self._workers.report_gap_s + TRANSIT_S
+        next_report = self._workers.heartbeat_gap_s + TRANSIT_S
         left = self._workers.cancel_s - LAST_CALL_S - age_when_learned
         return min(self._workers.quiet_s, max(left, next_report))
 
@@ -52,7 +52,7 @@
         now, wall_clock = self._clock(), self._wall_clock()
         found = {}
         for job_state in self._job_queue.jobs.values():
-            at = job_state.record.aborted_at
+            at = job_state.record.cancelled_at
             if at is None:
                 continue
             age = wall_clock - at + self._skew_s
--- a/spoolcourse/control/autoscaling/demand.py
+++ b/spoolcourse/control/autoscaling/demand.py
@@ -1,4 +1,4 @@
-"""How much was wanted of late: the measure for what may be returned."""
+"""How much was wanted recently: the measure for what may be returned."""
 
 from __future__ import annotations
 
--- a/spoolcourse/control/autoscaling/excess_capacity.py
+++ b/spoolcourse/control/autoscaling/excess_capacity.py
@@ -1,4 +1,4 @@
-"""How much capacity there is beside what was wanted of late, and which machines are too many."""
+"""How much capacity there is beside what was wanted recently, and which machines are too many."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from spoolcourse.wire.messages import HostStage
 
 
-class Surplus:
+class ExcessCapacity:
     """Compares the fleet with the peaks of demand."""
 
     def __init__(
@@ -34,7 +34,7 @@
         return wanted - self._capacity()
 
     def mark(self, now: float, base: frozenset[str], reserved: set[str]) -> None:
-        """Mark ordinary machines above what was wanted of late, the emptiest first.
+        """Mark ordinary machines above what was wanted recently, the emptiest first.
 
         They cost a multiple of spot ones; marked, they run empty and go. Types that some jobs
         depend on stay, and so do those reserved for services.
@@ -47,11 +47,11 @@
             if machine.spot is False and machine.placeable and machine.id not in base
         ]
         # Those already marked stay marked if possible: they have run emptier since.
-        for machine in sorted(ordinary, key=lambda m: (not m.surplus, len(m.attempts))):
+        for machine in sorted(ordinary, key=lambda m: (not m.scale_in_candidate, len(m.attempts))):
             cpus = self._view.cpus(machine)
             needed = machine.id in reserved or self._is_rare(machine.machine_type or "")
-            machine.surplus = cpus <= spare and not needed
-            if machine.surplus:
+            machine.scale_in_candidate = cpus <= spare and not needed
+            if machine.scale_in_candidate:
                 spare -= cpus
 
     def _capacity(self) -> float:
--- a/spoolcourse/control/autoscaling/fleet_summary.py
+++ b/spoolcourse/control/autoscaling/fleet_summary.py
@@ -16,7 +16,7 @@
 class _KindSummary:
     machines: int = 0
     booting: int = 0
-    surplus: int = 0
+    scale_in_candidate: int = 0
     empty: int = 0
     cpus: float = 0.0
     taken_cpus: float = 0.0
@@ -24,7 +24,7 @@
     def add(self, machine: Machine, cpus: float) -> None:
         self.machines += 1
         self.booting += machine.heard_at is None
-        self.surplus += machine.surplus
+        self.scale_in_candidate += machine.scale_in_candidate
         self.empty += machine.heard_at is not None and not machine.attempts
         self.cpus += cpus
         self.taken_cpus += sum(
@@ -46,7 +46,7 @@
             "yes" if spot else "no",
             summary.machines,
             summary.booting,
-            summary.surplus,
+            summary.scale_in_candidate,
             summary.empty,
             summary.cpus,
             summary.taken_cpus,
--- a/spoolcourse/control/autoscaling/machine_list.py
+++ b/spoolcourse/control/autoscaling/machine_list.py
@@ -8,7 +8,7 @@
 
 from spoolcourse.control.autoscaling.fleet_view import FleetView
 from spoolcourse.control.cloud.client import CloudError
-from spoolcourse.control.http_client import NetError
+from spoolcourse.control.http_client import NoResponseError
 from spoolcourse.control.leader_context import LeaderContext
 from spoolcourse.control.workers.call_limit import calls_at_once
 from spoolcourse.control.workers.machine import Machine
@@ -19,7 +19,7 @@
 
 LIST_PERIOD_S = 2.0  # at least; half of the list's lag if that is longer
 # Machines asked at once, at least. Those behind a cut let the call time out, so with a few at
-# once a takeover would grow by a second for every few silent machines.
+# once a failover would grow by a second for every few silent machines.
 CALLS_LEAST = 64
 
 
@@ -78,14 +78,15 @@
     async def _raise_tokens(self, hosts: list[Host]) -> None:
         """Raise the fencing token on machines that have not spoken under it yet.
 
-        The request carries no commands. They may be reporting to a node that can't know of us.
+        The request carries no commands. They may be reporting to a controller that can't know of
+        us.
         """
         machines = len(self._registry.machines)
         gate = asyncio.Semaphore(calls_at_once(CALLS_LEAST, machines, self._sockets))
 
         async def raise_one(machine: Machine) -> None:
             async with gate:
-                if not machine.confirmed:  # its own report may have come meanwhile
+                if not machine.confirmed:  # its own heartbeat may have come meanwhile
                     await self._raise_token(machine)
 
         await asyncio.gather(*(raise_one(machine) for machine in self._unconfirmed(hosts)))
@@ -103,9 +104,9 @@
 
     async def _raise_token(self, machine: Machine) -> None:
         try:
-            report = await raise_token(self._net, self._registry.proof, machine.address)
-        except (NetError, MalformedError) as exc:
+            heartbeat = await raise_token(self._net, self._registry.proof, machine.address)
+        except (NoResponseError, MalformedError) as exc:
             log.debug("%s: fencing token not raised: %s", machine.id, exc)
             return
-        if report.machine == machine.id:
-            self._registry.observe(report)
+        if heartbeat.machine == machine.id:
+            self._registry.observe(heartbeat)
--- a/spoolcourse/control/autoscaling/planner.py
+++ b/spoolcourse/control/autoscaling/planner.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 
 from spoolcourse.control.placement.model import EPSILON, Job, Node, fit, share_out
-from spoolcourse.wire.cloud import HIRE_MAX
+from spoolcourse.wire.cloud import PROVISION_MAX
 
 LONGEST_S = 3600.0  # that a task is taken to run at most, for its price
 TOP_UP_LEAST = 10  # machines asked for by one pass for headroom
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class Hire:
+class ProvisionRequest:
     """So many machines of a kind to be asked for."""
 
     offer: Offer
@@ -117,14 +117,14 @@
     return best[1] if best is not None else None
 
 
-def plan_hires(
+def plan_provisioning(
     demand: list[tuple[Job, int]],
     nodes: list[Node],
     offers: list[Offer],
     now: float,
     team_room: list[float],
-    most: int = HIRE_MAX,
-) -> list[Hire]:
+    most: int = PROVISION_MAX,
+) -> list[ProvisionRequest]:
     """What to ask for, `most` machines in all.
 
     `demand` is in order: jobs with tasks that found no machine in the pass.
@@ -132,14 +132,14 @@
     boot = min((o.boot_s for o in offers), default=0.0)
     freed_soon = _FreedSoon(nodes, now, boot)
     coming = [replace(n) for n in nodes if n.ready_at > now]
-    hires: dict[Offer, int] = {}
+    provisions: dict[Offer, int] = {}
     room = list(team_room)
     for job, wanted in demand:
         count = wanted
         count = min(count, share_out(room[job.team], job.cpus))
         room[job.team] -= count * job.cpus
         # Machines in a zone that takes no more of the job would be rented again and again,
-        # while its tasks wait for ever: of one that is spread over zones, and lost machines
+        # while its tasks wait forever: of one that is spread over zones, and lost machines
         # in one of them.
         zones = _Zones(job)
         if job.cpus > 0:
@@ -151,11 +151,11 @@
                 break
             machines = min(most, _alike(job, zones, count, offer))
             most -= machines
-            hires[offer] = hires.get(offer, 0) + machines
+            provisions[offer] = provisions.get(offer, 0) + machines
             fresh = [_fresh_node(offer) for _ in range(machines)]
             coming += fresh
             count = _fill(job, zones, count, fresh)
-    return [Hire(offer, count) for offer, count in hires.items()]
+    return [ProvisionRequest(offer, count) for offer, count in provisions.items()]
 
 
 def _alike(job: Job, zones: _Zones, count: int, offer: Offer) -> int:
@@ -177,19 +177,19 @@
     )
 
 
-def top_up(short: float, offers: list[Offer], machines: int = 0) -> list[Hire]:
+def top_up(short: float, offers: list[Offer], machines: int = 0) -> list[ProvisionRequest]:
     """Spot machines, the cheapest by CPU, to have `short` CPUs more at hand.
 
     Whatever is started on them later does not wait for a machine to boot. `machines`: those that
     there are.
     """
     most = max(TOP_UP_LEAST, int(machines * TOP_UP_SHARE))
-    hires = []
+    provisions = []
     cheap = sorted((o for o in offers if o.spot and o.cpus > 0), key=lambda o: o.price / o.cpus)
     for offer in cheap:
         count = min(int(short // offer.cpus), most)
         if count > 0:
-            hires.append(Hire(offer, count))
+            provisions.append(ProvisionRequest(offer, count))
             short -= count * offer.cpus
             most -= count
-    return hires
+    return provisions
--- a/spoolcourse/control/autoscaling/replica_places.py
+++ b/spoolcourse/control/autoscaling/replica_places.py
@@ -15,7 +15,7 @@
 from spoolcourse.wire.messages import MachineType, fits
 from spoolcourse.wire.settings import Workers
 
-LATE_S = 1.0  # for a report on its way, and for this process to get round to it
+LATE_S = 1.0  # for a heartbeat on its way, and for this process to get round to it
 
 
 class ReplicaPlaces:
@@ -31,7 +31,7 @@
         self._registry = registry
         self._clock = clock
         self._machine_types = machine_types
-        self.late_s = workers.report_gap_s + LATE_S
+        self.late_s = workers.heartbeat_gap_s + LATE_S
 
     def has_place_elsewhere(self, replica: Attempt) -> bool:
         """Whether some other machine takes the replica under the rules of any start.
@@ -73,7 +73,7 @@
         attempt
         for attempt in machine.attempts.values()
         if attempt.job_state.record.submission.is_service
-        and not attempt.job_state.record.aborted
+        and not attempt.job_state.record.cancelled
         and not attempt.never_sent
     ]
 
--- a/spoolcourse/control/autoscaling/replica_probe.py
+++ b/spoolcourse/control/autoscaling/replica_probe.py
@@ -1,6 +1,6 @@
-"""Asks machines that hold replicas, and whose reports are late, whether they are there.
+"""Asks machines that hold replicas, and whose heartbeats are late, whether they are there.
 
-A late report alone says little: it may hang somewhere, or its worker may be between two
+A late heartbeat alone says little: it may hang somewhere, or its worker may be between two
 controllers. A machine that answers no call either is dead, hangs, or is cut off.
 """
 
@@ -12,16 +12,16 @@
 from dataclasses import dataclass
 
 from spoolcourse.control.autoscaling.replica_places import ReplicaPlaces, replicas_on
-from spoolcourse.control.http_client import Net, NetError
+from spoolcourse.control.http_client import HttpClient, NoResponseError
 from spoolcourse.control.workers.machine import Machine
-from spoolcourse.control.workers.worker_calls import fetch_report
+from spoolcourse.control.workers.worker_calls import fetch_heartbeat
 from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.wire.messages import MalformedError
 
 log = logging.getLogger(__name__)
 
 PERIOD_S = 0.5
-FAILURES_NEEDED = 2  # in a row; one call may be lost like one report
+FAILURES_NEEDED = 2  # in a row; one call may be lost like one heartbeat
 PROBES_MAX = 64  # at once; calls behind a cut hang until they time out
 
 
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        net: Net,
+        net: HttpClient,
         registry: WorkerRegistry,
         places: ReplicaPlaces,
         clock: Callable[[], float],
@@ -51,7 +51,7 @@
         self._under_way: dict[str, asyncio.Task[None]] = {}
 
     def is_unreachable(self, machine: Machine) -> bool:
-        """Whether it has answered none of the last calls and sent no report since."""
+        """Whether it has answered none of the last calls and sent no heartbeat since."""
         failures = self._failures.get(machine.id)
         return (
             failures is not None
@@ -94,9 +94,9 @@
     async def _probe(self, machine: Machine) -> None:
         reported_at = machine.reported_at
         try:
-            self._registry.observe(await fetch_report(self._net, machine.address))
+            self._registry.observe(await fetch_heartbeat(self._net, machine.address))
             self._failures.pop(machine.id, None)
-        except (NetError, MalformedError) as exc:
+        except (NoResponseError, MalformedError) as exc:
             log.debug("%s: late, and does not answer: %s", machine.id, exc)
             self._note_failure(machine, reported_at)
         finally:
--- a/spoolcourse/control/autoscaling/scale_in.py
+++ b/spoolcourse/control/autoscaling/scale_in.py
@@ -7,7 +7,7 @@
 
 from spoolcourse.control.autoscaling.cancelled_work import CancelledWork
 from spoolcourse.control.autoscaling.early_deletion import EarlyDeletion
-from spoolcourse.control.autoscaling.excess_capacity import Surplus
+from spoolcourse.control.autoscaling.excess_capacity import ExcessCapacity
 from spoolcourse.control.autoscaling.fleet_view import FleetView
 from spoolcourse.control.autoscaling.service_reserve import ServiceReserve
 from spoolcourse.control.leader_context import LeaderContext
@@ -20,7 +20,7 @@
 FAULTY_JOBS = 2  # jobs whose tasks failed on a machine: then it is the machine
 
 
-class ReturningOwner(Protocol):
+class ScaleInOwner(Protocol):
     """What is asked of the leader before a machine is returned."""
 
     def base(self) -> frozenset[str]:
@@ -32,15 +32,15 @@
         ...
 
 
-class Returning:
-    """Judges each machine anew every time it is asked."""
+class ScaleIn:
+    """Judges each machine again every time it is asked."""
 
     def __init__(
         self,
         leader: LeaderContext,
-        owner: ReturningOwner,
+        owner: ScaleInOwner,
         view: FleetView,
-        surplus: Surplus,
+        excess_capacity: ExcessCapacity,
         reserve: ServiceReserve,
         early_deletion: EarlyDeletion,
     ) -> None:
@@ -52,7 +52,7 @@
         self._registry = leader.registry
         self._owner = owner
         self._view = view
-        self._surplus = surplus
+        self._excess_capacity = excess_capacity
         self._reserve = reserve
         self._early_deletion = early_deletion
         self._cancelled = CancelledWork(
@@ -66,9 +66,9 @@
     def machines(self, leads: bool) -> list[str]:
         """The names of the machines to be deleted now, the most pressing ones first.
 
-        After a standstill, or cut off from the state service, this node may lead no more
-        (`leads`): what looks idle or silent here may be at work for another. What a withdrawn
-        job may hold goes all the same; nobody else may be there to see to it.
+        After a standstill, or cut off from the key-value store, this controller may lead no more
+        (`leads`): what looks idle or silent here may be at work for another. What a cancelled
+        job may hold goes nevertheless; nobody else may be there to see to it.
         """
         now = self._clock()
         blind = self._isolated() or not leads
@@ -78,8 +78,8 @@
             early = set()
         reserved = self._reserve.machines()
         base = self._owner.base()
-        spare_cpus = -self._surplus.short_cpus(now)
-        self._surplus.mark(now, base, reserved)
+        spare_cpus = -self._excess_capacity.short_cpus(now)
+        self._excess_capacity.mark(now, base, reserved)
         pressing: list[str] = []
         names: list[str] = []
         for machine in self._registry.machines.values():
@@ -89,7 +89,7 @@
             kept = machine.id in reserved or machine.id in base
             if reason is None and leads and not kept and self._is_idle(machine, now):
                 cpus = self._view.cpus(machine)
-                if machine.surplus or cpus <= spare_cpus:
+                if machine.scale_in_candidate or cpus <= spare_cpus:
                     reason = "it is idle"
                     spare_cpus -= cpus
             if reason is None:
@@ -167,7 +167,7 @@
         if unresponsive_since is not None and now - unresponsive_since > patience_s:
             return "it takes no answers"
         if now - machine.token_seen_at > patience_s:
-            # What it holds would stay open for ever.
+            # What it holds would stay open forever.
             return "our fencing token does not reach it"
         return None
 
@@ -181,7 +181,7 @@
     def _idle_limit_s(self, machine: Machine) -> float:
         if self._owner.is_rare(machine.machine_type or ""):
             return self._policy.rare_s
-        if machine.surplus:
+        if machine.scale_in_candidate:
             return self._policy.surplus_idle_s
         boots_s = self._policy.idle_boots * self._view.boot_s(machine)
         return max(self._policy.idle_min_s, boots_s)
--- a/spoolcourse/control/autoscaling/scale_out.py
+++ b/spoolcourse/control/autoscaling/scale_out.py
@@ -10,7 +10,7 @@
 from spoolcourse.control.autoscaling.fleet_view import FleetView
 from spoolcourse.control.cloud.client import CloudError, CloudWriter, NoCapacityError
 from spoolcourse.control.leader_context import LeaderContext
-from spoolcourse.wire.cloud import HIRE_MAX, MachineKind
+from spoolcourse.wire.cloud import PROVISION_MAX, MachineKind
 
 log = logging.getLogger(__name__)
 
@@ -29,12 +29,12 @@
 def _requests(count: int) -> Iterator[int]:
     """The sizes of the requests that ask for so many machines."""
     while count > 0:
-        asked = min(count, HIRE_MAX)
+        asked = min(count, PROVISION_MAX)
         yield asked
         count -= asked
 
 
-class Renting:
+class ScaleOut:
     """Asks for what the last pass wanted."""
 
     def __init__(
@@ -88,7 +88,7 @@
         for _ in range(TRIES):
             asked_at = self._clock()
             try:
-                names = await self._cloud.hire(name, kind, count)
+                names = await self._cloud.provision(name, kind, count)
             except NoCapacityError:
                 self._note_refusal(kind)
                 return
--- a/spoolcourse/control/cloud/catalog.py
+++ b/spoolcourse/control/cloud/catalog.py
@@ -1,7 +1,7 @@
 """The machine types and their prices, read from the cloud now and then.
 
-The types are kept in the state service as well, so that a node that starts while the cloud is out
-can take submissions.
+The types are kept in the key-value store as well, so that a controller that starts while the cloud
+is out can take submissions.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from spoolcourse.control.cloud.client import Cloud, CloudError, NoCapacityError
 from spoolcourse.control.leadership.election import Leadership
-from spoolcourse.control.store.client import RefusedError, StoreClient, UnclearError
+from spoolcourse.control.store.client import OutcomeUnknownError, RequestRefusedError, StoreClient
 from spoolcourse.control.store.keys import CATALOG
 from spoolcourse.control.store.records import catalog_value
 from spoolcourse.control.store.watch_cache import WatchCache
@@ -27,7 +27,7 @@
 FOLLOWING_S = 60.0
 RETRY_S = 1.0  # without it nothing can be accepted
 STORE_RETRY_S = 5.0  # the stored one is for starts during an outage of the cloud
-JITTER = (0.8, 1.2)  # so that the nodes don't ask in step
+JITTER = (0.8, 1.2)  # so that the controllers don't ask in step
 
 
 class CatalogLoop:
@@ -54,7 +54,7 @@
             except (CloudError, NoCapacityError) as exc:
                 log.info("catalog: %s", exc)
                 pause = RETRY_S
-            except (RefusedError, UnclearError) as exc:
+            except (RequestRefusedError, OutcomeUnknownError) as exc:
                 log.debug("catalog not stored: %s", exc)
                 pause = STORE_RETRY_S
             await asyncio.sleep(pause * random.uniform(*JITTER))
@@ -81,6 +81,6 @@
                 return
         value = catalog_value(machine_types)
         revision = self._watch_cache.revision(CATALOG)
-        outcome = await self._client.txn({CATALOG: revision}, [Put(CATALOG, value)])
+        outcome = await self._client.compare_and_swap({CATALOG: revision}, [Put(CATALOG, value)])
         if outcome.ok:
             self._watch_cache.apply(CATALOG, value, outcome.store_revision)
--- a/spoolcourse/control/cloud/client.py
+++ b/spoolcourse/control/cloud/client.py
@@ -1,4 +1,4 @@
-"""The cloud's protocol, within this node's share of its request limit."""
+"""The cloud's protocol, within this controller's share of its request limit."""
 
 from __future__ import annotations
 
@@ -6,20 +6,27 @@
 from collections.abc import Awaitable
 from typing import Protocol
 
-from spoolcourse.control.http_client import Net, NetError, Reply
-from spoolcourse.control.leadership.failover_proof import TakeoverProof
-from spoolcourse.control.rate_limit import BudgetSpentError, TokenBucket
+from spoolcourse.control.http_client import HttpClient, NoResponseError, Response
+from spoolcourse.control.leadership.failover_proof import FailoverProof
+from spoolcourse.control.rate_limit import RateLimitExceededError, TokenBucket
 from spoolcourse.wire import paths
 from spoolcourse.wire.cloud import (
     DELETE_MAX,
-    HIRE_MAX,
     NO_CAPACITY,
+    PROVISION_MAX,
     MachineKind,
     delete_body,
-    hire_body,
     list_path,
+    provision_body,
+)
+from spoolcourse.wire.messages import (
+    Catalog,
+    Host,
+    HostPage,
+    MalformedError,
+    ProvisionedMachines,
+    parse,
 )
-from spoolcourse.wire.messages import Catalog, Hired, Host, HostPage, MalformedError, parse
 
 log = logging.getLogger(__name__)
 
@@ -28,12 +35,12 @@
 QUEUE_S = 10.0  # that a call waits for the budget before it is given up
 
 
-def hires_most(rps: float) -> int:
+def max_provisions(rps: float) -> int:
     """Machines to ask for at a time: what the leader's calls of about a second can rent."""
-    return HIRE_MAX * max(1, int(rps * LEADER_SHARE))
+    return PROVISION_MAX * max(1, int(rps * LEADER_SHARE))
 
 
-def deletions_most(rps: float) -> int:
+def max_deletions(rps: float) -> int:
     """Machines to delete at a time: half of the calls of about a second, for others wait too."""
     return DELETE_MAX * max(1, int(rps * LEADER_SHARE / 2))
 
@@ -49,7 +56,7 @@
 class CloudCall(Protocol):
     """One call to the cloud; raises `CloudError` or `NoCapacityError`."""
 
-    def __call__(self, method: str, path: str, body: object = None) -> Awaitable[Reply]:
+    def __call__(self, method: str, path: str, body: object = None) -> Awaitable[Response]:
         """Make the call."""
         ...
 
@@ -57,21 +64,21 @@
 class Cloud:
     """The cloud's calls, each carried out, refused, or unclear."""
 
-    def __init__(self, net: Net, addr: str, rps: float, timeout: float = TIMEOUT_S) -> None:
+    def __init__(self, net: HttpClient, addr: str, rps: float, timeout: float = TIMEOUT_S) -> None:
         self._net = net
         self._addr = addr
         self._timeout = timeout
-        # Only the leader works with the cloud; other nodes read the catalog now and then.
+        # Only the leader works with the cloud; other controllers read the catalog now and then.
         self._budget = TokenBucket(rps * LEADER_SHARE, rps, longest_s=QUEUE_S)
 
-    async def _call(self, method: str, path: str, body: object = None) -> Reply:
+    async def _call(self, method: str, path: str, body: object = None) -> Response:
         try:
             await self._budget.take()
-        except BudgetSpentError as exc:
+        except RateLimitExceededError as exc:
             raise CloudError(str(exc)) from exc
         try:
             reply = await self._net.call(self._addr, method, path, body, timeout=self._timeout)
-        except NetError as exc:
+        except NoResponseError as exc:
             raise CloudError(str(exc)) from exc
         if reply.status == 429:
             self._budget.drain()
@@ -104,15 +111,15 @@
                 return found
             since = page.hosts[-1].id
 
-    def writer(self, proof: TakeoverProof) -> CloudWriter:
-        """The calls that rent and delete machines, for a leader that has proven its take-over."""
+    def writer(self, proof: FailoverProof) -> CloudWriter:
+        """The calls that rent and delete machines, for a leader that has proven its failover."""
         return CloudWriter(self._call, proof)
 
 
 class CloudWriter:
     """Rents and deletes machines for one term."""
 
-    def __init__(self, call: CloudCall, proof: TakeoverProof) -> None:
+    def __init__(self, call: CloudCall, proof: FailoverProof) -> None:
         self._call = call
         self._fencing_token = proof.fencing_token
         self._requests = 0
@@ -122,11 +129,11 @@
         self._requests += 1
         return f"t{self._fencing_token}-{self._requests}"
 
-    async def hire(self, name: str, kind: MachineKind, count: int) -> list[str]:
+    async def provision(self, name: str, kind: MachineKind, count: int) -> list[str]:
         """Rents machines; their names. Raises `NoCapacityError` if there are none of this kind."""
-        reply = await self._call("POST", paths.HOSTS, hire_body(name, kind, count))
+        reply = await self._call("POST", paths.HOSTS, provision_body(name, kind, count))
         try:
-            return parse(reply.data, Hired).machines
+            return parse(reply.data, ProvisionedMachines).machines
         except MalformedError as exc:
             raise CloudError(f"hire: {exc}") from exc
 
--- a/spoolcourse/control/context.py
+++ b/spoolcourse/control/context.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from spoolcourse.control.cloud.client import Cloud
-from spoolcourse.control.http_client import Net
+from spoolcourse.control.http_client import HttpClient
 from spoolcourse.control.jobs.job_index import JobIndex
 from spoolcourse.control.process_load import Load
 from spoolcourse.control.store.client import StoreClient
@@ -20,7 +20,7 @@
 class ControllerContext:
     """Made once for a controller, and handed to each leader term of it."""
 
-    net: Net
+    net: HttpClient
     client: StoreClient
     watch_cache: WatchCache
     job_index: JobIndex
--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -14,16 +14,23 @@
 from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.failover.hints import HintLoop
 from spoolcourse.control.failover.strategies import (
-    Takeover,
-    TakeoverFromRecords,
-    TakeoverFromShadow,
+    FailoverFromRecords,
+    FailoverFromShadow,
+    FailoverStrategy,
 )
 from spoolcourse.control.failover.warm_standby import Standby
-from spoolcourse.control.http_client import Net, NetError, Reply, Request, later, refusal_reply
+from spoolcourse.control.http_client import (
+    HttpClient,
+    NoResponseError,
+    Request,
+    Response,
+    error_response,
+    retry_later,
+)
 from spoolcourse.control.jobs.job_index import JobIndex
 from spoolcourse.control.leader.leader_term import LeaderTerm
 from spoolcourse.control.leadership.election import Leadership, Term
-from spoolcourse.control.leadership.failover_timeline import Timeline
+from spoolcourse.control.leadership.failover_timeline import FailoverTimeline
 from spoolcourse.control.peer_api import PeerApi
 from spoolcourse.control.process_load import Load
 from spoolcourse.control.store.client import StoreClient
@@ -33,7 +40,7 @@
 from spoolcourse.control.workers.heartbeat_relay import Relay, redirect
 from spoolcourse.policy.keys import PolicySource, check_policy
 from spoolcourse.wire import paths
-from spoolcourse.wire.messages import MalformedError, parse_report
+from spoolcourse.wire.messages import MalformedError, parse_heartbeat
 from spoolcourse.wire.settings import Settings
 from spoolcourse.wire.standby_settings import OFF, StandbySettings
 
@@ -46,7 +53,7 @@
     def __init__(
         self,
         settings: Settings,
-        net: Net,
+        net: HttpClient,
         policy: PolicySource | None = None,
         wall_clock: Callable[[], float] = time.time,
         run_id: str | None = None,
@@ -65,7 +72,7 @@
         run = run_id or f"{random.getrandbits(64):016x}"
         self.leadership = Leadership(self.client, self.watch_cache, settings.label, run)
         self.leadership.on_elected = self._elected
-        self.leadership.on_deposed = self._deposed
+        self.leadership.on_stepped_down = self._stepped_down
         self._catalog = CatalogLoop(self.cloud, self.client, self.watch_cache, self.leadership)
         self.load = Load()
         self.context = ControllerContext(
@@ -83,14 +90,14 @@
             self.load,
         )
         self.user_api = UserApi(self.context, lambda: self.leadership.leader_label)
-        self.relay = Relay(net, settings.label, settings.seeds, params.workers.report_s)
+        self.relay = Relay(net, settings.label, settings.seeds, params.workers.heartbeat_interval_s)
         self.leader_term: LeaderTerm | None = None
-        self._takeover: Takeover = TakeoverFromRecords(self.context)
+        self._failover: FailoverStrategy = FailoverFromRecords(self.context)
         self.standby: Standby | None = None
-        self.last_timeline: Timeline | None = None
+        self.last_failover_timeline: FailoverTimeline | None = None
         self._peer_api = PeerApi(self)
         self._standby_loops: list[Callable[[], Coroutine[Any, Any, None]]] = []
-        self._trace: Callable[[Timeline], None] = lambda timeline: None
+        self._trace: Callable[[FailoverTimeline], None] = lambda timeline: None
         if standby.enabled:
             self._use_standby(standby)
         self.watch_cache.listen(self._on_change)
@@ -100,8 +107,8 @@
 
     def _use_standby(self, settings: StandbySettings) -> None:
         self.standby = Standby(self.context, settings)
-        self._takeover = TakeoverFromShadow(self.context, self.standby, settings)
-        self.leadership.standing_delay_s = self.standby.standing_delay_s
+        self._failover = FailoverFromShadow(self.context, self.standby, settings)
+        self.leadership.candidacy_delay_s = self.standby.candidacy_delay_s
         self._standby_loops.append(self.standby.run)
         if settings.hint_period_s > 0:
             hint_loop = HintLoop(
@@ -112,9 +119,9 @@
             )
             self._standby_loops.append(hint_loop.run)
         if settings.trace:
-            from spoolcourse.control.failover.tracing import TakeoverTracer
+            from spoolcourse.control.failover.tracing import FailoverTracer
 
-            tracer = TakeoverTracer(self.label, self._clock, self.context.wall_clock)
+            tracer = FailoverTracer(self.label, self._clock, self.context.wall_clock)
             self._trace = tracer.write
 
     # -- life -------------------------------------------------------------------------
@@ -133,13 +140,13 @@
             self._tasks.append(loop.create_task(self._supervise(run)))
 
     async def _supervise(self, run: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        """A loop that fails for an unforeseen reason is begun again, not the process."""
+        """A loop that fails for an unforeseen reason is restarted, not the process."""
         while True:
             try:
                 await run()
             except Exception:
-                log.exception("%s failed; it is begun again", run.__qualname__)
-                self.leadership.depose("a loop failed")
+                log.exception("%s failed; it is restarted", run.__qualname__)
+                self.leadership.step_down("a loop failed")
             await asyncio.sleep(1.0)
 
     def stop(self) -> None:
@@ -156,12 +163,12 @@
 
     def _elected(self, term: Term) -> None:
         self.watch_cache.watch_gap_s = WATCH_GAP_LEADING_S
-        self.leader_term = LeaderTerm(term, self.leadership, self.context, self._takeover)
-        self.last_timeline = self.leader_term.timeline
-        self.last_timeline.on_complete = self._trace
+        self.leader_term = LeaderTerm(term, self.leadership, self.context, self._failover)
+        self.last_failover_timeline = self.leader_term.timeline
+        self.last_failover_timeline.on_complete = self._trace
         self.leader_term.start()
 
-    def _deposed(self) -> None:
+    def _stepped_down(self) -> None:
         self.watch_cache.watch_gap_s = WATCH_GAP_S
         if self.leader_term is not None:
             self.leader_term.stop()
@@ -178,8 +185,8 @@
     async def _health_loop(self) -> None:
         """Find out whether requests can be answered, here or by a peer.
 
-        When nobody reaches the state service all nodes stay healthy: taking them out would only
-        lengthen the outage for the users.
+        When nobody reaches the key-value store all controllers stay healthy: taking them out would
+        only lengthen the outage for the users.
         """
         while True:
             await asyncio.sleep(1.0)
@@ -187,7 +194,10 @@
                 self.ready = True
             if not self.ready:
                 continue
-            if self._clock() - self.watch_cache.synced_at < 2.0 or await self.watch_cache.sync(1.0):
+            if (
+                self._clock() - self.watch_cache.synced_at < 2.0
+                or await self.watch_cache.read_barrier(1.0)
+            ):
                 self.healthy = True
                 continue
             answers = await asyncio.gather(
@@ -198,58 +208,58 @@
     async def _ask_peer(self, endpoint: str) -> bool:
         try:
             reply = await self._net.call(endpoint, "GET", paths.HEALTH, timeout=1.0)
-        except NetError:
+        except NoResponseError:
             return False
         return reply.status == 200
 
     # -- requests -----------------------------------------------------------------------
 
-    def public(self, request: Request) -> Reply | Awaitable[Reply]:
+    def public(self, request: Request) -> Response | Awaitable[Response]:
         """Users, workers and health checks."""
         path = request.path.partition("?")[0]
-        if path == paths.REPORT and request.method == "POST":
-            return self._report(request.body, from_peer=False)
+        if path == paths.HEARTBEAT and request.method == "POST":
+            return self._heartbeat(request.body, from_peer=False)
         if path == paths.HEALTH:
             ok = self.ready and self.healthy
-            return Reply(200 if ok else 503, {"ok": ok})
+            return Response(200 if ok else 503, {"ok": ok})
         if path == paths.SUBMISSIONS or path.startswith(paths.SUBMISSIONS + "/"):
             return self._users(request, from_peer=False)
-        return refusal_reply(404, "no such resource")
+        return error_response(404, "no such resource")
 
-    def peers(self, request: Request) -> Reply | Awaitable[Reply]:
+    def peers(self, request: Request) -> Response | Awaitable[Response]:
         """Other controllers, whose requests go no further, and operators."""
         found = self._peer_api.handle(request)
         if found is not None:
             return found
         path = request.path.partition("?")[0]
         if path == paths.HEALTH:
-            return Reply(200 if self.ready else 503, {})
-        if path == paths.REPORT and request.method == "POST":
-            return self._report(request.body, from_peer=True)
+            return Response(200 if self.ready else 503, {})
+        if path == paths.HEARTBEAT and request.method == "POST":
+            return self._heartbeat(request.body, from_peer=True)
         if path == paths.SUBMISSIONS or path.startswith(paths.SUBMISSIONS + "/"):
             return self._users(request, from_peer=True)
-        return refusal_reply(404, "no such resource")
+        return error_response(404, "no such resource")
 
-    async def _users(self, request: Request, from_peer: bool) -> Reply:
+    async def _users(self, request: Request, from_peer: bool) -> Response:
         if not self.ready:
-            return later("starting")
+            return retry_later("starting")
         return await self.user_api.handle(request, from_peer)
 
-    def _report(self, raw: bytes, from_peer: bool) -> Reply | Awaitable[Reply]:
-        """Answer a worker's report; a leader does so at once.
+    def _heartbeat(self, raw: bytes, from_peer: bool) -> Response | Awaitable[Response]:
+        """Answer a worker's heartbeat; a leader does so at once.
 
         `from_peer`: a follower passes it on, and it goes no further.
         """
         try:
             with self.load.spent("parse"):
-                report = parse_report(raw)
+                heartbeat = parse_heartbeat(raw)
         except MalformedError as exc:
-            return refusal_reply(400, str(exc))
+            return error_response(400, str(exc))
         if self.leader_term is None:
             if from_peer:
                 return redirect(None)
             leadership = self.leadership
             return self.relay.handle(
-                report.machine, raw, leadership.leader_label, leadership.informed
+                heartbeat.machine, raw, leadership.leader_label, leadership.informed
             )
-        return self.leader_term.report(report, relayed=from_peer)
+        return self.leader_term.heartbeat(heartbeat, relayed=from_peer)
--- a/spoolcourse/control/failover/__init__.py
+++ b/spoolcourse/control/failover/__init__.py
@@ -1,1 +1,1 @@
-"""Warm standby: what a follower keeps ready for a take-over, and the proof that ends one."""
+"""Warm standby: what a follower keeps ready for a failover, and the proof that ends one."""
--- a/spoolcourse/control/failover/comparison.py
+++ b/spoolcourse/control/failover/comparison.py
@@ -34,7 +34,7 @@
         "tasks done": (one.done, other.done),
         "tasks to be tried again": (one.requeued, other.requeued),
         "first task that was never assigned": (one.first_unassigned, other.first_unassigned),
-        "tasks that a chunk may hold": (one.held_most, other.held_most),
+        "tasks that a chunk may hold": (one.max_held_per_chunk, other.max_held_per_chunk),
     }
     return [name for name, (left, right) in pairs.items() if left != right]
 
--- a/spoolcourse/control/failover/hints.py
+++ b/spoolcourse/control/failover/hints.py
@@ -2,7 +2,7 @@
 
 A follower asks for them page by page, so what is lost on the way is asked for again, and a leader
 that does not know the question (404) costs nothing. They never prove that an attempt has ended,
-and no machine is known by them alone: a worker that they name is asked for its own report.
+and no machine is known by them alone: a worker that they name is asked for its own heartbeat.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from urllib.parse import parse_qs, quote
 
 from spoolcourse.control.context import ControllerContext
-from spoolcourse.control.http_client import NetError
+from spoolcourse.control.http_client import NoResponseError
 from spoolcourse.control.store.keys import TERM
 from spoolcourse.control.store.records import TermRecord
 from spoolcourse.control.workers.worker_registry import WorkerRegistry
@@ -72,7 +72,7 @@
         wanted + 1, (name for name, m in machines.items() if name > after and m.confirmed)
     )
     hints = [
-        Hint(m.id, m.address, m.session, dict(islice(reversed(m.images.items()), IMAGES_MOST)))
+        Hint(m.id, m.address, m.incarnation, dict(islice(reversed(m.images.items()), IMAGES_MOST)))
         for m in (machines[name] for name in names[:wanted])
     ]
     term = registry.fencing_token
@@ -161,7 +161,7 @@
         self._after = ""
 
     async def run(self) -> None:
-        """Ask again and again, until cancelled; a node that leads itself asks nobody."""
+        """Ask again and again, until cancelled; a controller that leads itself asks nobody."""
         while True:
             seed = self._seeds.get(self._leader_label() or "")
             pause_s = self._settings.hint_period_s
@@ -185,7 +185,7 @@
             self._book.refuse(HintRefusal.MALFORMED)
         except HintRefusedError as exc:
             log.info("hints of %s refused: %s", seed.label, exc)
-        except NetError as exc:
+        except NoResponseError as exc:
             log.debug("no hints: %s", exc)
         else:
             if page.has_next:
--- a/spoolcourse/control/failover/restore.py
+++ b/spoolcourse/control/failover/restore.py
@@ -21,7 +21,7 @@
 
 
 def empty_job_queue(context: ControllerContext) -> JobQueue:
-    """A job queue for the limits of the deployment's state service."""
+    """A job queue for the limits of the deployment's key-value store."""
     return JobQueue(chunk_tasks(context.params.state.least.value_kb))
 
 
--- a/spoolcourse/control/failover/shadow_queue.py
+++ b/spoolcourse/control/failover/shadow_queue.py
@@ -50,7 +50,7 @@
         return len(self._job_queue.jobs)
 
     def rebuild(self, entries: Iterable[Entry]) -> None:
-        """Take in all records anew; this shadow must be an empty one."""
+        """Take in all records again; this shadow must be an empty one."""
         for entry in entries:
             self.apply(entry.key, entry.value, entry.revision)
 
@@ -154,7 +154,7 @@
 def _check_same_job(known: JobRecord, found: JobRecord) -> None:
     if (known.submission, known.at, known.chunk) != (found.submission, found.at, found.chunk):
         raise MisfitError(f"{known.submission.id} is another job than before")
-    if known.aborted and not found.aborted:
+    if known.cancelled and not found.cancelled:
         raise MisfitError(f"{known.submission.id} was cancelled, and is not any more")
 
 
--- a/spoolcourse/control/failover/strategies.py
+++ b/spoolcourse/control/failover/strategies.py
@@ -16,7 +16,7 @@
 )
 from spoolcourse.control.failover.warm_standby import Standby
 from spoolcourse.control.leadership.election import Term
-from spoolcourse.control.leadership.failover_proof import BehindError, ProofSource, TakeoverProof
+from spoolcourse.control.leadership.failover_proof import BehindError, FailoverProof, ProofSource
 from spoolcourse.control.store.retry import RetryDelay
 from spoolcourse.wire.peers import Hint
 from spoolcourse.wire.standby_settings import StandbySettings
@@ -28,46 +28,46 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TakenOver:
-    """What a take-over ends with."""
+class FailoverResult:
+    """What a failover ends with."""
 
-    proof: TakeoverProof
+    proof: FailoverProof
     restored: RestoredJobs
     hints: list[Hint] = field(default_factory=list)  # of the leader before
 
 
-class Takeover(Protocol):
+class FailoverStrategy(Protocol):
     """A way to take over from the leader before."""
 
-    async def run(self, term: Term) -> TakenOver:
+    async def run(self, term: Term) -> FailoverResult:
         """Catch up to the claim of the term, and prove it; goes on until the term ends."""
         ...
 
 
-class TakeoverFromRecords:
+class FailoverFromRecords:
     """A read barrier, then everything is rebuilt from the records: the standby is off."""
 
     def __init__(self, context: ControllerContext) -> None:
         self._context = context
 
-    async def run(self, term: Term) -> TakenOver:
+    async def run(self, term: Term) -> FailoverResult:
         """Catch up to the claim of the term, and prove it; goes on until the term ends."""
         while True:
-            if await self._context.watch_cache.sync():
+            if await self._context.watch_cache.read_barrier():
                 try:
-                    return self._taken_over(term)
+                    return self._finish(term)
                 except BehindError as exc:
-                    log.info("not taken over yet: %s", exc)
+                    log.info("failover not proven yet: %s", exc)
             await asyncio.sleep(RETRY_S)
 
-    def _taken_over(self, term: Term) -> TakenOver:
-        proof = TakeoverProof(term, self._context.watch_cache, ProofSource.RECORDS)
+    def _finish(self, term: Term) -> FailoverResult:
+        proof = FailoverProof(term, self._context.watch_cache, ProofSource.RECORDS)
         restored = restore_from_records(self._context)
         note_waiting_times(self._context, restored.job_queue)
-        return TakenOver(proof, restored)
+        return FailoverResult(proof, restored)
 
 
-class TakeoverFromShadow:
+class FailoverFromShadow:
     """One request that catches up to the claim; then the shadow is what a restore would make."""
 
     def __init__(
@@ -77,21 +77,21 @@
         self._standby = standby
         self._verify = settings.verify
 
-    async def run(self, term: Term) -> TakenOver:
+    async def run(self, term: Term) -> FailoverResult:
         """Catch up to the claim of the term, and prove it; goes on until the term ends."""
         retry = RetryDelay()
-        while not await self._context.watch_cache.reach(term.revision):
+        while not await self._context.watch_cache.catch_up_to(term.revision):
             await retry.wait()
-        proof = TakeoverProof(term, self._context.watch_cache, ProofSource.SHADOW)
+        proof = FailoverProof(term, self._context.watch_cache, ProofSource.SHADOW)
         restored = self._standby.hand_over()
         if restored is not None and self._verify:
             restored = self._verified(restored)
         if restored is None:
             log.warning("the shadow can't be used (%s): restoring", self._standby.unfit_reason)
-            proof = TakeoverProof(term, self._context.watch_cache, ProofSource.RECORDS)
+            proof = FailoverProof(term, self._context.watch_cache, ProofSource.RECORDS)
             restored = restore_from_records(self._context)
         note_waiting_times(self._context, restored.job_queue)
-        return TakenOver(proof, restored, self._standby.hints.of_term(term.number - 1))
+        return FailoverResult(proof, restored, self._standby.hints.of_term(term.number - 1))
 
     def _verified(self, shadowed: RestoredJobs) -> RestoredJobs | None:
         """The shadow's job queue if it is what a restore makes, else None."""
--- a/spoolcourse/control/failover/tracing.py
+++ b/spoolcourse/control/failover/tracing.py
@@ -1,7 +1,7 @@
-"""Traces of take-overs: a span for each phase, by OpenTelemetry, written when it is over.
+"""Traces of failovers: a span for each phase, by OpenTelemetry, written when it is over.
 
 Off by default; the library is loaded only where it is on, when the controller starts. Spans are
-made from a finished timeline, so a take-over itself does nothing for them.
+made from a finished timeline, so a failover itself does nothing for them.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from opentelemetry.sdk.trace.export import ConsoleSpanExporter, SimpleSpanProcessor
 from opentelemetry.trace import set_span_in_context
 
-from spoolcourse.control.leadership.failover_timeline import Timeline
+from spoolcourse.control.leadership.failover_timeline import FailoverTimeline
 
 NANOSECONDS = 1_000_000_000
 
 
-class TakeoverTracer:
-    """Writes each take-over as a trace, one JSON object a line."""
+class FailoverTracer:
+    """Writes each failover as a trace, one JSON object a line."""
 
     def __init__(
         self,
@@ -40,8 +40,8 @@
         provider.add_span_processor(SimpleSpanProcessor(exporter))
         self._tracer = provider.get_tracer("spoolcourse.standby")
 
-    def write(self, timeline: Timeline) -> None:
-        """Write the spans of a take-over that has come to its last phase."""
+    def write(self, timeline: FailoverTimeline) -> None:
+        """Write the spans of a failover that has come to its last phase."""
         intervals, proof = timeline.intervals(), timeline.proof
         if not intervals or proof is None:
             return
--- a/spoolcourse/control/failover/warm_standby.py
+++ b/spoolcourse/control/failover/warm_standby.py
@@ -11,7 +11,7 @@
 from spoolcourse.control.failover.hints import HintBook
 from spoolcourse.control.failover.restore import RestoredJobs
 from spoolcourse.control.failover.shadow_queue import MisfitError, Shadow
-from spoolcourse.control.store.client import RefusedError, UnclearError
+from spoolcourse.control.store.client import OutcomeUnknownError, RequestRefusedError
 from spoolcourse.control.store.keys import TERM
 from spoolcourse.control.store.records import TermRecord
 from spoolcourse.control.store.retry import RetryDelay
@@ -25,7 +25,7 @@
 
 
 class ShadowState(Enum):
-    """Whether a take-over can go on from the shadow."""
+    """Whether a failover can go on from the shadow."""
 
     FIT = "fit"
     UNFIT = "unfit"  # changes were missed: it is rebuilt from a read
@@ -33,7 +33,7 @@
 
 
 class Standby:
-    """Keeps a shadow while this node follows, and hands it over when it is elected."""
+    """Keeps a shadow while this controller follows, and hands it over when it is elected."""
 
     def __init__(self, context: ControllerContext, settings: StandbySettings) -> None:
         self._context = context
@@ -55,7 +55,7 @@
 
     @property
     def state(self) -> ShadowState:
-        """Whether a take-over can go on from the shadow."""
+        """Whether a failover can go on from the shadow."""
         return self._state
 
     @property
@@ -65,7 +65,7 @@
 
     @property
     def silence_s(self) -> float:
-        """For how long the state service has told nothing, not even that nothing changed."""
+        """For how long the key-value store has told nothing, not even that nothing changed."""
         return self._clock() - self._watch_cache.synced_at
 
     @property
@@ -87,7 +87,7 @@
             reason += f": {self.unfit_reason}"
         return StandbyReply(False, term, revision, reason)
 
-    def standing_delay_s(self) -> float:
+    def candidacy_delay_s(self) -> float:
         """How long to let others stand for election first."""
         return 0.0 if self.caught_up else self._settings.defer_s
 
@@ -117,7 +117,7 @@
         self.unfit_reason = reason
 
     def _rebuild(self) -> None:
-        """Build the shadow anew from what the watch cache holds."""
+        """Build the shadow again from what the watch cache holds."""
         if self._state is ShadowState.LEADING:
             return
         shadow = Shadow(self._context)
@@ -142,8 +142,8 @@
         while True:
             await self._unfit.wait()
             try:
-                await self._watch_cache.load()
-            except (RefusedError, UnclearError) as exc:
+                await self._watch_cache.reload()
+            except (RequestRefusedError, OutcomeUnknownError) as exc:
                 log.debug("standby: not rebuilt yet: %s", exc)
                 await retry.wait()
                 continue
@@ -163,7 +163,7 @@
         return shadow.hand_over() if shadow is not None else None
 
     def follow_again(self) -> None:
-        """The term of this node is over."""
+        """The term of this controller is over."""
         if self._state is not ShadowState.LEADING:
             return
         self._state = ShadowState.UNFIT
--- a/spoolcourse/control/http_client.py
+++ b/spoolcourse/control/http_client.py
@@ -28,7 +28,7 @@
         sys.modules["ssl"] = _ssl
 
 # asyncio asks for 256 KiB with each read. Memory of that size is mapped, shrunk and unmapped
-# again by the kernel: three calls for every report, and messages are of a few hundred bytes.
+# again by the kernel: three calls for every heartbeat, and messages are of a few hundred bytes.
 selector_events._SelectorTransport.max_size = 32 * 1024  # type: ignore[attr-defined]
 
 
@@ -37,12 +37,12 @@
 RETRY_AFTER_MAX_S = 30  # users wait no longer than that
 
 
-class NetError(Exception):
+class NoResponseError(Exception):
     """No answer. The request may have been carried out, or may still be."""
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class Response:
     """An answer; `data` is decoded JSON or, on the server side, what is to be encoded."""
 
     status: int
@@ -59,21 +59,21 @@
     body: bytes = b""
 
 
-def refusal_reply(status: int, why: str) -> Reply:
+def error_response(status: int, why: str) -> Response:
     """An answer that says why a request is not carried out."""
-    return Reply(status, {"error": why})
+    return Response(status, {"error": why})
 
 
-def later(why: str, after: float = 1.0) -> Reply:
+def retry_later(why: str, after: float = 1.0) -> Response:
     """An answer that says when to come back.
 
     30 s is the longest that counts.
     """
     seconds = max(1, min(RETRY_AFTER_MAX_S, math.ceil(after)))
-    return Reply(503, {"error": why}, {"Retry-After": str(seconds)})
+    return Response(503, {"error": why}, {"Retry-After": str(seconds)})
 
 
-class Net(Protocol):
+class HttpClient(Protocol):
     """Calls to other hosts."""
 
     async def call(
@@ -84,7 +84,7 @@
         body: Any = None,
         timeout: float = 1.0,
         keep: bool = True,
-    ) -> Reply:
+    ) -> Response:
         """`keep`: the connection may stay open for the next call to this address."""
         ...
 
@@ -111,7 +111,7 @@
     return orjson.dumps(body)
 
 
-class HttpNet:
+class AiohttpClient:
     """The network as it is: one pooled client session."""
 
     def __init__(self) -> None:
@@ -141,7 +141,7 @@
         body: Any = None,
         timeout: float = 1.0,
         keep: bool = True,
-    ) -> Reply:
+    ) -> Response:
         """Call a host; raises `NetError` if it does not answer in time."""
         raw = _encode(body)
         try:
@@ -158,9 +158,9 @@
                         data = orjson.loads(text) if text else None
                     except orjson.JSONDecodeError:
                         data = None
-                    return Reply(resp.status, data, dict(resp.headers))
+                    return Response(resp.status, data, dict(resp.headers))
         except (TimeoutError, aiohttp.ClientError, OSError, ValueError) as exc:
-            raise NetError(f"{method} {addr}{path}: {_reason(exc, timeout)}") from exc
+            raise NoResponseError(f"{method} {addr}{path}: {_reason(exc, timeout)}") from exc
 
     async def close(self) -> None:
         """Close all connections."""
--- a/spoolcourse/control/http_server.py
+++ b/spoolcourse/control/http_server.py
@@ -1,8 +1,8 @@
 """The server side of HTTP: aiohttp's parser behind a connection of our own.
 
-Workers' reports are by far the most frequent requests, and the leader answers them from
+Workers' heartbeats are by far the most frequent requests, and the leader answers them from
 memory. aiohttp's server makes a task, a request and a response object and a payload writer
-for each: on loopback 250 us of the process' time for a report in all, instead of 115 us.
+for each: on loopback 250 us of the process' time for a heartbeat in all, instead of 115 us.
 Here a request whose answer needs no waiting is parsed, answered
 and written in one go. aiohttp stays the library: its parser reads the requests.
 """
@@ -19,7 +19,7 @@
 
 import orjson
 
-from spoolcourse.control.http_client import Reply, Request, later, refusal_reply
+from spoolcourse.control.http_client import Request, Response, error_response, retry_later
 from spoolcourse.wire.messages import BODY_LIMIT
 
 # After `net`, which sees to it that aiohttp comes without `ssl`.
@@ -31,7 +31,7 @@
 log = logging.getLogger(__name__)
 
 # A handler answers at once where it can; what has to wait is awaited in a task.
-Handler = Callable[[Request], Reply | Awaitable[Reply]]
+Handler = Callable[[Request], Response | Awaitable[Response]]
 
 IDLE_S = 30.0  # users and workers ask every few seconds; peers let go after 20 s themselves
 SWEEP_S = 5.0
@@ -44,7 +44,7 @@
 _CLOSE = b"Connection: close\r\n"
 
 
-def encode(reply: Reply, close: bool = False) -> bytes:
+def encode(reply: Response, close: bool = False) -> bytes:
     """A response as it goes over the wire."""
     data = reply.data
     body = data if isinstance(data, bytes) else orjson.dumps(data or {})
@@ -112,14 +112,14 @@
         try:
             messages, upgraded, _ = self._parser.feed_data(data)
         except HttpProcessingError as exc:
-            self._write(refusal_reply(exc.code, "not HTTP as it should be"), close=True)
+            self._write(error_response(exc.code, "not HTTP as it should be"), close=True)
             return
         except Exception:
             log.debug("a request can't be read", exc_info=True)
-            self._write(refusal_reply(400, "not HTTP as it should be"), close=True)
+            self._write(error_response(400, "not HTTP as it should be"), close=True)
             return
         if upgraded:
-            self._write(refusal_reply(400, "no other protocol is spoken here"), close=True)
+            self._write(error_response(400, "no other protocol is spoken here"), close=True)
             return
         self._queue.extend(messages)
         if len(self._queue) > QUEUE_MOST:
@@ -132,11 +132,11 @@
         while self._queue and self._task is None and self.transport is not None:
             message, payload = self._queue[0]
             if self._reading_paused or self._too_long(message, payload):
-                self._write(refusal_reply(413, "body too large"), close=True)
+                self._write(error_response(413, "body too large"), close=True)
                 return
             if not payload.is_eof():
                 if payload.exception() is not None:
-                    self._write(refusal_reply(400, "the body can't be read"), close=True)
+                    self._write(error_response(400, "the body can't be read"), close=True)
                 elif not self._continued and "Expect" in message.headers:
                     self._continued = True
                     self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -148,7 +148,7 @@
                 found = self._handler(request)
             except Exception:
                 found = _failed(request)
-            if isinstance(found, Reply):
+            if isinstance(found, Response):
                 self._write(found, message.should_close)
             else:
                 self._task = self._loop.create_task(
@@ -162,7 +162,7 @@
         length = message.headers.get("Content-Length", "")
         return length.isdigit() and int(length) > BODY_LIMIT
 
-    async def _answer(self, request: Request, found: Awaitable[Reply], close: bool) -> None:
+    async def _answer(self, request: Request, found: Awaitable[Response], close: bool) -> None:
         try:
             reply = await found
         except Exception:
@@ -171,7 +171,7 @@
         self._write(reply, close)
         self._serve()
 
-    def _write(self, reply: Reply, close: bool = False) -> None:
+    def _write(self, reply: Response, close: bool = False) -> None:
         if self.transport is None:
             return
         self.active_at = self._loop.time()
@@ -182,7 +182,7 @@
             raw = encode(reply, close)
         except Exception:
             log.exception("an answer can't be written")
-            raw = encode(later("internal"), close)
+            raw = encode(retry_later("internal"), close)
         self.transport.write(raw)
         if close:
             self._open.discard(self)
@@ -190,10 +190,10 @@
             self.transport.close()
 
 
-def _failed(request: Request) -> Reply:
+def _failed(request: Request) -> Response:
     """Any failure inside becomes a 503 to retry."""
     log.exception("%s %s failed", request.method, request.path)
-    return later("internal")
+    return retry_later("internal")
 
 
 class Server:
--- a/spoolcourse/control/jobs/cancellation_query.py
+++ b/spoolcourse/control/jobs/cancellation_query.py
@@ -1,7 +1,7 @@
 """A leader's question to its peers for cancellations that it can't know of.
 
-It is asked while the state service does not answer, so that work survives an outage in which nobody
-can confirm any, and a cancellation that somebody could confirm still ends its tasks in time.
+It is asked while the key-value store does not answer, so that work survives an outage in which
+nobody can confirm any, and a cancellation that somebody could confirm still ends its tasks in time.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from spoolcourse.wire.peers import CancellationReply
 
 PERIOD_S = 1.0
-LATE_S = 2.0  # without a read of the state service: the health check makes one each second
+LATE_S = 2.0  # without a read of the key-value store: the health check makes one each second
 
 
 def answer_query(job_index: JobIndex, watch_cache: WatchCache, query: str) -> dict[str, Any]:
@@ -44,14 +44,14 @@
 
 
 class CancellationQuery:
-    """Asks the peers while the state service does not answer."""
+    """Asks the peers while the key-value store does not answer."""
 
     def __init__(
         self,
         context: ControllerContext,
         term: Term,
         renewal_deadline: RenewalDeadline,
-        depose: Callable[[str], None],
+        step_down: Callable[[str], None],
     ) -> None:
         self._net = context.net
         self._peers = context.peers
@@ -60,7 +60,7 @@
         self._clock = context.clock
         self._term = term
         self._renewal_deadline = renewal_deadline
-        self._depose = depose
+        self._step_down = step_down
 
     async def run(self) -> None:
         """Run until cancelled."""
@@ -76,11 +76,11 @@
         told = await ask_peers(self._net, self._peers, path, CancellationReply)
         for reply in told:
             if reply is not None and reply.term > self._term.number:
-                self._depose(f"a peer knows of term {reply.term}")
+                self._step_down(f"a peer knows of term {reply.term}")
                 return
         for reply in told:
             for found in (reply and reply.cancelled) or ():
                 self._job_index.learn_cancelled(found)
-        self._renewal_deadline.vouched(
+        self._renewal_deadline.acknowledged_by_peers(
             asked, [t is not None and t.informed and t.cancelled is not None for t in told]
         )
--- a/spoolcourse/control/jobs/cancellations.py
+++ b/spoolcourse/control/jobs/cancellations.py
@@ -1,8 +1,8 @@
-"""Cancellations that this node has confirmed or seen.
+"""Cancellations that this controller has confirmed or seen.
 
-They are for a leader that can't ask the state service. Whatever a node tells its users has come by
-its watch cache before: its own writes, and what it read. So to remember what the cache showed is to
-remember what was confirmed.
+They are for a leader that can't ask the key-value store. Whatever a controller tells its users has
+come by its watch cache before: its own writes, and what it read. So to remember what the cache
+showed is to remember what was confirmed.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Cancellations:
-    """The most recent cancellations that this node knows of."""
+    """The most recent cancellations that this controller knows of."""
 
     def __init__(self, most: int = KNOWN_MAX) -> None:
         self._most = most
--- a/spoolcourse/control/jobs/job_index.py
+++ b/spoolcourse/control/jobs/job_index.py
@@ -1,4 +1,4 @@
-"""Every node's view of the jobs, made from the watch cache, and the writes of the user API."""
+"""Every controller's index of the jobs, from the watch cache, and the writes of the user API."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import orjson
 
 from spoolcourse.control.jobs.cancellations import Cancellations
-from spoolcourse.control.store.client import StoreClient, UnclearError
+from spoolcourse.control.store.client import OutcomeUnknownError, StoreClient
 from spoolcourse.control.store.keys import (
     FINAL,
     JOB,
@@ -25,11 +25,11 @@
 from spoolcourse.wire.peers import Cancellation
 
 FINALS_MAX = 20_000
-WITHDRAWN_BYTES = 64  # what a cancellation adds to a record
+CANCELLATION_BYTES = 64  # what a cancellation adds to a record
 
 
 class RecordTooLargeError(Exception):
-    """The job's record fits into no value of the state service."""
+    """The job's record fits into no value of the key-value store."""
 
 
 class JobIndex:
@@ -51,8 +51,8 @@
                 self.live.pop(job, None)
             else:
                 record = self.live[job] = JobRecord.from_value(value, revision)
-                if record.aborted_at is not None:
-                    self.cancellations.note(Cancellation(job, record.aborted_at, revision))
+                if record.cancelled_at is not None:
+                    self.cancellations.note(Cancellation(job, record.cancelled_at, revision))
         elif key.startswith(PROGRESS):
             job, chunk = split_progress(key)
             if value is None:
@@ -76,8 +76,8 @@
     def final(self, job: str) -> JobStatus | None:
         """A final state known here: final states never change."""
         record = self.live.get(job)
-        if record is not None and record.aborted:
-            return self._status(job, JobStage.ABORTED)
+        if record is not None and record.cancelled:
+            return self._status(job, JobStage.CANCELLED)
         final = self._finals.get(job)
         return JobStatus(job, final.stage, final.done) if final is not None else None
 
@@ -89,7 +89,7 @@
         return JobStatus(job, stage, done, held if stage is JobStage.RUNNING else 0)
 
     def current(self, job: str) -> JobStatus | None:
-        """The state as of the last sync; None if this node knows nothing of the job."""
+        """The state as of the last sync; None if this controller knows nothing of the job."""
         final = self.final(job)
         if final is not None:
             return final
@@ -98,7 +98,7 @@
         busy = any(held for _, held in self.counts.get(job, {}).values())
         return self._status(job, JobStage.RUNNING if busy else JobStage.QUEUED)
 
-    async def look_up(self, job: str) -> JobStatus | None:
+    async def read_final_state(self, job: str) -> JobStatus | None:
         """A consistent answer about a job that the synced cache does not hold live.
 
         The sync comes first, then this read: a job that was final by the sync is found
@@ -119,34 +119,34 @@
         record = JobRecord(submission, at, chunk_tasks(self._client.limits.value_kb), None, 0)
         key = job_key(submission.id)
         value = record.value()
-        if len(orjson.dumps(value)) > self._client.limits.value_kb * 1024 - WITHDRAWN_BYTES:
+        if len(orjson.dumps(value)) > self._client.limits.value_kb * 1024 - CANCELLATION_BYTES:
             raise RecordTooLargeError("the job is too long to be stored")
         return await self._write(key, value, {key: 0, final_key(submission.id): 0})
 
     def learn_cancelled(self, found: Cancellation) -> None:
-        """Take over a peer's word for a cancellation that is in the state service."""
+        """Take over a peer's word for a cancellation that is in the key-value store."""
         record = self.live.get(found.job)
-        if record is not None and not record.aborted:
-            aborted = replace(record, aborted_at=found.at)
-            self._watch_cache.apply(job_key(found.job), aborted.value(), found.revision)
+        if record is not None and not record.cancelled:
+            cancelled = replace(record, cancelled_at=found.at)
+            self._watch_cache.apply(job_key(found.job), cancelled.value(), found.revision)
 
-    async def withdraw(self, job: str, at: float) -> bool:
+    async def cancel(self, job: str, at: float) -> bool:
         """Mark a live job aborted; False if it changed meanwhile (look again).
 
         Conditional on the record's revision, like the leader's `done`: one of them wins.
         """
         record = self.live[job]
-        if record.aborted:
+        if record.cancelled:
             return True
-        aborted = replace(record, aborted_at=at)
+        cancelled = replace(record, cancelled_at=at)
         key = job_key(job)
-        return await self._write(key, aborted.value(), {key: record.revision})
+        return await self._write(key, cancelled.value(), {key: record.revision})
 
     async def _write(self, key: str, value: dict[str, Any], conditions: dict[str, int]) -> bool:
         """Write a record; where the answer is unclear, read back whether it is there."""
         try:
-            outcome = await self._client.txn(conditions, [Put(key, value)])
-        except UnclearError:
+            outcome = await self._client.compare_and_swap(conditions, [Put(key, value)])
+        except OutcomeUnknownError:
             entry = await self._client.get(key)
             if entry is None or entry.value != value:
                 raise
--- a/spoolcourse/control/jobs/job_queue.py
+++ b/spoolcourse/control/jobs/job_queue.py
@@ -20,7 +20,7 @@
 class AttemptStage(Enum):
     """What is known of an attempt."""
 
-    OPEN = "open"  # taken over from the records; it may be anywhere
+    OPEN = "open"  # adopted from the records; it may be anywhere
     ASSIGNED = "assigned"  # not seen on its machine
     FETCHING = "fetching"
     RUNNING = "running"
@@ -45,16 +45,16 @@
     version: int  # of its chunk when it was assigned
     since: float  # when `stage` began
     stage: AttemptStage = AttemptStage.ASSIGNED
-    start_sent_with: tuple[int, int] | None = None  # the report whose response carried the start
+    start_sent_with: tuple[int, int] | None = None  # the heartbeat whose response carried the start
     sent_directly: bool = False  # the start was also sent to the machine's address
-    in_flight_session: int | None = None  # the session in which that may still arrive
+    in_flight_incarnation: int | None = None  # the incarnation in which that may still arrive
     first: bool = False  # it went before rank, so that its job begins: no claim stops it
     stopping: bool = False
     stop_sent: bool = False  # to the machine's address
 
     @property
     def name(self) -> str:
-        """The task's name in reports and commands."""
+        """The task's name in heartbeats and commands."""
         return task_name(self.job_state.id, self.task)
 
     @property
@@ -68,7 +68,7 @@
         return (
             self.stage is AttemptStage.ASSIGNED
             and self.start_sent_with is None
-            and self.in_flight_session is None
+            and self.in_flight_incarnation is None
         )
 
     @property
@@ -90,7 +90,7 @@
 
 @dataclass(slots=True, eq=False)
 class JobState:
-    """A live job while this node leads."""
+    """A live job while this controller leads."""
 
     record: JobRecord
     chunks: dict[int, Chunk] = field(default_factory=dict)
@@ -103,9 +103,9 @@
     bad_machines: dict[str, float] = field(default_factory=dict)  # it failed there: until when
     final: bool = False  # the final state is durable
     waiting_since: float = 0.0
-    # Chunks made for a larger limit of the state service than the one to come never hold more
-    # than fits into that; what they hold beyond it ends by and by.
-    held_most: int = UNBOUNDED
+    # Chunks made for a larger limit of the key-value store than the one to come never hold more
+    # than fits into that; what they hold beyond it ends gradually.
+    max_held_per_chunk: int = UNBOUNDED
     cancelled_known_at: float = 0.0  # when this leader heard of it; only if it is cancelled
 
     @property
@@ -133,7 +133,7 @@
     @property
     def assignable(self) -> int:
         """Pending tasks that may be assigned now: see `held_most`."""
-        if self.held_most >= self.record.chunk:
+        if self.max_held_per_chunk >= self.record.chunk:
             return self.pending
         size, tasks, total = self.record.chunk, self.record.submission.task_count, 0
         for index in range(self.record.chunks):
@@ -142,15 +142,15 @@
             if chunk is not None:
                 held = len(chunk.progress.held)
                 here -= held + chunk.progress.done.bit_count()
-                total += max(0, min(here, self.held_most - held))
+                total += max(0, min(here, self.max_held_per_chunk - held))
             else:
-                total += min(here, self.held_most)
+                total += min(here, self.max_held_per_chunk)
         return total
 
     @property
     def finished(self) -> bool:
         """Nothing is left to do but to write the final state."""
-        if self.record.aborted:
+        if self.record.cancelled:
             return not self.attempts
         if self.record.submission.is_service:
             return False  # only its user ends it
@@ -171,13 +171,13 @@
 
     def candidates(self) -> Iterator[int]:
         """Pending tasks: those that lost an attempt first, then in order."""
-        if self.held_most >= self.record.chunk:
+        if self.max_held_per_chunk >= self.record.chunk:
             yield from self._candidates()
             return
         held = {i: len(c.progress.held) for i, c in self.chunks.items()}
         for task in self._candidates():
             index = task // self.record.chunk
-            if held.get(index, 0) < self.held_most:
+            if held.get(index, 0) < self.max_held_per_chunk:
                 held[index] = held.get(index, 0) + 1
                 yield task
 
@@ -231,7 +231,7 @@
         self, job_state: JobState, task: int, machine: str, number: int, now: float
     ) -> Attempt:
         """Make a new attempt at a free task on a machine."""
-        if task in job_state.attempts or job_state.is_done(task) or job_state.record.aborted:
+        if task in job_state.attempts or job_state.is_done(task) or job_state.record.cancelled:
             raise ValueError(f"{job_state.id}/{task} is not free to start")
         chunk = job_state.chunk(task)
         chunk.progress.held[task] = (machine, number)
@@ -244,7 +244,7 @@
     def adopt(
         self, job_state: JobState, task: int, machine: str, number: int, now: float
     ) -> Attempt:
-        """Take over an attempt that the records or a report show; it may be anywhere."""
+        """Take over an attempt that the records or a heartbeat show; it may be anywhere."""
         chunk = job_state.chunk(task)
         version = chunk.version
         if chunk.progress.held.get(task) != (machine, number):
@@ -303,7 +303,7 @@
             record, waiting_since=now, cancelled_known_at=now
         )
         if record.chunk > self._chunk_tasks:
-            job_state.held_most = self._chunk_tasks
+            job_state.max_held_per_chunk = self._chunk_tasks
         return job_state
 
     def remove(self, job_state: JobState) -> None:
--- a/spoolcourse/control/jobs/writer.py
+++ b/spoolcourse/control/jobs/writer.py
@@ -3,7 +3,7 @@
 Every write is conditional on the term's revision, on the job record's revision and on the
 revision of the key itself. So neither a deposed leader's write nor an earlier write of
 our own that arrives late can undo a newer one, and no assignment becomes durable for
-a job that was withdrawn before.
+a job that was cancelled before.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 import orjson
 
 from spoolcourse.control.jobs.job_queue import Chunk, JobQueue, JobState
-from spoolcourse.control.leadership.failover_proof import TakeoverProof
-from spoolcourse.control.store.client import RefusedError, StoreClient, UnclearError
+from spoolcourse.control.leadership.failover_proof import FailoverProof
+from spoolcourse.control.store.client import OutcomeUnknownError, RequestRefusedError, StoreClient
 from spoolcourse.control.store.keys import TERM, final_key, job_key, progress_key
 from spoolcourse.control.store.records import FinalState
 from spoolcourse.control.store.retry import RetryDelay
@@ -39,15 +39,15 @@
         client: StoreClient,
         watch_cache: WatchCache,
         job_queue: JobQueue,
-        proof: TakeoverProof,
-        depose: Callable[[str], None],
+        proof: FailoverProof,
+        step_down: Callable[[str], None],
         on_saved: Callable[[], None],
     ) -> None:
         self._client = client
         self._watch_cache = watch_cache
         self._job_queue = job_queue
         self._term = proof.term
-        self._depose = depose
+        self._step_down = step_down
         self._on_saved = on_saved
         self._wake = asyncio.Event()
         job_queue.on_dirty = self._wake.set
@@ -65,7 +65,7 @@
                     if not self._job_queue.starting and not self._job_queue.finished:
                         await self._save_results()
                     retry.reset()
-            except (RefusedError, UnclearError) as exc:
+            except (RequestRefusedError, OutcomeUnknownError) as exc:
                 log.debug("write: %s", exc)
                 self._wake.set()
                 await retry.wait()
@@ -151,7 +151,7 @@
                 self._job_queue.finished.pop(job_state.id, None)
                 continue
             key = job_key(job_state.id)
-            stage = JobStage.ABORTED if job_state.record.aborted else JobStage.DONE
+            stage = JobStage.CANCELLED if job_state.record.cancelled else JobStage.DONE
             value = FinalState(stage, job_state.done, job_state.record.at).value()
             saved = [c for c in job_state.chunks.values() if c.revision]
             room = self._client.ops_most - 2
@@ -197,22 +197,22 @@
 
     async def _commit(self, conditions: dict[str, int], ops: list[Put | Delete]) -> Outcome:
         try:
-            return await self._client.txn(conditions, ops)
-        except UnclearError:
+            return await self._client.compare_and_swap(conditions, ops)
+        except OutcomeUnknownError:
             # It may have been carried out, or may still be. Look; the same conditions
             # make sure that it and the next try can't both be carried out.
-            if not await self._watch_cache.sync():
+            if not await self._watch_cache.read_barrier():
                 raise
             self._adopt()
             raise
 
     async def _after_conflict(self, outcome: Outcome) -> None:
         if TERM in outcome.failed:
-            self._depose("a write was refused: the term has passed")
-            raise RefusedError("deposed")
+            self._step_down("a write was refused: the term has passed")
+            raise RequestRefusedError("deposed")
         log.debug("write conflict: %s", outcome.failed)
-        if not await self._watch_cache.sync():
-            raise RefusedError("no sync after a conflict")
+        if not await self._watch_cache.read_barrier():
+            raise RequestRefusedError("no sync after a conflict")
         self._adopt()
 
     def _adopt(self) -> None:
--- a/spoolcourse/control/leader/active_leader.py
+++ b/spoolcourse/control/leader/active_leader.py
@@ -1,4 +1,4 @@
-"""The parts of a leader that decide and command, from the proof of the take-over on."""
+"""The parts of a leader that decide and command, from the proof of the failover on."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 from spoolcourse.control.autoscaling.autoscaler import FleetAutoscaler
 from spoolcourse.control.context import ControllerContext
-from spoolcourse.control.failover.strategies import TakenOver
+from spoolcourse.control.failover.strategies import FailoverResult
 from spoolcourse.control.jobs.job_queue import JobState
 from spoolcourse.control.jobs.writer import Writer
-from spoolcourse.control.leader.heartbeat_handler import ReportAdmission
+from spoolcourse.control.leader.heartbeat_handler import HeartbeatHandler
 from spoolcourse.control.leader.hinted_workers import HintedWorkers
-from spoolcourse.control.leader.initial_machines import BaseMachines
+from spoolcourse.control.leader.initial_machines import InitialMachines
 from spoolcourse.control.leader_context import LeaderContext
 from spoolcourse.control.leadership.election import Leadership
-from spoolcourse.control.leadership.failover_timeline import Phase, Timeline
+from spoolcourse.control.leadership.failover_timeline import FailoverPhase, FailoverTimeline
 from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
 from spoolcourse.control.scheduling.scheduling_loop import SchedulingLoop
 from spoolcourse.control.scheduling.snapshot_builder import SnapshotBuilder
 from spoolcourse.control.scheduling.termination_notices import TerminationLoop
-from spoolcourse.control.store.client import RefusedError, UnclearError
+from spoolcourse.control.store.client import OutcomeUnknownError, RequestRefusedError
 from spoolcourse.control.store.keys import JOB
 from spoolcourse.control.store.records import JobRecord
 from spoolcourse.control.workers.command_dispatcher import CommandDispatcher
@@ -38,19 +38,19 @@
 
     def __init__(
         self,
-        taken_over: TakenOver,
+        failover: FailoverResult,
         leadership: Leadership,
         context: ControllerContext,
         renewal_deadline: RenewalDeadline,
-        timeline: Timeline,
+        timeline: FailoverTimeline,
     ) -> None:
         self._leadership = leadership
         self._context = context
         self._clock = context.clock
         self._timeline = timeline
-        self._leftover_keys = taken_over.restored.leftover_keys
-        self.proof = taken_over.proof
-        self.job_queue = taken_over.restored.job_queue
+        self._leftover_keys = failover.restored.leftover_keys
+        self.proof = failover.proof
+        self.job_queue = failover.restored.job_queue
         params = context.params
         policy = context.policy_source.initial()
         self.registry = WorkerRegistry(
@@ -60,21 +60,21 @@
         self.command_dispatcher = CommandDispatcher(
             context.net, self.registry, params.machine_limits.sockets
         )
-        self.base_machines = BaseMachines(context, self.proof.term)
+        self.initial_machines = InitialMachines(context, self.proof.term)
         self.snapshot_builder = SnapshotBuilder(self.job_queue, self.registry, params, policy)
         self.autoscaler = FleetAutoscaler(leader, self)
         self.scheduling = SchedulingLoop(
             leader, self.command_dispatcher, self.autoscaler, self.snapshot_builder
         )
         self.termination = TerminationLoop(leader, self.snapshot_builder, self.autoscaler.places)
-        self.admission = ReportAdmission(context, leadership, self.registry, renewal_deadline)
-        self.hinted_workers = HintedWorkers(leader, taken_over.hints)
+        self.admission = HeartbeatHandler(context, leadership, self.registry, renewal_deadline)
+        self.hinted_workers = HintedWorkers(leader, failover.hints)
         self.writer = Writer(
             context.client,
             context.watch_cache,
             self.job_queue,
             self.proof,
-            leadership.depose,
+            leadership.step_down,
             self._on_saved,
         )
         for job_state in self.job_queue.jobs.values():
@@ -87,8 +87,8 @@
             self.writer.run(),
             self.command_dispatcher.run(),
             self.autoscaler.machine_list.run(),
-            self.autoscaler.renting.run(),
-            self.autoscaler.return_loop(),
+            self.autoscaler.scale_out.run(),
+            self.autoscaler.scale_in_loop(),
             self.autoscaler.replica_probe.run(),
             self.scheduling.run(),
             self.termination.run(),
@@ -101,7 +101,7 @@
     async def _sweep(self) -> None:
         try:
             await self.writer.sweep(self._leftover_keys)
-        except (RefusedError, UnclearError) as exc:
+        except (RequestRefusedError, OutcomeUnknownError) as exc:
             log.info("progress of finished jobs is left for the next term: %s", exc)
 
     def _on_saved(self) -> None:
@@ -127,21 +127,21 @@
         """Something may be placed now that could not be before."""
         self.scheduling.wake.set()
 
-    def reached(self, phase: Phase) -> None:
-        """The take-over has come to a phase; told again and again, and noted once."""
-        self._timeline.reach(phase)
+    def reached(self, phase: FailoverPhase) -> None:
+        """The failover has come to a phase; told again and again, and noted once."""
+        self._timeline.record(phase)
 
     def base(self) -> frozenset[str]:
         """The machines that are not returned for being idle."""
-        return self.base_machines.names()
+        return self.initial_machines.names()
 
     def is_rare(self, machine_type: str) -> bool:
-        """Whether some job of late can use this type only, or few beside it."""
+        """Whether some job recently can use this type only, or few beside it."""
         return self.snapshot_builder.is_rare(machine_type, self._clock())
 
     async def on_list(self, hosts: list[Host]) -> None:
         """The cloud has listed its machines."""
-        await self.base_machines.note(hosts)
+        await self.initial_machines.note(hosts)
 
     def on_summary(self) -> None:
         """Time for a summary in the log."""
@@ -150,7 +150,7 @@
     # -- what comes from outside ----------------------------------------------------------
 
     def on_change(self, key: str) -> None:
-        """A key has changed in the state service: perhaps a job was accepted or cancelled."""
+        """A key has changed in the key-value store: perhaps a job was accepted or cancelled."""
         if not key.startswith(JOB):
             return
         job = key[len(JOB) :]
@@ -165,9 +165,9 @@
         self.scheduling.wake.set()
 
     def _update(self, job_state: JobState, record: JobRecord) -> None:
-        was_aborted = job_state.record.aborted
+        was_cancelled = job_state.record.cancelled
         job_state.record = record
-        if not record.aborted or was_aborted:
+        if not record.cancelled or was_cancelled:
             return
         job_state.cancelled_known_at = self._clock()
         for attempt in list(job_state.attempts.values()):
--- a/spoolcourse/control/leader/heartbeat_handler.py
+++ b/spoolcourse/control/leader/heartbeat_handler.py
@@ -1,29 +1,29 @@
-"""Whether a worker's report may be answered, and the answer."""
+"""Whether a worker's heartbeat may be answered, and the answer."""
 
 from __future__ import annotations
 
 import logging
 
 from spoolcourse.control.context import ControllerContext
-from spoolcourse.control.http_client import Reply, later
+from spoolcourse.control.http_client import Response, retry_later
 from spoolcourse.control.leadership.election import Leadership
 from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
 from spoolcourse.control.workers.heartbeat_relay import redirect
 from spoolcourse.control.workers.worker_registry import Answer, WorkerRegistry
-from spoolcourse.wire.commands import Command, ReportReply, to_json_object
-from spoolcourse.wire.messages import Report
+from spoolcourse.wire.commands import Command, HeartbeatResponse, to_json_object
+from spoolcourse.wire.messages import Heartbeat
 
 log = logging.getLogger(__name__)
 
 
-def step_down_for(report: Report, leadership: Leadership) -> Reply:
+def step_down_for(heartbeat: Heartbeat, leadership: Leadership) -> Response:
     """End the term: a worker has heard of a later one."""
-    leadership.depose(f"{report.machine} has seen term {report.fencing_token}")
+    leadership.step_down(f"{heartbeat.machine} has seen term {heartbeat.fencing_token}")
     return redirect(None)
 
 
-class ReportAdmission:
-    """Answers reports as long as no confirmed cancellation can be unknown for too long."""
+class HeartbeatHandler:
+    """Answers heartbeats as long as no confirmed cancellation can be unknown for too long."""
 
     def __init__(
         self,
@@ -43,20 +43,20 @@
         self._heard_directly_at = self._clock()
 
     def hears_no_worker(self) -> bool:
-        """Whether no worker has got through to this node itself for a while."""
+        """Whether no worker has got through to this controller itself for a while."""
         return self._clock() - self._heard_directly_at > self._quiet_s
 
-    def answer(self, report: Report, relayed: bool) -> Reply:
-        """The answer to a report; `relayed`: a follower has passed it on."""
-        if report.fencing_token > self._registry.fencing_token:
-            return step_down_for(report, self._leadership)
+    def answer(self, heartbeat: Heartbeat, relayed: bool) -> Response:
+        """The answer to a heartbeat; `relayed`: a follower has passed it on."""
+        if heartbeat.fencing_token > self._registry.fencing_token:
+            return step_down_for(heartbeat, self._leadership)
         if not self._may_renew():
-            # What others have confirmed as cancelled must be gone in time, though this node
+            # What others have confirmed as cancelled must be gone in time, though this controller
             # can't hear of it: from here on the leases run out.
-            self._registry.overhear(report)
-            return later("may not know of cancellations")
+            self._registry.observe_unanswered(heartbeat)
+            return retry_later("may not know of cancellations")
         with self._load.spent("report"):
-            outcome = self._registry.accept(report)
+            outcome = self._registry.accept(heartbeat)
         commands: list[Command] = []
         fencing_token = None  # without one nobody's lease is renewed
         if isinstance(outcome, Answer):
@@ -65,7 +65,9 @@
             if not relayed:
                 self._heard_directly_at = self._clock()
         hears_no_worker = self.hears_no_worker() if relayed else None
-        return Reply(200, to_json_object(ReportReply(commands, fencing_token, hears_no_worker)))
+        return Response(
+            200, to_json_object(HeartbeatResponse(commands, fencing_token, hears_no_worker))
+        )
 
     def _may_renew(self) -> bool:
         self._renewal_deadline.synced(self._watch_cache.synced_at)
--- a/spoolcourse/control/leader/hinted_workers.py
+++ b/spoolcourse/control/leader/hinted_workers.py
@@ -1,8 +1,8 @@
 """A new leader's calls to the workers that the leader before it knew.
 
-They come by their own reports within a report period, and by the cloud's list once that has been
-read. Asked at the addresses that the hints name, they are known a few milliseconds after the
-take-over. What is learnt is their own answer.
+They come by their own heartbeats within a heartbeat period, and by the cloud's list once that has
+been read. Asked at the addresses that the hints name, they are known a few milliseconds after the
+failover. What is learnt is their own answer.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import logging
 
 from spoolcourse.control.autoscaling.machine_list import CALLS_LEAST
-from spoolcourse.control.http_client import NetError
+from spoolcourse.control.http_client import NoResponseError
 from spoolcourse.control.leader_context import LeaderContext
 from spoolcourse.control.workers.call_limit import calls_at_once
 from spoolcourse.control.workers.worker_calls import raise_token
@@ -43,11 +43,11 @@
         async with self._gate:
             known = self._registry.machines.get(hint.machine)
             if known is not None and known.confirmed:
-                return  # its own report has come meanwhile
+                return  # its own heartbeat has come meanwhile
             try:
-                report = await raise_token(self._net, self._proof, hint.address)
-            except (NetError, MalformedError) as exc:
+                heartbeat = await raise_token(self._net, self._proof, hint.address)
+            except (NoResponseError, MalformedError) as exc:
                 log.debug("%s: not there as hinted: %s", hint.machine, exc)
                 return
-            if report.machine == hint.machine:
-                self._registry.observe(report)
+            if heartbeat.machine == hint.machine:
+                self._registry.observe(heartbeat)
--- a/spoolcourse/control/leader/initial_machines.py
+++ b/spoolcourse/control/leader/initial_machines.py
@@ -12,13 +12,13 @@
 from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.leadership.term_record import write_in_term
 from spoolcourse.control.store.keys import BASE, base_part_key
-from spoolcourse.control.store.records import base_machines, base_parts, base_values
+from spoolcourse.control.store.records import base_parts, base_values, initial_machines
 from spoolcourse.wire.messages import Host, HostStage
 
 FIRST_TERM = 1
 
 
-class BaseMachines:
+class InitialMachines:
     """Reads the note, and writes it where there is none."""
 
     def __init__(self, context: ControllerContext, term: Term) -> None:
@@ -32,11 +32,11 @@
         entry = self._watch_cache.get(BASE)
         if entry is None:
             return frozenset()
-        found = base_machines(entry.value)
+        found = initial_machines(entry.value)
         for part in range(1, base_parts(entry.value) + 1):
             further = self._watch_cache.get(base_part_key(part))
             if further is not None:
-                found |= base_machines(further.value)
+                found |= initial_machines(further.value)
         return found
 
     async def note(self, hosts: list[Host]) -> None:
--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -16,7 +16,12 @@
 from typing import Any
 
 from spoolcourse.control.leadership.renewal_deadline import DRIFT
-from spoolcourse.control.store.client import LeaseGoneError, RefusedError, StoreClient, UnclearError
+from spoolcourse.control.store.client import (
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    RequestRefusedError,
+    StoreClient,
+)
 from spoolcourse.control.store.keys import LEADER, TERM
 from spoolcourse.control.store.records import LeaderRecord, TermRecord
 from spoolcourse.control.store.watch_cache import WatchCache
@@ -33,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Term:
-    """A term that this node was elected for."""
+    """A term that this controller was elected for."""
 
     number: int
     revision: int  # of the term key: the fencing condition of every leader write
@@ -58,45 +63,46 @@
         self._ttl_s = ttl_s
         self.term: Term | None = None
         self.terms = 0  # elected so many times
-        self.vacant_at: float | None = None  # when this node saw that nobody leads
+        self.vacant_at: float | None = None  # when this controller saw that nobody leads
         # For how long to let others stand first; a follower that is behind does.
-        self.standing_delay_s: Callable[[], float] = lambda: 0.0
+        self.candidacy_delay_s: Callable[[], float] = lambda: 0.0
         self._valid_until = float("-inf")
         self._stands_from = float("-inf")
         self._changed = asyncio.Event()
-        self._deposed = asyncio.Event()
+        self._stepped_down = asyncio.Event()
         self.on_elected: Callable[[Term], None] = lambda term: None
-        self.on_deposed: Callable[[], None] = lambda: None
+        self.on_stepped_down: Callable[[], None] = lambda: None
         watch_cache.listen(self._on_change)
 
     @property
     def leader_label(self) -> str | None:
-        """The label of the leader as far as this node knows."""
+        """The label of the leader as far as this controller knows."""
         entry = self._watch_cache.get(LEADER)
         return LeaderRecord.label_of(entry.value) if entry else None
 
     @property
     def informed(self) -> bool:
-        """Whether this node would have heard of a change of leader by now."""
+        """Whether this controller would have heard of a change of leader by now."""
         silence = asyncio.get_running_loop().time() - self._watch_cache.synced_at
         return silence < 2 * self._ttl_s
 
     def valid(self) -> bool:
-        """True while no other node can have been elected."""
+        """True while no other controller can have been elected."""
         return self.term is not None and (
-            asyncio.get_running_loop().time() < self._valid_until and not self._deposed.is_set()
+            asyncio.get_running_loop().time() < self._valid_until
+            and not self._stepped_down.is_set()
         )
 
-    def depose(self, reason: str) -> None:
+    def step_down(self, reason: str) -> None:
         """Step down at once."""
         if self.term is None:
             return
         log.info("term %d: stepping down: %s", self.term.number, reason)
         self.term = None
         self._valid_until = float("-inf")
-        self._deposed.set()
+        self._stepped_down.set()
         self._client.set_leader(False)
-        self.on_deposed()
+        self.on_stepped_down()
 
     async def resign(self, reason: str) -> None:
         """Step down, and let the lease go at once: others need not wait for its end."""
@@ -104,10 +110,10 @@
         if term is None:
             return
         self._stands_from = asyncio.get_running_loop().time() + RESIGNED_S
-        self.depose(reason)
+        self.step_down(reason)
         try:
             await self._client.release(term.lease)
-        except (RefusedError, UnclearError) as exc:
+        except (RequestRefusedError, OutcomeUnknownError) as exc:
             log.info("the lease is left to run out: %s", exc)
 
     def _on_change(self, key: str, value: Any, revision: int) -> None:
@@ -116,13 +122,15 @@
             if key == LEADER:
                 self._note_vacancy(value)
             if key == TERM and self.term is not None and revision > self.term.revision:
-                self.depose("a newer term was elected")
+                self.step_down("a newer term was elected")
 
     def _note_vacancy(self, value: Any) -> None:
         if value is None:
             self.vacant_at = asyncio.get_running_loop().time()
         elif LeaderRecord.label_of(value) != self._label:
-            self.vacant_at = None  # a take-over of this node's own is counted from the next one
+            self.vacant_at = (
+                None  # a failover of this controller's own is counted from the next one
+            )
 
     async def run(self) -> None:
         """Stand for election, lead, and stand again, until cancelled."""
@@ -141,23 +149,23 @@
                         await self._changed.wait()
                 except TimeoutError:
                     if loop.time() - self._watch_cache.synced_at > self._ttl_s:
-                        await self._watch_cache.sync()
+                        await self._watch_cache.read_barrier()
                 continue
             if await self._another_stands():
                 continue
             try:
                 await self._stand()
-            except (RefusedError, UnclearError, LeaseGoneError) as exc:
+            except (RequestRefusedError, OutcomeUnknownError, LeaseExpiredError) as exc:
                 log.debug("election: %s", exc)
                 await asyncio.sleep(random.uniform(*ELECTION_PAUSE_S))
 
     async def _another_stands(self) -> bool:
-        """Let others stand first where this node is behind or has resigned; whether one did.
+        """Let others stand first where this controller is behind or has resigned; whether one did.
 
-        The wait is bounded: with all nodes behind, somebody still leads.
+        The wait is bounded: with all controllers behind, somebody still leads.
         """
         resigned_for_s = self._stands_from - asyncio.get_running_loop().time()
-        delay_s = max(self.standing_delay_s(), resigned_for_s)
+        delay_s = max(self.candidacy_delay_s(), resigned_for_s)
         if delay_s <= 0:
             return False
         log.info("others may stand for election for %.1f s", delay_s)
@@ -176,8 +184,8 @@
 
     async def _stand(self) -> None:
         loop = asyncio.get_running_loop()
-        if not await self._watch_cache.sync():
-            raise UnclearError("the state service did not answer")
+        if not await self._watch_cache.read_barrier():
+            raise OutcomeUnknownError("the state service did not answer")
         leader, former = self._watch_cache.get(LEADER), self._watch_cache.get(TERM)
         if leader is not None and not self._is_former_self(leader.value):
             return
@@ -198,16 +206,16 @@
         tenure = record.value()
         claim = LeaderRecord(record, self._label).value()
         try:
-            outcome = await self._client.txn(
+            outcome = await self._client.compare_and_swap(
                 conditions,
                 [Put(LEADER, claim, lease), Put(TERM, tenure)],
                 urgent=True,
             )
             if not outcome.ok:
-                await self._watch_cache.sync()
+                await self._watch_cache.read_barrier()
                 return
             revision = outcome.store_revision
-        except UnclearError:
+        except OutcomeUnknownError:
             # Perhaps it was carried out: the term key tells, and says whose it is.
             found = await self._client.get(TERM)
             if found is None or found.value != tenure:
@@ -217,7 +225,7 @@
         self._watch_cache.apply(TERM, tenure, revision)
         self.term = Term(number, revision, lease)
         self.terms += 1
-        self._deposed.clear()
+        self._stepped_down.clear()
         self._valid_until = sent + self._ttl_s * (1 - DRIFT)
         self._client.set_leader(True)
         log.info("elected for term %d", number)
@@ -237,17 +245,17 @@
                         # After a gap the key may have changed hands: see it first.
                         entry = await self._client.get(TERM)
                         if entry is None or entry.revision != term.revision:
-                            self.depose("the term has passed")
+                            self.step_down("the term has passed")
                             return
                     self._valid_until = sent + self._ttl_s * (1 - DRIFT)
-            except LeaseGoneError:
-                self.depose("the lease is gone")
+            except LeaseExpiredError:
+                self.step_down("the lease is gone")
                 return
-            except (RefusedError, UnclearError) as exc:
+            except (RequestRefusedError, OutcomeUnknownError) as exc:
                 log.debug("renewal: %s", exc)
                 pause = self._ttl_s * RENEW_RETRY_SHARE
             try:
                 async with asyncio.timeout(pause):
-                    await self._deposed.wait()
+                    await self._stepped_down.wait()
             except TimeoutError:
                 pass
--- a/spoolcourse/control/leadership/failover_proof.py
+++ b/spoolcourse/control/leadership/failover_proof.py
@@ -1,6 +1,6 @@
 """The proof that a new leader has seen every placement of the leaders before it.
 
-The claim of a term is a write at some revision of the state service, and it changes the revision
+The claim of a term is a write at some revision of the key-value store, and it changes the revision
 of the term key. Every write of an earlier leader is conditional on the term key as that leader
 knew it, so none is carried out after the claim; and a placement is written before its start is
 sent. Whoever has taken in every change up to the claim has therefore seen every placement that
@@ -25,7 +25,7 @@
 
 
 class UnprovenError(Exception):
-    """The take-over is not proven."""
+    """The failover is not proven."""
 
 
 class BehindError(UnprovenError):
@@ -37,7 +37,7 @@
 
 
 @final
-class TakeoverProof:
+class FailoverProof:
     """Needed by whatever decides or commands for a term.
 
     It can be made only from a watch cache that has reached the claim of the term, and it does not
--- a/spoolcourse/control/leadership/failover_timeline.py
+++ b/spoolcourse/control/leadership/failover_timeline.py
@@ -1,4 +1,4 @@
-"""When a take-over reached each of its phases, by this node's steady clock."""
+"""When a failover reached each of its phases, by this controller's steady clock."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from spoolcourse.control.leadership.failover_proof import TakeoverProof
+from spoolcourse.control.leadership.failover_proof import FailoverProof
 
 log = logging.getLogger(__name__)
 
 
-class Phase(Enum):
-    """What a take-over reaches, in this order."""
+class FailoverPhase(Enum):
+    """What a failover reaches, in this order."""
 
-    VACANT = "vacant"  # this node saw that nobody leads
+    VACANT = "vacant"  # this controller saw that nobody leads
     ELECTED = "elected"  # its claim was carried out
     PROVEN = "proven"  # every change up to the claim is taken in, and the job queue is there
     FIRST_WORKER = "first_worker"  # a worker has reported the new fencing token
@@ -27,7 +27,7 @@
 class Interval:
     """From the phase before to this one."""
 
-    phase: Phase
+    phase: FailoverPhase
     began_at: float
     ended_at: float
 
@@ -37,21 +37,21 @@
         return self.ended_at - self.began_at
 
 
-class Timeline:
-    """The phases of one take-over; each is noted once."""
+class FailoverTimeline:
+    """The phases of one failover; each is noted once."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._at: dict[Phase, float] = {}
-        self.proof: TakeoverProof | None = None
-        self.on_complete: Callable[[Timeline], None] = lambda timeline: None
+        self._at: dict[FailoverPhase, float] = {}
+        self.proof: FailoverProof | None = None
+        self.on_complete: Callable[[FailoverTimeline], None] = lambda timeline: None
 
-    def reach(self, phase: Phase, at: float | None = None) -> None:
+    def record(self, phase: FailoverPhase, at: float | None = None) -> None:
         """Note a phase, now or at a moment before; only the first time counts."""
         if phase in self._at:
             return
         self._at[phase] = self._clock() if at is None else at
-        if phase is Phase.FIRST_START:
+        if phase is FailoverPhase.FIRST_START:
             self._complete()
 
     def intervals(self) -> list[Interval]:
@@ -64,7 +64,7 @@
 
     def _complete(self) -> None:
         log.info(
-            "take-over by phase: %s",
+            "failover by phase: %s",
             ", ".join(f"{i.phase.value} {i.seconds:.3f} s" for i in self.intervals()),
         )
         self.on_complete(self)
--- a/spoolcourse/control/leadership/feature_level.py
+++ b/spoolcourse/control/leadership/feature_level.py
@@ -2,7 +2,7 @@
 
 A process that ends before its turn comes back as it was. So what the version before can't read
 is written only once every controller has said that it can; the leader asks, and notes it in the
-state service, where it stays true: whoever was new comes back new.
+key-value store, where it stays true: whoever was new comes back new.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 def all_new(watch_cache: WatchCache) -> bool:
-    """Whether this node has seen it noted."""
+    """Whether this controller has seen it noted."""
     entry = watch_cache.get(LEVEL)
     return entry is not None and level_of(entry.value) >= SERVICES
 
@@ -61,4 +61,4 @@
         if await write_in_term(self._context, self._term, LEVEL, value, conditions):
             log.info("all controllers are new: services are taken")
         else:
-            await self._watch_cache.sync()
+            await self._watch_cache.read_barrier()
--- a/spoolcourse/control/leadership/renewal_deadline.py
+++ b/spoolcourse/control/leadership/renewal_deadline.py
@@ -3,7 +3,7 @@
 A cancellation that the leader doesn't know was confirmed after that moment, so its tasks may
 stay until `cancel_s` later and no longer; a worker answered now may keep its tasks for
 `lease_s`. So there is a last moment at which an answer may renew a lease. It guards against a
-leader that the state service alone refuses, or that is cut off, and that would keep alive
+leader that the key-value store alone refuses, or that is cut off, and that would keep alive
 what others have confirmed as cancelled.
 
 Pure: times are passed in.
@@ -27,20 +27,20 @@
         self.known_to = float("-inf")
 
     def synced(self, sent: float) -> None:
-        """A read of the state service, asked for then, has been answered and taken in."""
+        """A read of the key-value store, asked for then, has been answered and taken in."""
         self.known_to = max(self.known_to, sent)
 
-    def vouched(self, asked: float, informed: Iterable[bool]) -> bool:
+    def acknowledged_by_peers(self, asked: float, informed: Iterable[bool]) -> bool:
         """Take in what the peers have told; whether all of them could vouch.
 
         All other controllers were asked, the first of them at `asked`, and what they told has been
-        acted on. `informed` says of each whether it answered and has read the state service since
+        acted on. `informed` says of each whether it answered and has read the key-value store since
         its process began.
 
-        Every confirmation was given by one of them, or by this node. Whoever gave one remembers it;
-        whoever began anew since knows from the state service what was confirmed before. One that is
-        silent, too old to know the question, or has read nothing since it began may have confirmed
-        what nobody here knows of.
+        Every confirmation was given by one of them, or by this controller. Whoever gave one
+        remembers it; whoever restarted since knows from the key-value store what was confirmed
+        before. One that is silent, too old to know the question, or has read nothing since it began
+        may have confirmed what nobody here knows of.
         """
         if not all(informed):
             return False
--- a/spoolcourse/control/leadership/term_record.py
+++ b/spoolcourse/control/leadership/term_record.py
@@ -19,7 +19,7 @@
 ) -> bool:
     """Write a value if the term goes on and the conditions hold; whether it is written.
 
-    After False it may be written all the same, now or later: the watch cache will show that.
+    After False it may be written nevertheless, now or later: the watch cache will show that.
     """
     conditions = conditions | {TERM: term.revision}
     return await write_if(context.client, context.watch_cache, key, value, conditions)
--- a/spoolcourse/control/metrics.py
+++ b/spoolcourse/control/metrics.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Generic, TypeVar
 
-from spoolcourse.control.status import LeaderStatus, NodeStatus, StandbyStatus, Status
+from spoolcourse.control.status import ControllerStatus, LeaderStatus, StandbyStatus, Status
 
 if TYPE_CHECKING:
     from prometheus_client.core import Metric
@@ -33,7 +33,7 @@
         return kind(PREFIX + self.name, self.about, float(self.value(part)))
 
 
-NODE: list[Described[NodeStatus]] = [
+NODE: list[Described[ControllerStatus]] = [
     Described("leader", "1 on the leader", lambda s: s.role == "leader"),
     Described("terms", "terms this process was elected for", lambda s: s.terms, True),
     Described("store_requests", "requests to the state service", lambda s: s.store_requests, True),
@@ -128,13 +128,13 @@
     if status.standby is not None:
         standby = status.standby
         yield from (described.metric(standby) for described in STANDBY)
-    takeover = GaugeMetricFamily(
+    failover = GaugeMetricFamily(
         PREFIX + "takeover_phase_seconds", "the last take-over, by phase", labels=["phase"]
     )
-    if status.last_takeover is not None:
-        for phase, seconds in status.last_takeover.phases_s.items():
-            takeover.add_metric([phase], seconds)
-    yield takeover
+    if status.last_failover is not None:
+        for phase, seconds in status.last_failover.phases_s.items():
+            failover.add_metric([phase], seconds)
+    yield failover
 
 
 def exposition(status: Status) -> bytes:
--- a/spoolcourse/control/peer_api.py
+++ b/spoolcourse/control/peer_api.py
@@ -8,7 +8,7 @@
 from spoolcourse.control import metrics
 from spoolcourse.control.failover.handover import HandoverRefusedError, hand_over
 from spoolcourse.control.failover.hints import hint_page
-from spoolcourse.control.http_client import Reply, Request, refusal_reply
+from spoolcourse.control.http_client import Request, Response, error_response
 from spoolcourse.control.jobs.cancellation_query import answer_query
 from spoolcourse.control.leadership import feature_level
 from spoolcourse.control.status import collect_status
@@ -28,7 +28,7 @@
     def __init__(self, node: Controller) -> None:
         self._node = node
 
-    def handle(self, request: Request) -> Reply | Awaitable[Reply] | None:
+    def handle(self, request: Request) -> Response | Awaitable[Response] | None:
         """The answer; None for a path that is not of this interface alone."""
         path, _, query = request.path.partition("?")
         if path == paths.HANDOVER and request.method == "POST":
@@ -38,42 +38,42 @@
         try:
             return self._read(path, query)
         except MalformedError as exc:
-            return refusal_reply(400, str(exc))
+            return error_response(400, str(exc))
 
-    def _read(self, path: str, query: str) -> Reply | None:
+    def _read(self, path: str, query: str) -> Response | None:
         node = self._node
         if path == paths.CANCELLATIONS:
-            return Reply(200, answer_query(node.job_index, node.watch_cache, query))
+            return Response(200, answer_query(node.job_index, node.watch_cache, query))
         if path == paths.LEVEL:
-            return Reply(200, feature_level.answer())
+            return Response(200, feature_level.answer())
         if path == paths.STATUS:
-            return Reply(200, collect_status(node).to_json_object())
+            return Response(200, collect_status(node).to_json_object())
         if path == paths.METRICS:
-            return Reply(200, metrics.exposition(collect_status(node)), METRICS_HEADERS)
+            return Response(200, metrics.exposition(collect_status(node)), METRICS_HEADERS)
         if path in (paths.STANDBY, paths.HINTS):
             return self._read_standby(path, query)
         return None
 
-    def _read_standby(self, path: str, query: str) -> Reply:
+    def _read_standby(self, path: str, query: str) -> Response:
         node = self._node
         if node.standby is None:
-            return refusal_reply(404, "the warm standby is off")
+            return error_response(404, "the warm standby is off")
         if path == paths.STANDBY:
-            return Reply(200, to_json_object(node.standby.answer()))
+            return Response(200, to_json_object(node.standby.answer()))
         if node.leader_term is None or node.leader_term.active is None:
             return self._not_the_leader()
         registry, revision = node.leader_term.active.registry, node.watch_cache.store_revision
-        return Reply(200, to_json_object(hint_page(registry, node.label, revision, query)))
+        return Response(200, to_json_object(hint_page(registry, node.label, revision, query)))
 
-    async def _hand_over(self) -> Reply:
+    async def _hand_over(self) -> Response:
         node = self._node
         if node.leader_term is None:
             return self._not_the_leader()
         try:
-            return Reply(200, to_json_object(await hand_over(node.context, node.leadership)))
+            return Response(200, to_json_object(await hand_over(node.context, node.leadership)))
         except HandoverRefusedError as exc:
-            return refusal_reply(409, str(exc))
+            return error_response(409, str(exc))
 
-    def _not_the_leader(self) -> Reply:
+    def _not_the_leader(self) -> Response:
         leader = self._node.leadership.leader_label
-        return refusal_reply(421, f"{leader} leads" if leader else "nobody is known to lead")
+        return error_response(421, f"{leader} leads" if leader else "nobody is known to lead")
--- a/spoolcourse/control/placement/backfill.py
+++ b/spoolcourse/control/placement/backfill.py
@@ -170,8 +170,8 @@
         delay = round(self._fetch_s(job, node), 1)
         # Where the image has to be fetched, the emptiest comes first: see `_put_all`. But what
         # is left for surplus machines is gathered on few, or none of them runs empty.
-        free = node.cpus if delay == 0.0 or node.surplus else -node.cpus
-        group = node.rare + 2 * node.surplus
+        free = node.cpus if delay == 0.0 or node.scale_in_candidate else -node.cpus
+        group = node.rare + 2 * node.scale_in_candidate
         if job.claim and delay > 0.0:
             group += 4  # people wait: an image at hand counts most
         # Replicas of a service lie on different machines where that costs nothing, so that
@@ -187,7 +187,7 @@
         for _, delay, _, _, number in choices:
             if placed >= wanted:
                 return placed
-            if job.service or (delay > 0.0 and not self.s.nodes[number].surplus):
+            if job.service or (delay > 0.0 and not self.s.nodes[number].scale_in_candidate):
                 placed += self._put(index, job, number, 1)
                 again.append(number)
             else:
--- a/spoolcourse/control/placement/model.py
+++ b/spoolcourse/control/placement/model.py
@@ -91,7 +91,7 @@
     fetching: dict[int, float] = field(default_factory=dict)  # image: GB still to come, about
     tasks: list[RunningTask] = field(default_factory=list)  # by their ends
     ready_at: float = 0.0
-    surplus: bool = False  # should run empty to be returned
+    scale_in_candidate: bool = False  # should run empty to be returned
     rare: bool = False  # some waiting job fits nowhere else
     freed: tuple[float, float, float] = (0.0, 0.0, 0.0)  # by tasks that are being stopped
 
--- a/spoolcourse/control/rate_limit.py
+++ b/spoolcourse/control/rate_limit.py
@@ -1,11 +1,11 @@
-"""Rate budgets, so that one node never uses up what all nodes share."""
+"""Rate budgets, so that one controller never uses up what all controllers share."""
 
 from __future__ import annotations
 
 import asyncio
 
 
-class BudgetSpentError(Exception):
+class RateLimitExceededError(Exception):
     """The budget is spent for a while: come back in `after` seconds."""
 
     def __init__(self, after: float) -> None:
@@ -37,7 +37,7 @@
         self._refill(asyncio.get_running_loop().time())
         wait = (amount - self._level) / self.rate
         if not urgent and wait > self.longest_s and self._level < self.burst:
-            raise BudgetSpentError(wait)
+            raise RateLimitExceededError(wait)
         self._level -= amount
         if wait > 0 and not urgent:
             try:
--- a/spoolcourse/control/scheduling/scheduling_loop.py
+++ b/spoolcourse/control/scheduling/scheduling_loop.py
@@ -9,11 +9,16 @@
 from itertools import islice
 
 from spoolcourse.control.autoscaling.autoscaler import FleetAutoscaler
-from spoolcourse.control.autoscaling.planner import Hire, Offer, plan_hires, top_up
-from spoolcourse.control.cloud.client import hires_most
+from spoolcourse.control.autoscaling.planner import (
+    Offer,
+    ProvisionRequest,
+    plan_provisioning,
+    top_up,
+)
+from spoolcourse.control.cloud.client import max_provisions
 from spoolcourse.control.jobs.job_queue import JobState
 from spoolcourse.control.leader_context import LeaderContext
-from spoolcourse.control.leadership.failover_timeline import Phase
+from spoolcourse.control.leadership.failover_timeline import FailoverPhase
 from spoolcourse.control.placement.backfill import place
 from spoolcourse.control.placement.model import Decision, Plan, Snapshot
 from spoolcourse.control.placement.preempt import choose_victims
@@ -104,11 +109,11 @@
         with self._load.spent("place"):
             plan = place(snapshot)
         self.passes += 1
-        self._registry.leader.reached(Phase.FIRST_PASS)
+        self._registry.leader.reached(FailoverPhase.FIRST_PASS)
         job_states = self._snapshot_builder.job_states
         self._reasons = {job_states[i].id: reason for i, reason in plan.why.items()}
         wanted_cpus = held_cpus + _planned_cpus(snapshot, plan)
-        self._autoscaler.surplus.demand.note(now, wanted_cpus)
+        self._autoscaler.excess_capacity.demand.note(now, wanted_cpus)
         self._refresh_policy(snapshot, wanted_cpus)
         for decision in plan.decisions:
             self._assign(decision, now)
@@ -133,7 +138,7 @@
                 "load": wanted_cpus / at_hand if at_hand > 0 else 0.0,
                 "pass_cost_s": self.pass_cost_s,
                 "boot_s": max(boots_s, default=1.0),
-                "report_s": self._params.workers.report_s,
+                "report_s": self._params.workers.heartbeat_interval_s,
                 "lease_s": self._params.workers.lease_s,
             },
         )
@@ -169,19 +174,21 @@
     def _plan_machines(
         self, snapshot: Snapshot, plan: Plan, team_room: list[float], now: float
     ) -> None:
-        if self._autoscaler.renting.busy:
+        if self._autoscaler.scale_out.busy:
             return
-        short_cpus = self._autoscaler.surplus.short_cpus(now)
+        short_cpus = self._autoscaler.excess_capacity.short_cpus(now)
         if not plan.unplaced and short_cpus <= 0:
             return
         offers = self._offers()
         demand = [(snapshot.jobs[i], count) for i, count in plan.unplaced.items()]
-        most = hires_most(self._params.cloud.rps)
-        hires = plan_hires(demand, snapshot.nodes, offers, now, team_room, most)
-        short_cpus -= sum(hire.count * hire.offer.cpus for hire in hires)
-        hires += top_up(short_cpus, offers, len(snapshot.nodes))
-        if hires:
-            self._autoscaler.renting.want([(self._kind(hire), hire.count) for hire in hires])
+        most = max_provisions(self._params.cloud.rps)
+        provisions = plan_provisioning(demand, snapshot.nodes, offers, now, team_room, most)
+        short_cpus -= sum(provision.count * provision.offer.cpus for provision in provisions)
+        provisions += top_up(short_cpus, offers, len(snapshot.nodes))
+        if provisions:
+            self._autoscaler.scale_out.want(
+                [(self._kind(provision), provision.count) for provision in provisions]
+            )
 
     def _offers(self) -> list[Offer]:
         """What can be asked for now."""
@@ -191,7 +198,7 @@
             for zone in machine_type.zones
             if zone in self._params.zones
             for spot in (True, False)
-            if self._autoscaler.renting.may_ask_for(MachineKind(machine_type.name, zone, spot))
+            if self._autoscaler.scale_out.may_ask_for(MachineKind(machine_type.name, zone, spot))
         ]
 
     def _offer(self, machine_type: MachineType, zone: str, spot: bool) -> Offer:
@@ -206,11 +213,11 @@
             machine_type.boot_s,
         )
 
-    def _kind(self, hire: Hire) -> MachineKind:
+    def _kind(self, provision: ProvisionRequest) -> MachineKind:
         return MachineKind(
-            self._snapshot_builder.machine_types.names[hire.offer.machine_type],
-            self._snapshot_builder.zones.names[hire.offer.zone],
-            hire.offer.spot,
+            self._snapshot_builder.machine_types.names[provision.offer.machine_type],
+            self._snapshot_builder.zones.names[provision.offer.zone],
+            provision.offer.spot,
         )
 
     # -- for the operators ----------------------------------------------------------------
@@ -228,7 +235,7 @@
                 self._reason(job_state, now),
             )
             for job_state in sorted(self._job_queue.jobs.values(), key=lambda job: job.order)
-            if job_state.pending > 0 and not job_state.record.aborted
+            if job_state.pending > 0 and not job_state.record.cancelled
         ]
 
     def _reason(self, job_state: JobState, now: float) -> str:
--- a/spoolcourse/control/scheduling/snapshot_builder.py
+++ b/spoolcourse/control/scheduling/snapshot_builder.py
@@ -48,7 +48,7 @@
         self.unbegun: set[str] = set()  # jobs whose first task goes before rank
 
     def _mark_rare(self, now: float, machine_types: dict[str, MachineType]) -> None:
-        """Machine types that some job of late depends on, while others have a choice."""
+        """Machine types that some job recently depends on, while others have a choice."""
         for job_state in self._job_queue.jobs.values():
             fitting = [
                 b.name for b in machine_types.values() if fits(job_state.record.submission, b)
@@ -58,7 +58,7 @@
                     self._rare_until[name] = now + self._policy.rare_s
 
     def is_rare(self, machine_type: str, now: float) -> bool:
-        """Whether some job of late can use this type only, or few beside it."""
+        """Whether some job recently can use this type only, or few beside it."""
         return self._rare_until.get(machine_type, 0.0) > now
 
     def estimate(self, job_state: JobState) -> float:
@@ -107,7 +107,7 @@
         two claims would stop each other in turn.
         """
         self.job_states = sorted(
-            (state for state in self._job_queue.jobs.values() if not state.record.aborted),
+            (state for state in self._job_queue.jobs.values() if not state.record.cancelled),
             key=lambda state: state.order,
         )
         self.unbegun = {state.id for state in self.job_states if self._unbegun(state, now)}
--- a/spoolcourse/control/scheduling/snapshot_cache.py
+++ b/spoolcourse/control/scheduling/snapshot_cache.py
@@ -2,7 +2,7 @@
 
 A machine's free room and its tasks' expected ends are worked out again only when something
 changed there, or when time alone changes them. Measured on a fleet of 534 machines, where a
-pass worked out all of them anew ten times a second: four fifths of the leader's time.
+pass worked out all of them again ten times a second: four fifths of the leader's time.
 """
 
 from __future__ import annotations
@@ -100,7 +100,7 @@
         now: float,
         rare: bool,
     ) -> Node:
-        """What the pass sees of a machine, made anew only if something changed there."""
+        """What the pass sees of a machine, made again only if something changed there."""
         known = self._known.get(machine.id)
         if known is None or known.changes != machine.changes or known.until <= now:
             known = self._known[machine.id] = self._make(machine, machine_type, jobs, now)
@@ -117,7 +117,7 @@
             dict(known.fetching) if known.fetching else {},
             known.tasks,
             0.0,
-            machine.surplus,
+            machine.scale_in_candidate,
             rare,
             known.freed,
         )
@@ -205,6 +205,6 @@
                 return attempt.since + estimate, True
             # A task that overran its estimate is expected to need half again of what it
             # took so far; else it would be due at any moment, and push the head back
-            # for ever.
+            # forever.
             return now + elapsed * OVERRUN_SHARE + OVERRUN_LEAST_S, False
         return now + max(fetch - elapsed, LEAST_FETCH_S) + estimate, False
--- a/spoolcourse/control/scheduling/termination_notices.py
+++ b/spoolcourse/control/scheduling/termination_notices.py
@@ -29,7 +29,9 @@
         self._registry = leader.registry
         self._snapshot_builder = snapshot_builder
         self._places = places
-        self._last_call_s = REPORTS_NEEDED * leader.controller.params.workers.report_s + MARGIN_S
+        self._last_call_s = (
+            REPORTS_NEEDED * leader.controller.params.workers.heartbeat_interval_s + MARGIN_S
+        )
 
     async def run(self) -> None:
         """Run until cancelled."""
--- a/spoolcourse/control/status.py
+++ b/spoolcourse/control/status.py
@@ -15,11 +15,11 @@
     from spoolcourse.control.controller import Controller
     from spoolcourse.control.failover.warm_standby import Standby
     from spoolcourse.control.leader.active_leader import ActiveLeader
-    from spoolcourse.control.leadership.failover_timeline import Timeline
+    from spoolcourse.control.leadership.failover_timeline import FailoverTimeline
     from spoolcourse.control.scheduling.scheduling_loop import WaitingJob
 
 JOBS_SHOWN = 200
-SILENCE_SHOWN_S = 86_400.0  # of a node that has never read the state service
+SILENCE_SHOWN_S = 86_400.0  # of a controller that has never read the key-value store
 
 
 class WaitingRow(msgspec.Struct, frozen=True):
@@ -52,7 +52,7 @@
     unsaved_keys: int
 
 
-class NodeStatus(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
+class ControllerStatus(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
     """What every controller knows of itself."""
 
     node: str
@@ -71,8 +71,8 @@
     lease: str | UnsetType = UNSET
 
 
-class TakeoverStatus(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
-    """The last take-over of this process, by phase, and its proof."""
+class FailoverStatus(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
+    """The last failover of this process, by phase, and its proof."""
 
     term: int | None
     proof: str | None
@@ -82,7 +82,7 @@
 
 
 class StandbyStatus(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
-    """Whether this node would take over without a restore, and from what."""
+    """Whether this controller would take over without a restore, and from what."""
 
     state: str
     unfit_reason: str
@@ -99,9 +99,9 @@
     mismatches: int
 
 
-def _takeover_status(timeline: Timeline) -> TakeoverStatus:
+def _failover_status(timeline: FailoverTimeline) -> FailoverStatus:
     proof = timeline.proof
-    return TakeoverStatus(
+    return FailoverStatus(
         term=proof.fencing_token if proof else None,
         proof=proof.source.value if proof else None,
         claim_revision=proof.claim_revision if proof else None,
@@ -140,7 +140,7 @@
     attempts = [attempt for job in job_states for attempt in job.attempts.values()]
     waiting = leader.scheduling.waiting()
     services = [
-        job for job in job_states if job.record.submission.is_service and not job.record.aborted
+        job for job in job_states if job.record.submission.is_service and not job.record.cancelled
     ]
     return LeaderStatus(
         jobs=len(job_states),
@@ -151,7 +151,9 @@
         replicas_missing=sum(job.pending for job in services),
         attempts=len(attempts),
         unproven_attempts=sum(
-            1 for a in attempts if a.stage is AttemptStage.OPEN or a.in_flight_session is not None
+            1
+            for a in attempts
+            if a.stage is AttemptStage.OPEN or a.in_flight_incarnation is not None
         ),
         fetches_booked=sum(len(machine.fetching) for machine in machines),
         machines=len(machines),
@@ -162,14 +164,14 @@
     )
 
 
-def _node_status(node: Controller) -> NodeStatus:
+def _controller_status(node: Controller) -> ControllerStatus:
     leadership = node.leadership
     term: int | UnsetType = UNSET
     lease: str | UnsetType = UNSET
     if node.leader_term is not None and leadership.term is not None:
         term = leadership.term.number
         lease = "valid" if leadership.valid() else "uncertain"
-    return NodeStatus(
+    return ControllerStatus(
         node=node.label,
         role="leader" if node.leader_term is not None else "follower",
         leader=leadership.leader_label,
@@ -191,16 +193,16 @@
 class Status:
     """What a controller knows, in parts; those that it has nothing to say of are None."""
 
-    node: NodeStatus
+    node: ControllerStatus
     leader: LeaderStatus | None
     standby: StandbyStatus | None
-    last_takeover: TakeoverStatus | None
+    last_failover: FailoverStatus | None
 
     def to_json_object(self) -> dict[str, Any]:
         """The status as operators' tools know it: the first two parts in one object."""
         found: dict[str, Any] = msgspec.to_builtins(self.node)
-        if self.last_takeover is not None:
-            found["lastTakeover"] = msgspec.to_builtins(self.last_takeover)
+        if self.last_failover is not None:
+            found["lastTakeover"] = msgspec.to_builtins(self.last_failover)
         if self.standby is not None:
             found["standby"] = msgspec.to_builtins(self.standby)
         if self.leader is not None:
@@ -209,11 +211,13 @@
 
 
 def collect_status(node: Controller) -> Status:
-    """What this node knows; a leader also says what waits, and why."""
+    """What this controller knows; a leader also says what waits, and why."""
     active = node.leader_term.active if node.leader_term is not None else None
     return Status(
-        node=_node_status(node),
+        node=_controller_status(node),
         leader=_leader_status(active) if active is not None else None,
         standby=_standby_status(node, node.standby) if node.standby is not None else None,
-        last_takeover=_takeover_status(node.last_timeline) if node.last_timeline else None,
+        last_failover=_failover_status(node.last_failover_timeline)
+        if node.last_failover_timeline
+        else None,
     )
--- a/spoolcourse/control/store/__init__.py
+++ b/spoolcourse/control/store/__init__.py
@@ -1,1 +1,1 @@
-"""The state service: client, budgets, watch cache, keys and records."""
+"""The key-value store: client, budgets, watch cache, keys and records."""
--- a/spoolcourse/control/store/client.py
+++ b/spoolcourse/control/store/client.py
@@ -1,4 +1,4 @@
-"""The state service's protocol. Unclear answers are never taken for a yes or a no."""
+"""The key-value store's protocol. Unclear answers are never taken for a yes or a no."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 import logging
 from typing import Any
 
-from spoolcourse.control.http_client import Net, NetError, Reply
-from spoolcourse.control.rate_limit import BudgetSpentError, TokenBucket
+from spoolcourse.control.http_client import HttpClient, NoResponseError, Response
+from spoolcourse.control.rate_limit import RateLimitExceededError, TokenBucket
 from spoolcourse.wire import key_value_store as wire
 from spoolcourse.wire import paths
 from spoolcourse.wire.key_value_store import Change, Entry, Operation, Outcome
@@ -24,32 +24,34 @@
 FINAL_CHANGES = 3  # of the transaction that ends a job of one chunk
 
 
-class RefusedError(Exception):
+class RequestRefusedError(Exception):
     """The request was not carried out (429, 503, no such lease, or our own budget)."""
 
     after = 1.0  # seconds until it is worth another try
 
 
-class TooLargeError(RefusedError):
-    """The state service will never carry it out as it is: a limit was lowered."""
+class ValueTooLargeError(RequestRefusedError):
+    """The key-value store will never carry it out as it is: a limit was lowered."""
 
 
-class UnclearError(Exception):
+class OutcomeUnknownError(Exception):
     """The request may have been carried out, or may still be."""
 
 
-class LeaseGoneError(Exception):
-    """The state service no longer knows the lease."""
+class LeaseExpiredError(Exception):
+    """The key-value store no longer knows the lease."""
 
 
-class CompactedError(Exception):
+class RevisionCompactedError(Exception):
     """The watch's revision is too old: read the keys again."""
 
 
 class StoreClient:
-    """Requests to the state service within this node's share of its limits."""
+    """Requests to the key-value store within this controller's share of its limits."""
 
-    def __init__(self, net: Net, addr: str, state: State, nodes: int, timeout: float = TIMEOUT_S):
+    def __init__(
+        self, net: HttpClient, addr: str, state: State, nodes: int, timeout: float = TIMEOUT_S
+    ):
         self._net = net
         self._addr = addr
         # Limits may drop at any moment: all that is new keeps to the smaller ones. Only values
@@ -57,7 +59,7 @@
         self.limits = limits = state.least
         self.value_bytes = int(state.value_kb * 1024)
         self.timeout = timeout
-        # The limits are for all nodes together. The leader writes most, so its share of
+        # The limits are for all controllers together. The leader writes most, so its share of
         # writes is larger; shares add up to less than the whole.
         rate = limits.rps / (nodes + SPARE_NODES)
         self._requests = TokenBucket(rate, rate)
@@ -77,13 +79,13 @@
 
     async def _call(
         self, method: str, path: str, body: Any = None, *, urgent: bool = False, wait: float = 0.0
-    ) -> Reply:
+    ) -> Response:
         await self._pay(self._requests, 1, urgent)
         self.sent += 1
         began = asyncio.get_running_loop().time()
         try:
             reply = await self._send(method, path, body, wait)
-        except (RefusedError, UnclearError):
+        except (RequestRefusedError, OutcomeUnknownError):
             self.failed += 1
             if self._failing_since is None:
                 self._failing_since = began
@@ -104,8 +106,8 @@
     async def _pay(bucket: TokenBucket, amount: int, urgent: bool) -> None:
         try:
             await bucket.take(amount, urgent=urgent)
-        except BudgetSpentError as exc:
-            refused = RefusedError(str(exc))
+        except RateLimitExceededError as exc:
+            refused = RequestRefusedError(str(exc))
             refused.after = exc.after
             raise refused from exc
 
@@ -114,20 +116,20 @@
         since = self._failing_since
         return since is not None and asyncio.get_running_loop().time() - since > SUSPECT_S
 
-    async def _send(self, method: str, path: str, body: Any, wait: float) -> Reply:
+    async def _send(self, method: str, path: str, body: Any, wait: float) -> Response:
         try:
             reply = await self._net.call(
                 self._addr, method, path, body, timeout=self.timeout + wait
             )
-        except NetError as exc:
-            raise UnclearError(str(exc)) from exc
+        except NoResponseError as exc:
+            raise OutcomeUnknownError(str(exc)) from exc
         if reply.status == 429:
             self._requests.drain()
-            raise RefusedError("429")
+            raise RequestRefusedError("429")
         if reply.status == 503:
-            raise RefusedError("503")
+            raise RequestRefusedError("503")
         if reply.status >= 500:
-            raise UnclearError(f"{method} {path}: status {reply.status}")
+            raise OutcomeUnknownError(f"{method} {path}: status {reply.status}")
         return reply
 
     async def get(self, key: str) -> Entry | None:
@@ -136,10 +138,10 @@
         if reply.status == 404:
             return None
         if reply.status != 200:
-            raise UnclearError(f"get {key}: status {reply.status}")
+            raise OutcomeUnknownError(f"get {key}: status {reply.status}")
         return wire.read_entry(key, reply.data)
 
-    async def read_all(self, prefix: str) -> tuple[list[Entry], int]:
+    async def list_entries(self, prefix: str) -> tuple[list[Entry], int]:
         """All keys with the prefix, and the revision of the first page.
 
         Changes made while later pages were read come again with a watch from there.
@@ -149,7 +151,7 @@
         while True:
             reply = await self._call("GET", wire.page_path(prefix, PAGE, since))
             if reply.status != 200:
-                raise UnclearError(f"list {prefix}: status {reply.status}")
+                raise OutcomeUnknownError(f"list {prefix}: status {reply.status}")
             page = wire.read_page(reply.data)
             if store_revision < 0:
                 store_revision = page.store_revision
@@ -162,10 +164,10 @@
         """The revision that the store has reached; some prefix has to be named."""
         reply = await self._call("GET", wire.page_path(prefix, 1, ""))
         if reply.status != 200:
-            raise UnclearError(f"list {prefix}: status {reply.status}")
+            raise OutcomeUnknownError(f"list {prefix}: status {reply.status}")
         return wire.read_page(reply.data).store_revision
 
-    async def txn(
+    async def compare_and_swap(
         self,
         conditions: dict[str, int],
         ops: list[Operation] | None = None,
@@ -183,34 +185,34 @@
         if reply.status == 409:
             return wire.conditions_failed(reply.data)
         if reply.status == 400 and reply.data and reply.data.get("error") == wire.NO_SUCH_LEASE:
-            raise LeaseGoneError
+            raise LeaseExpiredError
         if reply.status == 400 and self.value_bytes > self.limits.value_kb * 1024:
             # What was written while the former limit held may be larger than the one to come.
-            log.info("the state service's lower limits hold from now on")
+            log.info("the key-value store's lower limits hold from now on")
             self.value_bytes = int(self.limits.value_kb * 1024)
-            raise TooLargeError(f"txn: status 400: {reply.data}")
-        raise RefusedError(f"txn: status {reply.status}: {reply.data}")
+            raise ValueTooLargeError(f"txn: status 400: {reply.data}")
+        raise RequestRefusedError(f"txn: status {reply.status}: {reply.data}")
 
     async def grant(self, ttl_s: float) -> int:
         """A new lease."""
         reply = await self._call("POST", paths.LEASES, wire.grant_body(ttl_s), urgent=True)
         if reply.status != 200:
-            raise RefusedError(f"grant: status {reply.status}")
+            raise RequestRefusedError(f"grant: status {reply.status}")
         return wire.read_lease(reply.data)
 
     async def renew(self, lease: int) -> None:
         """Renew a lease; raises `LeaseGoneError` if it has ended."""
         reply = await self._call("POST", wire.renew_path(lease), urgent=True)
         if reply.status == 404:
-            raise LeaseGoneError
+            raise LeaseExpiredError
         if reply.status != 200:
-            raise UnclearError(f"renew: status {reply.status}")
+            raise OutcomeUnknownError(f"renew: status {reply.status}")
 
     async def release(self, lease: int) -> None:
         """End a lease, and with it the keys that hang on it."""
         reply = await self._call("DELETE", wire.lease_path(lease), urgent=True)
         if reply.status not in (200, 404):
-            raise UnclearError(f"release: status {reply.status}")
+            raise OutcomeUnknownError(f"release: status {reply.status}")
 
     async def watch(
         self, prefix: str, since: int, block_s: float, *, urgent: bool = False
@@ -219,7 +221,7 @@
         path = wire.watch_path(prefix, since, block_s)
         reply = await self._call("GET", path, wait=block_s, urgent=urgent)
         if reply.status == 410:
-            raise CompactedError
+            raise RevisionCompactedError
         if reply.status != 200:
-            raise UnclearError(f"watch: status {reply.status}")
+            raise OutcomeUnknownError(f"watch: status {reply.status}")
         return wire.read_changes(reply.data)
--- a/spoolcourse/control/store/conditional_write.py
+++ b/spoolcourse/control/store/conditional_write.py
@@ -5,7 +5,7 @@
 import logging
 from typing import Any
 
-from spoolcourse.control.store.client import RefusedError, StoreClient, UnclearError
+from spoolcourse.control.store.client import OutcomeUnknownError, RequestRefusedError, StoreClient
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.key_value_store import Put
 
@@ -21,11 +21,11 @@
 ) -> bool:
     """Write a value if the keys have these revisions; whether it is known to be written.
 
-    After False it may be written all the same, now or later: the watch cache will show that.
+    After False it may be written nevertheless, now or later: the watch cache will show that.
     """
     try:
-        outcome = await client.txn(conditions, [Put(key, value)])
-    except (RefusedError, UnclearError) as exc:
+        outcome = await client.compare_and_swap(conditions, [Put(key, value)])
+    except (RequestRefusedError, OutcomeUnknownError) as exc:
         log.info("%s is not written yet: %s", key, exc)
         return False
     if outcome.ok:
--- a/spoolcourse/control/store/keys.py
+++ b/spoolcourse/control/store/keys.py
@@ -1,4 +1,4 @@
-"""Names of the keys in the state service."""
+"""Names of the keys in the key-value store."""
 
 PREFIX = "spoolcourse/"
 LIVE = PREFIX + "live/"
--- a/spoolcourse/control/store/records.py
+++ b/spoolcourse/control/store/records.py
@@ -1,4 +1,4 @@
-"""Everything that is kept in the state service, and its form there.
+"""Everything that is kept in the key-value store, and its form there.
 
 The forms stay as they are: versions that run side by side read one another's records.
 """
@@ -21,13 +21,13 @@
     submission: Submission
     at: float  # time of day of the acceptance: the order of arrival
     chunk: int  # tasks per progress key
-    aborted_at: float | None  # time of day of the withdrawal
+    cancelled_at: float | None  # time of day of the cancellation
     revision: int
 
     @property
-    def aborted(self) -> bool:
+    def cancelled(self) -> bool:
         """Whether the job was cancelled."""
-        return self.aborted_at is not None
+        return self.cancelled_at is not None
 
     @property
     def chunks(self) -> int:
@@ -37,8 +37,8 @@
     def value(self) -> dict[str, Any]:
         """The stored form."""
         value = {"sub": msgspec.to_builtins(self.submission), "at": self.at, "chunk": self.chunk}
-        if self.aborted_at is not None:
-            value["aborted"] = self.aborted_at
+        if self.cancelled_at is not None:
+            value["aborted"] = self.cancelled_at
         return value
 
     @staticmethod
@@ -81,7 +81,7 @@
     def counts_of(value: dict[str, Any]) -> tuple[int, int]:
         """How many tasks are done and how many are held.
 
-        The value is not unpacked: every node sees every write of progress.
+        The value is not unpacked: every controller sees every write of progress.
         """
         return int(value["done"], 16).bit_count(), len(value["held"])
 
@@ -186,7 +186,7 @@
     return [base_value(first, len(others)), *(base_value(chunk) for chunk in others)]
 
 
-def base_machines(value: dict[str, Any]) -> frozenset[str]:
+def initial_machines(value: dict[str, Any]) -> frozenset[str]:
     """Their names."""
     return frozenset(value["machines"])
 
--- a/spoolcourse/control/store/retry.py
+++ b/spoolcourse/control/store/retry.py
@@ -8,7 +8,7 @@
 FIRST_S = 0.1
 LONGEST_S = 1.0
 GROWTH = 2.0
-LEAST_SHARE = 0.5  # of a pause; the rest is left to chance, so that nodes don't try in step
+LEAST_SHARE = 0.5  # of a pause; the rest is left to chance, so that controllers don't try in step
 
 
 class RetryDelay:
--- a/spoolcourse/control/store/watch_cache.py
+++ b/spoolcourse/control/store/watch_cache.py
@@ -1,6 +1,6 @@
 """A copy of the live keys, kept warm by a watch and made current on request.
 
-`sync` is the read barrier of every node: after it, the copy holds every change that
+`sync` is the read barrier of every controller: after it, the copy holds every change that
 was made before the call. One request serves all callers that wait at the time.
 """
 
@@ -12,7 +12,12 @@
 from enum import Enum
 from typing import Any
 
-from spoolcourse.control.store.client import CompactedError, RefusedError, StoreClient, UnclearError
+from spoolcourse.control.store.client import (
+    OutcomeUnknownError,
+    RequestRefusedError,
+    RevisionCompactedError,
+    StoreClient,
+)
 from spoolcourse.control.store.retry import RetryDelay
 from spoolcourse.wire.key_value_store import Entry
 
@@ -20,18 +25,19 @@
 
 WATCH_GAP_S = 0.25  # nothing waits for the watch but the next election, and new jobs' starts
 WATCH_GAP_LEADING_S = 0.05
-WATCH_BLOCK_S = 10.0  # a watch that brings nothing is opened anew
+WATCH_BLOCK_S = 10.0  # a watch that brings nothing is opened again
 SYNC_GAP_S = 0.1  # between syncs, so that one answers more callers
 SYNC_TIMEOUT_S = 1.5
-# A node that was away asks first how far it is behind. A watch answers with every change since,
-# without a limit of size: after two minutes behind a cut that took 55 MB at 37 changes a second.
+# A controller that was away asks first how far it is behind. A watch answers with every change
+# since, without a limit of size: after two minutes behind a cut that took 55 MB at 37 changes a
+# second.
 AWAY_MARGIN_S = 5.0  # beyond the time that a watch may take without a change
 CHANGES_MOST = 1000  # to be caught up with by a watch; further behind all keys are read, by pages
 
 Listener = Callable[[str, Any, int], None]
 
 
-class FarBehindError(CompactedError):
+class TooFarBehindError(RevisionCompactedError):
     """There are more changes than a watch is to bring."""
 
 
@@ -113,12 +119,12 @@
                     k: s for k, s in self._deleted_ahead.items() if s > store_revision
                 }
 
-    async def load(self) -> None:
+    async def reload(self) -> None:
         """Read all live keys afresh; keys that are gone are reported as deleted."""
         start = asyncio.get_running_loop().time()
         self._reads += 1
         try:
-            entries, store_revision = await self._client.read_all(self.live)
+            entries, store_revision = await self._client.list_entries(self.live)
             self._replace(entries, store_revision)
         finally:
             self._reads -= 1
@@ -142,20 +148,20 @@
         while True:
             try:
                 if not self.loaded.is_set():
-                    await self.load()
+                    await self.reload()
                 await self._follow(self._block_s, urgent=True)
                 retry.reset()
-                # A leader at work writes many times a second, and every node is woken by
+                # A leader at work writes many times a second, and every controller is woken by
                 # each write. What comes within this pause comes with one answer.
                 await asyncio.sleep(self.watch_gap_s)
-            except CompactedError as exc:
+            except RevisionCompactedError as exc:
                 log.info("watch fell behind; reading all keys again")
                 self._fall_behind(exc)
-            except (RefusedError, UnclearError) as exc:
+            except (RequestRefusedError, OutcomeUnknownError) as exc:
                 log.debug("watch: %s", exc)
                 await retry.wait()
 
-    async def sync(self, timeout: float = SYNC_TIMEOUT_S) -> bool:
+    async def read_barrier(self, timeout: float = SYNC_TIMEOUT_S) -> bool:
         """True once the copy is as new as this call; False if that can't be had in time."""
         if not self.loaded.is_set():
             return False
@@ -167,28 +173,28 @@
         try:
             async with asyncio.timeout(timeout):
                 await waiter
-        except (TimeoutError, RefusedError, UnclearError):
+        except (TimeoutError, RequestRefusedError, OutcomeUnknownError):
             return False
         return True
 
-    async def reach(self, store_revision: int) -> bool:
+    async def catch_up_to(self, store_revision: int) -> bool:
         """Catch up to a revision with one request at once; whether that is done.
 
-        `sync` makes callers wait for one another, which spares requests; a take-over waits for
+        `sync` makes callers wait for one another, which spares requests; a failover waits for
         nobody.
         """
         if self.store_revision < store_revision and self.loaded.is_set():
             try:
                 await self._follow(0.0, urgent=True)
-            except CompactedError as exc:
+            except RevisionCompactedError as exc:
                 self._fall_behind(exc)
-            except (RefusedError, UnclearError) as exc:
+            except (RequestRefusedError, OutcomeUnknownError) as exc:
                 log.debug("catching up: %s", exc)
         return self.loaded.is_set() and self.store_revision >= store_revision
 
-    def _fall_behind(self, error: CompactedError) -> None:
+    def _fall_behind(self, error: RevisionCompactedError) -> None:
         self.loaded.clear()
-        far_behind = isinstance(error, FarBehindError)
+        far_behind = isinstance(error, TooFarBehindError)
         self.on_gap(WatchGap.FAR_BEHIND if far_behind else WatchGap.COMPACTED)
 
     async def _follow(self, block_s: float, urgent: bool = False) -> None:
@@ -197,7 +203,7 @@
         if start - self.synced_at > self._block_s + AWAY_MARGIN_S:
             latest = await self._client.latest_revision(self.live)
             if latest - self.store_revision > CHANGES_MOST:
-                raise FarBehindError
+                raise TooFarBehindError
         since = self.store_revision
         store_revision, changes = await self._client.watch(
             self.prefix, since, block_s, urgent=urgent
@@ -213,10 +219,10 @@
             try:
                 await self._follow(0.0)
                 error: Exception | None = None
-            except CompactedError as exc:
+            except RevisionCompactedError as exc:
                 self._fall_behind(exc)
-                error = UnclearError("watch fell behind")
-            except (RefusedError, UnclearError) as exc:
+                error = OutcomeUnknownError("watch fell behind")
+            except (RequestRefusedError, OutcomeUnknownError) as exc:
                 error = exc
             for waiter in batch:
                 if not waiter.done():
--- a/spoolcourse/control/user_api/api.py
+++ b/spoolcourse/control/user_api/api.py
@@ -1,8 +1,8 @@
-"""The users' interface, the same on every node.
+"""The users' interface, the same on every controller.
 
 Nothing is answered from memory alone unless it can't change any more: a 201 and a
 cancellation follow their conditional write, a 404 a consistent read, and any state
-that is not final a sync. A node that alone lost the state service asks a peer, one hop.
+that is not final a sync. A controller that alone lost the key-value store asks a peer, one hop.
 """
 
 from __future__ import annotations
@@ -16,10 +16,16 @@
 import msgspec
 
 from spoolcourse.control.context import ControllerContext
-from spoolcourse.control.http_client import NetError, Reply, Request, later, refusal_reply
+from spoolcourse.control.http_client import (
+    NoResponseError,
+    Request,
+    Response,
+    error_response,
+    retry_later,
+)
 from spoolcourse.control.jobs.job_index import RecordTooLargeError
 from spoolcourse.control.leadership.feature_level import all_new
-from spoolcourse.control.store.client import RefusedError, UnclearError
+from spoolcourse.control.store.client import OutcomeUnknownError, RequestRefusedError
 from spoolcourse.control.store.records import FinalState
 from spoolcourse.control.user_api.checks import refusal, usable_machine_types
 from spoolcourse.wire import paths
@@ -38,7 +44,7 @@
 
 log = logging.getLogger(__name__)
 
-# Users wait 5 s for an answer, and 2 s for one to a poll; this node itself tries first.
+# Users wait 5 s for an answer, and 2 s for one to a poll; this controller itself tries first.
 OWN_TRY_S = 3.0
 SYNC_S = 1.2  # a poll waits 2 s, and then a peer is asked
 ASK_PEER_S = 1.0
@@ -46,12 +52,12 @@
 ASK_PEERS_POLL_S = 0.6
 
 
-NO_SUCH_JOB = refusal_reply(404, "no such job")
+NO_SUCH_JOB = error_response(404, "no such job")
 WITHDRAW_TRIES = 4  # the leader may finish the job, or a peer withdraw it, in between
 
 
 class CannotAnswerError(Exception):
-    """This node can't answer for sure just now."""
+    """This controller can't answer for sure just now."""
 
 
 class UserApi:
@@ -68,13 +74,13 @@
         self._wall_clock = context.wall_clock
         self._leader_label = leader_label
 
-    async def handle(self, request: Request, from_peer: bool = False) -> Reply:
+    async def handle(self, request: Request, from_peer: bool = False) -> Response:
         """`from_peer`: the request comes from a peer and goes no further."""
         path = unquote(urlsplit(request.path).path)
         parts = path.split("/")[2:]
         after = 1.0
         if not from_peer and self._client.suspect():
-            # Waiting for the state service once more would only cost the user time.
+            # Waiting for the key-value store once more would only cost the user time.
             from_peer = True
             reply = await self._pass_on(request, after)
             if reply.status != 503:
@@ -85,16 +91,20 @@
                     return await self._submit(request.body)
                 if len(parts) == 1 and parts[0] and request.method == "GET":
                     return await self._poll(parts[0])
-                if len(parts) == 2 and parts[1] == paths.WITHDRAW and request.method == "POST":
+                if len(parts) == 2 and parts[1] == paths.CANCEL and request.method == "POST":
                     return await self._withdraw(parts[0])
-        except (CannotAnswerError, RefusedError, UnclearError, TimeoutError) as exc:
+        except (CannotAnswerError, RequestRefusedError, OutcomeUnknownError, TimeoutError) as exc:
             log.debug("%s %s: %s", request.method, path, exc)
-            after = exc.after if isinstance(exc, RefusedError) else after
-            return later("try again", after) if from_peer else await self._pass_on(request, after)
-        return refusal_reply(404, "no such resource")
+            after = exc.after if isinstance(exc, RequestRefusedError) else after
+            return (
+                retry_later("try again", after)
+                if from_peer
+                else await self._pass_on(request, after)
+            )
+        return error_response(404, "no such resource")
 
-    async def _pass_on(self, request: Request, after: float) -> Reply:
-        """Ask the peers: perhaps only this node lost the state service.
+    async def _pass_on(self, request: Request, after: float) -> Response:
+        """Ask the peers: perhaps only this controller lost the key-value store.
 
         Peers that hang, as behind a cut, must not use up the time that the user waits.
         """
@@ -113,13 +123,13 @@
                     request.body or None,
                     timeout=min(left, ASK_PEER_S),
                 )
-            except NetError:
+            except NoResponseError:
                 continue
             if reply.status < 500 and reply.status != 429:
                 if reply.status == 200:
                     self._remember_final(reply.data)
-                return Reply(reply.status, reply.data)
-        return later("try again", after)
+                return Response(reply.status, reply.data)
+        return retry_later("try again", after)
 
     def _remember_final(self, answer: Any) -> None:
         """A final state that a peer has told never changes."""
@@ -132,7 +142,7 @@
             self._job_index.remember_final(status.id, FinalState(status.stage, status.done))
 
     async def _sync(self) -> None:
-        if not await self._watch_cache.sync(SYNC_S):
+        if not await self._watch_cache.read_barrier(SYNC_S):
             raise CannotAnswerError("no sync")
 
     async def _known(self, job: str) -> JobStatus | None:
@@ -141,13 +151,13 @@
         if final is not None:
             return final
         await self._sync()
-        return self._job_index.current(job) or await self._job_index.look_up(job)
+        return self._job_index.current(job) or await self._job_index.read_final_state(job)
 
-    async def _submit(self, raw: bytes) -> Reply:
+    async def _submit(self, raw: bytes) -> Response:
         try:
             submission = parse_submission(raw)
         except MalformedError as exc:
-            return await self._refuse(_id_of(raw), refusal_reply(400, str(exc)))
+            return await self._refuse(_id_of(raw), error_response(400, str(exc)))
         job = submission.id
         if job in self._job_index.live or self._job_index.final(job) is not None:
             known = await self._known(job)
@@ -158,15 +168,15 @@
             raise CannotAnswerError("the machine types are not known yet")
         why = refusal(submission, machine_types, self._params)
         if why is not None:
-            return await self._refuse(job, refusal_reply(422, why))
+            return await self._refuse(job, error_response(422, why))
         if submission.is_service and not await self._takes_services():
-            return later("not all controllers know services yet")
+            return retry_later("not all controllers know services yet")
         return await self._accept(self._narrowed(submission, machine_types))
 
     async def _takes_services(self) -> bool:
         """Whether every controller knows services.
 
-        What this node learns by a sync no peer knows better. Asking them all the same kept
+        What this controller learns by a sync no peer knows better. Asking them nevertheless kept
         users waiting for a second or more where one of them was cut off.
         """
         if all_new(self._watch_cache):
@@ -174,11 +184,11 @@
         await self._sync()
         return all_new(self._watch_cache)
 
-    async def _accept(self, submission: Submission) -> Reply:
+    async def _accept(self, submission: Submission) -> Response:
         try:
             accepted = await self._job_index.accept(submission, self._wall_clock())
         except RecordTooLargeError as exc:
-            return await self._refuse(submission.id, refusal_reply(422, str(exc)))
+            return await self._refuse(submission.id, error_response(422, str(exc)))
         if accepted:
             log.info(
                 "%s accepted: %d tasks, %s, %s",
@@ -202,7 +212,7 @@
         usable = usable_machine_types(submission, machine_types, self._params.zones)
         return msgspec.structs.replace(submission, machine_types=usable)
 
-    async def _refuse(self, job: str | None, reply: Reply) -> Reply:
+    async def _refuse(self, job: str | None, reply: Response) -> Response:
         """A job that was accepted once is never refused, whatever the repeat looks like."""
         if job is not None:
             known = await self._known(job)
@@ -210,13 +220,13 @@
                 return _reply(200, known)
         return reply
 
-    async def _poll(self, job: str) -> Reply:
+    async def _poll(self, job: str) -> Response:
         if not JOB_ID.fullmatch(job):
             return NO_SUCH_JOB
         known = await self._known(job)
         return NO_SUCH_JOB if known is None else _reply(200, known)
 
-    async def _withdraw(self, job: str) -> Reply:
+    async def _withdraw(self, job: str) -> Response:
         if not JOB_ID.fullmatch(job):
             return NO_SUCH_JOB
         for _ in range(WITHDRAW_TRIES):
@@ -225,16 +235,16 @@
                 return NO_SUCH_JOB
             if known.stage.is_final:
                 return _reply(200, JobAnswer(job, known.stage))
-            if job in self._job_index.live and await self._job_index.withdraw(
+            if job in self._job_index.live and await self._job_index.cancel(
                 job, self._wall_clock()
             ):
-                log.info("%s withdrawn", job)
-                return _reply(200, JobAnswer(job, JobStage.ABORTED))
+                log.info("%s cancelled", job)
+                return _reply(200, JobAnswer(job, JobStage.CANCELLED))
         raise CannotAnswerError("the job kept changing")
 
 
-def _reply(status: int, answer: JobStatus | JobAnswer) -> Reply:
-    return Reply(status, msgspec.to_builtins(answer))
+def _reply(status: int, answer: JobStatus | JobAnswer) -> Response:
+    return Response(status, msgspec.to_builtins(answer))
 
 
 def _id_of(raw: bytes) -> str | None:
--- a/spoolcourse/control/workers/__init__.py
+++ b/spoolcourse/control/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Workers: their reports, their commands, and what proves an end."""
+"""Workers: their heartbeats, their commands, and what proves an end."""
--- a/spoolcourse/control/workers/command_builder.py
+++ b/spoolcourse/control/workers/command_builder.py
@@ -1,4 +1,4 @@
-"""Which commands a machine is to be given: with the answer to a report, or at its address."""
+"""Which commands a machine is to be given: with the answer to a heartbeat, or at its address."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 from typing import TYPE_CHECKING
 
 from spoolcourse.control.jobs.job_queue import Attempt, AttemptStage, JobState
-from spoolcourse.control.leadership.failover_timeline import Phase
+from spoolcourse.control.leadership.failover_timeline import FailoverPhase
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.wire.commands import Acknowledge, Command, Start, Stop
-from spoolcourse.wire.messages import EndCause, Report, TaskReport, TaskStage, split_task_name
+from spoolcourse.wire.messages import EndCause, Heartbeat, TaskStage, TaskStatus, split_task_name
 
 if TYPE_CHECKING:
     from spoolcourse.control.workers.worker_registry import Leader, WorkerRegistry
@@ -28,28 +28,30 @@
         self._leader = leader
         self._clock = clock
 
-    # -- with the answer to a report ------------------------------------------------------
+    # -- with the answer to a heartbeat ------------------------------------------------------
 
-    def answer(self, machine: Machine, report: Report, under_our_token: bool) -> list[Command]:
-        """The commands to answer a report with, those that can't wait first.
+    def answer(
+        self, machine: Machine, heartbeat: Heartbeat, under_our_token: bool
+    ) -> list[Command]:
+        """The commands to answer a heartbeat with, those that can't wait first.
 
-        A report under an older fencing token gets nothing else: older commands may still reach
-        the machine, and its next report tells what is there. But this answer renews its lease,
+        A heartbeat under an older fencing token gets nothing else: older commands may still reach
+        the machine, and its next heartbeat tells what is there. But this answer renews its lease,
         and may be the last one that arrives, so what is cancelled ends now.
         """
-        urgent, others = self._for_reported_tasks(machine, report, under_our_token)
-        urgent += self._stops_of_cancelled_starts(machine, report)
+        urgent, others = self._for_reported_tasks(machine, heartbeat, under_our_token)
+        urgent += self._stops_of_cancelled_starts(machine, heartbeat)
         commands = urgent + others
         if under_our_token:
-            self._add_starts(machine, report, commands)
+            self._add_starts(machine, heartbeat, commands)
         return commands[:COMMANDS_MAX]
 
     def _for_reported_tasks(
-        self, machine: Machine, report: Report, under_our_token: bool
+        self, machine: Machine, heartbeat: Heartbeat, under_our_token: bool
     ) -> tuple[list[Command], list[Command]]:
         urgent: list[Command] = []
         others: list[Command] = []
-        for item in report.tasks:
+        for item in heartbeat.tasks:
             job, task = split_task_name(item.task)
             if item.stage is not TaskStage.ENDED and self._is_cancelled(job):
                 urgent.append(Stop(item.task, item.attempt, 0.0))
@@ -71,10 +73,10 @@
         job_state = self._job_queue.jobs.get(job)
         if job_state is None:
             return self._leader.is_over(job)
-        return job_state.record.aborted
+        return job_state.record.cancelled
 
-    def _stops_of_cancelled_starts(self, machine: Machine, report: Report) -> list[Command]:
-        """Stops of cancelled starts that no report shows yet.
+    def _stops_of_cancelled_starts(self, machine: Machine, heartbeat: Heartbeat) -> list[Command]:
+        """Stops of cancelled starts that no heartbeat shows yet.
 
         A start may be on its way to the machine's address. Whichever arrives first: if it is the
         stop, a later report shows the attempt.
@@ -82,26 +84,26 @@
         cancelled = [
             attempt
             for attempt in machine.attempts.values()
-            if attempt.job_state.record.aborted and not attempt.never_sent
+            if attempt.job_state.record.cancelled and not attempt.never_sent
         ]
         if not cancelled:
             return []
-        listed = {split_task_name(item.task) for item in report.tasks}
+        listed = {split_task_name(item.task) for item in heartbeat.tasks}
         return [
             Stop(attempt.name, attempt.number, 0.0)
             for attempt in cancelled
             if (attempt.job_state.id, attempt.task) not in listed
         ]
 
-    def _add_starts(self, machine: Machine, report: Report, commands: list[Command]) -> None:
+    def _add_starts(self, machine: Machine, heartbeat: Heartbeat, commands: list[Command]) -> None:
         if not (self._leader.may_start() and machine.placeable):
             return
         for attempt in machine.attempts.values():
             if len(commands) >= COMMANDS_MAX:
                 return
             if attempt.stage is AttemptStage.ASSIGNED and self._startable(attempt):
-                attempt.start_sent_with = (report.session, report.sequence)
-                self._leader.reached(Phase.FIRST_START)
+                attempt.start_sent_with = (heartbeat.incarnation, heartbeat.sequence)
+                self._leader.reached(FailoverPhase.FIRST_START)
                 commands.append(Start(attempt.name, attempt.number))
 
     # -- at the machine's address ---------------------------------------------------------
@@ -148,10 +150,10 @@
             return []
         fresh = [a for a in machine.attempts.values() if self._fresh(a)][:COMMANDS_MAX]
         if fresh:
-            self._leader.reached(Phase.FIRST_START)
+            self._leader.reached(FailoverPhase.FIRST_START)
         for attempt in fresh:
             attempt.sent_directly = True
-            attempt.in_flight_session = machine.session
+            attempt.in_flight_incarnation = machine.incarnation
         return fresh
 
     def _fresh(self, attempt: Attempt) -> bool:
@@ -159,9 +161,9 @@
 
     @staticmethod
     def _startable(attempt: Attempt) -> bool:
-        return attempt.saved and not attempt.stopping and not attempt.job_state.record.aborted
+        return attempt.saved and not attempt.stopping and not attempt.job_state.record.cancelled
 
-    def _may_acknowledge(self, job: str, task: int, item: TaskReport) -> bool:
+    def _may_acknowledge(self, job: str, task: int, item: TaskStatus) -> bool:
         """A result is forgotten by the worker only once it is durable here."""
         job_state = self._job_queue.jobs.get(job)
         if job_state is None:
@@ -173,7 +175,7 @@
         return job_state.is_done(task) and chunk.saved == chunk.version
 
     def _stop_grace_s(
-        self, machine: Machine, job: str, task: int, item: TaskReport
+        self, machine: Machine, job: str, task: int, item: TaskStatus
     ) -> float | None:
         """The grace to stop with, or None to let it go on."""
         job_state = self._job_queue.jobs.get(job)
--- a/spoolcourse/control/workers/command_dispatcher.py
+++ b/spoolcourse/control/workers/command_dispatcher.py
@@ -1,8 +1,9 @@
-"""Takes starts and stops to workers at once instead of waiting for their next reports.
+"""Takes starts and stops to workers at once instead of waiting for their next heartbeats.
 
 A command sent to a machine's address may be executed minutes late, so a start that got no answer
-stays possible on that machine until its session or our term ends (`Attempt.in_flight_session`).
-Every attempt is sent this way once; what goes wrong is left to the report responses.
+stays possible on that machine until its incarnation or our term ends
+(`Attempt.in_flight_incarnation`). Every attempt is sent this way once; what goes wrong is left to
+the heartbeat responses.
 """
 
 from __future__ import annotations
@@ -10,10 +11,10 @@
 import asyncio
 import logging
 
-from spoolcourse.control.http_client import Net, NetError
+from spoolcourse.control.http_client import HttpClient, NoResponseError
 from spoolcourse.control.workers.call_limit import calls_at_once
 from spoolcourse.control.workers.machine import Machine
-from spoolcourse.control.workers.worker_calls import WorkerSession, send_commands
+from spoolcourse.control.workers.worker_calls import WorkerIncarnation, send_commands
 from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.wire.commands import Start
 from spoolcourse.wire.messages import MalformedError
@@ -28,7 +29,7 @@
 class CommandDispatcher:
     """Sends what is due to machines' addresses, to each one request at a time."""
 
-    def __init__(self, net: Net, registry: WorkerRegistry, sockets: int = 0) -> None:
+    def __init__(self, net: HttpClient, registry: WorkerRegistry, sockets: int = 0) -> None:
         self._net = net
         self._registry = registry
         self._sockets = sockets
@@ -55,7 +56,7 @@
         return len(self._busy) >= most
 
     def may_keep(self) -> bool:
-        """Whether connections to machines may stay open beside those of their reports.
+        """Whether connections to machines may stay open beside those of their heartbeats.
 
         With two for each machine a fleet would use up the controller's sockets, and workers' and
         users' new connections would fail.
@@ -67,23 +68,23 @@
     async def _send(self, machine: Machine) -> None:
         try:
             attempts = self._registry.commands.take_fresh_starts(machine)
-            session = WorkerSession(machine.address, machine.session)
+            incarnation = WorkerIncarnation(machine.address, machine.incarnation)
             commands = self._registry.commands.take_stops(machine) + [
                 Start(a.name, a.number) for a in attempts
             ]
             try:
-                report = await send_commands(
-                    self._net, self._registry.proof, session, commands, self.may_keep()
+                heartbeat = await send_commands(
+                    self._net, self._registry.proof, incarnation, commands, self.may_keep()
                 )
-            except (NetError, MalformedError) as exc:
-                # Until it can be reached, the report responses have to do.
+            except (NoResponseError, MalformedError) as exc:
+                # Until it can be reached, the heartbeat responses have to do.
                 machine.unreachable_until = asyncio.get_running_loop().time() + PAUSE_S
                 log.debug("%s: %d commands without an answer: %s", machine.id, len(commands), exc)
                 return
-            if report.machine == machine.id:
+            if heartbeat.machine == machine.id:
                 for attempt in attempts:
-                    attempt.in_flight_session = None
-                self._registry.observe(report)
+                    attempt.in_flight_incarnation = None
+                self._registry.observe(heartbeat)
         finally:
             held_back = self._is_full()
             self._busy.pop(machine.id, None)
--- a/spoolcourse/control/workers/machine.py
+++ b/spoolcourse/control/workers/machine.py
@@ -14,31 +14,31 @@
     """A machine as the leader knows it. Unknown things are None."""
 
     id: str
-    since: float  # when this node first heard of it
+    since: float  # when this controller first heard of it
     machine_type: str | None = None
     zone: str | None = None
     spot: bool | None = None
     address: str = ""
-    session: int = 0
+    incarnation: int = 0
     sequence: int = -1
-    confirmed: bool = False  # has reported our fencing token in this session
-    heard_at: float | None = None  # a report of any kind
-    reported_at: float = 0.0  # a report of its own accord, or when it was first heard of
+    confirmed: bool = False  # has reported our fencing token in this incarnation
+    heard_at: float | None = None  # a heartbeat of any kind
+    reported_at: float = 0.0  # a heartbeat of its own accord, or when it was first heard of
     answered_at: float | None = None  # a 200 of ours, which may have renewed its lease
-    # The latest moment at which its lease can have begun: an answer of ours, or, for a session
+    # The latest moment at which its lease can have begun: an answer of ours, or, for an incarnation
     # that was under our fencing token before we answered it, when we heard of that.
     leased_at: float | None = None
     lease_expired: bool = False  # its lease has run out since our last answer
-    ineffective_answers: int = 0  # answers that had no effect, of late
-    answers_doubted_at: float = 0.0  # the last of them, or when this session was first heard of
-    unresponsive_since: float | None = None  # its reports arrive, our answers don't
+    ineffective_answers: int = 0  # answers that had no effect, recently
+    answers_doubted_at: float = 0.0  # the last of them, or when this incarnation was first heard of
+    unresponsive_since: float | None = None  # its heartbeats arrive, our answers don't
     token_seen_at: float = 0.0  # the last report under our fencing token, or `since`
     listed_stage: HostStage | None = None  # its stage in the cloud's list
     running_at: float | None = None  # since when it is listed as running
     rented_at: float | None = None
     up_at: float | None = None  # when it is expected, while it boots
     terminates_at: float | None = None
-    surplus: bool = False  # gets work only if nothing else has room, and goes when idle
+    scale_in_candidate: bool = False  # gets work only if nothing else has room, and goes when idle
     deleting: bool = False  # a deletion has been asked for
     idle_since: float | None = None
     errors: set[str] = field(default_factory=set)  # jobs that failed here
@@ -48,7 +48,7 @@
     attempts: dict[tuple[str, int], Attempt] = field(default_factory=dict)
     # Job, task and attempt of what is there without being the attempt that counts there.
     unexpected_tasks: set[tuple[str, int, int]] = field(default_factory=set)
-    # The same of what has ended there and must not be acknowledged in this session.
+    # The same of what has ended there and must not be acknowledged in this incarnation.
     unacknowledged: set[tuple[str, int, int]] = field(default_factory=set)
     images: OrderedDict[str, float] = field(default_factory=OrderedDict)  # seen cached, by use
     fetching: dict[str, float] = field(default_factory=dict)  # image: since when
--- a/spoolcourse/control/workers/reconciliation.py
+++ b/spoolcourse/control/workers/reconciliation.py
@@ -1,9 +1,9 @@
-"""What a report proves about the attempts that may be on its machine.
+"""What a heartbeat proves about the attempts that may be on its machine.
 
-A worker has one report in flight, executes an answer within its time-out or never, and drops it in
-a later session; so the next newer report under our fencing token tells for certain whether a
-start in an answer arrived. Starts sent to the worker's address may come late: they stay possible
-until the session or our term ends.
+A worker has one heartbeat in flight, executes an answer within its time-out or never, and drops it
+in a later incarnation; so the next newer heartbeat under our fencing token tells for certain
+whether a start in an answer arrived. Starts sent to the worker's address may come late: they stay
+possible until the incarnation or our term ends.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.wire.messages import (
     EndCause,
-    Report,
+    Heartbeat,
     Submission,
-    TaskReport,
     TaskStage,
+    TaskStatus,
     split_task_name,
 )
 
@@ -28,22 +28,22 @@
 
 log = logging.getLogger(__name__)
 
-AVOID_S = 60.0  # a machine that a job failed on; for ever, it might be left with none
+AVOID_S = 60.0  # a machine that a job failed on; forever, it might be left with none
 HEALTHY_S = 20.0  # a replica that has run for so long clears its service's pause
 REFUSED_START_PAUSE_S = 2.0  # after a start that the worker has refused
 
 
-class ReportReconciler:
-    """Brings the registry in line with reports under our fencing token."""
+class HeartbeatReconciler:
+    """Brings the registry in line with heartbeats under our fencing token."""
 
     def __init__(self, registry: WorkerRegistry, leader: Leader) -> None:
         self._registry = registry
         self._job_queue = registry.job_queue
         self._leader = leader
 
-    def reconcile(self, machine: Machine, report: Report, now: float) -> None:
-        """Bring what is known of a machine in line with its report."""
-        present = self._take_tasks(machine, report, now)
+    def reconcile(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
+        """Bring what is known of a machine in line with its heartbeat."""
+        present = self._take_tasks(machine, heartbeat, now)
         if any(
             _awaits_effect(attempt) and key not in present
             for key, attempt in machine.attempts.items()
@@ -51,19 +51,21 @@
             self._registry.note_ineffective_answer(machine)
         for key, attempt in list(machine.attempts.items()):
             if key not in present:
-                self._take_absence(machine, attempt, report)
+                self._take_absence(machine, attempt, heartbeat)
         self._note_fetches(machine, now)
         if machine.attempts:
             machine.idle_since = None
         elif machine.idle_since is None:
             machine.idle_since = now
 
-    def _take_tasks(self, machine: Machine, report: Report, now: float) -> set[tuple[str, int]]:
-        """What the report lists; the tasks whose attempts are there."""
+    def _take_tasks(
+        self, machine: Machine, heartbeat: Heartbeat, now: float
+    ) -> set[tuple[str, int]]:
+        """What the heartbeat lists; the tasks whose attempts are there."""
         present: set[tuple[str, int]] = set()
         unexpected_tasks = set(machine.unexpected_tasks)
         machine.unexpected_tasks.clear()
-        for item in report.tasks:
+        for item in heartbeat.tasks:
             job, task = split_task_name(item.task)
             attempt = machine.attempts.get((job, task))
             if attempt is not None and attempt.number == item.attempt:
@@ -75,24 +77,24 @@
             machine.changes += 1
         return present
 
-    def _take_absence(self, machine: Machine, attempt: Attempt, report: Report) -> None:
-        """An attempt that the report does not list."""
-        if attempt.in_flight_session != report.session:
-            attempt.in_flight_session = None  # of another session: it would be refused
+    def _take_absence(self, machine: Machine, attempt: Attempt, heartbeat: Heartbeat) -> None:
+        """An attempt that the heartbeat does not list."""
+        if attempt.in_flight_incarnation != heartbeat.incarnation:
+            attempt.in_flight_incarnation = None  # of another incarnation: it would be refused
         if attempt.stage is not AttemptStage.ASSIGNED:
             log.info("%s: no longer on %s", attempt.name, machine.id)
             self._registry.drop(attempt)
             return
         sent_with = attempt.start_sent_with
-        if sent_with is not None and sent_with >= (report.session, report.sequence):
+        if sent_with is not None and sent_with >= (heartbeat.incarnation, heartbeat.sequence):
             return
         attempt.start_sent_with = None  # that start never arrived and can't any more
         unwanted = (
-            attempt.job_state.record.aborted
+            attempt.job_state.record.cancelled
             or attempt.stopping
             or machine.unresponsive_since is not None
         )
-        if unwanted and attempt.in_flight_session is None:
+        if unwanted and attempt.in_flight_incarnation is None:
             self._registry.drop(attempt)
 
     @staticmethod
@@ -110,9 +112,9 @@
         }
 
     def _take_progress(
-        self, machine: Machine, attempt: Attempt, item: TaskReport, now: float
+        self, machine: Machine, attempt: Attempt, item: TaskStatus, now: float
     ) -> None:
-        """What a report says of the attempt that counts there."""
+        """What a heartbeat says of the attempt that counts there."""
         if item.stage is TaskStage.ENDED:
             self._take_end(machine, attempt, item.cause or "", now)
             return
@@ -132,7 +134,7 @@
     def _take_end(self, machine: Machine, attempt: Attempt, cause: str, now: float) -> None:
         job_state = attempt.job_state
         log.debug("%s: ended, %s, on %s", attempt.name, cause, machine.id)
-        if attempt.in_flight_session is not None or (
+        if attempt.in_flight_incarnation is not None or (
             attempt.sent_directly and cause != EndCause.DONE
         ):
             # A copy of the start may still be on its way to the worker's address. While the
@@ -173,11 +175,11 @@
         machine.note_image(submission.image, submission.image_gb, disk_gb)
 
     def _take_unexpected(
-        self, machine: Machine, job: str, task: int, item: TaskReport, now: float
+        self, machine: Machine, job: str, task: int, item: TaskStatus, now: float
     ) -> bool:
         """Take in a task that is not the attempt counted there.
 
-        True if it was taken over as the attempt.
+        True if it was adopted as the attempt.
         """
         job_state = self._job_queue.jobs.get(job)
         if job_state is not None and task < job_state.record.submission.task_count:
@@ -191,7 +193,7 @@
             if (
                 task not in job_state.attempts
                 and not job_state.is_done(task)
-                and not job_state.record.aborted
+                and not job_state.record.cancelled
             ):
                 # It runs and nobody else does: keep it.
                 attempt = self._job_queue.adopt(job_state, task, machine.id, item.attempt, now)
@@ -205,7 +207,7 @@
 
 
 def _awaits_effect(attempt: Attempt) -> bool:
-    """An answer carried its start, so the next report should show it."""
+    """An answer carried its start, so the next heartbeat should show it."""
     return attempt.stage is AttemptStage.ASSIGNED and attempt.start_sent_with is not None
 
 
