--- a/spoolcourse/control/workers/worker_registry.py
+++ b/spoolcourse/control/workers/worker_registry.py
@@ -1,6 +1,6 @@
-"""The leader's workers: which reports count, and what silence and leases prove.
+"""The leader's workers: which heartbeats count, and what silence and leases prove.
 
-What a report proves about tasks is worked out in `report_reconciler`, what a machine is told in
+What a heartbeat proves about tasks is worked out in `report_reconciler`, what a machine is told in
 `command_builder`.
 """
 
@@ -13,22 +13,22 @@
 from typing import Protocol
 
 from spoolcourse.control.jobs.job_queue import Attempt, JobQueue
-from spoolcourse.control.leadership.failover_proof import TakeoverProof
-from spoolcourse.control.leadership.failover_timeline import Phase
+from spoolcourse.control.leadership.failover_proof import FailoverProof
+from spoolcourse.control.leadership.failover_timeline import FailoverPhase
 from spoolcourse.control.leadership.renewal_deadline import DRIFT
 from spoolcourse.control.workers.command_builder import CommandBuilder
 from spoolcourse.control.workers.machine import Machine
-from spoolcourse.control.workers.reconciliation import ReportReconciler
+from spoolcourse.control.workers.reconciliation import HeartbeatReconciler
 from spoolcourse.wire.commands import Command
-from spoolcourse.wire.messages import Report
+from spoolcourse.wire.messages import Heartbeat
 from spoolcourse.wire.peers import Hint
 from spoolcourse.wire.settings import Workers
 
 log = logging.getLogger(__name__)
 
 INEFFECTIVE_ANSWERS_MAX = 3  # within a lease: later answers will have no effect either
-# Names of deleted machines are remembered for so long, however many they are: reports and lists of
-# them come late, by minutes at most.
+# Names of deleted machines are remembered for so long, however many they are: heartbeats and lists
+# of them come late, by minutes at most.
 DELETED_NAMES_KEPT_S = 3600.0
 LEASE_MARGIN_S = 1.0  # beyond a lease and the clocks' drift, for a worker to end its tasks
 RENEWED_SHARE = 0.8  # of a lease: an answer that recent should have renewed it
@@ -36,21 +36,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A report that is news: the commands to answer it with."""
+    """A heartbeat that is news: the commands to answer it with."""
 
     commands: list[Command]
 
 
 @dataclass(frozen=True, slots=True)
 class Outdated:
-    """A report that is no newer than what is known, or whose machine is gone.
+    """A heartbeat that is no newer than what is known, or whose machine is gone.
 
     It is a copy that was late on the way: no sign of life, and it must get no answer that could
     renew a lease, or the proof by lease would have to wait for every copy.
     """
 
 
-ReportOutcome = Answer | Outdated
+HeartbeatOutcome = Answer | Outdated
 
 
 class Leader(Protocol):
@@ -72,8 +72,8 @@
         """Something may be placed now that could not be before."""
         ...
 
-    def reached(self, phase: Phase) -> None:
-        """The take-over has come to a phase; told again and again, and noted once."""
+    def reached(self, phase: FailoverPhase) -> None:
+        """The failover has come to a phase; told again and again, and noted once."""
         ...
 
 
@@ -83,7 +83,7 @@
     def __init__(
         self,
         job_queue: JobQueue,
-        proof: TakeoverProof,
+        proof: FailoverProof,
         workers: Workers,
         clock: Callable[[], float],
         leader: Leader,
@@ -96,14 +96,14 @@
         self._lease_over_s = workers.lease_s * (1 + DRIFT) + LEASE_MARGIN_S
         self._clock = clock
         self.leader = leader
-        self._reconciler = ReportReconciler(self, leader)
+        self._reconciler = HeartbeatReconciler(self, leader)
         self.commands = CommandBuilder(self, leader, clock)
         self.machines: dict[str, Machine] = {}
         # When each was deleted, the earliest first; names never come back.
         self.deleted_names: OrderedDict[str, float] = OrderedDict()
         self.pending_commands: set[str] = set()  # machines that may have something to be sent
         self.quiet_s = workers.quiet_s
-        # What the leader before knew to be cached; it counts in the same session only.
+        # What the leader before knew to be cached; it counts in the same incarnation only.
         self.hinted_images: dict[str, Hint] = {}
 
     def machine(self, name: str) -> Machine:
@@ -116,7 +116,7 @@
         return machine
 
     def is_quiet(self, machine: Machine) -> bool:
-        """Whether a machine has missed its reports for certain.
+        """Whether a machine has missed its heartbeats for certain.
 
         Its answers to calls don't count: a machine that reaches no controller loses with its lease
         whatever calls start there. That proves nothing about what it holds, but nothing new is put
@@ -166,7 +166,7 @@
         """Drop what is proven gone by leases that have run out.
 
         Silence alone proves nothing. A lease proves an end only for a worker that has reported our
-        fencing token in this session: nobody else's answer can have renewed it.
+        fencing token in this incarnation: nobody else's answer can have renewed it.
         """
         now = self._clock()
         for machine in self.machines.values():
@@ -178,9 +178,9 @@
             ):
                 log.info("%s: silent, its lease has run out", machine.id)
                 machine.lease_expired = True
-                # What still comes from that session was held on the way: a sign of life
+                # What still comes from that incarnation was held on the way: a sign of life
                 # starts with the next one.
-                machine.session, machine.sequence = machine.session + 1, -1
+                machine.incarnation, machine.sequence = machine.incarnation + 1, -1
                 machine.confirmed = False
                 machine.unexpected_tasks.clear()
                 machine.changes += 1
@@ -193,8 +193,8 @@
         """Count an answer that had no effect.
 
         After some of them the machine gets no more work, and what it was to start goes elsewhere
-        once that is proven not to have arrived: those tasks would stay bound to it for ever, for
-        its reports go on and it is never silent.
+        once that is proven not to have arrived: those tasks would stay bound to it forever, for
+        its heartbeats go on and it is never silent.
         """
         machine.ineffective_answers += 1
         machine.answers_doubted_at = self._clock()
@@ -205,51 +205,55 @@
             log.info("%s: takes no answers", machine.id)
             machine.unresponsive_since = self._clock()
 
-    # -- reports ------------------------------------------------------------------
+    # -- heartbeats ------------------------------------------------------------------
 
-    def accept(self, report: Report) -> ReportOutcome:
-        """Take in a report that carries no higher fencing token than ours."""
+    def accept(self, heartbeat: Heartbeat) -> HeartbeatOutcome:
+        """Take in a heartbeat that carries no higher fencing token than ours."""
         now = self._clock()
-        if report.machine in self.deleted_names:
+        if heartbeat.machine in self.deleted_names:
             return Outdated()
-        machine = self.machine(report.machine)
-        if (report.session, report.sequence) <= (machine.session, machine.sequence):
+        machine = self.machine(heartbeat.machine)
+        if (heartbeat.incarnation, heartbeat.sequence) <= (machine.incarnation, machine.sequence):
             return Outdated()
-        self.learn(machine, report)
+        self.learn(machine, heartbeat)
         machine.reported_at = machine.answered_at = machine.leased_at = now
-        under_our_token = report.fencing_token == self.fencing_token
-        return Answer(self.commands.answer(machine, report, under_our_token))
+        under_our_token = heartbeat.fencing_token == self.fencing_token
+        return Answer(self.commands.answer(machine, heartbeat, under_our_token))
 
     def _take_hinted_images(self, machine: Machine) -> None:
         hint = self.hinted_images.pop(machine.id, None)
-        if hint is None or hint.session != machine.session:
+        if hint is None or hint.incarnation != machine.incarnation:
             return
         disk_gb = self.leader.disk_gb(machine.machine_type or "")
         for image, size_gb in reversed(hint.images.items()):
             machine.note_image(image, size_gb, disk_gb)
 
-    def overhear(self, report: Report) -> None:
-        """Take in a report that is not answered, and so renews nothing."""
-        self.observe(report)
-        machine = self.machines.get(report.machine)
-        if machine is not None and (report.session, report.sequence) == (
-            machine.session,
+    def observe_unanswered(self, heartbeat: Heartbeat) -> None:
+        """Take in a heartbeat that is not answered, and so renews nothing."""
+        self.observe(heartbeat)
+        machine = self.machines.get(heartbeat.machine)
+        if machine is not None and (heartbeat.incarnation, heartbeat.sequence) == (
+            machine.incarnation,
             machine.sequence,
         ):
             machine.reported_at = self._clock()
 
-    def observe(self, report: Report) -> None:
-        """Take in a report that came as the answer to a call."""
-        if report.machine in self.deleted_names:
+    def observe(self, heartbeat: Heartbeat) -> None:
+        """Take in a heartbeat that came as the answer to a call."""
+        if heartbeat.machine in self.deleted_names:
             return
-        machine = self.machine(report.machine)
-        if (report.session, report.sequence) > (machine.session, machine.sequence):
-            self.learn(machine, report)
+        machine = self.machine(heartbeat.machine)
+        if (heartbeat.incarnation, heartbeat.sequence) > (machine.incarnation, machine.sequence):
+            self.learn(machine, heartbeat)
 
-    def learn(self, machine: Machine, report: Report) -> None:
-        """Take in a report that is newer than what is known."""
+    def learn(self, machine: Machine, heartbeat: Heartbeat) -> None:
+        """Take in a heartbeat that is newer than what is known."""
         now = self._clock()
-        if report.session != machine.session or machine.lease_expired or machine.heard_at is None:
+        if (
+            heartbeat.incarnation != machine.incarnation
+            or machine.lease_expired
+            or machine.heard_at is None
+        ):
             if (
                 machine.confirmed
                 and machine.answered_at is not None
@@ -260,7 +264,7 @@
             machine.unacknowledged.clear()
             machine.answers_doubted_at = now
         elif now - machine.answers_doubted_at > self._lease_over_s:
-            # The session has outlived a lease since, so answers do arrive. Commands that
+            # The incarnation has outlived a lease since, so answers do arrive. Commands that
             # arrive at its address are no such proof: they renew nothing.
             machine.ineffective_answers = 0
             machine.unresponsive_since = None
@@ -268,25 +272,25 @@
             machine.token_seen_at = now  # it had to boot first: nothing could be proven before
             machine.reported_at = now
         machine.heard_at = now
-        machine.session, machine.sequence = report.session, report.sequence
-        machine.machine_type, machine.zone = report.machine_type, report.zone
-        machine.spot, machine.address = report.spot, report.address
+        machine.incarnation, machine.sequence = heartbeat.incarnation, heartbeat.sequence
+        machine.machine_type, machine.zone = heartbeat.machine_type, heartbeat.zone
+        machine.spot, machine.address = heartbeat.spot, heartbeat.address
         machine.up_at = None
         machine.lease_expired = False
-        if report.terminates_in_s is not None:
-            machine.terminates_at = now + max(report.terminates_in_s, 0.0)
+        if heartbeat.terminates_in_s is not None:
+            machine.terminates_at = now + max(heartbeat.terminates_in_s, 0.0)
         else:
             machine.terminates_at = None
-        if report.fencing_token == self.fencing_token:
+        if heartbeat.fencing_token == self.fencing_token:
             machine.token_seen_at = now
             if not machine.confirmed:
                 machine.confirmed = True
-                # A session that only calls have shown, as of a machine that reaches nobody: it
+                # A incarnation that only calls have shown, as of a machine that reaches nobody: it
                 # may have begun just now. With an answer of before, its tasks would be taken
                 # for gone while they run.
                 machine.leased_at = now
-                log.debug("%s: confirmed in session %d", machine.id, report.session)
-                self.leader.reached(Phase.FIRST_WORKER)
+                log.debug("%s: confirmed in incarnation %d", machine.id, heartbeat.incarnation)
+                self.leader.reached(FailoverPhase.FIRST_WORKER)
                 self._take_hinted_images(machine)
                 self.leader.on_room()
-            self._reconciler.reconcile(machine, report, now)
+            self._reconciler.reconcile(machine, heartbeat, now)
--- a/spoolcourse/wire/cloud.py
+++ b/spoolcourse/wire/cloud.py
@@ -9,7 +9,7 @@
 
 LIST_PAGE = 500  # machines in one answer, at most
 DELETE_MAX = 100  # names in one deletion
-HIRE_MAX = 50  # machines in one rental request
+PROVISION_MAX = 50  # machines in one rental request
 NO_CAPACITY = "no capacity"
 
 
@@ -22,14 +22,14 @@
     spot: bool
 
 
-def hire_body(name: str, kind: MachineKind, count: int) -> dict[str, Any]:
+def provision_body(name: str, kind: MachineKind, count: int) -> dict[str, Any]:
     """A rental request; a name is never used for another one."""
     return {
         "hire": name,
         "build": kind.machine_type,
         "yard": kind.zone,
         "loaners": kind.spot,
-        "count": min(count, HIRE_MAX),
+        "count": min(count, PROVISION_MAX),
     }
 
 
--- a/spoolcourse/wire/commands.py
+++ b/spoolcourse/wire/commands.py
@@ -1,4 +1,4 @@
-"""Commands to workers, and the answers to their reports."""
+"""Commands to workers, and the answers to their heartbeats."""
 
 from __future__ import annotations
 
@@ -35,18 +35,19 @@
 class CommandRequest(msgspec.Struct, frozen=True):
     """Commands sent to a worker's address.
 
-    A worker in another session refuses them, and so does one that has seen a higher fencing token.
+    A worker in another incarnation refuses them, and so does one that has seen a higher fencing
+    token.
     """
 
     fencing_token: int = msgspec.field(name="baton")
-    session: int = msgspec.field(name="shift")
+    incarnation: int = msgspec.field(name="shift")
     commands: list[Command] = msgspec.field(name="orders")
 
 
-class ReportReply(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The answer to a report. Without a fencing token it renews no lease.
+class HeartbeatResponse(msgspec.Struct, frozen=True, omit_defaults=True):
+    """The answer to a heartbeat. Without a fencing token it renews no lease.
 
-    `hears_no_worker` is for a follower that passed the report on: whether the leader gets no
+    `hears_no_worker` is for a follower that passed the heartbeat on: whether the leader gets no
     reports itself, so that the worker should stay with the follower.
     """
 
--- a/spoolcourse/wire/key_value_store.py
+++ b/spoolcourse/wire/key_value_store.py
@@ -1,4 +1,4 @@
-"""Messages of the state service: keys with revisions, transactions, leases and watches."""
+"""Messages of the key-value store: keys with revisions, transactions, leases and watches."""
 
 from __future__ import annotations
 
--- a/spoolcourse/wire/messages.py
+++ b/spoolcourse/wire/messages.py
@@ -57,12 +57,12 @@
     QUEUED = "queued"
     RUNNING = "running"
     DONE = "done"
-    ABORTED = "aborted"
+    CANCELLED = "aborted"
 
     @property
     def is_final(self) -> bool:
         """Whether the job is over for good."""
-        return self in (JobStage.DONE, JobStage.ABORTED)
+        return self in (JobStage.DONE, JobStage.CANCELLED)
 
 
 class MalformedError(Exception):
@@ -132,8 +132,8 @@
     running: int = 0
 
 
-class TaskReport(msgspec.Struct, frozen=True):
-    """One task in a worker's report."""
+class TaskStatus(msgspec.Struct, frozen=True):
+    """One task in a worker's heartbeat."""
 
     task: str = msgspec.field(name="piece")
     attempt: Token = msgspec.field(name="try")
@@ -142,7 +142,7 @@
     stored: bool = False
 
 
-class Report(msgspec.Struct, frozen=True):
+class Heartbeat(msgspec.Struct, frozen=True):
     """What a worker reports of its machine: the answer to a call too."""
 
     machine: Name = msgspec.field(name="spindle")
@@ -150,10 +150,10 @@
     machine_type: Name = msgspec.field(name="build")
     zone: Name = msgspec.field(name="yard")
     spot: bool = msgspec.field(name="loaners")
-    session: Token = msgspec.field(name="shift")
+    incarnation: Token = msgspec.field(name="shift")
     sequence: Token = msgspec.field(name="tick")
     fencing_token: Token = msgspec.field(name="baton")
-    tasks: list[TaskReport] = msgspec.field(name="pieces")
+    tasks: list[TaskStatus] = msgspec.field(name="pieces")
     terminates_in_s: float | None = msgspec.field(name="recallS", default=None)
 
 
@@ -197,7 +197,7 @@
     has_next: bool = msgspec.field(name="hasNext", default=False)
 
 
-class Hired(msgspec.Struct, frozen=True):
+class ProvisionedMachines(msgspec.Struct, frozen=True):
     """The names of the machines that a rental request has brought."""
 
     machines: list[str] = msgspec.field(name="spindles")
@@ -248,26 +248,26 @@
 
 
 def task_name(job: str, index: int) -> str:
-    """The name of a task in reports and commands."""
+    """The name of a task in heartbeats and commands."""
     return f"{job}/{index}"
 
 
-@lru_cache(maxsize=65_536)  # every report names the same tasks again
+@lru_cache(maxsize=65_536)  # every heartbeat names the same tasks again
 def split_task_name(name: str) -> tuple[str, int]:
-    """The job and the index of the task that a name of a report means."""
+    """The job and the index of the task that a name in a heartbeat means."""
     job, slash, index = name.partition("/")
     if not slash or not JOB_ID.fullmatch(job) or not index.isascii() or not index.isdigit():
         raise MalformedError(f"piece: {name[:60]!r} is not JOB/NUMBER")
     return job, int(index)
 
 
-def parse_report(raw: bytes) -> Report:
-    """Check a worker's report. Reports are by far the most frequent message."""
-    report = parse(_load(raw), Report)
-    if report.terminates_in_s is not None and not math.isfinite(report.terminates_in_s):
+def parse_heartbeat(raw: bytes) -> Heartbeat:
+    """Check a worker's heartbeat. Heartbeats are by far the most frequent message."""
+    heartbeat = parse(_load(raw), Heartbeat)
+    if heartbeat.terminates_in_s is not None and not math.isfinite(heartbeat.terminates_in_s):
         raise MalformedError("recallS: a number is not finite")
-    for item in report.tasks:
+    for item in heartbeat.tasks:
         split_task_name(item.task)
         if item.stage is TaskStage.ENDED and not item.cause:
             raise MalformedError(f"pieces: {item.task}: ended without a cause")
-    return report
+    return heartbeat
--- a/spoolcourse/wire/paths.py
+++ b/spoolcourse/wire/paths.py
@@ -1,9 +1,9 @@
 """Paths of the requests between the components."""
 
 # To a controller's public address, and to that for its peers.
-REPORT = "/v1/report"
+HEARTBEAT = "/v1/report"
 SUBMISSIONS = "/submissions"
-WITHDRAW = "withdraw"  # the last part of a cancellation's path
+CANCEL = "withdraw"  # the last part of a cancellation's path
 HEALTH = "/healthz"
 # To the peers' address alone.
 CANCELLATIONS = "/cancellations"
@@ -20,6 +20,6 @@
 CATALOG = "/catalog"
 HOSTS = "/hosts"
 HOSTS_DELETE = "/hosts/delete"
-# To the state service.
+# To the key-value store.
 TRANSACTION = "/multi"
 LEASES = "/holds"
--- a/spoolcourse/wire/peers.py
+++ b/spoolcourse/wire/peers.py
@@ -17,7 +17,7 @@
     """What a controller knows of cancellations beyond a revision.
 
     `cancelled` is null if it may have forgotten some; `informed` says whether it has read the
-    state service since its process began.
+    key-value store since its process began.
     """
 
     term: int
@@ -32,11 +32,11 @@
 
 
 class Hint(msgspec.Struct, frozen=True):
-    """What a leader knows of a worker in one of its sessions; it proves nothing."""
+    """What a leader knows of a worker in one of its incarnations; it proves nothing."""
 
     machine: str
     address: str
-    session: int
+    incarnation: int = msgspec.field(name="session")
     images: dict[str, float] = {}  # seen cached, with their sizes in GB, the latest first
 
 
@@ -45,7 +45,7 @@
 
     term: int
     leader: str
-    revision: int  # of the state service, that the leader has taken in
+    revision: int  # of the key-value store, that the leader has taken in
     hints: list[Hint]
     has_next: bool = False
 
--- a/spoolcourse/wire/settings.py
+++ b/spoolcourse/wire/settings.py
@@ -11,7 +11,7 @@
 
 from spoolcourse.errors import UserError
 
-REPORT_JITTER = 1.25  # reports are sent every `report_s`, give or take a quarter
+HEARTBEAT_JITTER = 1.25  # heartbeats are sent every `report_s`, give or take a quarter
 
 Positive = Annotated[float, msgspec.Meta(gt=0)]
 Amount = Annotated[float, msgspec.Meta(ge=0)]
@@ -27,7 +27,7 @@
 
 
 class Outside(msgspec.Struct, frozen=True):
-    """The addresses of the cloud and the state service."""
+    """The addresses of the cloud and the key-value store."""
 
     cloud: str
     state: str
@@ -66,23 +66,23 @@
 class Workers(msgspec.Struct, frozen=True):
     """How workers behave, and how soon cancelled work must be gone."""
 
-    report_s: Positive
+    heartbeat_interval_s: Positive = msgspec.field(name="report_s")
     lease_s: Positive
     cancel_s: Positive
 
     @property
-    def report_gap_s(self) -> float:
+    def heartbeat_gap_s(self) -> float:
         """The longest time between two reports that is as it should be."""
-        return REPORT_JITTER * self.report_s
+        return HEARTBEAT_JITTER * self.heartbeat_interval_s
 
     @property
     def quiet_s(self) -> float:
-        """A worker that was not heard for so long has missed two reports for certain."""
-        return 3 * self.report_s + 1.0
+        """A worker that was not heard for so long has missed two heartbeats for certain."""
+        return 3 * self.heartbeat_interval_s + 1.0
 
 
 class NextLimits(msgspec.Struct, frozen=True):
-    """Limits of the state service that will hold from some moment on, without notice."""
+    """Limits of the key-value store that will hold from some moment on, without notice."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -91,7 +91,7 @@
 
 
 class State(msgspec.Struct, frozen=True):
-    """The limits of the state service."""
+    """The limits of the key-value store."""
 
     rps: Positive
     write_rps: Positive
--- a/spoolcourse/wire/standby_settings.py
+++ b/spoolcourse/wire/standby_settings.py
@@ -12,20 +12,20 @@
 
 
 class StandbySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What followers keep ready for a take-over; what is left out keeps its default."""
+    """What followers keep ready for a failover; what is left out keeps its default."""
 
     enabled: bool = False
     # A follower that is not caught up lets others stand for election first, for so long.
     defer_s: Annotated[float, msgspec.Meta(ge=0, le=5)] = 0.5
-    # A follower that has heard nothing of the state service for so long is not caught up.
+    # A follower that has heard nothing of the key-value store for so long is not caught up.
     behind_s: Annotated[float, msgspec.Meta(ge=2.5, le=60)] = 5.0
-    # Compare the shadow with a restore from the records at each take-over.
+    # Compare the shadow with a restore from the records at each failover.
     verify: bool = False
     # Followers ask the leader for hints so often; 0: never.
     hint_period_s: Annotated[float, msgspec.Meta(ge=0, le=60)] = 1.0
     # Machines in one answer.
     hint_machines: Annotated[int, msgspec.Meta(ge=1, le=500)] = 200
-    # Write a trace of each take-over, as OpenTelemetry spans in JSON, to standard error.
+    # Write a trace of each failover, as OpenTelemetry spans in JSON, to standard error.
     trace: bool = False
 
 
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -7,7 +7,7 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from spoolcourse.control.http_client import NetError, Reply
+from spoolcourse.control.http_client import NoResponseError, Response
 from tests.fakes.net import Endpoint, FakeWire, HostNet
 
 BUILD = {
@@ -43,11 +43,11 @@
 
 
 class FakeWorker:
-    """A machine's worker: one report in flight, drops what the protocol says it drops."""
+    """A machine's worker: one heartbeat in flight, drops what the protocol says it drops."""
 
     def __init__(self, cloud: FakeCloud, name: str, host: dict[str, Any]) -> None:
         self.cloud, self.name, self.host = cloud, name, host
-        self.session, self.sequence, self.fencing_token = 1, 0, 0
+        self.incarnation, self.sequence, self.fencing_token = 1, 0, 0
         self.tasks: dict[tuple[str, int], Task] = {}
         self.renewed = asyncio.get_running_loop().time()
         self.recall: float | None = None
@@ -56,7 +56,7 @@
         self.net: HostNet = cloud.wire.end_of(name)
         self._changed = asyncio.Event()
         cloud.wire.hosts[host["address"]] = cloud.wrap(self.serve)
-        self.loops = [asyncio.create_task(self._report()), asyncio.create_task(self._tick())]
+        self.loops = [asyncio.create_task(self._heartbeat()), asyncio.create_task(self._tick())]
 
     def die(self) -> None:
         self.alive = False
@@ -65,7 +65,7 @@
         for loop in self.loops:
             loop.cancel()
 
-    def report(self) -> dict[str, Any]:
+    def heartbeat(self) -> dict[str, Any]:
         self.sequence += 1
         return {
             "spindle": self.name,
@@ -73,7 +73,7 @@
             "build": self.host["build"],
             "yard": self.host["yard"],
             "loaners": self.host["loaners"],
-            "shift": self.session,
+            "shift": self.incarnation,
             "tick": self.sequence,
             "baton": self.fencing_token,
             "recallS": self.recall,
@@ -86,7 +86,7 @@
             task = self.tasks.get(key)
             if order["verb"] == "start" and task is None:
                 self.tasks[key] = Task(*key)
-                asyncio.create_task(self._run(self.tasks[key], self.session))
+                asyncio.create_task(self._run(self.tasks[key], self.incarnation))
             elif order["verb"] == "halt" and task is not None and task.stage != "ended":
                 self._end(task, "halted")
             elif order["verb"] == "reap" and task is not None and task.stage == "ended":
@@ -114,31 +114,31 @@
         self.tasks.clear()
 
     def _mine(self, task: Task, shift: int) -> bool:
-        return self.alive and shift == self.session and task in self.tasks.values()
+        return self.alive and shift == self.incarnation and task in self.tasks.values()
 
     async def _tick(self) -> None:
         while True:
             await asyncio.sleep(self.cloud.tick_s)
             if asyncio.get_running_loop().time() - self.renewed > self.cloud.lease_s:
-                self.session += 1
+                self.incarnation += 1
                 self._lose_tasks()
                 self.renewed = asyncio.get_running_loop().time()
                 self._changed.set()
 
-    async def _report(self) -> None:
+    async def _heartbeat(self) -> None:
         nodes = self.cloud.nodes
         while True:
-            sent, shift = asyncio.get_running_loop().time(), self.session
+            sent, shift = asyncio.get_running_loop().time(), self.incarnation
             self._changed.clear()
             try:
                 reply = await self.net.call(
-                    nodes[self.node][1], "POST", "/v1/report", self.report(), timeout=4.0
+                    nodes[self.node][1], "POST", "/v1/report", self.heartbeat(), timeout=4.0
                 )
-            except NetError:
-                reply = Reply(0)
+            except NoResponseError:
+                reply = Response(0)
             if reply.status == 200:
                 baton = (reply.data or {}).get("baton", 0)
-                if shift == self.session and baton >= self.fencing_token:
+                if shift == self.incarnation and baton >= self.fencing_token:
                     if baton > self.fencing_token:
                         self._changed.set()
                     self.fencing_token, self.renewed = baton, sent
@@ -154,23 +154,23 @@
                 continue
             await asyncio.sleep(0.5)
             try:
-                async with asyncio.timeout(self.cloud.report_s - 0.5):
+                async with asyncio.timeout(self.cloud.heartbeat_interval_s - 0.5):
                     await self._changed.wait()
             except TimeoutError:
                 pass
 
-    async def serve(self, method: str, path: str, body: Any) -> Reply:
+    async def serve(self, method: str, path: str, body: Any) -> Response:
         if path == "/show":
-            return Reply(200, self.report())
+            return Response(200, self.heartbeat())
         if "baton" not in body or "shift" not in body:
-            return Reply(400, {})
-        if body["baton"] < self.fencing_token or body["shift"] != self.session:
-            return Reply(409, self.report())
+            return Response(400, {})
+        if body["baton"] < self.fencing_token or body["shift"] != self.incarnation:
+            return Response(409, self.heartbeat())
         if body["baton"] > self.fencing_token:
             self._changed.set()
         self.fencing_token = body["baton"]
         self.execute(body["orders"])
-        return Reply(200, self.report())
+        return Response(200, self.heartbeat())
 
 
 class FakeCloud:
@@ -185,11 +185,11 @@
         self.on_end: Callable[[FakeWorker, Task], None] = lambda worker, task: None
         self.workers: dict[str, FakeWorker] = {}
         self.hosts: dict[str, dict[str, Any]] = {}
-        self.hires: dict[str, list[str]] = {}
+        self.provisions: dict[str, list[str]] = {}
         self.rented: dict[str, float] = {}
         self._made = 0
         self.capacity = 50
-        self.lease_s, self.report_s, self.pull_s, self.boot_s = 10.0, 1.5, 1.0, 5.0
+        self.lease_s, self.heartbeat_interval_s, self.pull_s, self.boot_s = 10.0, 1.5, 1.0, 5.0
         self.run_s: Callable[[str], float] = lambda task: 10.0
         self.cause: Callable[[FakeWorker, Task], str] = lambda worker, task: "done"
         self.tick_s = 0.1  # between looks whether a lease has run out
@@ -243,31 +243,31 @@
         if worker is not None:
             worker.die()
 
-    async def serve(self, method: str, path: str, body: Any) -> Reply:
+    async def serve(self, method: str, path: str, body: Any) -> Response:
         url = urlsplit(path)
         if url.path == "/catalog":
-            return Reply(200, {"builds": [BUILD]})
+            return Response(200, {"builds": [BUILD]})
         if url.path == "/hosts/delete":
             if len(body["spindles"]) > 100:
-                return Reply(400, {"error": "too many names"})
+                return Response(400, {"error": "too many names"})
             for name in body["spindles"]:
                 self.take(name)
-            return Reply(200, {})
+            return Response(200, {})
         if method == "POST":
             if body["count"] > 50:
-                return Reply(400, {"error": "too many machines"})
-            if body["hire"] not in self.hires:
+                return Response(400, {"error": "too many machines"})
+            if body["hire"] not in self.provisions:
                 count = min(body["count"], self.capacity - len(self.hosts))
                 if count < 1:
-                    return Reply(503, {"error": "no capacity"})
-                self.hires[body["hire"]] = [
+                    return Response(503, {"error": "no capacity"})
+                self.provisions[body["hire"]] = [
                     self.add(body["yard"], body["loaners"], self.boot_s) for _ in range(count)
                 ]
-            return Reply(200, {"spindles": self.hires[body["hire"]]})
+            return Response(200, {"spindles": self.provisions[body["hire"]]})
         query = parse_qs(url.query)
         since, page = query.get("since", [""])[0], int(query["page"][0])
         now = asyncio.get_running_loop().time()
         found = [
             h | {"ageS": now - self.rented[n]} for n, h in sorted(self.hosts.items()) if n > since
         ]
-        return Reply(200, {"spindles": found[:page], "hasNext": len(found) > page})
+        return Response(200, {"spindles": found[:page], "hasNext": len(found) > page})
--- a/tests/fakes/gap.py
+++ b/tests/fakes/gap.py
@@ -42,7 +42,7 @@
         return check
 
     def refuse(self, node: str) -> Any:
-        """The state service refuses this node alone; its open watches wait meanwhile."""
+        """The key-value store refuses this node alone; its open watches wait meanwhile."""
 
         def check(src: str, dst: str, *rest: Any) -> str | None:
             return "503" if (src, dst) == (node, "state:1") else None
--- a/tests/fakes/half_open.py
+++ b/tests/fakes/half_open.py
@@ -1,4 +1,4 @@
-"""A machine whose reports arrive while nothing reaches it."""
+"""A machine whose heartbeats arrive while nothing reaches it."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def half_open(name: str) -> Filter:
-    """The machine's reports arrive; answers and commands don't reach it."""
+    """The machine's heartbeats arrive; answers and commands don't reach it."""
 
     def check(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
         if src == name:
--- a/tests/fakes/net.py
+++ b/tests/fakes/net.py
@@ -9,9 +9,9 @@
 
 import orjson
 
-from spoolcourse.control.http_client import NetError, Reply
+from spoolcourse.control.http_client import NoResponseError, Response
 
-Endpoint = Callable[[str, str, Any], Awaitable[Reply]]
+Endpoint = Callable[[str, str, Any], Awaitable[Response]]
 Filter = Callable[[str, str, str, str, Any], str | None]
 
 
@@ -26,7 +26,7 @@
         self.stalled: set[tuple[str, str]] = set()  # open watches wait
         self.held: list[tuple[str, str, str, Any]] = []
         self.delay = delay
-        self.on_late: Callable[[Any, Reply], None] = lambda body, reply: None
+        self.on_late: Callable[[Any, Response], None] = lambda body, reply: None
         self.late_s = cycle((2.0, 7.5, 3.1, 12.0, 4.7))
 
     def verdict(self, src: str, dst: str, method: str, path: str, body: Any) -> str | None:
@@ -38,10 +38,10 @@
 
     async def call(
         self, src: str, dst: str, method: str, path: str, body: Any, timeout: float
-    ) -> Reply:
+    ) -> Response:
         verdict = self.verdict(src, dst, method, path, body)
         if verdict in ("404", "503"):
-            return Reply(int(verdict), {"error": "trouble"})
+            return Response(int(verdict), {"error": "trouble"})
         if verdict == "hold":
             self.held.append((dst, method, path, body))
         if verdict == "late":
@@ -49,7 +49,7 @@
         endpoint = self.hosts.get(dst)
         if endpoint is None or verdict in ("cut", "hold", "late"):
             await asyncio.sleep(timeout)
-            raise NetError(f"{src} -> {dst}: no answer")
+            raise NoResponseError(f"{src} -> {dst}: no answer")
         await asyncio.sleep(self.delay)
         try:
             async with asyncio.timeout(timeout):
@@ -57,13 +57,13 @@
                 while (src, dst) in self.stalled and path.startswith("/watch"):
                     await asyncio.sleep(0.05)
         except TimeoutError as exc:
-            raise NetError(f"{src} -> {dst}: no answer") from exc
+            raise NoResponseError(f"{src} -> {dst}: no answer") from exc
         if verdict == "lose":
             await asyncio.sleep(timeout)
-            raise NetError(f"{src} -> {dst}: answer lost")
+            raise NoResponseError(f"{src} -> {dst}: answer lost")
         if 2 * self.delay >= timeout:
             await asyncio.sleep(max(timeout - self.delay, 0.0))
-            raise NetError(f"{src} -> {dst}: answered too late")
+            raise NoResponseError(f"{src} -> {dst}: answered too late")
         await asyncio.sleep(self.delay)
         return reply
 
@@ -74,7 +74,7 @@
             reply = await endpoint(method, path, body)
             self.on_late(body, reply)
 
-    async def release(self) -> list[Reply]:
+    async def release(self) -> list[Response]:
         held, self.held = self.held, []
         return [await self.hosts[dst](method, path, body) for dst, method, path, body in held]
 
@@ -97,8 +97,8 @@
         body: Any = None,
         timeout: float = 1.0,
         keep: bool = True,
-    ) -> Reply:
+    ) -> Response:
         raw = body if isinstance(body, bytes) else orjson.dumps(body)
         data = None if body is None else orjson.loads(raw)
         reply = await self._wire.call(self._src, addr, method, path, data, timeout)
-        return Reply(reply.status, orjson.loads(orjson.dumps(reply.data)), reply.headers)
+        return Response(reply.status, orjson.loads(orjson.dumps(reply.data)), reply.headers)
--- a/tests/fakes/proof.py
+++ b/tests/fakes/proof.py
@@ -1,9 +1,9 @@
-"""Proofs of take-overs for parts that are tested by themselves."""
+"""Proofs of failovers for parts that are tested by themselves."""
 
 from __future__ import annotations
 
 from spoolcourse.control.leadership.election import Term
-from spoolcourse.control.leadership.failover_proof import ProofSource, TakeoverProof
+from spoolcourse.control.leadership.failover_proof import FailoverProof, ProofSource
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.keys import PREFIX, TERM
 from spoolcourse.control.store.watch_cache import WatchCache
@@ -21,8 +21,8 @@
     return watch_cache
 
 
-def proven(number: int, revision: int = 1) -> TakeoverProof:
+def proven(number: int, revision: int = 1) -> FailoverProof:
     """The proof of a term that was claimed at a revision."""
     watch_cache = cache_at(revision)
     watch_cache.apply(TERM, {"term": number}, revision)
-    return TakeoverProof(Term(number, revision, 0), watch_cache, ProofSource.RECORDS)
+    return FailoverProof(Term(number, revision, 0), watch_cache, ProofSource.RECORDS)
--- a/tests/fakes/registry.py
+++ b/tests/fakes/registry.py
@@ -5,11 +5,11 @@
 from typing import Any
 
 from spoolcourse.control.jobs.job_queue import Attempt, JobQueue, JobState
-from spoolcourse.control.leadership.failover_timeline import Phase
+from spoolcourse.control.leadership.failover_timeline import FailoverPhase
 from spoolcourse.control.store.records import JobRecord
 from spoolcourse.control.workers.worker_registry import Answer, WorkerRegistry
 from spoolcourse.wire.commands import to_json_object
-from spoolcourse.wire.messages import Report, Submission, parse
+from spoolcourse.wire.messages import Heartbeat, Submission, parse
 from spoolcourse.wire.settings import Workers
 from tests.fakes.proof import proven
 from tests.fakes.world import job
@@ -27,7 +27,7 @@
         self.registry = WorkerRegistry(
             self.job_queue,
             proven(TERM),
-            Workers(report_s=1.5, lease_s=10.0, cancel_s=40.0),
+            Workers(heartbeat_interval_s=1.5, lease_s=10.0, cancel_s=40.0),
             lambda: self.now,
             self,
         )
@@ -49,22 +49,22 @@
     def on_room(self) -> None:
         pass
 
-    def reached(self, phase: Phase) -> None:
+    def reached(self, phase: FailoverPhase) -> None:
         pass
 
-    def report(self, *pieces: dict[str, Any], **fields: Any) -> list[dict[str, Any]] | None:
+    def heartbeat(self, *pieces: dict[str, Any], **fields: Any) -> list[dict[str, Any]] | None:
         outcome = self.registry.accept(self._made(pieces, fields))
         if not isinstance(outcome, Answer):
             return None
         return [to_json_object(command) for command in outcome.commands]
 
-    def observed(self, *pieces: dict[str, Any], **fields: Any) -> Report:
-        """A report that comes as the answer to a call."""
-        report = self._made(pieces, fields)
-        self.registry.observe(report)
-        return report
+    def observed(self, *pieces: dict[str, Any], **fields: Any) -> Heartbeat:
+        """A heartbeat that comes as the answer to a call."""
+        heartbeat = self._made(pieces, fields)
+        self.registry.observe(heartbeat)
+        return heartbeat
 
-    def _made(self, pieces: tuple[dict[str, Any], ...], fields: dict[str, Any]) -> Report:
+    def _made(self, pieces: tuple[dict[str, Any], ...], fields: dict[str, Any]) -> Heartbeat:
         self.sequence += 1
         data = {
             "spindle": "m-1",
@@ -77,7 +77,7 @@
             "baton": TERM,
             "pieces": list(pieces),
         } | fields
-        return parse(data, Report)
+        return parse(data, Heartbeat)
 
     def assign(self, piece: int = 0, number: int = 1, saved: bool = True) -> Attempt:
         attempt = self.job_queue.assign(self.job_state, piece, "m-1", number, self.now)
--- a/tests/fakes/state.py
+++ b/tests/fakes/state.py
@@ -1,4 +1,4 @@
-"""The state service, from its protocol."""
+"""The key-value store, from its protocol."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import orjson
 
-from spoolcourse.control.http_client import Reply
+from spoolcourse.control.http_client import Response
 
 
 class FakeState:
@@ -60,9 +60,9 @@
         self.out = False
         self.leases = {n: (self._now() + ttl, ttl) for n, (_, ttl) in self.leases.items()}
 
-    async def serve(self, method: str, path: str, body: Any) -> Reply:
+    async def serve(self, method: str, path: str, body: Any) -> Response:
         if self.out:
-            return Reply(503, {"error": "outage"})
+            return Response(503, {"error": "outage"})
         self._expire()
         url = urlsplit(path)
         query = {k: v[0] for k, v in parse_qs(url.query).items()}
@@ -71,67 +71,67 @@
         if url.path.startswith("/kv/"):
             key = unquote(url.path[4:])
             if key not in self.keys:
-                return Reply(404, {"ledger": self.store_revision})
+                return Response(404, {"ledger": self.store_revision})
             value, revision, _ = self.keys[key]
-            return Reply(200, {"k": key, "v": value, "stamp": revision})
+            return Response(200, {"k": key, "v": value, "stamp": revision})
         if url.path == "/multi":
             return self._multi(body)
         if url.path == "/holds":
             number = 1 + max(self.leases, default=0) + self.store_revision * 1000
             ttl = body["ttlMs"] / 1000
             self.leases[number] = (self._now() + ttl, ttl)
-            return Reply(200, {"hold": number})
+            return Response(200, {"hold": number})
         if url.path.startswith("/holds/"):
             return self._lease(method, int(url.path.split("/")[2]))
         if url.path == "/watch":
             return await self._watch(query)
-        return Reply(400, {})
+        return Response(400, {})
 
-    def _lease(self, method: str, number: int) -> Reply:
+    def _lease(self, method: str, number: int) -> Response:
         if number not in self.leases:
-            return Reply(404, {})
+            return Response(404, {})
         ttl = 0.0 if method == "DELETE" else self.leases[number][1]
         self.leases[number] = (self._now() + ttl, ttl)
         self._expire()
-        return Reply(200, {})
+        return Response(200, {})
 
-    def _list(self, query: dict[str, str]) -> Reply:
+    def _list(self, query: dict[str, str]) -> Response:
         names = sorted(
             k for k in self.keys if k.startswith(query["prefix"]) and k > query.get("since", "")
         )
         page = int(query.get("page", 200))
         pairs = [{"k": k, "v": self.keys[k][0], "stamp": self.keys[k][1]} for k in names[:page]]
-        return Reply(
+        return Response(
             200, {"pairs": pairs, "hasNext": len(names) > page, "ledger": self.store_revision}
         )
 
-    def _multi(self, body: dict[str, Any]) -> Reply:
+    def _multi(self, body: dict[str, Any]) -> Response:
         failed = [
             c["k"]
             for c in body["if"]
             if (self.keys[c["k"]][1] if c["k"] in self.keys else 0) != c["stamp"]
         ]
         if failed:
-            return Reply(409, {"failed": failed, "ledger": self.store_revision})
+            return Response(409, {"failed": failed, "ledger": self.store_revision})
         ops = body.get("apply", [])
         if any(op.get("hold") is not None and op["hold"] not in self.leases for op in ops):
-            return Reply(400, {"error": "no such lease"})
+            return Response(400, {"error": "no such lease"})
         if len(ops) > self.txn_ops or any(
             len(orjson.dumps(op["v"])) > self.value_bytes for op in ops if "set" in op
         ):
             self.refused += 1
-            return Reply(400, {"error": "too large"})
+            return Response(400, {"error": "too large"})
         if ops:
             self.transactions.append(body)
             self._apply(ops)
-        return Reply(200, {"ledger": self.store_revision})
+        return Response(200, {"ledger": self.store_revision})
 
-    async def _watch(self, query: dict[str, str]) -> Reply:
+    async def _watch(self, query: dict[str, str]) -> Response:
         since = int(query["since"])
         end = self._now() + int(query.get("blockMs", 0)) / 1000
         while True:
             if since < self.first:
-                return Reply(410, {})
+                return Response(410, {})
             if not self.out:
                 self._expire()
                 log = [
@@ -141,7 +141,7 @@
                     and (e.get("set") or e["delete"]).startswith(query["prefix"])
                 ]
                 if log or self._now() >= end:
-                    return Reply(200, {"ledger": self.store_revision, "log": log})
+                    return Response(200, {"ledger": self.store_revision, "log": log})
             news = self._news
             try:
                 async with asyncio.timeout(min(0.05, max(end - self._now(), 0.001))):
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -9,7 +9,7 @@
 import orjson
 
 from spoolcourse.control.controller import Controller
-from spoolcourse.control.http_client import NetError, Reply, Request
+from spoolcourse.control.http_client import NoResponseError, Request, Response
 from spoolcourse.control.leader.active_leader import ActiveLeader
 from spoolcourse.policy.keys import check_policy
 from spoolcourse.wire.settings import Settings, parse_settings
@@ -136,7 +136,7 @@
                 if self.now() - at > 40.0 and self.cloud.on_machines(name):
                     self._broken(f"{name}: still there {self.now() - at:.1f} s after")
 
-    def _heard(self, method: str, path: str, body: Any, reply: Reply) -> None:
+    def _heard(self, method: str, path: str, body: Any, reply: Response) -> None:
         """What users are told never goes back."""
         if path == "/submissions" and reply.status == 201:
             self.jobs[body["id"]] = body
@@ -174,10 +174,10 @@
 
     @staticmethod
     def _door(handler: Any) -> Any:
-        async def serve(method: str, path: str, body: Any) -> Reply:
+        async def serve(method: str, path: str, body: Any) -> Response:
             raw = b"" if body is None else orjson.dumps(body)
             found = handler(Request(method, path, raw))
-            reply: Reply = found if isinstance(found, Reply) else await found
+            reply: Response = found if isinstance(found, Response) else await found
             return reply
 
         return serve
@@ -224,21 +224,21 @@
         await asyncio.sleep(5)
         return name
 
-    async def ask(self, label: str, method: str, path: str, body: Any = None) -> Reply:
+    async def ask(self, label: str, method: str, path: str, body: Any = None) -> Response:
         try:
             reply = await self.wire.call("user", f"{label}:80", method, path, body, 5.0)
-        except NetError:
-            return Reply(0)
+        except NoResponseError:
+            return Response(0)
         self._heard(method, path, body, reply)
         return reply
 
-    async def submit(self, body: Any, label: str = "n0") -> Reply:
+    async def submit(self, body: Any, label: str = "n0") -> Response:
         return await self.ask(label, "POST", "/submissions", body)
 
-    async def poll(self, number: int = 1, label: str = "n0") -> Reply:
+    async def poll(self, number: int = 1, label: str = "n0") -> Response:
         return await self.ask(label, "GET", f"/submissions/job-{number:06d}")
 
-    async def cancel(self, number: int = 1, label: str = "n0") -> Reply:
+    async def cancel(self, number: int = 1, label: str = "n0") -> Response:
         return await self.ask(label, "POST", f"/submissions/job-{number:06d}/withdraw")
 
     async def finish(self, number: int = 1, limit: float = 120.0) -> float:
--- a/tests/loopback/history.py
+++ b/tests/loopback/history.py
@@ -1,4 +1,4 @@
-"""What users, workers and the state service saw, and the rules that it must keep."""
+"""What users, workers and the key-value store saw, and the rules that it must keep."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class Run:
-    """An attempt on a machine, from its start to its end or the end of its session."""
+    """An attempt on a machine, from its start to its end or the end of its incarnation."""
 
     task: str
     attempt: int
--- a/tests/loopback/play.py
+++ b/tests/loopback/play.py
@@ -20,7 +20,7 @@
 
 import orjson
 
-from spoolcourse.control.http_client import NetError, Reply
+from spoolcourse.control.http_client import NoResponseError, Response
 from spoolcourse.control.store.keys import LEADER, PROGRESS
 from tests.fakes.world import job
 from tests.loopback.history import Told, broken_rules
@@ -60,7 +60,7 @@
     pauses: bool = True  # some leaders are paused instead of killed
     lag: bool = False  # a burst of changes comes just before the leader is hit
     machines: int = 4
-    report_s: float = 1.0  # between a worker's reports; its lease is five times that
+    heartbeat_interval_s: float = 1.0  # between a worker's heartbeats; its lease is five times that
 
 
 @dataclass(frozen=True, slots=True)
@@ -122,7 +122,7 @@
         self.options = options
         self.outcome = Outcome(options)
         self._random = Random(options.seed)
-        self._lease_s = LEASE_REPORTS * options.report_s
+        self._lease_s = LEASE_REPORTS * options.heartbeat_interval_s
         self._cancel_s = CANCEL_LEASES * self._lease_s
         self._directory = directory
         self.nodes: list[Node] = []
@@ -172,7 +172,7 @@
         self._ports = [bound for pair in sockets.values() for bound in pair]
         controllers = [(node.label, node.public) for node in self.nodes]
         self.stage = Stage(controllers, self.options.machines)
-        self.stage.cloud.report_s = self.options.report_s
+        self.stage.cloud.heartbeat_interval_s = self.options.heartbeat_interval_s
         self.stage.cloud.lease_s = self._lease_s
         self.stage.cloud.tick_s = self._lease_s / TICKS
         for node in self.nodes:
@@ -192,7 +192,7 @@
                 "zones": ["a", "b"],
                 "teams": [{"name": "red", "cpus": 16.0, "cpus_max": 0.0}],
                 "workers": {
-                    "report_s": self.options.report_s,
+                    "report_s": self.options.heartbeat_interval_s,
                     "lease_s": self._lease_s,
                     "cancel_s": self._cancel_s,
                 },
@@ -290,8 +290,8 @@
         proof = "unknown"
         if leader is not None:
             reply = await self._call(leader.peers, "GET", "/status")
-            takeover = (reply.data or {}).get("lastTakeover", {})
-            phases, proof = takeover.get("phasesS", {}), str(takeover.get("proof"))
+            failover = (reply.data or {}).get("lastTakeover", {})
+            phases, proof = failover.get("phasesS", {}), str(failover.get("proof"))
         times = TakeoverTimes(point.value, paused, seconds, phases, proof)
         self.outcome.takeovers.append(times)
 
@@ -336,11 +336,11 @@
             self.outcome.refused += 1
             await asyncio.sleep(0.3)
 
-    async def _call(self, address: str, method: str, path: str, body: Any = None) -> Reply:
+    async def _call(self, address: str, method: str, path: str, body: Any = None) -> Response:
         try:
             return await self.stage.wire.call("user", address, method, path, body, 2.0)
-        except NetError:
-            return Reply(0)
+        except NoResponseError:
+            return Response(0)
 
     # -- waiting --------------------------------------------------------------------------
 
--- a/tests/loopback/standins.py
+++ b/tests/loopback/standins.py
@@ -1,4 +1,4 @@
-"""The fakes of state service, cloud and workers, served over HTTP on loopback."""
+"""The fakes of key-value store, cloud and workers, served over HTTP on loopback."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import orjson
 
-from spoolcourse.control.http_client import HttpNet, Reply, Request
+from spoolcourse.control.http_client import AiohttpClient, Request, Response
 from spoolcourse.control.http_server import Connection
 from spoolcourse.control.store.keys import FINAL
 from tests.fakes.cloud import FakeCloud, FakeWorker, Task
@@ -42,7 +42,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._net = HttpNet()
+        self._net = AiohttpClient()
         self._open: set[Connection] = set()
 
     def bind(self, name: str) -> str:
@@ -59,16 +59,16 @@
         asyncio.create_task(serve())
         return address
 
-    async def _answer(self, address: str, request: Request) -> Reply:
+    async def _answer(self, address: str, request: Request) -> Response:
         endpoint: Endpoint | None = self.hosts.get(address)
         if endpoint is None:
-            return Reply(503, {"error": "gone"})
+            return Response(503, {"error": "gone"})
         body = orjson.loads(request.body) if request.body else None
         return await endpoint(request.method, request.path, body)
 
     async def call(
         self, src: str, dst: str, method: str, path: str, body: Any, timeout: float
-    ) -> Reply:
+    ) -> Response:
         return await self._net.call(dst, method, path, body, timeout=timeout)
 
     async def close(self) -> None:
@@ -77,7 +77,7 @@
 
 
 class Stage:
-    """State service, cloud and workers, with a history, and hooks before and after requests."""
+    """Key-value store, cloud and workers, with a history, and hooks before and after requests."""
 
     def __init__(self, controllers: list[tuple[str, str]], machines: int) -> None:
         self.wire = LoopbackWire()
@@ -102,7 +102,7 @@
         """The steady clock of this process."""
         return asyncio.get_running_loop().time()
 
-    async def _serve_state(self, method: str, path: str, body: Any) -> Reply:
+    async def _serve_state(self, method: str, path: str, body: Any) -> Response:
         if path != "/multi" or not body.get("apply"):
             return await self.state.serve(method, path, body)
         await self.before_write(path, body)
@@ -116,7 +116,7 @@
         return reply
 
     def _wrap_worker(self, serve: Endpoint) -> Endpoint:
-        async def hooked(method: str, path: str, body: Any) -> Reply:
+        async def hooked(method: str, path: str, body: Any) -> Response:
             starts = path == "/orders" and any(o["verb"] == "start" for o in body["orders"])
             if not starts:
                 return await serve(method, path, body)
--- a/tests/test_early_deletion.py
+++ b/tests/test_early_deletion.py
@@ -52,7 +52,7 @@
 
 
 def unreachable(world: World, name: str) -> Any:
-    """No call reaches the machine, and no controller takes its reports; it tries again each
+    """No call reaches the machine, and no controller takes its heartbeats; it tries again each
     second, so that it is back soon after the end, within its lease."""
 
     def check(src: str, dst: str, *rest: Any) -> str | None:
@@ -93,7 +93,7 @@
 
         for _ in range(3):
             world.wire.filters.append(lose_reports)
-            await asyncio.sleep(1.9)  # one report falls into it
+            await asyncio.sleep(1.9)  # one heartbeat falls into it
             world.wire.filters.remove(lose_reports)
             await asyncio.sleep(12)
         assert asked == [] and len(world.cloud.starts) == 2
@@ -126,7 +126,7 @@
         for cut in cuts:
             world.wire.filters.remove(cut)
         await asyncio.sleep(10)
-        # Whoever lost two reports in a row has lost its lease as well; but nothing is deleted.
+        # Whoever lost two heartbeats in a row has lost its lease as well; but nothing is deleted.
         assert asked == [] and world.cloud.broken == []
 
     play(story())
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What reports prove, and what workers are told."""
+"""What heartbeats prove, and what workers are told."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from spoolcourse.control.jobs.job_queue import AttemptStage
 from spoolcourse.control.store.records import Progress
-from spoolcourse.wire.messages import MalformedError, parse_report
+from spoolcourse.wire.messages import MalformedError, parse_heartbeat
 from tests.fakes.registry import TERM, RegistryHarness, on
 
 START = {"verb": "start", "piece": "job-000001/0", "try": 1}
@@ -17,26 +17,26 @@
 
 def test_a_start_follows_its_write_and_needs_the_office() -> None:
     harness = RegistryHarness()
-    harness.report()
+    harness.heartbeat()
     harness.assign(saved=False)
-    assert harness.report() == []
+    assert harness.heartbeat() == []
     harness.save()
     harness.valid = False
-    assert harness.report() == []
+    assert harness.heartbeat() == []
     harness.valid = True
-    assert harness.report() == [START]
+    assert harness.heartbeat() == [START]
 
 
 def test_a_start_is_repeated_until_seen_and_a_late_report_proves_nothing() -> None:
     harness = RegistryHarness()
-    harness.report()
+    harness.heartbeat()
     attempt = harness.assign()
-    assert harness.report() == [START]
-    assert harness.report(tick=1) is None, "a late copy"
+    assert harness.heartbeat() == [START]
+    assert harness.heartbeat(tick=1) is None, "a late copy"
     harness.sequence -= 1
     assert attempt.start_sent_with == (1, 2)
-    assert harness.report() == [START], "a newer report without it: it never arrived"
-    assert harness.report(on()) == []
+    assert harness.heartbeat() == [START], "a newer report without it: it never arrived"
+    assert harness.heartbeat(on()) == []
     assert attempt.stage is AttemptStage.RUNNING
 
 
@@ -44,30 +44,30 @@
     harness = RegistryHarness()
     attempt = harness.job_queue.adopt(harness.job_state, 0, "m-1", 1, harness.now)
     harness.registry.link(attempt)
-    assert harness.report(baton=TERM - 1) == []
+    assert harness.heartbeat(baton=TERM - 1) == []
     assert harness.job_state.attempts, "the former leader's start may still arrive"
-    harness.report()
+    harness.heartbeat()
     assert not harness.job_state.attempts and harness.job_state.pending == 4
 
 
 def test_a_result_is_acknowledged_only_when_it_is_durable() -> None:
     harness = RegistryHarness()
-    harness.report()
+    harness.heartbeat()
     harness.assign()
-    harness.report()
-    assert harness.report(on(stage="ended", cause="done")) == []
+    harness.heartbeat()
+    assert harness.heartbeat(on(stage="ended", cause="done")) == []
     assert harness.job_state.done == 1 and not harness.job_state.attempts
     harness.save()
-    assert harness.report(on(stage="ended", cause="done")) == [REAP]
+    assert harness.heartbeat(on(stage="ended", cause="done")) == [REAP]
 
 
 @pytest.mark.parametrize("cause", ["halted", "error", "no_room", "in_use", "no_such"])
 def test_an_ended_attempt_frees_its_task(cause: str) -> None:
     harness = RegistryHarness()
-    harness.report()
+    harness.heartbeat()
     harness.assign()
-    harness.report()
-    orders = harness.report(on(stage="ended", cause=cause))
+    harness.heartbeat()
+    orders = harness.heartbeat(on(stage="ended", cause=cause))
     assert orders == [REAP]
     assert harness.job_state.pending == 4 and next(harness.job_state.candidates()) == 0
     assert ("m-1" in harness.job_state.bad_machines) == (cause == "error")
@@ -75,19 +75,19 @@
 
 def test_a_new_session_means_the_old_tasks_are_gone() -> None:
     harness = RegistryHarness()
-    harness.report()
+    harness.heartbeat()
     harness.assign()
-    harness.report()
-    harness.report(on())
-    harness.report(shift=2, tick=1)
+    harness.heartbeat()
+    harness.heartbeat(on())
+    harness.heartbeat(shift=2, tick=1)
     assert not harness.job_state.attempts and harness.job_state.pending == 4
 
 
 def test_only_a_lease_that_we_alone_renewed_proves_an_end() -> None:
     harness = RegistryHarness()
-    harness.report()
+    harness.heartbeat()
     harness.assign()
-    harness.report(on())
+    harness.heartbeat(on())
     harness.now += 10.5
     harness.registry.expire()
     assert harness.job_state.attempts, "within drift and margin"
@@ -96,7 +96,7 @@
     assert not harness.job_state.attempts
     # A machine that has not reported our baton may be kept alive by somebody else.
     other = RegistryHarness()
-    other.report(baton=TERM - 1)
+    other.heartbeat(baton=TERM - 1)
     other.registry.link(other.job_queue.adopt(other.job_state, 0, "m-1", 1, other.now))
     other.now += 100.0
     other.registry.expire()
@@ -105,41 +105,41 @@
 
 def test_a_withdrawn_job_is_halted_and_never_started() -> None:
     harness = RegistryHarness()
-    harness.report()
+    harness.heartbeat()
     harness.assign(0)
-    harness.report()
-    harness.report(on())
+    harness.heartbeat()
+    harness.heartbeat(on())
     harness.assign(1, 2)
-    harness.job_state.record.aborted_at = 100.0
-    assert harness.report(on()) == [
+    harness.job_state.record.cancelled_at = 100.0
+    assert harness.heartbeat(on()) == [
         {"verb": "halt", "piece": "job-000001/0", "try": 1, "windDownS": 0.0}
     ]
-    assert harness.report(on(stage="ended", cause="halted")) == [REAP]
+    assert harness.heartbeat(on(stage="ended", cause="halted")) == [REAP]
 
 
 def test_what_no_job_knows_is_halted_and_what_nobody_else_runs_is_kept() -> None:
     harness = RegistryHarness()
     stray = {"piece": "job-000009/0", "try": 3, "stage": "running"}
-    assert harness.report(stray) == [
+    assert harness.heartbeat(stray) == [
         {"verb": "halt", "piece": "job-000009/0", "try": 3, "windDownS": 0.0}
     ]
-    harness.report(on(2, 44))
+    harness.heartbeat(on(2, 44))
     assert harness.job_state.attempts[2].number == 44
 
 
 def test_a_report_held_while_its_machine_was_deleted_changes_nothing() -> None:
     harness = RegistryHarness()
-    harness.report()
+    harness.heartbeat()
     harness.assign()
     harness.registry.confirm_deleted("m-1")
     assert harness.job_state.pending == 4
-    assert harness.report(on()) is None and not harness.job_state.attempts
+    assert harness.heartbeat(on()) is None and not harness.job_state.attempts
 
 
 def test_malformed_reports_are_refused() -> None:
     for raw in (b"", b"[]", b'{"spindle":"m-1"}', b"\xff"):
         with pytest.raises(MalformedError):
-            parse_report(raw)
+            parse_heartbeat(raw)
 
 
 def test_progress_survives_its_record() -> None:
@@ -149,27 +149,27 @@
 
 def test_a_start_sent_to_orders_is_possible_until_the_session_ends() -> None:
     harness = RegistryHarness()
-    harness.report()
+    harness.heartbeat()
     attempt = harness.assign()
     machine = harness.registry.machines["m-1"]
     assert harness.registry.commands.take_fresh_starts(machine) == [attempt]
     assert harness.registry.commands.due(()) == [], "sent that way once only"
-    harness.job_state.record.aborted_at = 100.0
-    harness.report()
-    harness.report()
+    harness.job_state.record.cancelled_at = 100.0
+    harness.heartbeat()
+    harness.heartbeat()
     assert harness.job_state.attempts, "no answer: it may still arrive, whatever reports say"
-    harness.report(shift=2, tick=1)
+    harness.heartbeat(shift=2, tick=1)
     assert not harness.job_state.attempts
 
 
 def test_an_attempt_with_a_copy_under_way_stays_with_the_worker() -> None:
     harness = RegistryHarness()
-    harness.report()
+    harness.heartbeat()
     attempt = harness.assign()
     harness.registry.commands.take_fresh_starts(harness.registry.machines["m-1"])
-    attempt.in_flight_session = None  # it was answered, but a copy may come late
-    harness.report(on())
-    assert harness.report(on(stage="ended", cause="halted")) == []
+    attempt.in_flight_incarnation = None  # it was answered, but a copy may come late
+    harness.heartbeat(on())
+    assert harness.heartbeat(on(stage="ended", cause="halted")) == []
     harness.save()
-    assert harness.report(on(stage="ended", cause="halted")) == []
+    assert harness.heartbeat(on(stage="ended", cause="halted")) == []
     assert harness.job_state.pending == 4, "it is proven ended all the same"
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -1,4 +1,4 @@
-"""The gap: the state service refuses the leader alone, others confirm cancellations, and then
+"""The gap: the key-value store refuses the leader alone, others confirm cancellations, and then
 nobody reaches it for longer than `cancel_s`."""
 
 from __future__ import annotations
@@ -90,7 +90,7 @@
     async def story() -> None:
         gap = await Gap.begin()
         gap.apart(gap.leader, "m-")
-        # The followers pass reports on; what they know of cancellations doesn't get through.
+        # The followers pass heartbeats on; what they know of cancellations doesn't get through.
         gap.world.wire.filters.append(
             lambda src, dst, method, path, body: "cut" if path.startswith("/cancel") else None
         )
@@ -133,8 +133,9 @@
         world.wire.stalled.add((gap.leader, "state:1"))
         await gap.cancel()
         await gap.hold_on(35)
-        # A worker's report that its successor's baton has not reached comes before anything else.
-        body = worker.report() | {"baton": old.leader_term.active.registry.fencing_token}
+        # A worker's heartbeat that its successor's baton has not reached comes before anything
+        # else.
+        body = worker.heartbeat() | {"baton": old.leader_term.active.registry.fencing_token}
         reply = await world.ask(gap.leader, "POST", "/v1/report", body)
         assert (reply.status, "baton" in (reply.data or {})) == (503, False)
         assert int(reply.headers["Retry-After"]) >= 1
@@ -152,7 +153,7 @@
         for number in (1, 2):
             assert len(gap.world.cloud.on_machines(f"job-{number:06d}")) == 4
         assert len(gap.world.cloud.starts) == 8
-        assert {w.session for w in gap.world.cloud.workers.values()} == {1}
+        assert {w.incarnation for w in gap.world.cloud.workers.values()} == {1}
 
     play(story())
 
@@ -196,7 +197,9 @@
 
 
 def test_how_long_leases_may_be_renewed() -> None:
-    renewal_deadline = RenewalDeadline(Workers(report_s=1.5, lease_s=10.0, cancel_s=40.0))
+    renewal_deadline = RenewalDeadline(
+        Workers(heartbeat_interval_s=1.5, lease_s=10.0, cancel_s=40.0)
+    )
     assert not renewal_deadline.may_renew(0.0)
     renewal_deadline.synced(100.0)
     renewal_deadline.synced(90.0)
@@ -205,10 +208,15 @@
     assert renewal_deadline.may_renew(last) and not renewal_deadline.may_renew(last + 0.01)
     # Whoever was answered last is rid of everything in time, both clocks at their worst.
     assert last + 10.0 * 1.0005 < 100.0 + 40.0 * 0.9995 - 1.0
-    assert not renewal_deadline.vouched(130.0, [True, False])
+    assert not renewal_deadline.acknowledged_by_peers(130.0, [True, False])
     assert renewal_deadline.known_to == 100.0
-    assert renewal_deadline.vouched(130.0, [True, True]) and renewal_deadline.known_to == 130.0
-    assert renewal_deadline.vouched(140.0, []), "nobody else could have confirmed anything"
+    assert (
+        renewal_deadline.acknowledged_by_peers(130.0, [True, True])
+        and renewal_deadline.known_to == 130.0
+    )
+    assert renewal_deadline.acknowledged_by_peers(140.0, []), (
+        "nobody else could have confirmed anything"
+    )
 
 
 def test_a_node_that_forgot_cancellations_says_so() -> None:
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -1,4 +1,4 @@
-"""Reports, commands and transactions that arrive late."""
+"""Heartbeats, commands and transactions that arrive late."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 from spoolcourse.control.leadership.election import Leadership
-from spoolcourse.control.store.client import StoreClient, UnclearError
+from spoolcourse.control.store.client import OutcomeUnknownError, StoreClient
 from spoolcourse.control.store.keys import (
     FINAL,
     JOB,
@@ -31,12 +31,12 @@
 
 
 def test_work_on_a_machine_that_only_calls_reach_is_not_started_elsewhere_too() -> None:
-    # Its lease runs out; calls show its next session. With the last answer taken for the
-    # beginning of that session's lease, what was started there was thought gone while it ran.
+    # Its lease runs out; calls show its next incarnation. With the last answer taken for the
+    # beginning of that incarnation's lease, what was started there was thought gone while it ran.
     harness = RegistryHarness()
-    harness.report()
+    harness.heartbeat()
     harness.assign()
-    harness.report(on())
+    harness.heartbeat(on())
     machine = harness.registry.machines["m-1"]
     harness.now += 10.2  # its lease has run out, which is not certain here yet
     shown = harness.observed(shift=2, tick=1)
@@ -55,7 +55,7 @@
     # Its answers to calls keep coming; what calls start there dies with each lease.
     harness = RegistryHarness()
     harness.registry.quiet_s = 5.0
-    harness.report()
+    harness.heartbeat()
     machine = harness.registry.machines["m-1"]
     harness.now += 4.0
     harness.observed()
@@ -66,7 +66,7 @@
     harness.observed()
     assert machine.heard_at == harness.now and harness.registry.is_quiet(machine)
     assert harness.registry.commands.due(()) == [], "nor are starts sent"
-    harness.report()
+    harness.heartbeat()
     assert harness.registry.commands.due(()) == [machine]
 
 
@@ -75,13 +75,13 @@
     harness = RegistryHarness()
     attempt = harness.job_queue.adopt(harness.job_state, 0, "m-1", 1, harness.now)
     harness.registry.link(attempt)
-    harness.job_state.record.aborted_at = harness.now - 30.0
+    harness.job_state.record.cancelled_at = harness.now - 30.0
     halt = {"verb": "halt", "piece": "job-000001/0", "try": 1, "windDownS": 0.0}
-    assert harness.report(on(), baton=TERM - 1) == [halt]
+    assert harness.heartbeat(on(), baton=TERM - 1) == [halt]
     assert harness.job_state.attempts, "that it is told proves nothing"
-    # One that is not shown may still start there: the halt goes out all the same.
-    assert harness.report(baton=TERM - 1) == [halt]
-    assert harness.report() == [] and not harness.job_state.attempts
+    # One that is not shown may still start there: the halt goes out nevertheless.
+    assert harness.heartbeat(baton=TERM - 1) == [halt]
+    assert harness.heartbeat() == [] and not harness.job_state.attempts
 
 
 def test_a_claim_that_is_carried_out_late_is_not_taken_for_the_next_one() -> None:
@@ -94,14 +94,14 @@
         client = StoreClient(wire.end_of("n0"), "state:1", limits, nodes=2)
         watch_cache = WatchCache(client, PREFIX)
         node = Leadership(client, watch_cache, "n0", "run-0")
-        await watch_cache.load()
+        await watch_cache.reload()
         wire.filters.append(
             lambda src, dst, method, path, body: "hold" if path == "/multi" else None
         )
         for _ in range(2):
             try:
                 await node._stand()
-            except UnclearError:
+            except OutcomeUnknownError:
                 if len(wire.held) == 2:
                     break
                 # The first claim is carried out while the second one is under way.
@@ -132,7 +132,7 @@
 
 def late_writes(world: World, every: int) -> Any:
     """Each so many-th transaction gets no answer and is carried out later. If anything that
-    it depends on has changed since, deleted and made anew included, it must change nothing."""
+    it depends on has changed since, deleted and made again included, it must change nothing."""
     count = 0
     sent: dict[int, int] = {}
     bodies: list[Any] = []
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -277,7 +277,7 @@
 
 
 def test_a_job_that_failed_on_every_machine_there_is_tries_them_again() -> None:
-    # Machines it failed on were avoided for ever, though a fault may pass: no other could be had.
+    # Machines it failed on were avoided forever, though a fault may pass: no other could be had.
     async def story() -> None:
         world = World()
         world.cloud.capacity = 1
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -4,7 +4,7 @@
 
 from math import inf
 
-from spoolcourse.control.autoscaling.planner import Offer, plan_hires, top_up
+from spoolcourse.control.autoscaling.planner import Offer, plan_provisioning, top_up
 from spoolcourse.control.placement.backfill import place
 from spoolcourse.control.placement.model import Job, Node, Plan, RunningTask, Snapshot, Team
 from spoolcourse.control.placement.preempt import choose_victims
@@ -41,8 +41,8 @@
 
 def test_what_is_left_for_surplus_machines_is_gathered_on_few() -> None:
     # Measured: spread over all of them, it kept 120 ordinary machines half used for minutes.
-    def nodes(surplus: bool) -> list[Node]:
-        return [node(8.0 - i, surplus=surplus) for i in range(3)]
+    def nodes(scale_in_candidate: bool) -> list[Node]:
+        return [node(8.0 - i, scale_in_candidate=scale_in_candidate) for i in range(3)]
 
     def used(plan: Plan) -> set[int]:
         return {d.node for d in plan.decisions}
@@ -127,18 +127,20 @@
 
 def test_renting_takes_the_cheapest_and_counts_what_is_on_its_way() -> None:
     offers = [offer(0.3, True), offer(1.0, False)]
-    hires = plan_hires([(job(8, 2.0, ordinary_at=0.0), 8)], [], offers, 100.0, [1000.0])
-    assert [(h.offer.spot, h.count) for h in hires] == [(True, 2)]
+    provisions = plan_provisioning([(job(8, 2.0, ordinary_at=0.0), 8)], [], offers, 100.0, [1000.0])
+    assert [(h.offer.spot, h.count) for h in provisions] == [(True, 2)]
     booting = [node(ready_at=110.0)]
-    hires = plan_hires([(job(8, 2.0, ordinary_at=0.0), 8)], booting, offers, 100.0, [1000.0])
-    assert [h.count for h in hires] == [1]
+    provisions = plan_provisioning(
+        [(job(8, 2.0, ordinary_at=0.0), 8)], booting, offers, 100.0, [1000.0]
+    )
+    assert [h.count for h in provisions] == [1]
     # Ordinary machines are asked for once a job has waited for spot ones.
     only = [offer(1.0, False)]
-    assert plan_hires([(job(1, ordinary_at=110.0), 1)], [], only, 100.0, [1000.0]) == []
-    assert len(plan_hires([(job(1, ordinary_at=90.0), 1)], [], only, 100.0, [1000.0])) == 1
+    assert plan_provisioning([(job(1, ordinary_at=110.0), 1)], [], only, 100.0, [1000.0]) == []
+    assert len(plan_provisioning([(job(1, ordinary_at=90.0), 1)], [], only, 100.0, [1000.0])) == 1
     # Never more than the team may use.
-    hires = plan_hires([(job(8, 2.0, ordinary_at=0.0), 8)], [], offers, 100.0, [4.0])
-    assert [h.count for h in hires] == [1]
+    provisions = plan_provisioning([(job(8, 2.0, ordinary_at=0.0), 8)], [], offers, 100.0, [4.0])
+    assert [h.count for h in provisions] == [1]
 
 
 def test_only_room_that_a_job_may_use_keeps_machines_from_being_rented_for_it() -> None:
@@ -148,7 +150,7 @@
 
     def hired(wanted: Job, *nodes: Node) -> int:
         offers = [offer(1.0, False, cpus=16.0)]
-        found = plan_hires([(wanted, 2)], list(nodes), offers, 100.0, [1000.0])
+        found = plan_provisioning([(wanted, 2)], list(nodes), offers, 100.0, [1000.0])
         return sum(h.count for h in found)
 
     plain = job(2, 4.0, ordinary_at=0.0)
@@ -219,17 +221,19 @@
 
 def test_machines_are_rented_in_zones_that_take_more_of_the_job() -> None:
     # Two of a spread job's four pieces run in zone 0; what it lacks can't be started there, so
-    # machines there would be rented and returned for ever.
+    # machines there would be rented and returned forever.
     here, there = offer(0.5, False), Offer(0, 1, False, 8.0, 0.0, 64.0, 1.0, 20.0)
     spread = job(2, spread=2, held={0: 2}, ordinary_at=0.0)
-    hires = plan_hires([(spread, 2)], [], [here, there], 100.0, [1000.0])
-    assert [(h.offer.zone, h.count) for h in hires] == [(1, 1)]
-    assert plan_hires([(spread, 2)], [], [here], 100.0, [1000.0]) == []
+    provisions = plan_provisioning([(spread, 2)], [], [here, there], 100.0, [1000.0])
+    assert [(h.offer.zone, h.count) for h in provisions] == [(1, 1)]
+    assert plan_provisioning([(spread, 2)], [], [here], 100.0, [1000.0]) == []
     coming = [node(ready_at=110.0)]
-    assert [h.offer.zone for h in plan_hires([(spread, 2)], coming, [there], 100.0, [99.0])] == [1]
+    assert [
+        h.offer.zone for h in plan_provisioning([(spread, 2)], coming, [there], 100.0, [99.0])
+    ] == [1]
     one = job(8, 2.0, one_zone=True, ordinary_at=0.0)
-    hires = plan_hires([(one, 8)], [], [here, there], 100.0, [1000.0])
-    assert [(h.offer.zone, h.count) for h in hires] == [(0, 2)]
+    provisions = plan_provisioning([(one, 8)], [], [here, there], 100.0, [1000.0])
+    assert [(h.offer.zone, h.count) for h in provisions] == [(0, 2)]
 
 
 def test_replicas_of_a_service_lie_on_different_machines_where_that_costs_nothing() -> None:
@@ -258,5 +262,5 @@
     waiting = job(100)
     plan = run([waiting], [node()], team=inf)
     assert placed(plan) == {0: 4} and plan.why[0] == "machines"
-    hires = plan_hires([(waiting, 96)], [], [offer], 0.0, [inf])
-    assert [(hire.offer, hire.count) for hire in hires] == [(offer, 24)]
+    provisions = plan_provisioning([(waiting, 96)], [], [offer], 0.0, [inf])
+    assert [(provision.offer, provision.count) for provision in provisions] == [(offer, 24)]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,12 +9,12 @@
 
 import orjson
 
-from spoolcourse.control.autoscaling.planner import Offer, plan_hires
-from spoolcourse.control.http_client import Reply
+from spoolcourse.control.autoscaling.planner import Offer, plan_provisioning
+from spoolcourse.control.http_client import Response
 from spoolcourse.control.placement.backfill import place
 from spoolcourse.control.placement.model import Job, Node, RunningTask, Snapshot, Team
 from spoolcourse.control.scheduling.scheduling_loop import ATTEMPTS_MOST
-from spoolcourse.control.store.records import base_machines, base_values
+from spoolcourse.control.store.records import base_values, initial_machines
 from spoolcourse.control.store.watch_cache import CHANGES_MOST
 from spoolcourse.control.workers.call_limit import calls_at_once
 from spoolcourse.control.workers.heartbeat_relay import Relay
@@ -73,18 +73,20 @@
     values = base_values(names, 2048)
     assert all(len(orjson.dumps(value)) <= 2048 for value in values)
     assert [name for value in values for name in value["machines"]] == names
-    assert base_machines(values[0]) == frozenset(values[0]["machines"]), "as versions before read"
+    assert initial_machines(values[0]) == frozenset(values[0]["machines"]), (
+        "as versions before read"
+    )
     assert base_values([], 2048) == [{"machines": []}]
 
 
 def test_names_of_deleted_machines_are_kept_by_age_and_not_by_number() -> None:
-    # 5,000 names were remembered: with an hour's turnover of a large fleet a late report brought
+    # 5,000 names were remembered: with an hour's turnover of a large fleet a late heartbeat brought
     # a machine back that was gone.
     world = RegistryHarness()
     for number in range(2 * FLEET):
         world.registry.confirm_deleted(f"m-{number:06d}")
         world.now += 0.1
-    assert world.report(spindle="m-000000") is None, "a late report of the first one"
+    assert world.heartbeat(spindle="m-000000") is None, "a late report of the first one"
     assert "m-000000" not in world.registry.machines
     world.now += DELETED_NAMES_KEPT_S
     world.registry.confirm_deleted("m-999999")
@@ -94,11 +96,11 @@
 def test_a_follower_remembers_all_workers_that_come_to_it_of_late() -> None:
     # All were forgotten at 10,000 names, gone ones among them.
     class LeaderNet:
-        async def call(self, *args: Any, **options: Any) -> Reply:
-            return Reply(200, {"baton": 1, "orders": []})
+        async def call(self, *args: Any, **options: Any) -> Response:
+            return Response(200, {"baton": 1, "orders": []})
 
     async def story() -> None:
-        relay = Relay(LeaderNet(), "n0", [Seed("n1", "n1:81")], report_s=1.5)
+        relay = Relay(LeaderNet(), "n0", [Seed("n1", "n1:81")], heartbeat_interval_s=1.5)
         statuses = []
         for _ in range(2):
             for number in range(3 * FLEET):
@@ -119,8 +121,8 @@
         failed = listed(world, 1200, "failed")
         world.cloud._made = len(failed)
         await world.submit(job(pieces=300, vcpus=8.0))
-        await world.until(lambda: len(world.cloud.hires) >= 6, 3)
-        assert sum(len(names) for names in world.cloud.hires.values()) >= 300
+        await world.until(lambda: len(world.cloud.provisions) >= 6, 3)
+        assert sum(len(names) for names in world.cloud.provisions.values()) >= 300
         await world.until(lambda: not set(failed) & set(world.cloud.hosts), 8)
 
     play(story())
@@ -130,10 +132,10 @@
     offers = [Offer(0, 0, True, 8.0, 0.0, 64.0, price=1.0, boot_s=10.0)]
     waiting = Job(9 * FLEET, 2.0, 0.0, 1.0, image=0, image_gb=0.0, team=0, estimate=10.0)
     fleet: list[Node] = []
-    hires = plan_hires([(waiting, 9 * FLEET)], fleet, offers, 0.0, [1e9], most=FLEET)
-    assert [(hire.offer, hire.count) for hire in hires] == [(offers[0], FLEET)]
-    hires = plan_hires([(waiting, 9)], fleet, offers, 0.0, [1e9], most=FLEET)
-    assert [hire.count for hire in hires] == [3], "no more than the tasks need"
+    provisions = plan_provisioning([(waiting, 9 * FLEET)], fleet, offers, 0.0, [1e9], most=FLEET)
+    assert [(provision.offer, provision.count) for provision in provisions] == [(offers[0], FLEET)]
+    provisions = plan_provisioning([(waiting, 9)], fleet, offers, 0.0, [1e9], most=FLEET)
+    assert [provision.count for provision in provisions] == [3], "no more than the tasks need"
 
 
 def test_calls_at_once_grow_with_the_fleet_within_the_sockets() -> None:
@@ -167,7 +169,7 @@
         largest = 0
         serve = world.state.serve
 
-        async def counted(method: str, path: str, body: Any) -> Reply:
+        async def counted(method: str, path: str, body: Any) -> Response:
             nonlocal largest
             reply = await serve(method, path, body)
             if path.startswith("/watch") and reply.status == 200:
@@ -245,8 +247,8 @@
         world.registry.machine(f"m-{number:06d}")
     world.registry.machines = Counted(world.registry.machines)
     Counted.walks = 0
-    assert world.report(spindle="m-003999") == []
+    assert world.heartbeat(spindle="m-003999") == []
     world.assign()
-    commands = world.report(spindle="m-000000")
+    commands = world.heartbeat(spindle="m-000000")
     assert commands is not None
     assert Counted.walks == 0
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -17,7 +17,7 @@
         assert first
 
         def mute(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
-            # The answers to reports are lost: assignments get written, starts don't arrive.
+            # The answers to heartbeats are lost: assignments get written, starts don't arrive.
             return "lose" if path == "/v1/report" and dst == f"{first}:80" else None
 
         world.wire.filters.append(mute)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -6,31 +6,31 @@
 from collections.abc import Awaitable
 from typing import Any
 
-from spoolcourse.control.http_client import HttpNet, Reply, Request
+from spoolcourse.control.http_client import AiohttpClient, Request, Response
 from spoolcourse.control.http_server import listen
 from spoolcourse.wire.messages import BODY_LIMIT
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
-async def later(request: Request) -> Reply:
+async def retry_later(request: Request) -> Response:
     await asyncio.sleep(0)
-    return Reply(201, {"path": request.path})
+    return Response(201, {"path": request.path})
 
 
-async def never(request: Request) -> Reply:
+async def never(request: Request) -> Response:
     await asyncio.Event().wait()
-    return Reply(200)
+    return Response(200)
 
 
-def handler(request: Request) -> Reply | Awaitable[Reply]:
+def handler(request: Request) -> Response | Awaitable[Response]:
     if request.path == "/broken":
         raise RuntimeError("as planned")
     if request.path == "/never":
         return never(request)
     if request.path == "/later":
-        return later(request)
-    return Reply(200, {"len": len(request.body)}, {"Retry-After": "2"})
+        return retry_later(request)
+    return Response(200, {"len": len(request.body)}, {"Retry-After": "2"})
 
 
 def served(story: Any, **options: Any) -> None:
@@ -124,7 +124,7 @@
     async def main() -> None:
         server = await listen(("0.0.0.0", 0), handler)
         port = server.sockets[0].getsockname()[1]
-        net = HttpNet()
+        net = AiohttpClient()
 
         tasks = [
             asyncio.create_task(net.call(f"127.0.1.{number}:{port}", "GET", "/never", timeout=30))
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -78,13 +78,13 @@
 @pytest.mark.parametrize("cause", ["done", "error", "halted"])
 def test_a_replica_that_ends_runs_again_with_a_bounded_pause(cause: str) -> None:
     harness = RegistryHarness(shape="standing", rank="prod", pieces=2)
-    harness.report()
+    harness.heartbeat()
     pauses = []
     for number in range(1, 12):
         harness.assign(0, number)
-        harness.report()
-        harness.report(on(0, number))
-        harness.report(on(0, number, stage="ended", cause=cause))
+        harness.heartbeat()
+        harness.heartbeat(on(0, number))
+        harness.heartbeat(on(0, number, stage="ended", cause=cause))
         assert (
             harness.job_state.done == 0
             and harness.job_state.pending == 2
@@ -92,27 +92,27 @@
         )
         pauses.append(harness.job_state.retry_at - harness.now)
         harness.save()
-        harness.report()
+        harness.heartbeat()
         harness.now += 30.0
     assert pauses[0] <= 0, "the first one runs again at once"
     if cause != "halted":
         assert pauses[3] > 0 and max(pauses) <= 10.0
         harness.assign(0, 20)
-        harness.report()
-        harness.report(on(0, 20))
+        harness.heartbeat()
+        harness.heartbeat(on(0, 20))
         harness.now += 25.0
-        harness.report(on(0, 20))
+        harness.heartbeat(on(0, 20))
         assert harness.job_state.failures == 0, "a replica that runs well clears it"
 
 
 def test_an_ended_replica_is_forgotten_by_its_worker() -> None:
     harness = RegistryHarness(shape="standing")
-    harness.report()
+    harness.heartbeat()
     harness.assign()
-    harness.report()
-    harness.report(on())
+    harness.heartbeat()
+    harness.heartbeat(on())
     reap = {"verb": "reap", "piece": "job-000001/0", "try": 1}
-    assert harness.report(on(stage="ended", cause="done")) == [reap]
+    assert harness.heartbeat(on(stage="ended", cause="done")) == [reap]
 
 
 def test_no_head_is_promised_the_room_of_a_service() -> None:
--- a/tests/test_snapshot_cache.py
+++ b/tests/test_snapshot_cache.py
@@ -34,7 +34,7 @@
             for t in node.tasks
         )
         found[machine.id] = (
-            (node.cpus, node.gpus, node.memory, node.freed, node.zone, node.surplus),
+            (node.cpus, node.gpus, node.memory, node.freed, node.zone, node.scale_in_candidate),
             sorted(images[i] for i in node.images),
             sorted(images[i] for i in node.fetching),
             tasks,
@@ -92,18 +92,18 @@
     # once looked its job up among the live ones and ended with an error, and the leader's
     # term with it; and its CPUs were given to the team a second time.
     harness = RegistryHarness(pieces=1)
-    harness.report()
+    harness.heartbeat()
     harness.assign()
-    harness.report(on())
+    harness.heartbeat(on())
     other = on(stage="ended", number=9, cause="done")
-    harness.report(other, spindle="m-2", address="m-2:9")
+    harness.heartbeat(other, spindle="m-2", address="m-2:9")
     assert harness.job_state.finished
     before = surveyor(harness.job_queue, harness.registry).take(harness.now, BUILDS)
     harness.job_queue.remove(harness.job_state)
     after = surveyor(harness.job_queue, harness.registry).take(harness.now, BUILDS)
     red = [t.name for t in settings().settings.teams].index("red")
     assert after.teams[red].cpus == before.teams[red].cpus == 64.0 - 2.0
-    harness.report()  # it is gone from the machine
+    harness.heartbeat()  # it is gone from the machine
     gone = surveyor(harness.job_queue, harness.registry).take(harness.now, BUILDS)
     assert gone.teams[red].cpus == 64.0
 
@@ -113,13 +113,13 @@
     # next urgent claim and started again, up to a hundred times, and the job never began.
     def stopped(waited: float) -> list[int]:
         harness = RegistryHarness(pieces=3, vcpus=8.0, expectS=100.0)
-        harness.report()
+        harness.heartbeat()
         harness.now += waited
         watch = surveyor(harness.job_queue, harness.registry)
         watch.take(harness.now, BUILDS)
         attempt = harness.assign()
         attempt.first = harness.job_state.id in watch.unbegun
-        harness.report(on())
+        harness.heartbeat(on())
         urgent = parse(job(2, rank="high", crew="blue"), Submission)
         harness.job_queue.add(JobRecord(urgent, 1.0, 170, None, 6), harness.now)
         snapshot = watch.take(harness.now, BUILDS)
--- a/tests/test_standby_hints.py
+++ b/tests/test_standby_hints.py
@@ -17,16 +17,16 @@
     HintRefusedError,
     hint_page,
 )
-from spoolcourse.control.failover.tracing import TakeoverTracer
-from spoolcourse.control.http_client import Reply
-from spoolcourse.control.leadership.failover_timeline import Phase
+from spoolcourse.control.failover.tracing import FailoverTracer
+from spoolcourse.control.http_client import Response
+from spoolcourse.control.leadership.failover_timeline import FailoverPhase
 from spoolcourse.wire.messages import MalformedError, parse
 from spoolcourse.wire.peers import Hint, HintPage
 from spoolcourse.wire.standby_settings import StandbySettings
 from tests.fakes.clock import play
 from tests.fakes.registry import RegistryHarness
 from tests.fakes.world import LABELS, World, job
-from tests.test_standby_takeover import ON, busy, taken_over
+from tests.test_standby_takeover import ON, busy, failover
 
 PAGE = HintPage(7, "n0", 40, [Hint("m-1", "m-1:9", 1, {"img": 1.0}), Hint("m-2", "m-2:9", 1)])
 
@@ -87,7 +87,7 @@
     harness = RegistryHarness()
     for number in range(5):
         harness.sequence = 0
-        harness.report(spindle=f"m-{number}")
+        harness.heartbeat(spindle=f"m-{number}")
         machine = harness.registry.machines[f"m-{number}"]
         for image in range(IMAGES_MOST + 4):
             machine.note_image(f"i{image}", 1.0, 100.0)
@@ -99,14 +99,14 @@
             hint_page(harness.registry, "n0", 40, query)
 
 
-@pytest.mark.parametrize("session", [1, 2])
-def test_hinted_images_count_in_the_session_that_they_belong_to(session: int) -> None:
+@pytest.mark.parametrize("incarnation", [1, 2])
+def test_hinted_images_count_in_the_session_that_they_belong_to(incarnation: int) -> None:
     harness = RegistryHarness()
     harness.disk_gb = lambda machine_type: 50.0  # type: ignore[method-assign]
     harness.registry.hinted_images["m-1"] = Hint("m-1", "m-1:9", 1, {"new": 1.0, "old": 2.0})
-    harness.report(shift=session)
+    harness.heartbeat(shift=incarnation)
     images = list(harness.registry.machines["m-1"].images)
-    assert images == (["old", "new"] if session == 1 else [])
+    assert images == (["old", "new"] if incarnation == 1 else [])
 
 
 def test_a_new_leader_knows_the_workers_before_the_cloud_lists_them() -> None:
@@ -114,13 +114,13 @@
         world = World(standby=ON)
         former = await busy(world)
         await asyncio.sleep(3)
-        world.wire.filters.append(  # neither the list nor their own reports tell of them
+        world.wire.filters.append(  # neither the list nor their own heartbeats tell of them
             lambda src, dst, method, path, body: (
                 "cut" if path.startswith("/hosts") or path == "/v1/report" else None
             )
         )
         world.kill(former)
-        successor = await taken_over(world, former)
+        successor = await failover(world, former)
         await asyncio.sleep(0.5)
         machines = world.active(successor).registry.machines.values()
         assert [m.id for m in machines if m.confirmed] and world.cloud.broken == []
@@ -136,7 +136,7 @@
         await asyncio.sleep(6)
         world.kill(former)
         world.cloud.take(idle)
-        successor = await taken_over(world, former)
+        successor = await failover(world, former)
         hints = world.nodes[successor].standby
         assert hints is not None and idle in [h.machine for h in hints.hints.of_term(1)]
         await asyncio.sleep(3)
@@ -161,14 +161,14 @@
         await asyncio.sleep(10)
         assert 1 <= len(asked) <= 4, "asked again after a long while only"
         world.kill(former)
-        await taken_over(world, former)
+        await failover(world, former)
         await world.finish(1)
         assert world.cloud.broken == []
 
     play(story())
 
 
-async def hand_over(world: World, label: str) -> Reply:
+async def hand_over(world: World, label: str) -> Response:
     return await world.wire.call("user", f"{label}:81", "POST", "/handover", None, 5.0)
 
 
@@ -182,7 +182,7 @@
         began = world.now()
         reply = await hand_over(world, former)
         assert reply.status == 200 and set(reply.data["successors"]) == set(LABELS) - {former}
-        await taken_over(world, former)
+        await failover(world, former)
         assert world.now() - began < 1.5, "nobody waits for the lease to run out"
         await world.finish(1)
         assert world.cloud.broken == []
@@ -225,11 +225,11 @@
         world = World(standby=ON)
         former = await busy(world)
         world.kill(former)
-        successor = await taken_over(world, former)
+        successor = await failover(world, former)
         await world.submit(job(2, pieces=1, vcpus=1.0), successor)
-        timeline = world.nodes[successor].last_timeline
+        timeline = world.nodes[successor].last_failover_timeline
         assert timeline is not None
-        await world.until(lambda: len(timeline.intervals()) == len(Phase) - 1, 20)
+        await world.until(lambda: len(timeline.intervals()) == len(FailoverPhase) - 1, 20)
         status = await world.wire.call("u", f"{successor}:81", "GET", "/status", None, 1)
         assert status.data["lastTakeover"]["proof"] == "shadow"
         assert status.data["standby"]["state"] == "leading"
@@ -242,10 +242,10 @@
         text = await world.wire.call("u", f"{follower}:81", "GET", "/metrics", None, 1)
         assert b"spoolcourse_standby_caught_up 1.0" in text.data
         out = StringIO()
-        TakeoverTracer(successor, world.now, world.now, out).write(timeline)
+        FailoverTracer(successor, world.now, world.now, out).write(timeline)
         spans = [orjson.loads(line) for line in out.getvalue().splitlines()]
         assert {span["name"] for span in spans} == {"take-over"} | {
-            phase.value for phase in Phase if phase is not Phase.VACANT
+            phase.value for phase in FailoverPhase if phase is not FailoverPhase.VACANT
         }
         assert len({span["context"]["trace_id"] for span in spans}) == 1
 
--- a/tests/test_standby_properties.py
+++ b/tests/test_standby_properties.py
@@ -1,6 +1,6 @@
 """Whatever changes come, and however they come, a shadow is what a restore would make.
 
-The state service is a model; the watch brings its changes in pieces, twice, ahead of their turn
+The key-value store is a model; the watch brings its changes in pieces, twice, ahead of their turn
 or not at all, and pages are read while it changes.
 """
 
@@ -36,7 +36,7 @@
 
 
 class ShadowMachine(RuleBasedStateMachine):
-    """Users, a leader, the state service, and a follower with its shadow."""
+    """Users, a leader, the key-value store, and a follower with its shadow."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -55,7 +55,7 @@
             ),
         )
         self.standby = Standby(self.context, StandbySettings(enabled=True))
-        self.read_all(lambda: None)
+        self.list_entries(lambda: None)
 
     # -- what is written ------------------------------------------------------------------
 
@@ -91,7 +91,7 @@
     def cancel(self, number: int) -> None:
         record = self.record(number)
         if record is not None:
-            record.aborted_at = 3.0
+            record.cancelled_at = 3.0
             self.write((job_key(record.submission.id), record.value()))
 
     @rule(number=JOBS, task=TASKS, machine=st.sampled_from(["m-1", "m-2"]))
@@ -166,9 +166,9 @@
             if ends:
                 self.finish(number, 0)
 
-        self.read_all(meanwhile, seen)
+        self.list_entries(meanwhile, seen)
 
-    def read_all(self, meanwhile: Callable[[], None], seen: bool = False) -> None:
+    def list_entries(self, meanwhile: Callable[[], None], seen: bool = False) -> None:
         first = self.revision
         self.cache._reads += 1
         entries = [Entry(k, v, r) for k, (v, r) in sorted(self.keys.items()) if "/prog/" not in k]
--- a/tests/test_standby_takeover.py
+++ b/tests/test_standby_takeover.py
@@ -1,4 +1,4 @@
-"""Take-overs by a warm standby, with the former leader paused, dead or cut off at each step."""
+"""Failovers by a warm standby, with the former leader paused, dead or cut off at each step."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 import pytest
 
-from spoolcourse.control.failover.strategies import TakenOver
+from spoolcourse.control.failover.strategies import FailoverResult
 from spoolcourse.control.failover.warm_standby import ShadowState
-from spoolcourse.control.http_client import Reply
+from spoolcourse.control.http_client import Response
 from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.leadership.failover_proof import ProofSource
 from spoolcourse.control.store.keys import PROGRESS, TERM, split_progress
@@ -38,7 +38,7 @@
     serve = world.wire.hosts[host]
     acted: list[bool] = []
 
-    async def serve_and_act(method: str, path: str, body: Any) -> Reply:
+    async def serve_and_act(method: str, path: str, body: Any) -> Response:
         reply = await serve(method, path, body)
         if not acted and reply.status == 200 and step(method, path, body):
             acted.append(True)
@@ -53,7 +53,7 @@
 
     def __init__(self, world: World, label: str) -> None:
         self.world, self.label, self.awake = world, label, False
-        self.late_placements: list[Reply] = []  # the answers to what it would have written
+        self.late_placements: list[Response] = []  # the answers to what it would have written
         world.wire.filters.append(self._verdict)
 
     def _verdict(self, src: str, dst: str, method: str, path: str, body: Any) -> str | None:
@@ -74,7 +74,7 @@
 
 
 def note_placements_at_claim(world: World) -> set[Placement]:
-    """Filled, at the next claim, with every placement that the state service then holds."""
+    """Filled, at the next claim, with every placement that the key-value store then holds."""
     found: set[Placement] = set()
 
     async def note() -> None:
@@ -88,11 +88,11 @@
 
 
 def note_placements_taken_over(world: World) -> set[Placement]:
-    """Filled, at the next take-over, with the placements that it ends with."""
+    """Filled, at the next failover, with the placements that it ends with."""
     found: set[Placement] = set()
 
-    def noting(run: Callable[[Term], Awaitable[TakenOver]]) -> Any:
-        async def run_and_note(term: Term) -> TakenOver:
+    def noting(run: Callable[[Term], Awaitable[FailoverResult]]) -> Any:
+        async def run_and_note(term: Term) -> FailoverResult:
             taken = await run(term)
             for job_state in taken.restored.job_queue.jobs.values():
                 for a in job_state.attempts.values():
@@ -102,7 +102,7 @@
         return run_and_note
 
     for node in world.nodes.values():
-        node._takeover.run = noting(node._takeover.run)  # type: ignore[method-assign]
+        node._failover.run = noting(node._failover.run)  # type: ignore[method-assign]
     return found
 
 
@@ -120,7 +120,7 @@
     return term is not None and term.active is not None
 
 
-async def taken_over(world: World, former: str, limit: float = 20.0) -> str:
+async def failover(world: World, former: str, limit: float = 20.0) -> str:
     """Wait for another node that decides; its label."""
 
     def found() -> list[str]:
@@ -143,7 +143,7 @@
         world = World(standby=ON)
         former = await busy(world)
         world.kill(former)
-        successor = await taken_over(world, former)
+        successor = await failover(world, former)
         follower = next(n for n in world.nodes if n != successor)
         await world.until(lambda: world.nodes[follower].leadership.leader_label == successor, 5)
         assert world.nodes[follower].leadership.vacant_at is None, "another has filled it"
@@ -153,7 +153,7 @@
         standby = world.nodes[successor].standby
         assert standby is not None
         states = [standby.state]
-        world.nodes[successor].leadership.depose("test")
+        world.nodes[successor].leadership.step_down("test")
         states.append(standby.state)
         assert states == [ShadowState.LEADING, ShadowState.FIT], "it is a standby again"
         await all_done(world, 1)
@@ -188,7 +188,7 @@
         host, step = WAKES[when]
         after_step(world, host, step, paused.wake)
         placed, known = note_placements_at_claim(world), note_placements_taken_over(world)
-        await taken_over(world, former)
+        await failover(world, former)
         assert placed and placed == known
         await world.until(lambda: paused.awake, 30)
         statuses = {reply.status for reply in paused.late_placements}
@@ -222,7 +222,7 @@
         world.kill(former)
         world.wire.stalled.clear()
         placed, known = note_placements_at_claim(world), note_placements_taken_over(world)
-        successor = await taken_over(world, former, 30)
+        successor = await failover(world, former, 30)
         assert len(placed) == 8 and placed == known
         proof = world.active(successor).proof
         assert proof.applied_revision >= proof.claim_revision > 1000
@@ -249,7 +249,7 @@
         after_step(world, "state:1", sets(TERM), kill_claimant)
         world.kill(former)
         await world.until(lambda: claimed, 20)
-        third = await taken_over(world, former)
+        third = await failover(world, former)
         assert third not in claimed and world.active(third).proof.source is ProofSource.SHADOW
         world.start(former, *claimed)
         await all_done(world, 1)
@@ -280,7 +280,7 @@
             await asyncio.sleep(2)
             assert not any(is_active(world, n) for n in world.nodes), "nothing is proven yet"
             world.state.end_outage()
-        successor = await taken_over(world, former, 30)
+        successor = await failover(world, former, 30)
         if claim == "lose":
             assert world.active(successor).proof.fencing_token == 2, "it reads that it was elected"
         await asyncio.sleep(3)
@@ -302,7 +302,7 @@
         await world.until(lambda: len(world.cloud.starts) == 4)
         paused = Paused(world, former)
         assert (await world.cancel(1, other)).data["stage"] == "aborted"
-        successor = await taken_over(world, former)
+        successor = await failover(world, former)
         assert (await world.cancel(2, successor)).data["stage"] == "aborted"
         await paused.wake()
         await asyncio.sleep(45)
@@ -314,7 +314,7 @@
 
 
 def test_results_and_starts_that_the_former_leader_has_not_written_down() -> None:
-    # Tasks that have ended without an acknowledgement, and starts that no report has shown.
+    # Tasks that have ended without an acknowledgement, and starts that no heartbeat has shown.
     async def story() -> None:
         world = World(standby=ON)
         world.cloud.run_s = lambda task: 3.0
@@ -322,7 +322,7 @@
         former = str(world.leader)
         await world.submit(job(1, pieces=8, vcpus=1.0))
         await world.until(lambda: len(world.cloud.starts) >= 4)
-        world.wire.filters.append(  # reports and results reach it no more, its starts go out
+        world.wire.filters.append(  # heartbeats and results reach it no more, its starts go out
             lambda src, dst, method, path, body: (
                 "cut" if dst == f"{former}:80" and path == "/v1/report" else None
             )
@@ -330,7 +330,7 @@
         await world.submit(job(2, pieces=4, vcpus=1.0), former)
         await asyncio.sleep(0.5)
         world.kill(former)
-        second = await taken_over(world, former)
+        second = await failover(world, former)
         world.wire.filters.append(  # it hears the results, and can't write them down
             lambda src, dst, method, path, body: (
                 "cut" if src == second and path == "/multi" else None
@@ -338,7 +338,7 @@
         )
         await asyncio.sleep(3)
         world.kill(second)
-        await taken_over(world, second)
+        await failover(world, second)
         await all_done(world, 1, 2)
 
     play(story())
@@ -356,7 +356,7 @@
         await world.until(lambda: len(world.cloud.on_machines("job-000001")) == 2)
         for _ in range(2):
             world.kill(former)
-            successor = await taken_over(world, former)
+            successor = await failover(world, former)
             await asyncio.sleep(12)
             assert len(world.cloud.starts) == 2, "they run on"
             world.start(former)
@@ -405,7 +405,7 @@
                 standby._become_unfit("test")
             refuse_one_lease(world, others[1])  # it is slower, which a bounded wait makes up for
             world.kill(former)
-            successor = await taken_over(world, former)
+            successor = await failover(world, former)
             assert successor == others[1] or behind == 2
             source = world.active(successor).proof.source
             assert source is (ProofSource.SHADOW if behind == 1 else ProofSource.RECORDS)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -40,7 +40,7 @@
 
 
 def test_reads_are_small_enough_to_need_no_mapping_of_memory() -> None:
-    # Measured: with asyncio's 256 KiB, three more calls into the kernel for every report.
+    # Measured: with asyncio's 256 KiB, three more calls into the kernel for every heartbeat.
     code = """
 import asyncio
 from spoolcourse.control.http_client import Reply
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from spoolcourse.control.http_client import Reply, Request
+from spoolcourse.control.http_client import Request, Response
 from spoolcourse.control.jobs.cancellations import Cancellations
 from spoolcourse.control.store.keys import CATALOG
 from spoolcourse.control.store.records import JobRecord, Progress
@@ -89,7 +89,7 @@
 }
 
 # Requests on the peers' port: method and path, then the body and the answer, if there is one.
-REPORT = {
+HEARTBEAT = {
     "spindle": "m-000000",
     "address": "m-000000:9000",
     "build": "c8",
@@ -104,7 +104,7 @@
 PEERS_317B652B: dict[tuple[str, str], tuple[Any, Any]] = {
     ("GET", "/healthz"): (None, {}),
     ("POST", "/v1/report"): (
-        REPORT,
+        HEARTBEAT,
         {
             "baton": 3,
             "orders": [
@@ -181,9 +181,9 @@
     for stored in (STORED_317B652B, STORED_B0E3A7B):
         for key, value in stored.items():
             if "/live/job/" in key:
-                withdrawn = value | {"aborted": 1000.5}
+                cancelled = value | {"aborted": 1000.5}
                 assert JobRecord.from_value(value, 1).value() == value
-                assert JobRecord.from_value(withdrawn, 1).value() == withdrawn
+                assert JobRecord.from_value(cancelled, 1).value() == cancelled
             if "/live/prog/" in key:
                 assert Progress.from_value(value).value() == value
 
@@ -215,7 +215,7 @@
         store(world, STORED_B0E3A7B)
         world.jobs["job-000003"] = service(3)
         world.cloud.add()
-        # The catalog is read from the state service, for the cloud does not say it.
+        # The catalog is read from the key-value store, for the cloud does not say it.
         world.wire.filters.append(
             lambda src, dst, method, path, body: "503" if path == "/catalog" else None
         )
@@ -231,16 +231,16 @@
 
 
 def test_what_is_written_and_asked_has_the_forms_that_older_versions_know() -> None:
-    """The leader is refused by the state service, loses workers, and peers relay and testify."""
+    """The leader is refused by the key-value store, loses workers, and peers relay and testify."""
 
     async def story() -> None:
         gap = await Gap.begin()
-        world, seen = gap.world, dict[tuple[str, str], tuple[Any, Reply]]()
+        world, seen = gap.world, dict[tuple[str, str], tuple[Any, Response]]()
         call = world.wire.call
 
         async def record(
             src: str, dst: str, method: str, path: str, body: Any, timeout: float
-        ) -> Reply:
+        ) -> Response:
             reply = await call(src, dst, method, path, body, timeout)
             if dst.endswith(":81"):
                 kind = path.partition("?")[0].replace("job-000002", "job-000001")
@@ -289,7 +289,7 @@
             sample_body, sample_reply = asked[kind]
             assert reply.status in (200, 201), kind
             if kind == ("POST", "/v1/report"):
-                assert set(body) == set(REPORT) and set(reply.data) == set(sample_reply)
+                assert set(body) == set(HEARTBEAT) and set(reply.data) == set(sample_reply)
                 continue
             # A user's request is passed on as it came: fields may be null.
             given = {field: v for field, v in (body or {}).items() if v is not None}
@@ -308,13 +308,13 @@
         follower = world.nodes[gap.others[0]]
         leader = world.nodes[gap.leader]
 
-        async def ask(method: str, path: str, body: Any) -> Reply:
+        async def ask(method: str, path: str, body: Any) -> Response:
             if path == "/v1/report":
                 body = body | {"baton": world.state.value("spoolcourse/live/term")["term"]}
             raw = b"" if body is None else orjson.dumps(body)
             node = leader if path == "/v1/report" else follower
             found = node.peers(Request(method, path, raw))
-            return found if isinstance(found, Reply) else await found
+            return found if isinstance(found, Response) else await found
 
         for (method, path), (body, answer) in PEERS_B0E3A7B.items():
             path = "/cancellations?beyond=0" if path.startswith("/cancellations") else path
--- a/tests/test_takeover_proof.py
+++ b/tests/test_takeover_proof.py
@@ -7,9 +7,9 @@
 from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.leadership.failover_proof import (
     BehindError,
+    FailoverProof,
     ProofSource,
     SupersededError,
-    TakeoverProof,
 )
 from spoolcourse.control.store.keys import TERM
 from tests.fakes.proof import cache_at, proven
@@ -19,9 +19,9 @@
     watch_cache = cache_at(40)
     watch_cache.apply(TERM, {"term": 3}, 41)  # the claim itself is known ahead of the watch
     with pytest.raises(BehindError, match="revision 41, and only 40"):
-        TakeoverProof(Term(3, 41, 0), watch_cache, ProofSource.SHADOW)
+        FailoverProof(Term(3, 41, 0), watch_cache, ProofSource.SHADOW)
     watch_cache.store_revision = 41
-    proof = TakeoverProof(Term(3, 41, 0), watch_cache, ProofSource.SHADOW)
+    proof = FailoverProof(Term(3, 41, 0), watch_cache, ProofSource.SHADOW)
     assert (proof.fencing_token, proof.claim_revision, proof.applied_revision) == (3, 41, 41)
 
 
@@ -29,7 +29,7 @@
     watch_cache = cache_at(60)
     watch_cache.apply(TERM, {"term": 4}, 55)
     with pytest.raises(SupersededError):
-        TakeoverProof(Term(3, 41, 0), watch_cache, ProofSource.RECORDS)
+        FailoverProof(Term(3, 41, 0), watch_cache, ProofSource.RECORDS)
 
 
 def test_a_proof_can_not_be_changed() -> None:
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -1,4 +1,4 @@
-"""Late copies of reports, controllers cut off, elections that overlap."""
+"""Late copies of heartbeats, controllers cut off, elections that overlap."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-from spoolcourse.control.http_client import Reply
+from spoolcourse.control.http_client import Response
 from spoolcourse.control.leadership.election import Leadership
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.keys import PREFIX, TERM
@@ -32,12 +32,12 @@
             self.unacknowledged.append((self._world.now(), body))
         return None
 
-    async def repeat(self, label: str, name: str, since: float = 0.0) -> list[Reply]:
+    async def repeat(self, label: str, name: str, since: float = 0.0) -> list[Response]:
         bodies = [b for at, b in self.unacknowledged if b["spindle"] == name and at >= since]
         return [await self._world.ask(label, "POST", "/v1/report", b) for b in bodies]
 
 
-def renews(reply: Reply) -> bool:
+def renews(reply: Response) -> bool:
     return reply.status == 200 and "baton" in reply.data
 
 
@@ -85,7 +85,7 @@
         first = world.now()
         world.cut_off(name)
         await asyncio.sleep(15)
-        world.wire.filters[:] = world.wire.filters[:1]  # a new session
+        world.wire.filters[:] = world.wire.filters[:1]  # a new incarnation
         await world.until(lambda: len(world.cloud.starts) == 4, 60)
         leader = str(world.leader)
         await asyncio.sleep(3)
@@ -132,11 +132,11 @@
         await world.until(lambda: all(new.registry.machines[n].confirmed for n in names), 10)
         assert world.nodes[old].leader_term is None
         # Whoever comes to the old one now is sent to nobody that may be out of office.
-        stale = world.cloud.workers[names[0]].report()
+        stale = world.cloud.workers[names[0]].heartbeat()
         reply = await world.ask(old, "POST", "/v1/report", stale)
         assert reply.status == 421 and "foreman" not in reply.data
         await asyncio.sleep(12)
-        assert {w.session for w in world.cloud.workers.values()} == {1}
+        assert {w.incarnation for w in world.cloud.workers.values()} == {1}
         assert len(world.cloud.starts) == 12 and world.cloud.broken == []
 
     play(story())
@@ -157,7 +157,7 @@
         world.wire.filters.append(alone)
         await asyncio.sleep(15)
         world.kill(str(world.leader))
-        body = world.cloud.workers[name].report()
+        body = world.cloud.workers[name].heartbeat()
         reply = await world.ask(node, "POST", "/v1/report", body)
         assert (reply.status, reply.data) == (421, {})
 
@@ -230,13 +230,13 @@
             client = StoreClient(wire.end_of(label), "state:1", limits, nodes=2)
             watch_cache = WatchCache(client, PREFIX)
             nodes.append(Leadership(client, watch_cache, label, f"run-{label}"))
-            await watch_cache.load()
+            await watch_cache.reload()
         slow, quick = nodes
         grant = slow._client.grant
 
         async def overtaken(ttl_s: float) -> int:
             await quick._stand()
-            await slow._watch_cache.sync()  # as the watch does all the time
+            await slow._watch_cache.read_barrier()  # as the watch does all the time
             return await grant(ttl_s)
 
         slow._client.grant = overtaken  # type: ignore[method-assign]
--- a/tests/test_unresponsive_machines.py
+++ b/tests/test_unresponsive_machines.py
@@ -78,7 +78,7 @@
         await world.until(lambda: len(world.cloud.starts) == 4)
         world.wire.filters.append(half_open(name))
         world.kill(str(world.leader))
-        # The new leader's baton never reaches it: nothing it reports is proof of anything.
+        # The new leader's baton never reaches it: nothing it heartbeats is proof of anything.
         await world.finish(1, 120)
         assert world.cloud.broken == []
 
@@ -132,7 +132,7 @@
         await asyncio.sleep(60)  # far longer than any boot takes
         fleet = set(world.cloud.hosts)
         assert len(fleet) > 3
-        # For a while the workers' reports don't get through to the new leader.
+        # For a while the workers' heartbeats don't get through to the new leader.
         world.wire.filters.append(
             lambda src, dst, *rest: "cut" if "m-" in src or dst.startswith("m-") else None
         )
@@ -149,7 +149,7 @@
 def test_many_silent_machines_are_called_a_few_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
     # A zone cut off: every call there hangs until it times out. Guards against a call for
     # each machine at once, and against connections to a whole fleet kept open beside those
-    # that the reports come on.
+    # that the heartbeats come on.
     monkeypatch.setattr(command_dispatcher, "CALLS_LEAST", 6)
 
     async def story() -> None:
@@ -184,7 +184,7 @@
 
 
 def test_a_leader_that_may_have_been_replaced_returns_nothing_for_being_idle() -> None:
-    # A leader that stood still, or lost the state service alone, sees machines idle or silent
+    # A leader that stood still, or lost the key-value store alone, sees machines idle or silent
     # that its successor has put to work. A deletion asks for no baton: it would end that work.
     async def story() -> None:
         world = World()
@@ -196,7 +196,7 @@
         assert world.cloud.hosts
         before = set(world.cloud.hosts)
         world.state.out = True
-        await asyncio.sleep(300)  # idle for long, and above the peak of late
+        await asyncio.sleep(300)  # idle for long, and above the peak recently
         assert not active.may_start()
         assert before and set(world.cloud.hosts) == before
         world.state.out = False
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Old and new versions side by side, and limits of the state service that drop."""
+"""Old and new versions side by side, and limits of the key-value store that drop."""
 
 from __future__ import annotations
 
@@ -160,7 +160,7 @@
                 )
                 world.cancelled["job-000002"] = world.now()
                 world.told["job-000002"] = "aborted"
-            # It writes progress anew, as it does after a takeover.
+            # It writes progress again, as it does after a failover.
             key = progress_key("job-000001", 0)
             progress = state.value(key)
             old_can_read(key, progress)
--- a/tests/test_upgrade_troubles.py
+++ b/tests/test_upgrade_troubles.py
@@ -81,7 +81,7 @@
         world.wire.filters.remove(turn)
         other = next(n for n in LABELS if n != leader)
         await refused_at_once(world, other)
-        # The others elect one of them, which asks all three anew: the refused one still answers.
+        # The others elect one of them, which asks all three again: the refused one still answers.
         await taken(world, other, 2 * SOON_S)
         await served(world)
         assert (
--- a/tests/test_user_api.py
+++ b/tests/test_user_api.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any
 
-from spoolcourse.control.http_client import Reply, Request
+from spoolcourse.control.http_client import Request, Response
 from tests.fakes.clock import play
 from tests.fakes.world import LABELS, World, job
 
@@ -191,7 +191,7 @@
         seen = await world.wire.call("op", f"{other}:81", "GET", "/status", None, 2.0)
         assert (seen.data["role"], seen.data["leader"]) == ("follower", leader)
         reply = world.nodes[leader].peers(Request("GET", "/metrics"))
-        assert isinstance(reply, Reply)
+        assert isinstance(reply, Response)
         text = reply.data.decode()
         assert "spoolcourse_leader 1.0" in text and "spoolcourse_waiting_jobs 2.0" in text
         # Not on the users' address.
--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -7,7 +7,7 @@
 from spoolcourse.control.jobs.job_queue import JobQueue, JobState
 from spoolcourse.control.jobs.writer import Writer
 from spoolcourse.control.leadership.election import Term
-from spoolcourse.control.leadership.failover_proof import ProofSource, TakeoverProof
+from spoolcourse.control.leadership.failover_proof import FailoverProof, ProofSource
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.keys import PREFIX, TERM, job_key
 from spoolcourse.control.store.records import JobRecord
@@ -29,17 +29,17 @@
         client = StoreClient(wire.end_of("n0"), "state:1", limits, nodes=1)
         client.set_leader(True)
         watch_cache = WatchCache(client, PREFIX)
-        await client.txn({}, [Put(TERM, {"term": 1})], urgent=True)
+        await client.compare_and_swap({}, [Put(TERM, {"term": 1})], urgent=True)
         term = Term(1, state.store_revision, 0)
         jobs: list[JobState] = []
         for number, rank in enumerate(["standard"] * 20 + ["best_effort", "high"], 1):
             body = job(number, rank=rank)
-            await client.txn({}, [Put(job_key(body["id"]), body)], urgent=True)
+            await client.compare_and_swap({}, [Put(job_key(body["id"]), body)], urgent=True)
             record = JobRecord(parse(body, Submission), 1.0, 170, None, state.store_revision)
             jobs.append(works.add(record, 0.0))
         await asyncio.sleep(10)
-        await watch_cache.load()
-        proof = TakeoverProof(term, watch_cache, ProofSource.RECORDS)
+        await watch_cache.reload()
+        proof = FailoverProof(term, watch_cache, ProofSource.RECORDS)
         writer = Writer(client, watch_cache, works, proof, lambda why: None, lambda: None)
         running = asyncio.create_task(writer.run())
         for work in jobs[:20]:
@@ -73,15 +73,15 @@
         client = StoreClient(wire.end_of("n0"), "state:1", limits, nodes=1)
         client.set_leader(True)
         watch_cache = WatchCache(client, PREFIX)
-        await client.txn({}, [Put(TERM, {"term": 1})], urgent=True)
+        await client.compare_and_swap({}, [Put(TERM, {"term": 1})], urgent=True)
         term = Term(1, state.store_revision, 0)
         record = JobRecord(parse(job(pieces=170), Submission), 1.0, 170, None, 0)
         key = job_key(record.submission.id)
-        await client.txn({}, [Put(key, record.value())], urgent=True)
+        await client.compare_and_swap({}, [Put(key, record.value())], urgent=True)
         record.revision = state.store_revision
         work = works.add(record, 0.0)
-        await watch_cache.load()
-        proof = TakeoverProof(term, watch_cache, ProofSource.RECORDS)
+        await watch_cache.reload()
+        proof = FailoverProof(term, watch_cache, ProofSource.RECORDS)
         running = asyncio.create_task(
             Writer(client, watch_cache, works, proof, lambda why: None, lambda: None).run()
         )
@@ -93,7 +93,7 @@
         await asyncio.sleep(10)
         assert state.refused == 1 and not running.done()
         for attempt in attempts[:80]:
-            works.drop(attempt)  # they end by and by
+            works.drop(attempt)  # they end gradually
         await asyncio.sleep(2)
         assert state.refused == 1 and work.chunk(0).saved == work.chunk(0).version
         running.cancel()
