--- a/tests/golden/adapter.py
+++ b/tests/golden/adapter.py
@@ -5,15 +5,20 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
-from spoolcourse.control.fleet.machine import Machine
+from spoolcourse.control.autoscaling.demand import Demand
+from spoolcourse.control.autoscaling.excess_capacity import ExcessCapacity
+from spoolcourse.control.autoscaling.fleet_view import FleetView
+from spoolcourse.control.autoscaling.planner import (
+    Offer,
+    ProvisionRequest,
+    plan_provisioning,
+    top_up,
+)
 from spoolcourse.control.jobs.job_queue import Attempt
-from spoolcourse.control.machines.demand import Demand
-from spoolcourse.control.machines.fleet_view import FleetView
-from spoolcourse.control.machines.planner import Hire, Offer, plan_hires, top_up
-from spoolcourse.control.machines.surplus import Surplus
 from spoolcourse.control.placement.backfill import place
 from spoolcourse.control.placement.model import Job, Node, Plan, RunningTask, Snapshot, Team
 from spoolcourse.control.placement.preempt import choose_victims
+from spoolcourse.control.workers.machine import Machine
 from spoolcourse.policy.keys import Policy
 from spoolcourse.wire.messages import HostStage, MachineType
 from tests.golden.inputs import NOW, SIZES, Fields
@@ -51,7 +56,7 @@
         fetching=dict(machine["fetches"]),
         tasks=[_task(task) for task in machine["tasks"]],
         ready_at=machine["ready_at"],
-        surplus=machine["surplus"],
+        scale_in_candidate=machine["surplus"],
         rare=machine["rare"],
         freed=machine["being_freed"],
     )
@@ -143,7 +148,7 @@
         heard_at=machine["heard_at"],
         deleting=machine["deleting"],
         listed_stage=HostStage.FAILED if machine["failed"] else None,
-        surplus=machine["surplus"],
+        scale_in_candidate=machine["surplus"],
     )
     for task in range(machine["attempts"]):  # only their number counts
         known.attempts[machine["name"], task] = cast(Attempt, None)
@@ -163,8 +168,8 @@
     }
 
 
-def _provisions(hires: list[Hire]) -> list[list[Any]]:
-    return [[h.offer.machine_type, h.offer.zone, h.offer.spot, h.count] for h in hires]
+def _provisions(provisions: list[ProvisionRequest]) -> list[list[Any]]:
+    return [[h.offer.machine_type, h.offer.zone, h.offer.spot, h.count] for h in provisions]
 
 
 def placement(cluster: Fields) -> Fields:
@@ -184,7 +189,7 @@
     snapshot = _snapshot(asked["cluster"])
     room = asked["free_cpus_by_team"]
     everything = [(snapshot.jobs[number], tasks) for number, tasks in asked["demand"]]
-    for_all = plan_hires(
+    for_all = plan_provisioning(
         demand=everything,
         nodes=snapshot.nodes,
         offers=offers,
@@ -193,7 +198,7 @@
         **limit,
     )
     unplaced = place(snapshot).unplaced
-    for_unplaced = plan_hires(
+    for_unplaced = plan_provisioning(
         demand=[(snapshot.jobs[number], tasks) for number, tasks in unplaced.items()],
         nodes=snapshot.nodes,
         offers=offers,
@@ -224,16 +229,16 @@
     machines = {machine["name"]: _known_machine(machine) for machine in fleet["machines"]}
     rare = {f"type-{number}" for number in fleet["rare_machine_types"]}
     policy = Policy(keep_s=60.0, headroom=1.25, ordinary_keep_s=120.0, ordinary_headroom=1.0)
-    surplus = Surplus(
+    excess_capacity = ExcessCapacity(
         policy=policy,
         registry=cast(Any, SimpleNamespace(machines=machines)),
         view=FleetView(machine_types=_catalog),
         is_rare=rare.__contains__,
     )
-    surplus.demand.note(now=NOW - 90.0, cpus=1.5 * fleet["wanted_cpus"])
-    surplus.demand.note(now=NOW, cpus=fleet["wanted_cpus"])
-    surplus.mark(now=NOW, base=frozenset(fleet["base"]), reserved=set(fleet["reserved"]))
+    excess_capacity.demand.note(now=NOW - 90.0, cpus=1.5 * fleet["wanted_cpus"])
+    excess_capacity.demand.note(now=NOW, cpus=fleet["wanted_cpus"])
+    excess_capacity.mark(now=NOW, base=frozenset(fleet["base"]), reserved=set(fleet["reserved"]))
     return {
-        "missing_cpus": surplus.short_cpus(now=NOW),
-        "surplus": [name for name, machine in machines.items() if machine.surplus],
+        "missing_cpus": excess_capacity.short_cpus(now=NOW),
+        "surplus": [name for name, machine in machines.items() if machine.scale_in_candidate],
     }
--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -1,4 +1,4 @@
-"""Records the answers: `python -m tests.golden.generate` writes the data files anew.
+"""Records the answers: `python -m tests.golden.generate` writes the data files again.
 
 Only to be run on purpose, when a plan is meant to change; the commit says which and why.
 `tests/test_golden_plans.py` compares the code's answers with the record.
@@ -57,7 +57,7 @@
         Suite(
             "provisioning",
             range(2000, 2300),
-            lambda seed: adapter.provisioning(inputs.renting(seed)),
+            lambda seed: adapter.provisioning(inputs.scale_out(seed)),
         ),
         Suite(
             "demand",
--- a/tests/golden/inputs.py
+++ b/tests/golden/inputs.py
@@ -220,7 +220,7 @@
     return found
 
 
-def renting(seed: int) -> Fields:
+def scale_out(seed: int) -> Fields:
     """What the planner of machines is asked."""
     asked = cluster(seed)
     draw = Draw(seed + 1_000_000)
