--- a/tests/golden_records/adapter.py
+++ b/tests/golden_records/adapter.py
@@ -13,11 +13,11 @@
 import msgspec
 import orjson
 
+from spoolcourse.control.failover.hints import hints_path
 from spoolcourse.control.leadership import feature_level
-from spoolcourse.control.standby.hints import hints_path
 from spoolcourse.control.store import keys, records
 from spoolcourse.errors import UserError
-from spoolcourse.wire import cloud, commands, messages, paths, peers, state_service
+from spoolcourse.wire import cloud, commands, key_value_store, messages, paths, peers
 from spoolcourse.wire.settings import parse_settings
 from spoolcourse.wire.standby_settings import parse_standby
 
@@ -136,7 +136,7 @@
 ACKNOWLEDGE = commands.Acknowledge(task="job-000001/1", attempt=ATTEMPT + 1)
 COMMANDS: list[commands.Command] = [START, STOP, ACKNOWLEDGE]
 TASK_REPORTS = [
-    messages.TaskReport(
+    messages.TaskStatus(
         task=f"job-000001/{index}", attempt=ATTEMPT + index, stage=stage, cause=cause, stored=stored
     )
     for index, (stage, cause, stored) in enumerate(
@@ -151,25 +151,25 @@
 ]
 HINTS = [
     peers.Hint(
-        machine="m-000000", address="m-000000:9000", session=2, images={"img": 1.5, "old": 0.5}
+        machine="m-000000", address="m-000000:9000", incarnation=2, images={"img": 1.5, "old": 0.5}
     ),
-    peers.Hint(machine="m-000001", address="m-000001:9000", session=1),
+    peers.Hint(machine="m-000001", address="m-000001:9000", incarnation=1),
 ]
 
 
-def _report(**fields: Any) -> messages.Report:
+def _heartbeat(**fields: Any) -> messages.Heartbeat:
     given: dict[str, Any] = {
         "machine": "m-000000",
         "address": "m-000000:9000",
         "machine_type": "c8",
         "zone": "a",
         "spot": False,
-        "session": 1,
+        "incarnation": 1,
         "sequence": 9,
         "fencing_token": 3,
         "tasks": [],
     } | fields
-    return messages.Report(**given)
+    return messages.Heartbeat(**given)
 
 
 # -- how forms are written and read ---------------------------------------------------------
@@ -180,10 +180,10 @@
     return Form(sample, commands.to_json_object, lambda data: messages.parse(data, kind))
 
 
-def _job_record(submission: messages.Submission, aborted_at: float | None = None) -> Form:
+def _job_record(submission: messages.Submission, cancelled_at: float | None = None) -> Form:
     return Form(
         records.JobRecord(
-            submission=submission, at=990.25, chunk=170, aborted_at=aborted_at, revision=12
+            submission=submission, at=990.25, chunk=170, cancelled_at=cancelled_at, revision=12
         ),
         lambda record: record.value(),
         lambda value: records.JobRecord.from_value(value, 12),
@@ -220,7 +220,7 @@
     return Form(
         (names, parts),
         lambda base: records.base_value(base[0], base[1]),
-        lambda value: (sorted(records.base_machines(value)), records.base_parts(value)),
+        lambda value: (sorted(records.initial_machines(value)), records.base_parts(value)),
     )
 
 
@@ -235,7 +235,7 @@
         done=0x6F0, held={0: ("m-000000", ATTEMPT), 11: ("m-000001", ATTEMPT + 1)}
     ),
     "final state, done": _final_state(messages.JobStage.DONE),
-    "final state, aborted": _final_state(messages.JobStage.ABORTED),
+    "final state, aborted": _final_state(messages.JobStage.CANCELLED),
     "term": Form(TERM, lambda record: record.value(), _read_term),
     "leader": Form(
         records.LeaderRecord(term=TERM, label="n1"), lambda record: record.value(), _read_leader
@@ -290,16 +290,16 @@
     ),
     "handover reply": _message(peers.HandoverReply(term=3, successors=["n0", "n2"])),
     # Of workers.
-    "report": _message(_report()),
-    "report, spot, about to end": _message(_report(spot=True, terminates_in_s=12.5)),
-    "report, tasks in every stage": _message(_report(tasks=TASK_REPORTS)),
-    "report reply": _message(commands.ReportReply(commands=COMMANDS, fencing_token=3)),
-    "report reply, no lease": _message(commands.ReportReply(commands=[])),
+    "report": _message(_heartbeat()),
+    "report, spot, about to end": _message(_heartbeat(spot=True, terminates_in_s=12.5)),
+    "report, tasks in every stage": _message(_heartbeat(tasks=TASK_REPORTS)),
+    "report reply": _message(commands.HeartbeatResponse(commands=COMMANDS, fencing_token=3)),
+    "report reply, no lease": _message(commands.HeartbeatResponse(commands=[])),
     "report reply, relayed": _message(
-        commands.ReportReply(commands=COMMANDS, fencing_token=3, hears_no_worker=True)
+        commands.HeartbeatResponse(commands=COMMANDS, fencing_token=3, hears_no_worker=True)
     ),
     "report reply, relayed, leader hears others": _message(
-        commands.ReportReply(commands=[], fencing_token=3, hears_no_worker=False)
+        commands.HeartbeatResponse(commands=[], fencing_token=3, hears_no_worker=False)
     ),
     "redirect": _message(commands.Redirect(leader="n1")),
     "redirect, no leader": _message(commands.Redirect()),
@@ -307,10 +307,10 @@
     "command, stop": _message(STOP),
     "command, acknowledge": _message(ACKNOWLEDGE),
     "command request": _message(
-        commands.CommandRequest(fencing_token=3, session=1, commands=COMMANDS)
+        commands.CommandRequest(fencing_token=3, incarnation=1, commands=COMMANDS)
     ),
     "command request, empty": _message(
-        commands.CommandRequest(fencing_token=3, session=1, commands=[])
+        commands.CommandRequest(fencing_token=3, incarnation=1, commands=[])
     ),
     # Of users.
     "submission, array": _message(ARRAY),
@@ -359,25 +359,25 @@
         )
     ),
     "host page, last": _message(messages.HostPage(hosts=[])),
-    "hired": _message(messages.Hired(machines=["m-000000", "m-000001"])),
+    "hired": _message(messages.ProvisionedMachines(machines=["m-000000", "m-000001"])),
 }
 
 
 def requests() -> dict[str, str]:
     """Bodies that are only written."""
     spot = cloud.MachineKind(machine_type="c8", zone="a", spot=True)
-    put = state_service.Put(key="spoolcourse/live/term", value=TERM.value())
-    attached = state_service.Put(key="spoolcourse/live/leader", value={"label": "n1"}, lease=7)
+    put = key_value_store.Put(key="spoolcourse/live/term", value=TERM.value())
+    attached = key_value_store.Put(key="spoolcourse/live/leader", value={"label": "n1"}, lease=7)
     bodies: dict[str, Any] = {
-        "cloud: rental": cloud.hire_body("t3-1", spot, 2),
-        "cloud: rental, above the most": cloud.hire_body("t3-2", spot, 1000),
+        "cloud: rental": cloud.provision_body("t3-1", spot, 2),
+        "cloud: rental, above the most": cloud.provision_body("t3-2", spot, 1000),
         "cloud: deletion": cloud.delete_body(["m-000000", "m-000001"]),
-        "store: lease": state_service.grant_body(2.5),
-        "store: transaction": state_service.transaction_body(
+        "store: lease": key_value_store.grant_body(2.5),
+        "store: transaction": key_value_store.transaction_body(
             {"spoolcourse/live/term": 4, "spoolcourse/live/leader": 0},
-            [put, attached, state_service.Delete(key="spoolcourse/live/job/job-000001")],
+            [put, attached, key_value_store.Delete(key="spoolcourse/live/job/job-000001")],
         ),
-        "store: transaction without operations": state_service.transaction_body(
+        "store: transaction without operations": key_value_store.transaction_body(
             {"spoolcourse/live/term": 4}, []
         ),
         "base in parts": records.base_values([f"m-{n:06d}" for n in range(8)], 80.0),
@@ -401,11 +401,11 @@
     (peers.Hint, '{"machine":"m","address":"m:1","session":1}'),
     (peers.HintPage, '{"term":1,"leader":"n1","revision":2,"hints":[]}'),
     (peers.StandbyReply, '{"caught_up":true,"term":1,"revision":2}'),
-    (messages.TaskReport, '{"piece":"job-000001/0","try":1,"stage":"running"}'),
+    (messages.TaskStatus, '{"piece":"job-000001/0","try":1,"stage":"running"}'),
     (messages.JobStatus, '{"id":"job-000001","stage":"queued"}'),
     (messages.HostPage, '{"spindles":[]}'),
     (messages.Host, '{"id":"m","build":"c8","yard":"a","loaners":true,"stage":"failed","ageS":1}'),
-    (commands.ReportReply, '{"orders":[]}'),
+    (commands.HeartbeatResponse, '{"orders":[]}'),
     (commands.Redirect, "{}"),
 ]
 
@@ -413,13 +413,13 @@
 def readings() -> dict[str, Any]:
     """What the product reads in recorded answers and values, as plain data."""
     data = {name: orjson.loads(text) for name, text in ANSWERS_OF_THE_STORE.items()}
-    revision, changes = state_service.read_changes(data["changes"])
+    revision, changes = key_value_store.read_changes(data["changes"])
     outcomes = (
-        state_service.carried_out(data["carried out"]),
-        state_service.conditions_failed(data["conditions failed"]),
+        key_value_store.carried_out(data["carried out"]),
+        key_value_store.conditions_failed(data["conditions failed"]),
     )
-    pages = [state_service.read_page(data[name]) for name in ("page", "page, empty")]
-    entry = state_service.read_entry("a", data["entry"])
+    pages = [key_value_store.read_page(data[name]) for name in ("page", "page, empty")]
+    entry = key_value_store.read_entry("a", data["entry"])
     progress = {"done": "6f0", "held": {"0": ["m", 1], "2": ["m", 2]}}
     return {
         "messages without their optional fields": [
@@ -432,11 +432,11 @@
             for p in pages
         ],
         "store changes": [revision, [[c.key, c.value, c.revision] for c in changes]],
-        "store lease": state_service.read_lease(data["lease"]),
+        "store lease": key_value_store.read_lease(data["lease"]),
         "store outcomes": [[o.ok, o.store_revision, list(o.failed)] for o in outcomes],
-        "store, no such lease": state_service.NO_SUCH_LEASE,
+        "store, no such lease": key_value_store.NO_SUCH_LEASE,
         "cloud, no capacity": cloud.NO_CAPACITY,
-        "cloud limits": [cloud.LIST_PAGE, cloud.DELETE_MAX, cloud.HIRE_MAX],
+        "cloud limits": [cloud.LIST_PAGE, cloud.DELETE_MAX, cloud.PROVISION_MAX],
         "body limit": messages.BODY_LIMIT,
         "job id": messages.JOB_ID.pattern,
         "progress counts": list(records.Progress.counts_of(progress)),
@@ -455,7 +455,7 @@
         "report as it came": orjson.loads(
             orjson.dumps(
                 commands.to_json_object(
-                    messages.parse_report(orjson.dumps(MESSAGES["report"].encode(_report())))
+                    messages.parse_heartbeat(orjson.dumps(MESSAGES["report"].encode(_heartbeat())))
                 )
             )
         ),
@@ -469,21 +469,21 @@
         "hints, from the first on": hints_path("", 200),
         "machine list": cloud.list_path(""),
         "machine list, further": cloud.list_path("m-000499"),
-        "store entry": state_service.entry_path("spoolcourse/live/term"),
-        "store page": state_service.page_path("spoolcourse/", 200, ""),
-        "store page, further": state_service.page_path("spoolcourse/", 200, "spoolcourse/a b&c"),
-        "store watch": state_service.watch_path("spoolcourse/", 17, 2.5),
-        "store lease renewal": state_service.renew_path(7),
-        "store lease end": state_service.lease_path(7),
+        "store entry": key_value_store.entry_path("spoolcourse/live/term"),
+        "store page": key_value_store.page_path("spoolcourse/", 200, ""),
+        "store page, further": key_value_store.page_path("spoolcourse/", 200, "spoolcourse/a b&c"),
+        "store watch": key_value_store.watch_path("spoolcourse/", 17, 2.5),
+        "store lease renewal": key_value_store.renew_path(7),
+        "store lease end": key_value_store.lease_path(7),
         "key of a base part": keys.base_part_key(2),
         "key of a job": keys.job_key("job-000001"),
         "key of a final state": keys.final_key("job-000001"),
         "key of progress": keys.progress_key("job-000001", 3),
     }
     fixed = {
-        "report": paths.REPORT,
+        "report": paths.HEARTBEAT,
         "submissions": paths.SUBMISSIONS,
-        "withdraw": paths.WITHDRAW,
+        "withdraw": paths.CANCEL,
         "health": paths.HEALTH,
         "cancellations": paths.CANCELLATIONS,
         "level": paths.LEVEL,
@@ -572,7 +572,7 @@
         "every field": msgspec.to_builtins(found),
         "fewest fields": msgspec.to_builtins(parse_settings(orjson.dumps(bare), "sample")),
         "team limits": [[str(t.cpu_limit), str(t.gpu_limit)] for t in params.teams],
-        "report gap": params.workers.report_gap_s,
+        "report gap": params.workers.heartbeat_gap_s,
         "quiet": params.workers.quiet_s,
         "least limits": msgspec.to_builtins(params.state.least),
         "standby, defaults": msgspec.to_builtins(parse_standby("[standby]", "sample")),
@@ -677,16 +677,16 @@
 def message_errors() -> dict[str, str]:
     """What is said of messages that do not follow the protocol."""
     submission = commands.to_json_object(ARRAY_WITH_ALL)
-    report = commands.to_json_object(_report(terminates_in_s=1.0))
+    heartbeat = commands.to_json_object(_heartbeat(terminates_in_s=1.0))
     task = commands.to_json_object(TASK_REPORTS[0])
     return (
         _without("submission", submission, messages.parse_submission)
-        | _without("report", report, messages.parse_report)
+        | _without("report", heartbeat, messages.parse_heartbeat)
         | _without(
             "task report",
             task,
-            lambda raw: messages.parse_report(
-                orjson.dumps(report | {"pieces": [orjson.loads(raw)]})
+            lambda raw: messages.parse_heartbeat(
+                orjson.dumps(heartbeat | {"pieces": [orjson.loads(raw)]})
             ),
         )
         | {
@@ -701,8 +701,8 @@
         }
         | {
             "report: ended without a cause": _refusal(
-                messages.parse_report,
-                orjson.dumps(report | {"pieces": [task | {"stage": "ended", "cause": None}]}),
+                messages.parse_heartbeat,
+                orjson.dumps(heartbeat | {"pieces": [task | {"stage": "ended", "cause": None}]}),
             )
         }
     )
--- a/tests/golden_records/interfaces.py
+++ b/tests/golden_records/interfaces.py
@@ -18,8 +18,8 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from spoolcourse import cli
-from spoolcourse.control.net import Reply, Request
-from spoolcourse.control.server import Connection, encode
+from spoolcourse.control.http_client import Request, Response
+from spoolcourse.control.http_server import Connection, encode
 from spoolcourse.errors import UserError
 from spoolcourse.policy import keys as policy_keys
 from spoolcourse.wire.messages import BODY_LIMIT
@@ -87,14 +87,14 @@
     return World(policy={"pass_gap_s": 0.1}, standby=VARIANTS[variant])
 
 
-async def _asked(handler: Any, method: str, path: str, raw: bytes = b"") -> Reply:
+async def _asked(handler: Any, method: str, path: str, raw: bytes = b"") -> Response:
     found = handler(Request(method, path, raw))
-    reply: Reply = found if isinstance(found, Reply) else await found
+    reply: Response = found if isinstance(found, Response) else await found
     return reply
 
 
 async def _busy(variant: str) -> World:
-    """A leader by take-over, with services, jobs that run, wait and are cancelled."""
+    """A leader by failover, with services, jobs that run, wait and are cancelled."""
     world = _world(variant)
     world.cloud.run_s = lambda task: 10_000.0
     world.cloud.capacity = 3
@@ -117,7 +117,7 @@
     return {"leader": leader, "follower": next(n for n in world.nodes if n != leader)}
 
 
-def _of_both_roles(read: Callable[[Reply], Any], path: str) -> dict[str, Any]:
+def _of_both_roles(read: Callable[[Response], Any], path: str) -> dict[str, Any]:
     found: dict[str, Any] = {}
     for variant in VARIANTS:
 
@@ -137,7 +137,7 @@
     return _of_both_roles(lambda reply: shape(orjson.loads(orjson.dumps(reply.data))), "/status")
 
 
-def _families(reply: Reply) -> Any:
+def _families(reply: Response) -> Any:
     return [
         [
             f"{family.type} {family.name}: {family.documentation}",
@@ -299,7 +299,7 @@
 
 
 def _reports(token: int) -> dict[str, bytes]:
-    report: dict[str, Any] = {
+    heartbeat: dict[str, Any] = {
         "spindle": "m-000099",
         "address": "m-000099:9000",
         "build": "c8",
@@ -313,16 +313,18 @@
     }
     ended = {"piece": "job-000009/0", "try": 1, "stage": "ended"}
     found = {
-        f"{field} missing": orjson.dumps({k: v for k, v in report.items() if k != field})
-        for field in report
+        f"{field} missing": orjson.dumps({k: v for k, v in heartbeat.items() if k != field})
+        for field in heartbeat
         if field != "recallS"
     }
     return found | {
         "not JSON": b"{",
-        "ended without a cause": orjson.dumps(report | {"pieces": [ended]}),
-        "not a task": orjson.dumps(report | {"pieces": [ended | {"piece": "x", "cause": "done"}]}),
-        "unknown stage": orjson.dumps(report | {"pieces": [ended | {"stage": "resting"}]}),
-        "good": orjson.dumps(report),
+        "ended without a cause": orjson.dumps(heartbeat | {"pieces": [ended]}),
+        "not a task": orjson.dumps(
+            heartbeat | {"pieces": [ended | {"piece": "x", "cause": "done"}]}
+        ),
+        "unknown stage": orjson.dumps(heartbeat | {"pieces": [ended | {"stage": "resting"}]}),
+        "good": orjson.dumps(heartbeat),
     }
 
 
@@ -348,7 +350,7 @@
         for name, raw in _submissions().items():
             if role == "leader" or name in ("body '{'", "unknown team", "pieces missing"):
                 await table.ask(f"{role}: submit, {name}", role, "POST", "/submissions", raw)
-    # What was taken above (where null is the same as left out) is withdrawn again.
+    # What was taken above (where null is the same as left out) is cancelled again.
     await world.cancel(1, str(world.leader))
     await asyncio.sleep(5)
     number = 10
@@ -520,10 +522,10 @@
         pass
 
 
-def _broken(request: Request) -> Reply:
+def _broken(request: Request) -> Response:
     if request.path == "/broken":
         raise RuntimeError("as planned")
-    return Reply(200, {"length": len(request.body)})
+    return Response(200, {"length": len(request.body)})
 
 
 async def _broken_requests() -> dict[str, Any]:
@@ -581,7 +583,7 @@
 
     async def recorded_call(
         src: str, dst: str, method: str, path: str, body: Any, timeout: float
-    ) -> Reply:
+    ) -> Response:
         reply = await call(src, dst, method, path, body, timeout)
         answered = reply.status in (200, 201, 421) or path.startswith("/kv/")
         if src == "user" or not answered:
--- a/tests/golden_records/record.py
+++ b/tests/golden_records/record.py
@@ -1,4 +1,4 @@
-"""Writes the recorded forms anew: `python -m tests.golden_records.record`.
+"""Writes the recorded forms again: `python -m tests.golden_records.record`.
 
 Only to be run on purpose, when a form is meant to change: what differs afterwards is what
 older versions and operators' tools no longer find.
