--- a/spoolcourse/control/cloud/catalog.py
+++ b/spoolcourse/control/cloud/catalog.py
@@ -13,7 +13,8 @@
 
 from spoolcourse.control.cloud.client import Cloud, CloudError, NoCapacityError
 from spoolcourse.control.leadership.election import Leadership
-from spoolcourse.control.store.client import OutcomeUnknownError, RequestRefusedError, StoreClient
+from spoolcourse.control.store.client import StoreClient
+from spoolcourse.control.store.errors import StoreUnavailableError
 from spoolcourse.control.store.keys import CATALOG
 from spoolcourse.control.store.records import catalog_value
 from spoolcourse.control.store.watch_cache import WatchCache
@@ -54,7 +55,7 @@
             except (CloudError, NoCapacityError) as exc:
                 log.info("catalog: %s", exc)
                 pause = RETRY_S
-            except (RequestRefusedError, OutcomeUnknownError) as exc:
+            except StoreUnavailableError as exc:
                 log.debug("catalog not stored: %s", exc)
                 pause = STORE_RETRY_S
             await asyncio.sleep(pause * random.uniform(*JITTER))
--- a/spoolcourse/control/failover/warm_standby.py
+++ b/spoolcourse/control/failover/warm_standby.py
@@ -11,7 +11,7 @@
 from spoolcourse.control.failover.hints import HintBook
 from spoolcourse.control.failover.restore import RestoredJobs
 from spoolcourse.control.failover.shadow_queue import MisfitError, Shadow
-from spoolcourse.control.store.client import OutcomeUnknownError, RequestRefusedError
+from spoolcourse.control.store.errors import StoreUnavailableError
 from spoolcourse.control.store.keys import TERM
 from spoolcourse.control.store.records import TermRecord
 from spoolcourse.control.store.retry import RetryDelay
@@ -143,7 +143,7 @@
             await self._unfit.wait()
             try:
                 await self._watch_cache.reload()
-            except (RequestRefusedError, OutcomeUnknownError) as exc:
+            except StoreUnavailableError as exc:
                 log.debug("standby: not rebuilt yet: %s", exc)
                 await retry.wait()
                 continue
--- a/spoolcourse/control/jobs/job_index.py
+++ b/spoolcourse/control/jobs/job_index.py
@@ -9,7 +9,8 @@
 import orjson
 
 from spoolcourse.control.jobs.cancellations import Cancellations
-from spoolcourse.control.store.client import OutcomeUnknownError, StoreClient
+from spoolcourse.control.store.client import StoreClient
+from spoolcourse.control.store.errors import OutcomeUnknownError
 from spoolcourse.control.store.keys import (
     FINAL,
     JOB,
--- a/spoolcourse/control/jobs/writer.py
+++ b/spoolcourse/control/jobs/writer.py
@@ -16,7 +16,12 @@
 
 from spoolcourse.control.jobs.job_queue import Chunk, JobQueue, JobState
 from spoolcourse.control.leadership.failover_proof import FailoverProof
-from spoolcourse.control.store.client import OutcomeUnknownError, RequestRefusedError, StoreClient
+from spoolcourse.control.store.client import StoreClient
+from spoolcourse.control.store.errors import (
+    OutcomeUnknownError,
+    RequestRefusedError,
+    StoreUnavailableError,
+)
 from spoolcourse.control.store.keys import TERM, final_key, job_key, progress_key
 from spoolcourse.control.store.records import FinalState
 from spoolcourse.control.store.retry import RetryDelay
@@ -65,7 +70,7 @@
                     if not self._job_queue.starting and not self._job_queue.finished:
                         await self._save_results()
                     retry.reset()
-            except (RequestRefusedError, OutcomeUnknownError) as exc:
+            except StoreUnavailableError as exc:
                 log.debug("write: %s", exc)
                 self._wake.set()
                 await retry.wait()
@@ -209,10 +214,10 @@
     async def _after_conflict(self, outcome: Outcome) -> None:
         if TERM in outcome.failed:
             self._step_down("a write was refused: the term has passed")
-            raise RequestRefusedError("deposed")
+            raise RequestRefusedError("write", "the term has passed")
         log.debug("write conflict: %s", outcome.failed)
         if not await self._watch_cache.read_barrier():
-            raise RequestRefusedError("no sync after a conflict")
+            raise RequestRefusedError("read barrier after a conflict", "no answer")
         self._adopt()
 
     def _adopt(self) -> None:
--- a/spoolcourse/control/leader/active_leader.py
+++ b/spoolcourse/control/leader/active_leader.py
@@ -21,7 +21,7 @@
 from spoolcourse.control.scheduling.scheduling_loop import SchedulingLoop
 from spoolcourse.control.scheduling.snapshot_builder import SnapshotBuilder
 from spoolcourse.control.scheduling.termination_notices import TerminationLoop
-from spoolcourse.control.store.client import OutcomeUnknownError, RequestRefusedError
+from spoolcourse.control.store.errors import StoreUnavailableError
 from spoolcourse.control.store.keys import JOB
 from spoolcourse.control.store.records import JobRecord
 from spoolcourse.control.workers.command_dispatcher import CommandDispatcher
@@ -101,7 +101,7 @@
     async def _sweep(self) -> None:
         try:
             await self.writer.sweep(self._leftover_keys)
-        except (RequestRefusedError, OutcomeUnknownError) as exc:
+        except StoreUnavailableError as exc:
             log.info("progress of finished jobs is left for the next term: %s", exc)
 
     def _on_saved(self) -> None:
--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -16,11 +16,11 @@
 from typing import Any
 
 from spoolcourse.control.leadership.renewal_deadline import DRIFT
-from spoolcourse.control.store.client import (
+from spoolcourse.control.store.client import StoreClient
+from spoolcourse.control.store.errors import (
     LeaseExpiredError,
     OutcomeUnknownError,
-    RequestRefusedError,
-    StoreClient,
+    StoreUnavailableError,
 )
 from spoolcourse.control.store.keys import LEADER, TERM
 from spoolcourse.control.store.records import LeaderRecord, TermRecord
@@ -113,7 +113,7 @@
         self.step_down(reason)
         try:
             await self._client.release(term.lease)
-        except (RequestRefusedError, OutcomeUnknownError) as exc:
+        except StoreUnavailableError as exc:
             log.info("the lease is left to run out: %s", exc)
 
     def _on_change(self, key: str, value: Any, revision: int) -> None:
@@ -155,7 +155,7 @@
                 continue
             try:
                 await self._stand()
-            except (RequestRefusedError, OutcomeUnknownError, LeaseExpiredError) as exc:
+            except (StoreUnavailableError, LeaseExpiredError) as exc:
                 log.debug("election: %s", exc)
                 await asyncio.sleep(random.uniform(*ELECTION_PAUSE_S))
 
@@ -185,7 +185,7 @@
     async def _stand(self) -> None:
         loop = asyncio.get_running_loop()
         if not await self._watch_cache.read_barrier():
-            raise OutcomeUnknownError("the state service did not answer")
+            raise OutcomeUnknownError("read barrier", "no answer")
         leader, former = self._watch_cache.get(LEADER), self._watch_cache.get(TERM)
         if leader is not None and not self._is_former_self(leader.value):
             return
@@ -251,7 +251,7 @@
             except LeaseExpiredError:
                 self.step_down("the lease is gone")
                 return
-            except (RequestRefusedError, OutcomeUnknownError) as exc:
+            except StoreUnavailableError as exc:
                 log.debug("renewal: %s", exc)
                 pause = self._ttl_s * RENEW_RETRY_SHARE
             try:
--- a/spoolcourse/control/store/client.py
+++ b/spoolcourse/control/store/client.py
@@ -8,9 +8,17 @@
 
 from spoolcourse.control.http_client import HttpClient, NoResponseError, Response
 from spoolcourse.control.rate_limit import RateLimitExceededError, TokenBucket
+from spoolcourse.control.store.errors import (
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    RequestRefusedError,
+    RevisionCompactedError,
+    StoreUnavailableError,
+    ValueTooLargeError,
+)
 from spoolcourse.wire import key_value_store as wire
 from spoolcourse.wire import paths
-from spoolcourse.wire.key_value_store import Change, Entry, Operation, Outcome
+from spoolcourse.wire.key_value_store import Change, Entry, Operation, Outcome, Put
 from spoolcourse.wire.settings import State
 
 log = logging.getLogger(__name__)
@@ -24,28 +32,6 @@
 FINAL_CHANGES = 3  # of the transaction that ends a job of one chunk
 
 
-class RequestRefusedError(Exception):
-    """The request was not carried out (429, 503, no such lease, or our own budget)."""
-
-    after = 1.0  # seconds until it is worth another try
-
-
-class ValueTooLargeError(RequestRefusedError):
-    """The key-value store will never carry it out as it is: a limit was lowered."""
-
-
-class OutcomeUnknownError(Exception):
-    """The request may have been carried out, or may still be."""
-
-
-class LeaseExpiredError(Exception):
-    """The key-value store no longer knows the lease."""
-
-
-class RevisionCompactedError(Exception):
-    """The watch's revision is too old: read the keys again."""
-
-
 class StoreClient:
     """Requests to the key-value store within this controller's share of its limits."""
 
@@ -80,12 +66,13 @@
     async def _call(
         self, method: str, path: str, body: Any = None, *, urgent: bool = False, wait: float = 0.0
     ) -> Response:
-        await self._pay(self._requests, 1, urgent)
+        request = f"{method} {path}"
+        await self._pay(self._requests, 1, urgent, request)
         self.sent += 1
         began = asyncio.get_running_loop().time()
         try:
             reply = await self._send(method, path, body, wait)
-        except (RequestRefusedError, OutcomeUnknownError):
+        except StoreUnavailableError:
             self.failed += 1
             if self._failing_since is None:
                 self._failing_since = began
@@ -103,13 +90,11 @@
         return self._writes.spare()
 
     @staticmethod
-    async def _pay(bucket: TokenBucket, amount: int, urgent: bool) -> None:
+    async def _pay(bucket: TokenBucket, amount: int, urgent: bool, request: str) -> None:
         try:
             await bucket.take(amount, urgent=urgent)
         except RateLimitExceededError as exc:
-            refused = RequestRefusedError(str(exc))
-            refused.after = exc.after
-            raise refused from exc
+            raise RequestRefusedError(request, str(exc), exc.after) from exc
 
     def suspect(self) -> bool:
         """Nothing has succeeded for a while: others may be served better."""
@@ -122,14 +107,14 @@
                 self._addr, method, path, body, timeout=self.timeout + wait
             )
         except NoResponseError as exc:
-            raise OutcomeUnknownError(str(exc)) from exc
+            raise OutcomeUnknownError(f"{method} {path}", str(exc)) from exc
         if reply.status == 429:
             self._requests.drain()
-            raise RequestRefusedError("429")
+            raise RequestRefusedError(f"{method} {path}", "status 429")
         if reply.status == 503:
-            raise RequestRefusedError("503")
+            raise RequestRefusedError(f"{method} {path}", "status 503")
         if reply.status >= 500:
-            raise OutcomeUnknownError(f"{method} {path}: status {reply.status}")
+            raise OutcomeUnknownError(f"{method} {path}", f"status {reply.status}")
         return reply
 
     async def get(self, key: str) -> Entry | None:
@@ -138,7 +123,7 @@
         if reply.status == 404:
             return None
         if reply.status != 200:
-            raise OutcomeUnknownError(f"get {key}: status {reply.status}")
+            raise OutcomeUnknownError(f"get {key}", f"status {reply.status}")
         return wire.read_entry(key, reply.data)
 
     async def list_entries(self, prefix: str) -> tuple[list[Entry], int]:
@@ -151,7 +136,7 @@
         while True:
             reply = await self._call("GET", wire.page_path(prefix, PAGE, since))
             if reply.status != 200:
-                raise OutcomeUnknownError(f"list {prefix}: status {reply.status}")
+                raise OutcomeUnknownError(f"list {prefix}", f"status {reply.status}")
             page = wire.read_page(reply.data)
             if store_revision < 0:
                 store_revision = page.store_revision
@@ -164,7 +149,7 @@
         """The revision that the store has reached; some prefix has to be named."""
         reply = await self._call("GET", wire.page_path(prefix, 1, ""))
         if reply.status != 200:
-            raise OutcomeUnknownError(f"list {prefix}: status {reply.status}")
+            raise OutcomeUnknownError(f"list {prefix}", f"status {reply.status}")
         return wire.read_page(reply.data).store_revision
 
     async def compare_and_swap(
@@ -175,8 +160,9 @@
         urgent: bool = False,
     ) -> Outcome:
         """Carry out a transaction if every key has the revision given for it."""
+        request = f"compare-and-swap of {', '.join(conditions)}"
         if ops:
-            await self._pay(self._writes, len(ops), urgent)
+            await self._pay(self._writes, len(ops), urgent, request)
             self.written += len(ops)
         body = wire.transaction_body(conditions, ops or [])
         reply = await self._call("POST", paths.TRANSACTION, body, urgent=urgent)
@@ -185,34 +171,35 @@
         if reply.status == 409:
             return wire.conditions_failed(reply.data)
         if reply.status == 400 and reply.data and reply.data.get("error") == wire.NO_SUCH_LEASE:
-            raise LeaseExpiredError
+            leases = {op.lease for op in ops or [] if isinstance(op, Put) and op.lease is not None}
+            raise LeaseExpiredError(request, tuple(leases))
         if reply.status == 400 and self.value_bytes > self.limits.value_kb * 1024:
             # What was written while the former limit held may be larger than the one to come.
             log.info("the key-value store's lower limits hold from now on")
             self.value_bytes = int(self.limits.value_kb * 1024)
-            raise ValueTooLargeError(f"txn: status 400: {reply.data}")
-        raise RequestRefusedError(f"txn: status {reply.status}: {reply.data}")
+            raise ValueTooLargeError(request, f"status 400: {reply.data}", self.value_bytes)
+        raise RequestRefusedError(request, f"status {reply.status}: {reply.data}")
 
     async def grant(self, ttl_s: float) -> int:
         """A new lease."""
         reply = await self._call("POST", paths.LEASES, wire.grant_body(ttl_s), urgent=True)
         if reply.status != 200:
-            raise RequestRefusedError(f"grant: status {reply.status}")
+            raise RequestRefusedError("grant", f"status {reply.status}")
         return wire.read_lease(reply.data)
 
     async def renew(self, lease: int) -> None:
         """Renew a lease; raises `LeaseGoneError` if it has ended."""
         reply = await self._call("POST", wire.renew_path(lease), urgent=True)
         if reply.status == 404:
-            raise LeaseExpiredError
+            raise LeaseExpiredError("renewal", (lease,))
         if reply.status != 200:
-            raise OutcomeUnknownError(f"renew: status {reply.status}")
+            raise OutcomeUnknownError("renew", f"status {reply.status}")
 
     async def release(self, lease: int) -> None:
         """End a lease, and with it the keys that hang on it."""
         reply = await self._call("DELETE", wire.lease_path(lease), urgent=True)
         if reply.status not in (200, 404):
-            raise OutcomeUnknownError(f"release: status {reply.status}")
+            raise OutcomeUnknownError("release", f"status {reply.status}")
 
     async def watch(
         self, prefix: str, since: int, block_s: float, *, urgent: bool = False
@@ -221,7 +208,7 @@
         path = wire.watch_path(prefix, since, block_s)
         reply = await self._call("GET", path, wait=block_s, urgent=urgent)
         if reply.status == 410:
-            raise RevisionCompactedError
+            raise RevisionCompactedError(prefix, since)
         if reply.status != 200:
-            raise OutcomeUnknownError(f"watch: status {reply.status}")
+            raise OutcomeUnknownError("watch", f"status {reply.status}")
         return wire.read_changes(reply.data)
--- a/spoolcourse/control/store/conditional_write.py
+++ b/spoolcourse/control/store/conditional_write.py
@@ -5,7 +5,8 @@
 import logging
 from typing import Any
 
-from spoolcourse.control.store.client import OutcomeUnknownError, RequestRefusedError, StoreClient
+from spoolcourse.control.store.client import StoreClient
+from spoolcourse.control.store.errors import StoreUnavailableError
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.key_value_store import Put
 
@@ -25,7 +26,7 @@
     """
     try:
         outcome = await client.compare_and_swap(conditions, [Put(key, value)])
-    except (RequestRefusedError, OutcomeUnknownError) as exc:
+    except StoreUnavailableError as exc:
         log.info("%s is not written yet: %s", key, exc)
         return False
     if outcome.ok:
--- a/spoolcourse/control/store/watch_cache.py
+++ b/spoolcourse/control/store/watch_cache.py
@@ -12,11 +12,12 @@
 from enum import Enum
 from typing import Any
 
-from spoolcourse.control.store.client import (
+from spoolcourse.control.store.client import StoreClient
+from spoolcourse.control.store.errors import (
     OutcomeUnknownError,
-    RequestRefusedError,
     RevisionCompactedError,
-    StoreClient,
+    StoreUnavailableError,
+    TooFarBehindError,
 )
 from spoolcourse.control.store.retry import RetryDelay
 from spoolcourse.wire.key_value_store import Entry
@@ -37,10 +38,6 @@
 Listener = Callable[[str, Any, int], None]
 
 
-class TooFarBehindError(RevisionCompactedError):
-    """There are more changes than a watch is to bring."""
-
-
 class WatchGap(Enum):
     """Why the changes since the last answer can't all be had, or can't be trusted."""
 
@@ -157,7 +154,7 @@
             except RevisionCompactedError as exc:
                 log.info("watch fell behind; reading all keys again")
                 self._fall_behind(exc)
-            except (RequestRefusedError, OutcomeUnknownError) as exc:
+            except StoreUnavailableError as exc:
                 log.debug("watch: %s", exc)
                 await retry.wait()
 
@@ -173,7 +170,7 @@
         try:
             async with asyncio.timeout(timeout):
                 await waiter
-        except (TimeoutError, RequestRefusedError, OutcomeUnknownError):
+        except (TimeoutError, StoreUnavailableError):
             return False
         return True
 
@@ -188,7 +185,7 @@
                 await self._follow(0.0, urgent=True)
             except RevisionCompactedError as exc:
                 self._fall_behind(exc)
-            except (RequestRefusedError, OutcomeUnknownError) as exc:
+            except StoreUnavailableError as exc:
                 log.debug("catching up: %s", exc)
         return self.loaded.is_set() and self.store_revision >= store_revision
 
@@ -203,7 +200,7 @@
         if start - self.synced_at > self._block_s + AWAY_MARGIN_S:
             latest = await self._client.latest_revision(self.live)
             if latest - self.store_revision > CHANGES_MOST:
-                raise TooFarBehindError
+                raise TooFarBehindError(self.prefix, self.store_revision, latest)
         since = self.store_revision
         store_revision, changes = await self._client.watch(
             self.prefix, since, block_s, urgent=urgent
@@ -221,8 +218,8 @@
                 error: Exception | None = None
             except RevisionCompactedError as exc:
                 self._fall_behind(exc)
-                error = OutcomeUnknownError("watch fell behind")
-            except (RequestRefusedError, OutcomeUnknownError) as exc:
+                error = OutcomeUnknownError("read barrier", str(exc))
+            except StoreUnavailableError as exc:
                 error = exc
             for waiter in batch:
                 if not waiter.done():
--- a/spoolcourse/control/user_api/api.py
+++ b/spoolcourse/control/user_api/api.py
@@ -25,7 +25,7 @@
 )
 from spoolcourse.control.jobs.job_index import RecordTooLargeError
 from spoolcourse.control.leadership.feature_level import all_new
-from spoolcourse.control.store.client import OutcomeUnknownError, RequestRefusedError
+from spoolcourse.control.store.errors import RequestRefusedError, StoreUnavailableError
 from spoolcourse.control.store.records import FinalState
 from spoolcourse.control.user_api.checks import refusal, usable_machine_types
 from spoolcourse.wire import paths
@@ -93,9 +93,9 @@
                     return await self._poll(parts[0])
                 if len(parts) == 2 and parts[1] == paths.CANCEL and request.method == "POST":
                     return await self._withdraw(parts[0])
-        except (CannotAnswerError, RequestRefusedError, OutcomeUnknownError, TimeoutError) as exc:
+        except (CannotAnswerError, StoreUnavailableError, TimeoutError) as exc:
             log.debug("%s %s: %s", request.method, path, exc)
-            after = exc.after if isinstance(exc, RequestRefusedError) else after
+            after = exc.retry_after_s if isinstance(exc, RequestRefusedError) else after
             return (
                 retry_later("try again", after)
                 if from_peer
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -8,7 +8,8 @@
 import pytest
 
 from spoolcourse.control.leadership.election import Leadership
-from spoolcourse.control.store.client import OutcomeUnknownError, StoreClient
+from spoolcourse.control.store.client import StoreClient
+from spoolcourse.control.store.errors import OutcomeUnknownError
 from spoolcourse.control.store.keys import (
     FINAL,
     JOB,
