--- a/spoolcourse/control/cloud/catalog.py
+++ b/spoolcourse/control/cloud/catalog.py
@@ -42,7 +42,7 @@
         self._watch_cache = watch_cache
         self._leadership = leadership
         self.machine_types: dict[str, MachineType] = {}
-        watch_cache.listen(self._on_change)
+        watch_cache.add_listener(self._on_change)
 
     async def run(self) -> None:
         """Run until cancelled."""
@@ -83,5 +83,5 @@
         value = catalog_value(machine_types)
         revision = self._watch_cache.revision(CATALOG)
         outcome = await self._client.compare_and_swap({CATALOG: revision}, [Put(CATALOG, value)])
-        if outcome.ok:
+        if outcome.succeeded:
             self._watch_cache.apply(CATALOG, value, outcome.store_revision)
--- a/spoolcourse/control/cloud/client.py
+++ b/spoolcourse/control/cloud/client.py
@@ -69,11 +69,11 @@
         self._addr = addr
         self._timeout = timeout
         # Only the leader works with the cloud; other controllers read the catalog now and then.
-        self._budget = TokenBucket(rps * LEADER_SHARE, rps, longest_s=QUEUE_S)
+        self._budget = TokenBucket(rps * LEADER_SHARE, rps, max_wait_s=QUEUE_S)
 
     async def _call(self, method: str, path: str, body: object = None) -> Response:
         try:
-            await self._budget.take()
+            await self._budget.acquire()
         except RateLimitExceededError as exc:
             raise CloudError(str(exc)) from exc
         try:
@@ -81,7 +81,7 @@
         except NoResponseError as exc:
             raise CloudError(str(exc)) from exc
         if reply.status == 429:
-            self._budget.drain()
+            self._budget.empty()
         if reply.status == 503 and reply.data and reply.data.get("error") == NO_CAPACITY:
             raise NoCapacityError
         if reply.status != 200:
--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -35,7 +35,11 @@
 from spoolcourse.control.process_load import Load
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.keys import PREFIX
-from spoolcourse.control.store.watch_cache import WATCH_GAP_LEADING_S, WATCH_GAP_S, WatchCache
+from spoolcourse.control.store.watch_cache import (
+    FOLLOWER_WATCH_PAUSE_S,
+    LEADER_WATCH_PAUSE_S,
+    WatchCache,
+)
 from spoolcourse.control.user_api.api import UserApi
 from spoolcourse.control.workers.heartbeat_relay import Relay, redirect
 from spoolcourse.policy.keys import PolicySource, check_policy
@@ -100,7 +104,7 @@
         self._trace: Callable[[FailoverTimeline], None] = lambda timeline: None
         if standby.enabled:
             self._use_standby(standby)
-        self.watch_cache.listen(self._on_change)
+        self.watch_cache.add_listener(self._on_change)
         self._tasks: list[asyncio.Task[None]] = []
         self.ready = False
         self.healthy = True
@@ -162,14 +166,14 @@
         await asyncio.gather(*self._tasks)
 
     def _elected(self, term: Term) -> None:
-        self.watch_cache.watch_gap_s = WATCH_GAP_LEADING_S
+        self.watch_cache.watch_pause_s = LEADER_WATCH_PAUSE_S
         self.leader_term = LeaderTerm(term, self.leadership, self.context, self._failover)
         self.last_failover_timeline = self.leader_term.timeline
         self.last_failover_timeline.on_complete = self._trace
         self.leader_term.start()
 
     def _stepped_down(self) -> None:
-        self.watch_cache.watch_gap_s = WATCH_GAP_S
+        self.watch_cache.watch_pause_s = FOLLOWER_WATCH_PAUSE_S
         if self.leader_term is not None:
             self.leader_term.stop()
             self.leader_term = None
--- a/spoolcourse/control/failover/restore.py
+++ b/spoolcourse/control/failover/restore.py
@@ -46,7 +46,7 @@
 def _saved_progress(context: ControllerContext) -> tuple[SavedProgress, list[str]]:
     saved: SavedProgress = {}
     leftover_keys: list[str] = []
-    for entry in context.watch_cache.below(PROGRESS):
+    for entry in context.watch_cache.entries_below(PROGRESS):
         job, chunk = split_progress(entry.key)
         if job not in context.job_index.live:
             leftover_keys.append(entry.key)
--- a/spoolcourse/control/failover/warm_standby.py
+++ b/spoolcourse/control/failover/warm_standby.py
@@ -47,9 +47,8 @@
         self.rebuilds = 0
         self.mismatches = 0  # of the shadow and a restore, found where that is verified
         self.hints = HintBook()
-        self._watch_cache.listen(self._on_change)
-        self._watch_cache.on_gap = self._on_gap
-        self._watch_cache.on_load = self._rebuild
+        self._watch_cache.add_listener(self._on_change)
+        self._watch_cache.add_observer(self)
 
     # -- for operators and the election ---------------------------------------------------
 
@@ -102,7 +101,8 @@
             self._become_unfit(f"a change does not fit: {exc}")
             self._unfit.set()
 
-    def _on_gap(self, gap: WatchGap) -> None:
+    def on_watch_gap(self, gap: WatchGap) -> None:
+        """Changes were missed: the shadow is unfit."""
         if self._state is ShadowState.LEADING:
             return
         self._become_unfit(gap.value)
@@ -116,13 +116,17 @@
         self._state = ShadowState.UNFIT
         self.unfit_reason = reason
 
+    def on_reload(self) -> None:
+        """All keys were read again: rebuild the shadow."""
+        self._rebuild()
+
     def _rebuild(self) -> None:
         """Build the shadow again from what the watch cache holds."""
         if self._state is ShadowState.LEADING:
             return
         shadow = Shadow(self._context)
         try:
-            shadow.rebuild(self._watch_cache.below(self._watch_cache.live))
+            shadow.rebuild(self._watch_cache.entries_below(self._watch_cache.live_prefix))
         except (MisfitError, ValueError, KeyError, TypeError) as exc:
             self._become_unfit(f"the records do not fit: {exc}")
             return
--- a/spoolcourse/control/jobs/job_index.py
+++ b/spoolcourse/control/jobs/job_index.py
@@ -43,7 +43,7 @@
         self.counts: dict[str, dict[int, tuple[int, int]]] = {}  # per chunk: done, held
         self.cancellations = Cancellations()
         self._finals: OrderedDict[str, FinalState] = OrderedDict()
-        watch_cache.listen(self._on_change)
+        watch_cache.add_listener(self._on_change)
 
     def _on_change(self, key: str, value: Any, revision: int) -> None:
         if key.startswith(JOB):
@@ -153,6 +153,6 @@
                 raise
             self._watch_cache.apply(key, entry.value, entry.revision)
             return True
-        if outcome.ok:
+        if outcome.succeeded:
             self._watch_cache.apply(key, value, outcome.store_revision)
-        return outcome.ok
+        return outcome.succeeded
--- a/spoolcourse/control/jobs/writer.py
+++ b/spoolcourse/control/jobs/writer.py
@@ -26,7 +26,7 @@
 from spoolcourse.control.store.records import FinalState
 from spoolcourse.control.store.retry import RetryDelay
 from spoolcourse.control.store.watch_cache import WatchCache
-from spoolcourse.wire.key_value_store import Delete, Outcome, Put
+from spoolcourse.wire.key_value_store import CompareAndSwapResult, Delete, Put
 from spoolcourse.wire.messages import JobStage
 
 log = logging.getLogger(__name__)
@@ -86,7 +86,7 @@
 
         They take what is to spare, or starts would queue for the budget behind them.
         """
-        while self._job_queue.dirty and not self._client.writes_to_spare():
+        while self._job_queue.dirty and not self._client.has_spare_writes():
             if self._job_queue.starting or self._job_queue.finished:
                 return
             self._wake.clear()
@@ -116,7 +116,7 @@
                 self._job_queue.forget(job, index)
                 continue
             size += length + KEYS_BYTES
-            if ops and (size > TXN_BYTES or len(ops) >= self._client.ops_most):
+            if ops and (size > TXN_BYTES or len(ops) >= self._client.max_operations):
                 break
             put = Put(progress_key(job, index), value)
             conditions[put.key] = chunk.revision
@@ -135,11 +135,11 @@
         written = False
         try:
             outcome = await self._commit(conditions, ops)
-            written = outcome.ok
+            written = outcome.succeeded
         finally:
             if not written:
                 starting.update(held_back)
-        if not outcome.ok:
+        if not outcome.succeeded:
             await self._after_conflict(outcome)
             return
         for job_state, chunk, version, put in taken:
@@ -159,7 +159,7 @@
             stage = JobStage.CANCELLED if job_state.record.cancelled else JobStage.DONE
             value = FinalState(stage, job_state.done, job_state.record.at).value()
             saved = [c for c in job_state.chunks.values() if c.revision]
-            room = self._client.ops_most - 2
+            room = self._client.max_operations - 2
             # A job of very many chunks loses the first of them beforehand; with its
             # record still there the rest would be taken for undone after a crash. So the
             # final state goes first, and what is left is swept up later.
@@ -171,7 +171,7 @@
                 final_key(job_state.id): 0,
             }
             outcome = await self._commit(conditions, ops)
-            if not outcome.ok:
+            if not outcome.succeeded:
                 # The others first: one that goes on conflicting must not keep them waiting.
                 self._job_queue.finished[job_state.id] = self._job_queue.finished.pop(job_state.id)
                 await self._after_conflict(outcome)
@@ -190,17 +190,19 @@
 
     async def sweep(self, keys: list[str]) -> None:
         """Delete progress of jobs that are over."""
-        step = self._client.ops_most
+        step = self._client.max_operations
         for start in range(0, len(keys), step):
             part = keys[start : start + step]
             outcome = await self._commit({TERM: self._term.revision}, [Delete(k) for k in part])
-            if not outcome.ok:
+            if not outcome.succeeded:
                 await self._after_conflict(outcome)
                 return
             for key in part:
                 self._watch_cache.apply(key, None, outcome.store_revision)
 
-    async def _commit(self, conditions: dict[str, int], ops: list[Put | Delete]) -> Outcome:
+    async def _commit(
+        self, conditions: dict[str, int], ops: list[Put | Delete]
+    ) -> CompareAndSwapResult:
         try:
             return await self._client.compare_and_swap(conditions, ops)
         except OutcomeUnknownError:
@@ -211,11 +213,11 @@
             self._adopt()
             raise
 
-    async def _after_conflict(self, outcome: Outcome) -> None:
-        if TERM in outcome.failed:
+    async def _after_conflict(self, outcome: CompareAndSwapResult) -> None:
+        if TERM in outcome.conflicting_keys:
             self._step_down("a write was refused: the term has passed")
             raise RequestRefusedError("write", "the term has passed")
-        log.debug("write conflict: %s", outcome.failed)
+        log.debug("write conflict: %s", outcome.conflicting_keys)
         if not await self._watch_cache.read_barrier():
             raise RequestRefusedError("read barrier after a conflict", "no answer")
         self._adopt()
--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -72,7 +72,7 @@
         self._stepped_down = asyncio.Event()
         self.on_elected: Callable[[Term], None] = lambda term: None
         self.on_stepped_down: Callable[[], None] = lambda: None
-        watch_cache.listen(self._on_change)
+        watch_cache.add_listener(self._on_change)
 
     @property
     def leader_label(self) -> str | None:
@@ -112,7 +112,7 @@
         self._stands_from = asyncio.get_running_loop().time() + RESIGNED_S
         self.step_down(reason)
         try:
-            await self._client.release(term.lease)
+            await self._client.revoke_lease(term.lease)
         except StoreUnavailableError as exc:
             log.info("the lease is left to run out: %s", exc)
 
@@ -198,7 +198,7 @@
             TERM: former.revision if former else 0,
         }
         sent = loop.time()
-        lease = await self._client.grant(self._ttl_s)
+        lease = await self._client.grant_lease(self._ttl_s)
         # The lease is part of what the read-back asks for: an earlier claim of this run that
         # was carried out late has the same number, but its key hangs on another lease, and
         # renewing the new one would keep alive nothing.
@@ -211,7 +211,7 @@
                 [Put(LEADER, claim, lease), Put(TERM, tenure)],
                 urgent=True,
             )
-            if not outcome.ok:
+            if not outcome.succeeded:
                 await self._watch_cache.read_barrier()
                 return
             revision = outcome.store_revision
@@ -239,7 +239,7 @@
             pause = self._ttl_s * RENEW_SHARE
             sent = loop.time()
             try:
-                await self._client.renew(term.lease)
+                await self._client.renew_lease(term.lease)
                 if self.term is term:
                     if sent >= self._valid_until:
                         # After a gap the key may have changed hands: see it first.
--- a/spoolcourse/control/store/conditional_write.py
+++ b/spoolcourse/control/store/conditional_write.py
@@ -18,17 +18,17 @@
     watch_cache: WatchCache,
     key: str,
     value: dict[str, Any],
-    conditions: dict[str, int],
+    expected_revisions: dict[str, int],
 ) -> bool:
     """Write a value if the keys have these revisions; whether it is known to be written.
 
     After False it may be written nevertheless, now or later: the watch cache will show that.
     """
     try:
-        outcome = await client.compare_and_swap(conditions, [Put(key, value)])
+        outcome = await client.compare_and_swap(expected_revisions, [Put(key, value)])
     except StoreUnavailableError as exc:
         log.info("%s is not written yet: %s", key, exc)
         return False
-    if outcome.ok:
+    if outcome.succeeded:
         watch_cache.apply(key, value, outcome.store_revision)
-    return outcome.ok
+    return outcome.succeeded
--- a/spoolcourse/control/store/watch_cache.py
+++ b/spoolcourse/control/store/watch_cache.py
@@ -1,7 +1,14 @@
-"""A copy of the live keys, kept warm by a watch and made current on request.
+"""A copy of the live keys, kept current by a watch.
 
-`sync` is the read barrier of every controller: after it, the copy holds every change that
-was made before the call. One request serves all callers that wait at the time.
+Ways to bring the copy up to date:
+
+- `run` follows the watch: each poll waits for changes and applies them.
+- `read_barrier` returns once the copy holds every change that was made before the call. One
+  request serves all callers that wait at the time.
+- `catch_up_to` polls at once, for a caller that knows the revision it needs.
+- `reload` reads all keys, where the changes can't be had one by one.
+
+Source: PROTOCOL, GET /watch.
 """
 
 from __future__ import annotations
@@ -10,7 +17,7 @@
 import logging
 from collections.abc import Callable
 from enum import Enum
-from typing import Any
+from typing import Any, Protocol
 
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.errors import (
@@ -20,22 +27,24 @@
     TooFarBehindError,
 )
 from spoolcourse.control.store.retry import RetryDelay
-from spoolcourse.wire.key_value_store import Entry
+from spoolcourse.wire.key_value_store import Change, Entry
 
 log = logging.getLogger(__name__)
 
-WATCH_GAP_S = 0.25  # nothing waits for the watch but the next election, and new jobs' starts
-WATCH_GAP_LEADING_S = 0.05
-WATCH_BLOCK_S = 10.0  # a watch that brings nothing is opened again
-SYNC_GAP_S = 0.1  # between syncs, so that one answers more callers
-SYNC_TIMEOUT_S = 1.5
+FOLLOWER_WATCH_PAUSE_S = 0.25  # only elections, and starts of new jobs, wait for the watch
+LEADER_WATCH_PAUSE_S = 0.05
+WATCH_BLOCK_S = 10.0  # a watch without changes is opened again after this time
+BARRIER_PAUSE_S = 0.1  # between read barriers' requests, so that one answers more callers
+BARRIER_TIMEOUT_S = 1.5
 # A controller that was away asks first how far it is behind. A watch answers with every change
 # since, without a limit of size: after two minutes behind a cut that took 55 MB at 37 changes a
 # second.
 AWAY_MARGIN_S = 5.0  # beyond the time that a watch may take without a change
-CHANGES_MOST = 1000  # to be caught up with by a watch; further behind all keys are read, by pages
+MAX_CHANGES_BEHIND = 1000  # that a watch should bring; further behind, all keys are read by pages
 
-Listener = Callable[[str, Any, int], None]
+# Called with key, value and revision of every change; the value is None for a deletion. Every
+# controller sees every write, so no object is built for it.
+ChangeListener = Callable[[str, Any, int], None]
 
 
 class WatchGap(Enum):
@@ -46,40 +55,70 @@
     WENT_BACK = "the state service answered with an earlier revision"
 
 
+class WatchObserver(Protocol):
+    """Is notified where the changes alone do not tell what the copy holds."""
+
+    def on_watch_gap(self, gap: WatchGap) -> None:
+        """Some changes were missed. Except after `WENT_BACK`, a reload follows."""
+
+    def on_reload(self) -> None:
+        """All keys have been read again; listeners were called with the differences."""
+
+
 class WatchCache:
-    """Keys below `prefix + "live/"`; changes elsewhere below `prefix` go to listeners only."""
+    """Keys below `prefix + "live/"`; changes elsewhere below `prefix` go to listeners only.
+
+    Attributes:
+        store_revision: The revision up to which the copy holds every change; -1 at first.
+        synced_at: Loop time; the copy holds every change that was made before it.
+        loaded: Set while the copy is usable: all keys were read, and no change was missed since.
+        watch_pause_s: Pause between two polls of the watch.
+        barrier_pause_s: Pause between two requests for read barriers.
+    """
 
     def __init__(self, client: StoreClient, prefix: str, block_s: float = WATCH_BLOCK_S) -> None:
+        """Start empty; `run` loads the copy.
+
+        Args:
+            client: The store's client.
+            prefix: Of all keys of this service.
+            block_s: For how long a poll of the watch waits for a change.
+        """
         self._client = client
         self.prefix = prefix
-        self.live = prefix + "live/"
+        self.live_prefix = prefix + "live/"
         self._block_s = block_s
         self._entries: dict[str, Entry] = {}
-        # Keys deleted ahead of the watch, or while all keys are being read: a page that was read
-        # before must not bring them back.
+        # Keys deleted ahead of the watch, or during a reload: a page that was read before must
+        # not bring them back.
         self._deleted_ahead: dict[str, int] = {}
-        self._reads = 0  # of all keys, under way
-        self._listeners: list[Listener] = []
+        self._reloads_under_way = 0
+        self._listeners: list[ChangeListener] = []
+        self._observers: list[WatchObserver] = []
         self.store_revision = -1
-        self.synced_at = float("-inf")  # a call sent then has been answered
+        self.synced_at = float("-inf")
         self.loaded = asyncio.Event()
-        self._sync_waiters: list[asyncio.Future[None]] = []
-        self._sync_task: asyncio.Task[None] | None = None
-        self.on_gap: Callable[[WatchGap], None] = lambda gap: None
-        self.on_load: Callable[[], None] = lambda: None
-        self.sync_gap_s = SYNC_GAP_S
-        self.watch_gap_s = WATCH_GAP_S
-
-    def listen(self, listener: Listener) -> None:
-        """Have a listener told of every change."""
+        self._barrier_waiters: list[asyncio.Future[None]] = []
+        self._barrier_task: asyncio.Task[None] | None = None
+        self.barrier_pause_s = BARRIER_PAUSE_S
+        self.watch_pause_s = FOLLOWER_WATCH_PAUSE_S
+
+    def add_listener(self, listener: ChangeListener) -> None:
+        """Call a listener with every change, in the order in which listeners were added."""
         self._listeners.append(listener)
 
+    def add_observer(self, observer: WatchObserver) -> None:
+        """Notify an observer of gaps and reloads."""
+        self._observers.append(observer)
+
+    # -- the copy -------------------------------------------------------------------------
+
     def get(self, key: str) -> Entry | None:
         """The entry of a key, if it exists."""
         return self._entries.get(key)
 
-    def below(self, prefix: str) -> list[Entry]:
-        """The entries below a prefix."""
+    def entries_below(self, prefix: str) -> list[Entry]:
+        """The entries whose keys start with a prefix."""
         return [e for k, e in self._entries.items() if k.startswith(prefix)]
 
     def revision(self, key: str) -> int:
@@ -88,11 +127,11 @@
         return entry.revision if entry else 0
 
     def apply(self, key: str, value: Any, revision: int) -> None:
-        """Take over one change; older ones than what is known change nothing."""
+        """Apply one change (`value` None: deleted); one that is known already changes nothing."""
         entry = self._entries.get(key)
         if revision <= max(entry.revision if entry else 0, self._deleted_ahead.get(key, 0)):
             return
-        if key.startswith(self.live):
+        if key.startswith(self.live_prefix):
             if value is None:
                 self._entries.pop(key, None)
                 if revision > self.store_revision:
@@ -103,32 +142,37 @@
         for listener in self._listeners:
             listener(key, value, revision)
 
-    def _advance(self, store_revision: int, changes: list[Any]) -> None:
+    def _advance(self, store_revision: int, changes: list[Change]) -> None:
         for change in changes:
-            # The ranges of a watch and of a sync overlap: a set that we have seen
-            # deleted must not come back.
+            # The ranges of the watch and of a read barrier overlap: a set that was seen deleted
+            # already must not come back.
             if change.revision > self.store_revision:
                 self.apply(change.key, change.value, change.revision)
         if store_revision > self.store_revision:
             self.store_revision = store_revision
-            if self._deleted_ahead and not self._reads:
+            if self._deleted_ahead and not self._reloads_under_way:
                 self._deleted_ahead = {
                     k: s for k, s in self._deleted_ahead.items() if s > store_revision
                 }
 
+    # -- all keys -------------------------------------------------------------------------
+
     async def reload(self) -> None:
-        """Read all live keys afresh; keys that are gone are reported as deleted."""
+        """Read all live keys again; keys that are gone are reported as deleted.
+
+        Raises:
+            StoreUnavailableError: Not all pages were read; the copy is as it was.
+        """
         start = asyncio.get_running_loop().time()
-        self._reads += 1
+        self._reloads_under_way += 1
         try:
-            entries, store_revision = await self._client.list_entries(self.live)
-            self._replace(entries, store_revision)
+            listing = await self._client.list_entries(self.live_prefix)
+            self._replace(listing.entries, listing.store_revision)
         finally:
-            self._reads -= 1
-        self._advance(store_revision, [])
+            self._reloads_under_way -= 1
+        self._advance(listing.store_revision, [])
         self.synced_at = max(self.synced_at, start)
-        self.loaded.set()
-        self.on_load()
+        self._mark_loaded()
 
     def _replace(self, entries: list[Entry], store_revision: int) -> None:
         present = {e.key for e in entries}
@@ -139,88 +183,101 @@
         for entry in entries:
             self.apply(entry.key, entry.value, entry.revision)
 
+    def _mark_loaded(self) -> None:
+        self.loaded.set()
+        for observer in self._observers:
+            observer.on_reload()
+
+    # -- the watch ------------------------------------------------------------------------
+
     async def run(self) -> None:
-        """Keep the copy warm until cancelled."""
+        """Follow the watch until cancelled; reload where changes were missed."""
         retry = RetryDelay()
         while True:
             try:
                 if not self.loaded.is_set():
                     await self.reload()
-                await self._follow(self._block_s, urgent=True)
+                await self._poll_watch(self._block_s, urgent=True)
                 retry.reset()
                 # A leader at work writes many times a second, and every controller is woken by
-                # each write. What comes within this pause comes with one answer.
-                await asyncio.sleep(self.watch_gap_s)
+                # each write. The changes made during this pause come with one answer.
+                await asyncio.sleep(self.watch_pause_s)
             except RevisionCompactedError as exc:
-                log.info("watch fell behind; reading all keys again")
+                log.info("watch fell behind, reading all keys again: %s", exc)
                 self._fall_behind(exc)
             except StoreUnavailableError as exc:
                 log.debug("watch: %s", exc)
                 await retry.wait()
 
-    async def read_barrier(self, timeout: float = SYNC_TIMEOUT_S) -> bool:
-        """True once the copy is as new as this call; False if that can't be had in time."""
-        if not self.loaded.is_set():
-            return False
-        loop = asyncio.get_running_loop()
-        waiter: asyncio.Future[None] = loop.create_future()
-        self._sync_waiters.append(waiter)
-        if self._sync_task is None or self._sync_task.done():
-            self._sync_task = loop.create_task(self._serve_syncs())
-        try:
-            async with asyncio.timeout(timeout):
-                await waiter
-        except (TimeoutError, StoreUnavailableError):
-            return False
-        return True
-
     async def catch_up_to(self, store_revision: int) -> bool:
-        """Catch up to a revision with one request at once; whether that is done.
+        """Catch up to a revision with one request at once; whether the copy has reached it.
 
-        `sync` makes callers wait for one another, which spares requests; a failover waits for
-        nobody.
+        A read barrier makes callers wait for one another, which spares requests; a failover
+        does not wait for others.
         """
         if self.store_revision < store_revision and self.loaded.is_set():
             try:
-                await self._follow(0.0, urgent=True)
+                await self._poll_watch(0.0, urgent=True)
             except RevisionCompactedError as exc:
                 self._fall_behind(exc)
             except StoreUnavailableError as exc:
-                log.debug("catching up: %s", exc)
+                log.debug("catching up to revision %d: %s", store_revision, exc)
         return self.loaded.is_set() and self.store_revision >= store_revision
 
-    def _fall_behind(self, error: RevisionCompactedError) -> None:
-        self.loaded.clear()
-        far_behind = isinstance(error, TooFarBehindError)
-        self.on_gap(WatchGap.FAR_BEHIND if far_behind else WatchGap.COMPACTED)
+    async def _poll_watch(self, block_s: float, urgent: bool = False) -> None:
+        """Wait, for `block_s` at most, for changes, and apply them.
 
-    async def _follow(self, block_s: float, urgent: bool = False) -> None:
-        """Take in the changes since; raises `CompactedError` if all keys are to be read instead."""
+        Raises:
+            RevisionCompactedError: All keys are to be read instead.
+            StoreUnavailableError: No answer.
+        """
         start = asyncio.get_running_loop().time()
         if start - self.synced_at > self._block_s + AWAY_MARGIN_S:
-            latest = await self._client.latest_revision(self.live)
-            if latest - self.store_revision > CHANGES_MOST:
+            latest = await self._client.latest_revision(self.live_prefix)
+            if latest - self.store_revision > MAX_CHANGES_BEHIND:
                 raise TooFarBehindError(self.prefix, self.store_revision, latest)
         since = self.store_revision
-        store_revision, changes = await self._client.watch(
-            self.prefix, since, block_s, urgent=urgent
-        )
-        if store_revision < since:
-            self.on_gap(WatchGap.WENT_BACK)
-        self._advance(store_revision, changes)
+        result = await self._client.watch(self.prefix, since, block_s, urgent=urgent)
+        if result.store_revision < since:
+            self._notify_gap(WatchGap.WENT_BACK)
+        self._advance(result.store_revision, result.changes)
         self.synced_at = max(self.synced_at, start)
 
-    async def _serve_syncs(self) -> None:
-        while self._sync_waiters:
-            batch, self._sync_waiters = self._sync_waiters, []
-            try:
-                await self._follow(0.0)
-                error: Exception | None = None
-            except RevisionCompactedError as exc:
-                self._fall_behind(exc)
-                error = OutcomeUnknownError("read barrier", str(exc))
-            except StoreUnavailableError as exc:
-                error = exc
+    def _fall_behind(self, error: RevisionCompactedError) -> None:
+        self.loaded.clear()
+        far_behind = isinstance(error, TooFarBehindError)
+        self._notify_gap(WatchGap.FAR_BEHIND if far_behind else WatchGap.COMPACTED)
+
+    def _notify_gap(self, gap: WatchGap) -> None:
+        for observer in self._observers:
+            observer.on_watch_gap(gap)
+
+    # -- read barriers --------------------------------------------------------------------
+
+    async def read_barrier(self, timeout_s: float = BARRIER_TIMEOUT_S) -> bool:
+        """Wait until the copy holds every change made before this call.
+
+        Returns:
+            False if the copy is not loaded, or the store did not answer in time.
+        """
+        if not self.loaded.is_set():
+            return False
+        loop = asyncio.get_running_loop()
+        waiter: asyncio.Future[None] = loop.create_future()
+        self._barrier_waiters.append(waiter)
+        if self._barrier_task is None or self._barrier_task.done():
+            self._barrier_task = loop.create_task(self._serve_barriers())
+        try:
+            async with asyncio.timeout(timeout_s):
+                await waiter
+        except (TimeoutError, StoreUnavailableError):
+            return False
+        return True
+
+    async def _serve_barriers(self) -> None:
+        while self._barrier_waiters:
+            batch, self._barrier_waiters = self._barrier_waiters, []
+            error = await self._poll_for_barrier()
             for waiter in batch:
                 if not waiter.done():
                     if error is None:
@@ -228,4 +285,14 @@
                     else:
                         waiter.set_exception(error)
             # Under load, wait a little so that one request answers more callers.
-            await asyncio.sleep(self.sync_gap_s)
+            await asyncio.sleep(self.barrier_pause_s)
+
+    async def _poll_for_barrier(self) -> StoreUnavailableError | None:
+        try:
+            await self._poll_watch(0.0)
+        except RevisionCompactedError as exc:
+            self._fall_behind(exc)
+            return OutcomeUnknownError("read barrier", str(exc))
+        except StoreUnavailableError as exc:
+            return exc
+        return None
--- a/spoolcourse/control/user_api/api.py
+++ b/spoolcourse/control/user_api/api.py
@@ -79,7 +79,7 @@
         path = unquote(urlsplit(request.path).path)
         parts = path.split("/")[2:]
         after = 1.0
-        if not from_peer and self._client.suspect():
+        if not from_peer and self._client.is_failing():
             # Waiting for the key-value store once more would only cost the user time.
             from_peer = True
             reply = await self._pass_on(request, after)
--- a/spoolcourse/wire/key_value_store.py
+++ b/spoolcourse/wire/key_value_store.py
@@ -1,7 +1,13 @@
-"""Messages of the key-value store: keys with revisions, transactions, leases and watches."""
+"""Messages of the key-value store: keys with revisions, transactions, leases and watches.
+
+This is the one place that knows how the protocol spells them: `stamp` is a key's revision,
+`ledger` the store's revision, `hold` a lease, `if` the expected revisions. Source: PROTOCOL, the
+key-value store.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 from typing import Any
 from urllib.parse import quote
@@ -49,12 +55,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
-    """A transaction's clear answer. `failed` names the conditions that did not hold."""
+class CompareAndSwapResult:
+    """A transaction's known outcome: carried out, or not because of conflicts.
+
+    Attributes:
+        succeeded: Whether it was carried out.
+        store_revision: The store's revision after it; every key written has this revision.
+        conflicting_keys: The keys that had another revision than expected.
+    """
 
-    ok: bool
+    succeeded: bool
     store_revision: int
-    failed: tuple[str, ...] = ()
+    conflicting_keys: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,41 +78,51 @@
     store_revision: int
 
 
+@dataclass(frozen=True, slots=True)
+class WatchResult:
+    """The answer to a watch: the revision that the store has reached, and every change up to it."""
+
+    store_revision: int
+    changes: list[Change]
+
+
 def entry_path(key: str) -> str:
-    """Where a key is read."""
+    """Path to read one key."""
     return f"/kv/{key}"
 
 
-def page_path(prefix: str, page: int, since: str) -> str:
-    """Where a part of the keys below a prefix is read; `since` is the last key seen, or empty."""
-    path = f"/kv?prefix={quote(prefix)}&page={page}"
-    return path + f"&since={quote(since)}" if since else path
+def page_path(prefix: str, page_size: int, after_key: str) -> str:
+    """Path to read a part of the keys below a prefix, after a key; empty: from the first on."""
+    path = f"/kv?prefix={quote(prefix)}&page={page_size}"
+    return path + f"&since={quote(after_key)}" if after_key else path
 
 
-def watch_path(prefix: str, since: int, block_s: float) -> str:
-    """Where changes after a revision are waited for."""
-    return f"/watch?prefix={quote(prefix)}&since={since}&blockMs={int(block_s * 1000)}"
+def watch_path(prefix: str, since_revision: int, block_s: float) -> str:
+    """Path to wait, for `block_s` at most, for changes after a revision."""
+    return f"/watch?prefix={quote(prefix)}&since={since_revision}&blockMs={int(block_s * 1000)}"
 
 
 def renew_path(lease: int) -> str:
-    """Where a lease is renewed."""
+    """Path to renew a lease."""
     return f"{paths.LEASES}/{lease}/touch"
 
 
 def lease_path(lease: int) -> str:
-    """Where a lease is ended."""
+    """Path to end a lease."""
     return f"{paths.LEASES}/{lease}"
 
 
 def grant_body(ttl_s: float) -> dict[str, Any]:
-    """Asks for a lease of so many seconds."""
+    """The request for a lease that expires `ttl_s` after its last renewal."""
     return {"ttlMs": int(ttl_s * 1000)}
 
 
-def transaction_body(conditions: dict[str, int], operations: list[Operation]) -> dict[str, Any]:
-    """A transaction that is carried out if every key has the revision given for it."""
+def transaction_body(
+    expected_revisions: Mapping[str, int], operations: Sequence[Operation]
+) -> dict[str, Any]:
+    """A transaction, carried out if every key has the expected revision (0: does not exist)."""
     body: dict[str, Any] = {
-        "if": [{"k": key, "stamp": revision} for key, revision in conditions.items()]
+        "if": [{"k": key, "stamp": revision} for key, revision in expected_revisions.items()]
     }
     if operations:
         body["apply"] = [_operation(operation) for operation in operations]
@@ -110,32 +132,32 @@
 def _operation(operation: Operation) -> dict[str, Any]:
     if isinstance(operation, Delete):
         return {"delete": operation.key}
-    found: dict[str, Any] = {"set": operation.key, "v": operation.value}
+    body: dict[str, Any] = {"set": operation.key, "v": operation.value}
     if operation.lease is not None:
-        found["hold"] = operation.lease
-    return found
+        body["hold"] = operation.lease
+    return body
 
 
 def read_entry(key: str, data: dict[str, Any]) -> Entry:
-    """A key's value from the answer to a read."""
+    """The entry in the answer to a read of one key."""
     return Entry(key, data["v"], data["stamp"])
 
 
 def read_page(data: dict[str, Any]) -> Page:
-    """The entries of a page."""
+    """The page in the answer to a read of a prefix."""
     entries = [Entry(pair["k"], pair["v"], pair["stamp"]) for pair in data["pairs"]]
     return Page(entries, bool(data["hasNext"] and entries), data["ledger"])
 
 
-def read_changes(data: dict[str, Any]) -> tuple[int, list[Change]]:
-    """The store's revision and the changes from the answer to a watch."""
+def read_watch(data: dict[str, Any]) -> WatchResult:
+    """The changes in the answer to a watch."""
     changes = [
         Change(entry["set"], entry["v"], entry["stamp"])
         if "set" in entry
         else Change(entry["delete"], None, entry["stamp"])
         for entry in data["log"]
     ]
-    return data["ledger"], changes
+    return WatchResult(data["ledger"], changes)
 
 
 def read_lease(data: dict[str, Any]) -> int:
@@ -143,11 +165,11 @@
     return int(data["hold"])
 
 
-def carried_out(data: dict[str, Any]) -> Outcome:
-    """The outcome of a transaction that was carried out."""
-    return Outcome(True, data["ledger"])
+def read_success(data: dict[str, Any]) -> CompareAndSwapResult:
+    """The result of a transaction that was carried out (200)."""
+    return CompareAndSwapResult(True, data["ledger"])
 
 
-def conditions_failed(data: dict[str, Any]) -> Outcome:
-    """The outcome of a transaction whose conditions did not hold."""
-    return Outcome(False, data["ledger"], tuple(data["failed"]))
+def read_conflict(data: dict[str, Any]) -> CompareAndSwapResult:
+    """The result of a transaction that met other revisions than expected (409)."""
+    return CompareAndSwapResult(False, data["ledger"], tuple(data["failed"]))
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -92,7 +92,7 @@
         state, wire = FakeState(), FakeWire()
         wire.hosts["state:1"] = state.serve
         limits = State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
-        client = StoreClient(wire.end_of("n0"), "state:1", limits, nodes=2)
+        client = StoreClient(wire.end_of("n0"), "state:1", limits, controllers=2)
         watch_cache = WatchCache(client, PREFIX)
         node = Leadership(client, watch_cache, "n0", "run-0")
         await watch_cache.reload()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -15,7 +15,7 @@
 from spoolcourse.control.placement.model import Job, Node, RunningTask, Snapshot, Team
 from spoolcourse.control.scheduling.scheduling_loop import ATTEMPTS_MOST
 from spoolcourse.control.store.records import base_values, initial_machines
-from spoolcourse.control.store.watch_cache import CHANGES_MOST
+from spoolcourse.control.store.watch_cache import MAX_CHANGES_BEHIND
 from spoolcourse.control.workers.call_limit import calls_at_once
 from spoolcourse.control.workers.heartbeat_relay import Relay
 from spoolcourse.control.workers.machine import Machine
@@ -194,7 +194,7 @@
         cache = world.nodes[away].watch_cache
         await world.until(lambda: cache.store_revision >= 3 * FLEET, 30)
         await world.until(lambda: world.nodes[away].healthy, 30)
-        assert largest <= CHANGES_MOST
+        assert largest <= MAX_CHANGES_BEHIND
         assert (await world.poll(1, away)).data["stage"] == "done"
         assert (await world.poll(2, away)).status == 200
         assert world.cloud.broken == []
--- a/tests/test_standby_properties.py
+++ b/tests/test_standby_properties.py
@@ -158,7 +158,7 @@
     @rule(number=JOBS, task=TASKS, ends=st.booleans(), seen=st.booleans())
     def lose_changes(self, number: int, task: int, ends: bool, seen: bool) -> None:
         """Changes are missed; while all keys are read, some change, and a watch may tell of it."""
-        self.standby._on_gap(WatchGap.COMPACTED)
+        self.standby.on_watch_gap(WatchGap.COMPACTED)
 
         def meanwhile() -> None:
             self.accept(number, 34)
@@ -170,17 +170,16 @@
 
     def list_entries(self, meanwhile: Callable[[], None], seen: bool = False) -> None:
         first = self.revision
-        self.cache._reads += 1
+        self.cache._reloads_under_way += 1
         entries = [Entry(k, v, r) for k, (v, r) in sorted(self.keys.items()) if "/prog/" not in k]
         meanwhile()
         entries += [Entry(k, v, r) for k, (v, r) in sorted(self.keys.items()) if "/prog/" in k]
         if seen:
             self.watch(self.revision, 0)
         self.cache._replace(entries, first)
-        self.cache._reads -= 1
+        self.cache._reloads_under_way -= 1
         self.cache._advance(first, [])
-        self.cache.loaded.set()
-        self.cache.on_load()
+        self.cache._mark_loaded()
 
     # -- what must hold -------------------------------------------------------------------
 
@@ -198,7 +197,10 @@
     @invariant()
     def what_is_caught_up_is_what_is_stored(self) -> None:
         if self.cache.store_revision == self.revision:
-            known = {e.key: (e.value, e.revision) for e in self.cache.below(self.cache.live)}
+            known = {
+                e.key: (e.value, e.revision)
+                for e in self.cache.entries_below(self.cache.live_prefix)
+            }
             assert known == self.keys
 
 
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -227,19 +227,19 @@
         limits = State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
         nodes = []
         for label in ("n0", "n1"):
-            client = StoreClient(wire.end_of(label), "state:1", limits, nodes=2)
+            client = StoreClient(wire.end_of(label), "state:1", limits, controllers=2)
             watch_cache = WatchCache(client, PREFIX)
             nodes.append(Leadership(client, watch_cache, label, f"run-{label}"))
             await watch_cache.reload()
         slow, quick = nodes
-        grant = slow._client.grant
+        grant = slow._client.grant_lease
 
         async def overtaken(ttl_s: float) -> int:
             await quick._stand()
             await slow._watch_cache.read_barrier()  # as the watch does all the time
             return await grant(ttl_s)
 
-        slow._client.grant = overtaken  # type: ignore[method-assign]
+        slow._client.grant_lease = overtaken  # type: ignore[method-assign]
         await slow._stand()
         assert quick.term is not None and slow.term is None
         assert state.value(TERM) == {"term": 1, "run": "run-n1", "hold": quick.term.lease}
--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -26,7 +26,7 @@
         state, wire, works = FakeState(), FakeWire(), JobQueue()
         wire.hosts["state:1"] = state.serve
         limits = State(rps=200.0, write_rps=6.0, value_kb=8.0, txn_ops=12)
-        client = StoreClient(wire.end_of("n0"), "state:1", limits, nodes=1)
+        client = StoreClient(wire.end_of("n0"), "state:1", limits, controllers=1)
         client.set_leader(True)
         watch_cache = WatchCache(client, PREFIX)
         await client.compare_and_swap({}, [Put(TERM, {"term": 1})], urgent=True)
@@ -70,7 +70,7 @@
         state, wire, works = FakeState(), FakeWire(), JobQueue()
         wire.hosts["state:1"] = state.serve
         limits = State(200.0, 100.0, 8.0, 24, NextLimits(value_kb=1.0))
-        client = StoreClient(wire.end_of("n0"), "state:1", limits, nodes=1)
+        client = StoreClient(wire.end_of("n0"), "state:1", limits, controllers=1)
         client.set_leader(True)
         watch_cache = WatchCache(client, PREFIX)
         await client.compare_and_swap({}, [Put(TERM, {"term": 1})], urgent=True)
