--- a/spoolcourse/control/cloud/catalog.py
+++ b/spoolcourse/control/cloud/catalog.py
@@ -15,7 +15,7 @@
 from spoolcourse.control.leadership.election import Leadership
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.errors import StoreUnavailableError
-from spoolcourse.control.store.keys import CATALOG
+from spoolcourse.control.store.keys import CATALOG_KEY
 from spoolcourse.control.store.records import catalog_value
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.key_value_store import Put
@@ -61,7 +61,7 @@
             await asyncio.sleep(pause * random.uniform(*JITTER))
 
     def _on_change(self, key: str, value: Any, revision: int) -> None:
-        if key != CATALOG or value is None or self.machine_types:
+        if key != CATALOG_KEY or value is None or self.machine_types:
             return
         try:
             self._take(parse(value, Catalog))
@@ -75,13 +75,15 @@
         if not self._leadership.valid():
             return
         machine_types = sorted(catalog.machine_types, key=lambda kind: kind.name)
-        entry = self._watch_cache.get(CATALOG)
+        entry = self._watch_cache.get(CATALOG_KEY)
         if entry is not None:
             stored = parse(entry.value, Catalog).machine_types
             if {kind.name for kind in stored} == {kind.name for kind in machine_types}:
                 return
         value = catalog_value(machine_types)
-        revision = self._watch_cache.revision(CATALOG)
-        outcome = await self._client.compare_and_swap({CATALOG: revision}, [Put(CATALOG, value)])
+        revision = self._watch_cache.revision(CATALOG_KEY)
+        outcome = await self._client.compare_and_swap(
+            {CATALOG_KEY: revision}, [Put(CATALOG_KEY, value)]
+        )
         if outcome.succeeded:
-            self._watch_cache.apply(CATALOG, value, outcome.store_revision)
+            self._watch_cache.apply(CATALOG_KEY, value, outcome.store_revision)
--- a/spoolcourse/control/failover/hints.py
+++ b/spoolcourse/control/failover/hints.py
@@ -18,7 +18,7 @@
 
 from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.http_client import NoResponseError
-from spoolcourse.control.store.keys import TERM
+from spoolcourse.control.store.keys import TERM_KEY
 from spoolcourse.control.store.records import TermRecord
 from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.wire import paths
@@ -194,5 +194,5 @@
         return self._settings.hint_period_s
 
     def _known_term(self) -> int:
-        entry = self._watch_cache.get(TERM)
+        entry = self._watch_cache.get(TERM_KEY)
         return TermRecord.number_of(entry.value if entry else None)
--- a/spoolcourse/control/failover/restore.py
+++ b/spoolcourse/control/failover/restore.py
@@ -6,7 +6,7 @@
 
 from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.jobs.job_queue import JobQueue
-from spoolcourse.control.store.keys import PROGRESS, split_progress
+from spoolcourse.control.store.keys import PROGRESS_PREFIX, parse_progress_key
 from spoolcourse.control.store.records import Progress, chunk_tasks
 
 SavedProgress = dict[str, dict[int, tuple[Progress, int]]]  # job, chunk: progress and revision
@@ -46,8 +46,8 @@
 def _saved_progress(context: ControllerContext) -> tuple[SavedProgress, list[str]]:
     saved: SavedProgress = {}
     leftover_keys: list[str] = []
-    for entry in context.watch_cache.entries_below(PROGRESS):
-        job, chunk = split_progress(entry.key)
+    for entry in context.watch_cache.entries_below(PROGRESS_PREFIX):
+        job, chunk = parse_progress_key(entry.key)
         if job not in context.job_index.live:
             leftover_keys.append(entry.key)
             continue
--- a/spoolcourse/control/failover/shadow_queue.py
+++ b/spoolcourse/control/failover/shadow_queue.py
@@ -15,7 +15,13 @@
 from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.failover.restore import RestoredJobs, empty_job_queue
 from spoolcourse.control.jobs.job_queue import Chunk, JobState
-from spoolcourse.control.store.keys import JOB, PROGRESS, TERM, progress_key, split_progress
+from spoolcourse.control.store.keys import (
+    JOB_PREFIX,
+    PROGRESS_PREFIX,
+    TERM_KEY,
+    parse_progress_key,
+    progress_key,
+)
 from spoolcourse.control.store.records import JobRecord, Progress, TermRecord
 from spoolcourse.wire.key_value_store import Entry
 
@@ -56,12 +62,12 @@
 
     def apply(self, key: str, value: Any, revision: int) -> None:
         """Take in one change; `value` is None where the key was deleted."""
-        if key.startswith(JOB):
-            self._apply_job(key[len(JOB) :], value, revision)
-        elif key.startswith(PROGRESS):
-            job, index = split_progress(key)
+        if key.startswith(JOB_PREFIX):
+            self._apply_job(key[len(JOB_PREFIX) :], value, revision)
+        elif key.startswith(PROGRESS_PREFIX):
+            job, index = parse_progress_key(key)
             self._apply_progress(job, index, value, revision)
-        elif key == TERM:
+        elif key == TERM_KEY:
             self._apply_term(value)
 
     def hand_over(self) -> RestoredJobs:
--- a/spoolcourse/control/failover/warm_standby.py
+++ b/spoolcourse/control/failover/warm_standby.py
@@ -12,7 +12,7 @@
 from spoolcourse.control.failover.restore import RestoredJobs
 from spoolcourse.control.failover.shadow_queue import MisfitError, Shadow
 from spoolcourse.control.store.errors import StoreUnavailableError
-from spoolcourse.control.store.keys import TERM
+from spoolcourse.control.store.keys import TERM_KEY
 from spoolcourse.control.store.records import TermRecord
 from spoolcourse.control.store.retry import RetryDelay
 from spoolcourse.control.store.watch_cache import WatchGap
@@ -74,7 +74,7 @@
 
     def answer(self) -> StandbyReply:
         """The answer to a leader that would hand over."""
-        entry = self._watch_cache.get(TERM)
+        entry = self._watch_cache.get(TERM_KEY)
         term = TermRecord.number_of(entry.value if entry else None)
         revision = self._watch_cache.store_revision
         if self.caught_up:
--- a/spoolcourse/control/jobs/cancellation_query.py
+++ b/spoolcourse/control/jobs/cancellation_query.py
@@ -17,7 +17,7 @@
 from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.leadership.peers import ask_peers
 from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
-from spoolcourse.control.store.keys import TERM
+from spoolcourse.control.store.keys import TERM_KEY
 from spoolcourse.control.store.records import TermRecord
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire import paths
@@ -33,7 +33,7 @@
     name, _, text = query.partition("=")
     if name != "beyond" or not text.isascii() or not text.isdigit():
         raise MalformedError("beyond: a revision is needed")
-    term = watch_cache.get(TERM)
+    term = watch_cache.get(TERM_KEY)
     told = CancellationReply(
         TermRecord.number_of(term.value if term is not None else None),
         watch_cache.synced_at > float("-inf"),
--- a/spoolcourse/control/jobs/job_index.py
+++ b/spoolcourse/control/jobs/job_index.py
@@ -12,12 +12,12 @@
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.errors import OutcomeUnknownError
 from spoolcourse.control.store.keys import (
-    FINAL,
-    JOB,
-    PROGRESS,
+    FINAL_PREFIX,
+    JOB_PREFIX,
+    PROGRESS_PREFIX,
     final_key,
     job_key,
-    split_progress,
+    parse_progress_key,
 )
 from spoolcourse.control.store.records import FinalState, JobRecord, Progress, chunk_tasks
 from spoolcourse.control.store.watch_cache import WatchCache
@@ -46,16 +46,16 @@
         watch_cache.add_listener(self._on_change)
 
     def _on_change(self, key: str, value: Any, revision: int) -> None:
-        if key.startswith(JOB):
-            job = key[len(JOB) :]
+        if key.startswith(JOB_PREFIX):
+            job = key[len(JOB_PREFIX) :]
             if value is None:
                 self.live.pop(job, None)
             else:
                 record = self.live[job] = JobRecord.from_value(value, revision)
                 if record.cancelled_at is not None:
                     self.cancellations.note(Cancellation(job, record.cancelled_at, revision))
-        elif key.startswith(PROGRESS):
-            job, chunk = split_progress(key)
+        elif key.startswith(PROGRESS_PREFIX):
+            job, chunk = parse_progress_key(key)
             if value is None:
                 chunks = self.counts.get(job)
                 if chunks is not None:
@@ -64,8 +64,8 @@
                         del self.counts[job]
             else:
                 self.counts.setdefault(job, {})[chunk] = Progress.counts_of(value)
-        elif key.startswith(FINAL) and value is not None:
-            self.remember_final(key[len(FINAL) :], FinalState.from_value(value))
+        elif key.startswith(FINAL_PREFIX) and value is not None:
+            self.remember_final(key[len(FINAL_PREFIX) :], FinalState.from_value(value))
 
     def remember_final(self, job: str, final: FinalState) -> None:
         """Remember how a job ended; the oldest are forgotten here."""
--- a/spoolcourse/control/jobs/writer.py
+++ b/spoolcourse/control/jobs/writer.py
@@ -22,7 +22,7 @@
     RequestRefusedError,
     StoreUnavailableError,
 )
-from spoolcourse.control.store.keys import TERM, final_key, job_key, progress_key
+from spoolcourse.control.store.keys import TERM_KEY, final_key, job_key, progress_key
 from spoolcourse.control.store.records import FinalState
 from spoolcourse.control.store.retry import RetryDelay
 from spoolcourse.control.store.watch_cache import WatchCache
@@ -98,7 +98,7 @@
         await self._save(list(self._job_queue.dirty))
 
     async def _save(self, keys: list[tuple[str, int]]) -> None:
-        conditions = {TERM: self._term.revision}
+        conditions = {TERM_KEY: self._term.revision}
         ops: list[Put | Delete] = []
         taken: list[tuple[JobState, Chunk, int, Put]] = []
         size = 0
@@ -166,7 +166,7 @@
             ops: list[Put | Delete] = [Put(final_key(job_state.id), value), Delete(key)]
             ops += [Delete(progress_key(job_state.id, c.index)) for c in saved[:room]]
             conditions = {
-                TERM: self._term.revision,
+                TERM_KEY: self._term.revision,
                 key: job_state.record.revision,
                 final_key(job_state.id): 0,
             }
@@ -193,7 +193,7 @@
         step = self._client.max_operations
         for start in range(0, len(keys), step):
             part = keys[start : start + step]
-            outcome = await self._commit({TERM: self._term.revision}, [Delete(k) for k in part])
+            outcome = await self._commit({TERM_KEY: self._term.revision}, [Delete(k) for k in part])
             if not outcome.succeeded:
                 await self._after_conflict(outcome)
                 return
@@ -214,7 +214,7 @@
             raise
 
     async def _after_conflict(self, outcome: CompareAndSwapResult) -> None:
-        if TERM in outcome.conflicting_keys:
+        if TERM_KEY in outcome.conflicting_keys:
             self._step_down("a write was refused: the term has passed")
             raise RequestRefusedError("write", "the term has passed")
         log.debug("write conflict: %s", outcome.conflicting_keys)
--- a/spoolcourse/control/leader/active_leader.py
+++ b/spoolcourse/control/leader/active_leader.py
@@ -22,7 +22,7 @@
 from spoolcourse.control.scheduling.snapshot_builder import SnapshotBuilder
 from spoolcourse.control.scheduling.termination_notices import TerminationLoop
 from spoolcourse.control.store.errors import StoreUnavailableError
-from spoolcourse.control.store.keys import JOB
+from spoolcourse.control.store.keys import JOB_PREFIX
 from spoolcourse.control.store.records import JobRecord
 from spoolcourse.control.workers.command_dispatcher import CommandDispatcher
 from spoolcourse.control.workers.worker_registry import WorkerRegistry
@@ -151,9 +151,9 @@
 
     def on_change(self, key: str) -> None:
         """A key has changed in the key-value store: perhaps a job was accepted or cancelled."""
-        if not key.startswith(JOB):
+        if not key.startswith(JOB_PREFIX):
             return
-        job = key[len(JOB) :]
+        job = key[len(JOB_PREFIX) :]
         record = self._context.job_index.live.get(job)
         if record is None:
             return
--- a/spoolcourse/control/leader/initial_machines.py
+++ b/spoolcourse/control/leader/initial_machines.py
@@ -11,7 +11,7 @@
 from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.leadership.term_record import write_in_term
-from spoolcourse.control.store.keys import BASE, base_part_key
+from spoolcourse.control.store.keys import INITIAL_MACHINES_KEY, initial_machines_part_key
 from spoolcourse.control.store.records import base_parts, base_values, initial_machines
 from spoolcourse.wire.messages import Host, HostStage
 
@@ -29,12 +29,12 @@
 
     def names(self) -> frozenset[str]:
         """The machines that are not returned for being idle."""
-        entry = self._watch_cache.get(BASE)
+        entry = self._watch_cache.get(INITIAL_MACHINES_KEY)
         if entry is None:
             return frozenset()
         found = initial_machines(entry.value)
         for part in range(1, base_parts(entry.value) + 1):
-            further = self._watch_cache.get(base_part_key(part))
+            further = self._watch_cache.get(initial_machines_part_key(part))
             if further is not None:
                 found |= initial_machines(further.value)
         return found
@@ -46,13 +46,13 @@
         all of them are there. Names that one value held were a few hundred; of a larger fleet
         none was noted, and its idle machines were returned.
         """
-        if self._watch_cache.get(BASE) is not None:
+        if self._watch_cache.get(INITIAL_MACHINES_KEY) is not None:
             return
         first, *others = base_values(self._found(hosts), self._value_bytes)
         for part, value in enumerate(others, start=1):
-            if not await self._put(base_part_key(part), value, {}):
+            if not await self._put(initial_machines_part_key(part), value, {}):
                 return
-        await self._put(BASE, first, {BASE: 0})
+        await self._put(INITIAL_MACHINES_KEY, first, {INITIAL_MACHINES_KEY: 0})
 
     async def _put(self, key: str, value: dict[str, Any], conditions: dict[str, int]) -> bool:
         """Write one value if this term goes on; whether it is written."""
--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -22,7 +22,7 @@
     OutcomeUnknownError,
     StoreUnavailableError,
 )
-from spoolcourse.control.store.keys import LEADER, TERM
+from spoolcourse.control.store.keys import LEADER_KEY, TERM_KEY
 from spoolcourse.control.store.records import LeaderRecord, TermRecord
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.key_value_store import Put
@@ -77,7 +77,7 @@
     @property
     def leader_label(self) -> str | None:
         """The label of the leader as far as this controller knows."""
-        entry = self._watch_cache.get(LEADER)
+        entry = self._watch_cache.get(LEADER_KEY)
         return LeaderRecord.label_of(entry.value) if entry else None
 
     @property
@@ -117,11 +117,11 @@
             log.info("the lease is left to run out: %s", exc)
 
     def _on_change(self, key: str, value: Any, revision: int) -> None:
-        if key in (LEADER, TERM):
+        if key in (LEADER_KEY, TERM_KEY):
             self._changed.set()
-            if key == LEADER:
+            if key == LEADER_KEY:
                 self._note_vacancy(value)
-            if key == TERM and self.term is not None and revision > self.term.revision:
+            if key == TERM_KEY and self.term is not None and revision > self.term.revision:
                 self.step_down("a newer term was elected")
 
     def _note_vacancy(self, value: Any) -> None:
@@ -141,7 +141,7 @@
                 await self._lead()
                 continue
             self._changed.clear()
-            entry = self._watch_cache.get(LEADER)
+            entry = self._watch_cache.get(LEADER_KEY)
             if entry is not None and not self._is_former_self(entry.value):
                 # Wake for a change; look again now and then in case the watch hangs.
                 try:
@@ -186,7 +186,7 @@
         loop = asyncio.get_running_loop()
         if not await self._watch_cache.read_barrier():
             raise OutcomeUnknownError("read barrier", "no answer")
-        leader, former = self._watch_cache.get(LEADER), self._watch_cache.get(TERM)
+        leader, former = self._watch_cache.get(LEADER_KEY), self._watch_cache.get(TERM_KEY)
         if leader is not None and not self._is_former_self(leader.value):
             return
         number = TermRecord.number_of(former.value if former else None) + 1
@@ -194,8 +194,8 @@
         # bring another's election while the lease is granted: with the revisions of that, this
         # claim would push it out under the very same number, and two would share a fencing token.
         conditions = {
-            LEADER: leader.revision if leader else 0,
-            TERM: former.revision if former else 0,
+            LEADER_KEY: leader.revision if leader else 0,
+            TERM_KEY: former.revision if former else 0,
         }
         sent = loop.time()
         lease = await self._client.grant_lease(self._ttl_s)
@@ -208,7 +208,7 @@
         try:
             outcome = await self._client.compare_and_swap(
                 conditions,
-                [Put(LEADER, claim, lease), Put(TERM, tenure)],
+                [Put(LEADER_KEY, claim, lease), Put(TERM_KEY, tenure)],
                 urgent=True,
             )
             if not outcome.succeeded:
@@ -217,12 +217,12 @@
             revision = outcome.store_revision
         except OutcomeUnknownError:
             # Perhaps it was carried out: the term key tells, and says whose it is.
-            found = await self._client.get(TERM)
+            found = await self._client.get(TERM_KEY)
             if found is None or found.value != tenure:
                 raise
             revision = found.revision
-        self._watch_cache.apply(LEADER, claim, revision)
-        self._watch_cache.apply(TERM, tenure, revision)
+        self._watch_cache.apply(LEADER_KEY, claim, revision)
+        self._watch_cache.apply(TERM_KEY, tenure, revision)
         self.term = Term(number, revision, lease)
         self.terms += 1
         self._stepped_down.clear()
@@ -243,7 +243,7 @@
                 if self.term is term:
                     if sent >= self._valid_until:
                         # After a gap the key may have changed hands: see it first.
-                        entry = await self._client.get(TERM)
+                        entry = await self._client.get(TERM_KEY)
                         if entry is None or entry.revision != term.revision:
                             self.step_down("the term has passed")
                             return
--- a/spoolcourse/control/leadership/failover_proof.py
+++ b/spoolcourse/control/leadership/failover_proof.py
@@ -13,7 +13,7 @@
 from typing import final
 
 from spoolcourse.control.leadership.election import Term
-from spoolcourse.control.store.keys import TERM
+from spoolcourse.control.store.keys import TERM_KEY
 from spoolcourse.control.store.watch_cache import WatchCache
 
 
@@ -53,7 +53,7 @@
                 f"term {term.number} was claimed at revision {term.revision}, "
                 f"and only {applied_revision} is taken in"
             )
-        if watch_cache.revision(TERM) != term.revision:
+        if watch_cache.revision(TERM_KEY) != term.revision:
             raise SupersededError(f"the claim of term {term.number} is not the latest one")
         self._term = term
         self._applied_revision = applied_revision
--- a/spoolcourse/control/leadership/feature_level.py
+++ b/spoolcourse/control/leadership/feature_level.py
@@ -14,7 +14,7 @@
 from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.leadership.peers import ask_peers
 from spoolcourse.control.leadership.term_record import write_in_term
-from spoolcourse.control.store.keys import LEVEL
+from spoolcourse.control.store.keys import FEATURE_LEVEL_KEY
 from spoolcourse.control.store.records import level_of, level_value
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire import paths
@@ -33,7 +33,7 @@
 
 def all_new(watch_cache: WatchCache) -> bool:
     """Whether this controller has seen it noted."""
-    entry = watch_cache.get(LEVEL)
+    entry = watch_cache.get(FEATURE_LEVEL_KEY)
     return entry is not None and level_of(entry.value) >= SERVICES
 
 
@@ -57,8 +57,8 @@
 
     async def _note(self) -> None:
         value = level_value(SERVICES)
-        conditions = {LEVEL: self._watch_cache.revision(LEVEL)}
-        if await write_in_term(self._context, self._term, LEVEL, value, conditions):
+        conditions = {FEATURE_LEVEL_KEY: self._watch_cache.revision(FEATURE_LEVEL_KEY)}
+        if await write_in_term(self._context, self._term, FEATURE_LEVEL_KEY, value, conditions):
             log.info("all controllers are new: services are taken")
         else:
             await self._watch_cache.read_barrier()
--- a/spoolcourse/control/leadership/term_record.py
+++ b/spoolcourse/control/leadership/term_record.py
@@ -7,7 +7,7 @@
 from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.store.conditional_write import write_if
-from spoolcourse.control.store.keys import TERM
+from spoolcourse.control.store.keys import TERM_KEY
 
 
 async def write_in_term(
@@ -21,5 +21,5 @@
 
     After False it may be written nevertheless, now or later: the watch cache will show that.
     """
-    conditions = conditions | {TERM: term.revision}
+    conditions = conditions | {TERM_KEY: term.revision}
     return await write_if(context.client, context.watch_cache, key, value, conditions)
--- a/spoolcourse/control/store/keys.py
+++ b/spoolcourse/control/store/keys.py
@@ -1,38 +1,57 @@
-"""Names of the keys in the key-value store."""
+"""Keys in the key-value store.
+
+The spelling is stored, and shared with versions that run side by side: it stays as it is. Keys
+below `LIVE_PREFIX` are held by every controller's watch cache; final states are only read one by
+one.
+"""
+
+from __future__ import annotations
+
+from typing import NamedTuple
 
 PREFIX = "spoolcourse/"
-LIVE = PREFIX + "live/"
-LEADER = LIVE + "leader"
-TERM = LIVE + "term"
-BASE = LIVE + "base"  # machines found when the service first ran
-LEVEL = LIVE + "level"  # of the forms that every controller can read
-CATALOG = LIVE + "catalog"
-JOB = LIVE + "job/"
-PROGRESS = LIVE + "prog/"
-FINAL = PREFIX + "fin/"
+LIVE_PREFIX = PREFIX + "live/"
+LEADER_KEY = LIVE_PREFIX + "leader"
+TERM_KEY = LIVE_PREFIX + "term"
+INITIAL_MACHINES_KEY = LIVE_PREFIX + "base"
+FEATURE_LEVEL_KEY = LIVE_PREFIX + "level"  # of the stored forms that every controller can read
+CATALOG_KEY = LIVE_PREFIX + "catalog"
+JOB_PREFIX = LIVE_PREFIX + "job/"
+PROGRESS_PREFIX = LIVE_PREFIX + "prog/"
+FINAL_PREFIX = PREFIX + "fin/"
+
+
+class ChunkId(NamedTuple):
+    """A part of a job's tasks, whose progress is one key."""
+
+    job: str
+    chunk_index: int  # `index` is a method of tuples
+
 
+def initial_machines_part_key(part: int) -> str:
+    """The key of a further part (from 1 on) of the initial machines.
 
-def base_part_key(part: int) -> str:
-    """The key of a further part of the machines found at the first start; the first is `BASE`."""
-    return f"{BASE}/{part}"
+    The first part is `INITIAL_MACHINES_KEY`.
+    """
+    return f"{INITIAL_MACHINES_KEY}/{part}"
 
 
 def job_key(job: str) -> str:
     """The key of a live job's record."""
-    return JOB + job
+    return JOB_PREFIX + job
 
 
 def final_key(job: str) -> str:
     """The key of a job's final state."""
-    return FINAL + job
+    return FINAL_PREFIX + job
 
 
-def progress_key(job: str, chunk: int) -> str:
+def progress_key(job: str, index: int) -> str:
     """The key of one chunk of a job's progress."""
-    return f"{PROGRESS}{job}/{chunk}"
+    return f"{PROGRESS_PREFIX}{job}/{index}"
 
 
-def split_progress(key: str) -> tuple[str, int]:
-    """The job and the chunk that a progress key names."""
-    job, _, chunk = key[len(PROGRESS) :].partition("/")
-    return job, int(chunk)
+def parse_progress_key(key: str) -> ChunkId:
+    """The chunk that a progress key names; raises `ValueError` if its index is no number."""
+    job, _, index = key[len(PROGRESS_PREFIX) :].partition("/")
+    return ChunkId(job, int(index))
--- a/spoolcourse/control/store/retry.py
+++ b/spoolcourse/control/store/retry.py
@@ -1,27 +1,27 @@
-"""Pauses between tries that fail, each longer than the one before."""
+"""Exponential backoff between tries that fail."""
 
 from __future__ import annotations
 
 import asyncio
 import random
 
-FIRST_S = 0.1
-LONGEST_S = 1.0
-GROWTH = 2.0
-LEAST_SHARE = 0.5  # of a pause; the rest is left to chance, so that controllers don't try in step
+MIN_DELAY_S = 0.1
+MAX_DELAY_S = 1.0
+BACKOFF_FACTOR = 2.0
+MIN_JITTER_SHARE = 0.5  # of a delay; the rest is random, so that controllers don't retry in step
 
 
 class RetryDelay:
-    """The pause after a failure; a success makes the next one short again."""
+    """The delay after a failure; it grows with each one, and a success makes it short again."""
 
     def __init__(self) -> None:
-        self._pause_s = FIRST_S
+        self._delay_s = MIN_DELAY_S
 
     def reset(self) -> None:
-        """Something succeeded."""
-        self._pause_s = FIRST_S
+        """Start from the shortest delay again, after a success."""
+        self._delay_s = MIN_DELAY_S
 
     async def wait(self) -> None:
-        """Pause after a failure."""
-        await asyncio.sleep(self._pause_s * random.uniform(LEAST_SHARE, 1.0))
-        self._pause_s = min(self._pause_s * GROWTH, LONGEST_S)
+        """Wait after a failure."""
+        await asyncio.sleep(self._delay_s * random.uniform(MIN_JITTER_SHARE, 1.0))
+        self._delay_s = min(self._delay_s * BACKOFF_FACTOR, MAX_DELAY_S)
--- a/tests/fakes/proof.py
+++ b/tests/fakes/proof.py
@@ -5,7 +5,7 @@
 from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.leadership.failover_proof import FailoverProof, ProofSource
 from spoolcourse.control.store.client import StoreClient
-from spoolcourse.control.store.keys import PREFIX, TERM
+from spoolcourse.control.store.keys import PREFIX, TERM_KEY
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.settings import State
 from tests.fakes.net import FakeWire
@@ -24,5 +24,5 @@
 def proven(number: int, revision: int = 1) -> FailoverProof:
     """The proof of a term that was claimed at a revision."""
     watch_cache = cache_at(revision)
-    watch_cache.apply(TERM, {"term": number}, revision)
+    watch_cache.apply(TERM_KEY, {"term": number}, revision)
     return FailoverProof(Term(number, revision, 0), watch_cache, ProofSource.RECORDS)
--- a/tests/fakes/upgrade.py
+++ b/tests/fakes/upgrade.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from spoolcourse.control.store.keys import TERM, job_key, progress_key
+from spoolcourse.control.store.keys import TERM_KEY, job_key, progress_key
 from tests.fakes.world import World, job
 
 # The stored forms of the production version, as of its commit.
@@ -89,7 +89,7 @@
     held = {str(p): ["m-000000", 16777217 + p] for p in range(100)}
     world.state._apply(
         [
-            {"set": TERM, "v": OLD_TERM},
+            {"set": TERM_KEY, "v": OLD_TERM},
             {"set": job_key("job-000001"), "v": OLD_JOB},
             {"set": progress_key("job-000001", 0), "v": {"done": "0", "held": held}},
         ]
--- a/tests/loopback/play.py
+++ b/tests/loopback/play.py
@@ -21,7 +21,7 @@
 import orjson
 
 from spoolcourse.control.http_client import NoResponseError, Response
-from spoolcourse.control.store.keys import LEADER, PROGRESS
+from spoolcourse.control.store.keys import LEADER_KEY, PROGRESS_PREFIX
 from tests.fakes.world import job
 from tests.loopback.history import Told, broken_rules
 from tests.loopback.standins import Stage, address_of, bound_socket, no_hook
@@ -207,7 +207,7 @@
                 node.send(signal.SIGKILL)
 
     def _leader(self) -> Node | None:
-        value = self.stage.state.value(LEADER)
+        value = self.stage.state.value(LEADER_KEY)
         return next((n for n in self.nodes if value and n.label == value["label"]), None)
 
     # -- troubles -------------------------------------------------------------------------
@@ -240,7 +240,7 @@
 
         async def act(path: str, body: Any) -> None:
             if point in (KillPoint.BEFORE_WRITE, KillPoint.AFTER_WRITE) and not any(
-                op.get("set", "").startswith(PROGRESS) for op in body["apply"]
+                op.get("set", "").startswith(PROGRESS_PREFIX) for op in body["apply"]
             ):
                 return
             if not hit.is_set():
@@ -273,11 +273,11 @@
     def _burst(self) -> None:
         """A thousand changes in one go, of progress that belongs to no live job."""
         for number in range(1000):
-            key = f"{PROGRESS}job-999999/{number % 50}"
+            key = f"{PROGRESS_PREFIX}job-999999/{number % 50}"
             self.stage.state._apply([{"set": key, "v": {"done": "0", "held": {}}}])
 
     def _term(self) -> int:
-        value = self.stage.state.value(LEADER)
+        value = self.stage.state.value(LEADER_KEY)
         return int(value["term"]) if value else 0
 
     def _first_start(self, term: int) -> float | None:
--- a/tests/loopback/standins.py
+++ b/tests/loopback/standins.py
@@ -11,7 +11,7 @@
 
 from spoolcourse.control.http_client import AiohttpClient, Request, Response
 from spoolcourse.control.http_server import Connection
-from spoolcourse.control.store.keys import FINAL
+from spoolcourse.control.store.keys import FINAL_PREFIX
 from tests.fakes.cloud import FakeCloud, FakeWorker, Task
 from tests.fakes.net import Endpoint, FakeWire
 from tests.fakes.state import FakeState
@@ -109,8 +109,8 @@
         reply = await self.state.serve(method, path, body)
         if reply.status == 200:
             for op in body["apply"]:
-                if op.get("set", "").startswith(FINAL):
-                    job = op["set"][len(FINAL) :]
+                if op.get("set", "").startswith(FINAL_PREFIX):
+                    job = op["set"][len(FINAL_PREFIX) :]
                     self.history.finals.append(FinalWritten(job, op["v"]["stage"]))
         await self.after_write(path, body)
         return reply
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -11,16 +11,16 @@
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.errors import OutcomeUnknownError
 from spoolcourse.control.store.keys import (
-    FINAL,
-    JOB,
-    LEADER,
+    FINAL_PREFIX,
+    JOB_PREFIX,
+    LEADER_KEY,
     PREFIX,
-    PROGRESS,
+    PROGRESS_PREFIX,
+    TERM_KEY,
     final_key,
     job_key,
-    split_progress,
+    parse_progress_key,
 )
-from spoolcourse.control.store.keys import TERM as TERM_KEY
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.settings import State
 from tests.fakes.clock import play
@@ -115,20 +115,20 @@
 
                 client.get = late  # type: ignore[method-assign]
         assert node.term is None and len(wire.held) == 2
-        assert state.value(LEADER) is not None
+        assert state.value(LEADER_KEY) is not None
         await asyncio.sleep(4)
-        assert state.value(LEADER) is None, "nobody renews it, so others may stand"
+        assert state.value(LEADER_KEY) is None, "nobody renews it, so others may stand"
 
     play(story())
 
 
 def guarded(key: str) -> set[str]:
     """Keys whose change makes a write of this one wrong."""
-    if key.startswith(PROGRESS):
-        return {key, job_key(split_progress(key)[0]), TERM_KEY}
-    if key.startswith(FINAL):
-        return {key, job_key(key[len(FINAL) :]), TERM_KEY}
-    return {key, final_key(key[len(JOB) :])} if key.startswith(JOB) else {key}
+    if key.startswith(PROGRESS_PREFIX):
+        return {key, job_key(parse_progress_key(key)[0]), TERM_KEY}
+    if key.startswith(FINAL_PREFIX):
+        return {key, job_key(key[len(FINAL_PREFIX) :]), TERM_KEY}
+    return {key, final_key(key[len(JOB_PREFIX) :])} if key.startswith(JOB_PREFIX) else {key}
 
 
 def late_writes(world: World, every: int) -> Any:
@@ -248,7 +248,7 @@
         world = World()
         world.cloud.run_s = lambda task: 4.0
         await world.up_with_machine()
-        kind = FINAL if meanwhile == "ended" else PROGRESS
+        kind = FINAL_PREFIX if meanwhile == "ended" else PROGRESS_PREFIX
 
         def hold(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
             puts = [op.get("set", "") for op in (body or {}).get("apply", [])]
--- a/tests/test_standby_properties.py
+++ b/tests/test_standby_properties.py
@@ -19,7 +19,7 @@
 from spoolcourse.control.failover.restore import restore_from_records
 from spoolcourse.control.failover.warm_standby import ShadowState, Standby
 from spoolcourse.control.jobs.job_index import JobIndex
-from spoolcourse.control.store.keys import TERM, job_key, progress_key
+from spoolcourse.control.store.keys import TERM_KEY, job_key, progress_key
 from spoolcourse.control.store.records import JobRecord, Progress
 from spoolcourse.control.store.watch_cache import WatchGap
 from spoolcourse.wire.key_value_store import Change, Entry
@@ -129,7 +129,7 @@
 
     @rule()
     def elect(self) -> None:
-        self.write((TERM, {"term": self.revision + 1, "run": "r", "hold": 1}))
+        self.write((TERM_KEY, {"term": self.revision + 1, "run": "r", "hold": 1}))
 
     # -- what the follower gets of it -----------------------------------------------------
 
--- a/tests/test_standby_takeover.py
+++ b/tests/test_standby_takeover.py
@@ -13,7 +13,7 @@
 from spoolcourse.control.http_client import Response
 from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.leadership.failover_proof import ProofSource
-from spoolcourse.control.store.keys import PROGRESS, TERM, split_progress
+from spoolcourse.control.store.keys import PROGRESS_PREFIX, TERM_KEY, parse_progress_key
 from spoolcourse.wire.standby_settings import StandbySettings
 from tests.fakes.clock import play
 from tests.fakes.world import LABELS, World, job
@@ -66,7 +66,7 @@
         held = [(path, body) for _, _, path, body in self.world.wire.held]
         replies = await self.world.wire.release()
         for (path, body), reply in zip(held, replies, strict=True):
-            if sets(PROGRESS)("POST", path, body):
+            if sets(PROGRESS_PREFIX)("POST", path, body):
                 self.late_placements.append(reply)
 
 
@@ -79,11 +79,11 @@
 
     async def note() -> None:
         for key, (value, _, _) in world.state.keys.items():
-            if key.startswith(PROGRESS):
-                job = split_progress(key)[0]
+            if key.startswith(PROGRESS_PREFIX):
+                job = parse_progress_key(key)[0]
                 found.update((job, int(t), m, n) for t, (m, n) in value["held"].items())
 
-    after_step(world, "state:1", sets(TERM), note)
+    after_step(world, "state:1", sets(TERM_KEY), note)
     return found
 
 
@@ -163,12 +163,12 @@
 
 WAKES: dict[str, tuple[str, Step]] = {
     "before the claim": ("state:1", lambda method, path, body: path == "/holds"),
-    "at the claim": ("state:1", sets(TERM)),
+    "at the claim": ("state:1", sets(TERM_KEY)),
     "before the first write": (
         "m-000000:9000",
         lambda method, path, body: path == "/orders" and not body["orders"],
     ),
-    "at the first write": ("state:1", sets(PROGRESS)),
+    "at the first write": ("state:1", sets(PROGRESS_PREFIX)),
     "after the first start": (
         "m-000000:9000",
         lambda method, path, body: path == "/orders" and bool(body["orders"]),
@@ -216,7 +216,7 @@
         await world.submit(job(1, pieces=8, vcpus=1.0), former)
         await world.until(lambda: len(world.cloud.starts) >= 8)
         for number in range(1000):
-            world.state._apply([{"set": f"{PROGRESS}job-999999/{number % 7}", "v": EMPTY}])
+            world.state._apply([{"set": f"{PROGRESS_PREFIX}job-999999/{number % 7}", "v": EMPTY}])
         if watch == "broken":
             world.state.forget_changes()
         world.kill(former)
@@ -241,12 +241,12 @@
         claimed: list[str] = []
 
         async def kill_claimant() -> None:
-            run = world.state.value(TERM)["run"]
+            run = world.state.value(TERM_KEY)["run"]
             label = next(n for n, c in world.nodes.items() if c.leadership._run_id == run)
             claimed.append(label)
             world.kill(label)
 
-        after_step(world, "state:1", sets(TERM), kill_claimant)
+        after_step(world, "state:1", sets(TERM_KEY), kill_claimant)
         world.kill(former)
         await world.until(lambda: claimed, 20)
         third = await failover(world, former)
@@ -266,13 +266,13 @@
         verdicts = [claim] if claim != "outage" else []
 
         def unclear(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
-            return verdicts.pop() if verdicts and sets(TERM)(method, path, body or {}) else None
+            return verdicts.pop() if verdicts and sets(TERM_KEY)(method, path, body or {}) else None
 
         async def go_out() -> None:
             world.state.out = True
 
         if claim == "outage":
-            after_step(world, "state:1", sets(TERM), go_out)
+            after_step(world, "state:1", sets(TERM_KEY), go_out)
         world.wire.filters.append(unclear)
         world.kill(former)
         if claim == "outage":
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -13,7 +13,7 @@
 
 from spoolcourse.control.http_client import Request, Response
 from spoolcourse.control.jobs.cancellations import Cancellations
-from spoolcourse.control.store.keys import CATALOG
+from spoolcourse.control.store.keys import CATALOG_KEY
 from spoolcourse.control.store.records import JobRecord, Progress
 from spoolcourse.wire.peers import Cancellation
 from tests.fakes.clock import play
@@ -264,7 +264,7 @@
         world.state.end_outage()
         world.kill(str(world.leader))
         await world.until(lambda: world.leader, 20)
-        await world.until(lambda: world.state.value(CATALOG), 90)
+        await world.until(lambda: world.state.value(CATALOG_KEY), 90)
 
         written = [
             (op["set"], op["v"])
--- a/tests/test_takeover_proof.py
+++ b/tests/test_takeover_proof.py
@@ -11,13 +11,13 @@
     ProofSource,
     SupersededError,
 )
-from spoolcourse.control.store.keys import TERM
+from spoolcourse.control.store.keys import TERM_KEY
 from tests.fakes.proof import cache_at, proven
 
 
 def test_a_proof_needs_every_change_up_to_the_claim() -> None:
     watch_cache = cache_at(40)
-    watch_cache.apply(TERM, {"term": 3}, 41)  # the claim itself is known ahead of the watch
+    watch_cache.apply(TERM_KEY, {"term": 3}, 41)  # the claim itself is known ahead of the watch
     with pytest.raises(BehindError, match="revision 41, and only 40"):
         FailoverProof(Term(3, 41, 0), watch_cache, ProofSource.SHADOW)
     watch_cache.store_revision = 41
@@ -27,7 +27,7 @@
 
 def test_a_claim_that_another_has_followed_proves_nothing() -> None:
     watch_cache = cache_at(60)
-    watch_cache.apply(TERM, {"term": 4}, 55)
+    watch_cache.apply(TERM_KEY, {"term": 4}, 55)
     with pytest.raises(SupersededError):
         FailoverProof(Term(3, 41, 0), watch_cache, ProofSource.RECORDS)
 
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -10,7 +10,7 @@
 from spoolcourse.control.http_client import Response
 from spoolcourse.control.leadership.election import Leadership
 from spoolcourse.control.store.client import StoreClient
-from spoolcourse.control.store.keys import PREFIX, TERM
+from spoolcourse.control.store.keys import PREFIX, TERM_KEY
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.settings import State
 from tests.fakes.clock import play
@@ -242,7 +242,7 @@
         slow._client.grant_lease = overtaken  # type: ignore[method-assign]
         await slow._stand()
         assert quick.term is not None and slow.term is None
-        assert state.value(TERM) == {"term": 1, "run": "run-n1", "hold": quick.term.lease}
+        assert state.value(TERM_KEY) == {"term": 1, "run": "run-n1", "hold": quick.term.lease}
 
     play(story())
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -7,7 +7,7 @@
 import orjson
 import pytest
 
-from spoolcourse.control.store.keys import LEVEL, TERM, job_key, progress_key
+from spoolcourse.control.store.keys import FEATURE_LEVEL_KEY, TERM_KEY, job_key, progress_key
 from spoolcourse.control.store.records import JobRecord, Progress
 from spoolcourse.errors import UserError
 from spoolcourse.wire.settings import parse_settings
@@ -43,7 +43,7 @@
         state = world.state
         state._apply(
             [
-                {"set": TERM, "v": OLD_TERM},
+                {"set": TERM_KEY, "v": OLD_TERM},
                 {"set": job_key("job-000001"), "v": OLD_JOB},
                 {"set": progress_key("job-000001", 0), "v": OLD_PROGRESS},
             ]
@@ -51,7 +51,7 @@
         world.jobs["job-000001"] = job(pieces=200, vcpus=1.0)
         await world.up()
         await world.finish(1, 300)
-        assert state.value(TERM)["term"] == 2
+        assert state.value(TERM_KEY)["term"] == 2
         started = [n for _, n, _ in world.cloud.starts]
         assert len(started) == 198 and "job-000001/1" not in started, "two were done before"
         assert name and world.cloud.broken == []
@@ -65,7 +65,7 @@
         await world.up()
         old = next(n for n in LABELS if n != world.leader)
         turn = old_peers(world, old)
-        world.state._apply([{"delete": LEVEL}])
+        world.state._apply([{"delete": FEATURE_LEVEL_KEY}])
         for label in LABELS:
             world.kill(label)
         await world.up()
@@ -75,12 +75,12 @@
         assert refused.status == 503 and refused.headers["Retry-After"]
         await world.cancel(2)
         await world.finish(1, 200)
-        assert world.state.value(LEVEL) is None
+        assert world.state.value(FEATURE_LEVEL_KEY) is None
         for key, value in written(world):
             old_can_read(key, value)
         # Its turn has come: now services are taken, and that stays so whoever leads.
         world.wire.filters.remove(turn)
-        await world.until(lambda: world.state.value(LEVEL), 30)
+        await world.until(lambda: world.state.value(FEATURE_LEVEL_KEY), 30)
         await asyncio.sleep(1)
         assert (await world.submit(service(3))).status == 201
         old_peers(world, *LABELS)
@@ -151,8 +151,8 @@
                 world.kill(label)
             await asyncio.sleep(0.5)
             state = world.state
-            term = state.value(TERM)["term"] + 1
-            changes = [{"set": TERM, "v": {"term": term, "run": f"old{turn}", "hold": 1}}]
+            term = state.value(TERM_KEY)["term"] + 1
+            changes = [{"set": TERM_KEY, "v": {"term": term, "run": f"old{turn}", "hold": 1}}]
             if turn == 0:  # the old leader takes a cancellation
                 value = dict(state.value(job_key("job-000002")))
                 changes.append(
@@ -173,7 +173,7 @@
                     )
                 )
             await world.up()
-            assert world.state.value(TERM)["term"] > term
+            assert world.state.value(TERM_KEY)["term"] > term
             await asyncio.sleep(6)
             world.wire.filters.clear()
             await world.until(lambda: not world.cloud.on_machines("job-000002"), 40)
--- a/tests/test_upgrade_troubles.py
+++ b/tests/test_upgrade_troubles.py
@@ -8,7 +8,7 @@
 import orjson
 import pytest
 
-from spoolcourse.control.store.keys import LEVEL
+from spoolcourse.control.store.keys import FEATURE_LEVEL_KEY
 from tests.fakes.clock import play
 from tests.fakes.services import served, service
 from tests.fakes.upgrade import old_peers, store_large_job, with_next, written
@@ -31,7 +31,7 @@
     for yard in ("a", "b"):
         world.cloud.add(yard)
     await asyncio.sleep(5)
-    assert world.state.value(LEVEL) is None
+    assert world.state.value(FEATURE_LEVEL_KEY) is None
     return world, old, LABELS[2]
 
 
@@ -61,7 +61,7 @@
         await refused_at_once(world, leader)
         await asyncio.sleep(15)
         await refused_at_once(world, leader)  # nobody can say of the one cut off what it is
-        assert world.state.value(LEVEL) is None
+        assert world.state.value(FEATURE_LEVEL_KEY) is None
         world.wire.filters.remove(cut)
         await taken(world, leader)
         await served(world)
@@ -98,7 +98,9 @@
         leader = str(world.leader)
 
         def held(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
-            noted = path == "/multi" and any(op.get("set") == LEVEL for op in body.get("apply", ()))
+            noted = path == "/multi" and any(
+                op.get("set") == FEATURE_LEVEL_KEY for op in body.get("apply", ())
+            )
             return "hold" if noted and src == leader else None
 
         world.wire.filters.append(held)
@@ -109,12 +111,12 @@
         await world.until(lambda: world.leader, 20)
         # The successor can't ask the one that has ended; then the late note arrives.
         assert [reply.status for reply in await world.wire.release()] == [409]
-        assert world.state.value(LEVEL) is None
+        assert world.state.value(FEATURE_LEVEL_KEY) is None
         other = str(world.leader)
         assert (await world.submit(service(1), other)).status == 503
         world.start(leader)
         await taken(world, other, 2 * SOON_S)
-        assert world.state.value(LEVEL) == {"level": 2}
+        assert world.state.value(FEATURE_LEVEL_KEY) == {"level": 2}
 
     play(story())
 
@@ -163,9 +165,9 @@
         await asyncio.sleep(3)
         if moment == "before the note":
             drop()
-            assert world.state.value(LEVEL) is None
+            assert world.state.value(FEATURE_LEVEL_KEY) is None
         world.wire.filters.remove(turn)
-        await world.until(lambda: world.state.value(LEVEL), 20)
+        await world.until(lambda: world.state.value(FEATURE_LEVEL_KEY), 20)
         assert (await world.submit(service(9, pieces=3))).status == 201
         if moment == "in an outage":
             world.state.out = True
--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -9,7 +9,7 @@
 from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.leadership.failover_proof import FailoverProof, ProofSource
 from spoolcourse.control.store.client import StoreClient
-from spoolcourse.control.store.keys import PREFIX, TERM, job_key
+from spoolcourse.control.store.keys import PREFIX, TERM_KEY, job_key
 from spoolcourse.control.store.records import JobRecord
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.key_value_store import Put
@@ -29,7 +29,7 @@
         client = StoreClient(wire.end_of("n0"), "state:1", limits, controllers=1)
         client.set_leader(True)
         watch_cache = WatchCache(client, PREFIX)
-        await client.compare_and_swap({}, [Put(TERM, {"term": 1})], urgent=True)
+        await client.compare_and_swap({}, [Put(TERM_KEY, {"term": 1})], urgent=True)
         term = Term(1, state.store_revision, 0)
         jobs: list[JobState] = []
         for number, rank in enumerate(["standard"] * 20 + ["best_effort", "high"], 1):
@@ -73,7 +73,7 @@
         client = StoreClient(wire.end_of("n0"), "state:1", limits, controllers=1)
         client.set_leader(True)
         watch_cache = WatchCache(client, PREFIX)
-        await client.compare_and_swap({}, [Put(TERM, {"term": 1})], urgent=True)
+        await client.compare_and_swap({}, [Put(TERM_KEY, {"term": 1})], urgent=True)
         term = Term(1, state.store_revision, 0)
         record = JobRecord(parse(job(pieces=170), Submission), 1.0, 170, None, 0)
         key = job_key(record.submission.id)
