--- a/spoolcourse/control/failover/warm_standby.py
+++ b/spoolcourse/control/failover/warm_standby.py
@@ -11,8 +11,8 @@
 from spoolcourse.control.failover.hints import HintBook
 from spoolcourse.control.failover.restore import RestoredJobs
 from spoolcourse.control.failover.shadow_queue import MisfitError, Shadow
-from spoolcourse.control.store.client import OutcomeUnknownError, RequestRefusedError
-from spoolcourse.control.store.keys import TERM
+from spoolcourse.control.store.errors import StoreUnavailableError
+from spoolcourse.control.store.keys import TERM_KEY
 from spoolcourse.control.store.records import TermRecord
 from spoolcourse.control.store.retry import RetryDelay
 from spoolcourse.control.store.watch_cache import WatchGap
@@ -47,9 +47,8 @@
         self.rebuilds = 0
         self.mismatches = 0  # of the shadow and a restore, found where that is verified
         self.hints = HintBook()
-        self._watch_cache.listen(self._on_change)
-        self._watch_cache.on_gap = self._on_gap
-        self._watch_cache.on_load = self._rebuild
+        self._watch_cache.add_listener(self._on_change)
+        self._watch_cache.add_observer(self)
 
     # -- for operators and the election ---------------------------------------------------
 
@@ -75,7 +74,7 @@
 
     def answer(self) -> StandbyReply:
         """The answer to a leader that would hand over."""
-        entry = self._watch_cache.get(TERM)
+        entry = self._watch_cache.get(TERM_KEY)
         term = TermRecord.number_of(entry.value if entry else None)
         revision = self._watch_cache.store_revision
         if self.caught_up:
@@ -102,7 +101,8 @@
             self._become_unfit(f"a change does not fit: {exc}")
             self._unfit.set()
 
-    def _on_gap(self, gap: WatchGap) -> None:
+    def on_watch_gap(self, gap: WatchGap) -> None:
+        """Changes were missed: the shadow is unfit."""
         if self._state is ShadowState.LEADING:
             return
         self._become_unfit(gap.value)
@@ -116,13 +116,17 @@
         self._state = ShadowState.UNFIT
         self.unfit_reason = reason
 
+    def on_reload(self) -> None:
+        """All keys were read again: rebuild the shadow."""
+        self._rebuild()
+
     def _rebuild(self) -> None:
         """Build the shadow again from what the watch cache holds."""
         if self._state is ShadowState.LEADING:
             return
         shadow = Shadow(self._context)
         try:
-            shadow.rebuild(self._watch_cache.below(self._watch_cache.live))
+            shadow.rebuild(self._watch_cache.entries_below(self._watch_cache.live_prefix))
         except (MisfitError, ValueError, KeyError, TypeError) as exc:
             self._become_unfit(f"the records do not fit: {exc}")
             return
@@ -143,7 +147,7 @@
             await self._unfit.wait()
             try:
                 await self._watch_cache.reload()
-            except (RequestRefusedError, OutcomeUnknownError) as exc:
+            except StoreUnavailableError as exc:
                 log.debug("standby: not rebuilt yet: %s", exc)
                 await retry.wait()
                 continue
--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -16,13 +16,13 @@
 from typing import Any
 
 from spoolcourse.control.leadership.renewal_deadline import DRIFT
-from spoolcourse.control.store.client import (
+from spoolcourse.control.store.client import StoreClient
+from spoolcourse.control.store.errors import (
     LeaseExpiredError,
     OutcomeUnknownError,
-    RequestRefusedError,
-    StoreClient,
+    StoreUnavailableError,
 )
-from spoolcourse.control.store.keys import LEADER, TERM
+from spoolcourse.control.store.keys import LEADER_KEY, TERM_KEY
 from spoolcourse.control.store.records import LeaderRecord, TermRecord
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.key_value_store import Put
@@ -72,12 +72,12 @@
         self._stepped_down = asyncio.Event()
         self.on_elected: Callable[[Term], None] = lambda term: None
         self.on_stepped_down: Callable[[], None] = lambda: None
-        watch_cache.listen(self._on_change)
+        watch_cache.add_listener(self._on_change)
 
     @property
     def leader_label(self) -> str | None:
         """The label of the leader as far as this controller knows."""
-        entry = self._watch_cache.get(LEADER)
+        entry = self._watch_cache.get(LEADER_KEY)
         return LeaderRecord.label_of(entry.value) if entry else None
 
     @property
@@ -112,16 +112,16 @@
         self._stands_from = asyncio.get_running_loop().time() + RESIGNED_S
         self.step_down(reason)
         try:
-            await self._client.release(term.lease)
-        except (RequestRefusedError, OutcomeUnknownError) as exc:
+            await self._client.revoke_lease(term.lease)
+        except StoreUnavailableError as exc:
             log.info("the lease is left to run out: %s", exc)
 
     def _on_change(self, key: str, value: Any, revision: int) -> None:
-        if key in (LEADER, TERM):
+        if key in (LEADER_KEY, TERM_KEY):
             self._changed.set()
-            if key == LEADER:
+            if key == LEADER_KEY:
                 self._note_vacancy(value)
-            if key == TERM and self.term is not None and revision > self.term.revision:
+            if key == TERM_KEY and self.term is not None and revision > self.term.revision:
                 self.step_down("a newer term was elected")
 
     def _note_vacancy(self, value: Any) -> None:
@@ -141,7 +141,7 @@
                 await self._lead()
                 continue
             self._changed.clear()
-            entry = self._watch_cache.get(LEADER)
+            entry = self._watch_cache.get(LEADER_KEY)
             if entry is not None and not self._is_former_self(entry.value):
                 # Wake for a change; look again now and then in case the watch hangs.
                 try:
@@ -155,7 +155,7 @@
                 continue
             try:
                 await self._stand()
-            except (RequestRefusedError, OutcomeUnknownError, LeaseExpiredError) as exc:
+            except (StoreUnavailableError, LeaseExpiredError) as exc:
                 log.debug("election: %s", exc)
                 await asyncio.sleep(random.uniform(*ELECTION_PAUSE_S))
 
@@ -185,8 +185,8 @@
     async def _stand(self) -> None:
         loop = asyncio.get_running_loop()
         if not await self._watch_cache.read_barrier():
-            raise OutcomeUnknownError("the state service did not answer")
-        leader, former = self._watch_cache.get(LEADER), self._watch_cache.get(TERM)
+            raise OutcomeUnknownError("read barrier", "no answer")
+        leader, former = self._watch_cache.get(LEADER_KEY), self._watch_cache.get(TERM_KEY)
         if leader is not None and not self._is_former_self(leader.value):
             return
         number = TermRecord.number_of(former.value if former else None) + 1
@@ -194,11 +194,11 @@
         # bring another's election while the lease is granted: with the revisions of that, this
         # claim would push it out under the very same number, and two would share a fencing token.
         conditions = {
-            LEADER: leader.revision if leader else 0,
-            TERM: former.revision if former else 0,
+            LEADER_KEY: leader.revision if leader else 0,
+            TERM_KEY: former.revision if former else 0,
         }
         sent = loop.time()
-        lease = await self._client.grant(self._ttl_s)
+        lease = await self._client.grant_lease(self._ttl_s)
         # The lease is part of what the read-back asks for: an earlier claim of this run that
         # was carried out late has the same number, but its key hangs on another lease, and
         # renewing the new one would keep alive nothing.
@@ -208,21 +208,21 @@
         try:
             outcome = await self._client.compare_and_swap(
                 conditions,
-                [Put(LEADER, claim, lease), Put(TERM, tenure)],
+                [Put(LEADER_KEY, claim, lease), Put(TERM_KEY, tenure)],
                 urgent=True,
             )
-            if not outcome.ok:
+            if not outcome.succeeded:
                 await self._watch_cache.read_barrier()
                 return
             revision = outcome.store_revision
         except OutcomeUnknownError:
             # Perhaps it was carried out: the term key tells, and says whose it is.
-            found = await self._client.get(TERM)
+            found = await self._client.get(TERM_KEY)
             if found is None or found.value != tenure:
                 raise
             revision = found.revision
-        self._watch_cache.apply(LEADER, claim, revision)
-        self._watch_cache.apply(TERM, tenure, revision)
+        self._watch_cache.apply(LEADER_KEY, claim, revision)
+        self._watch_cache.apply(TERM_KEY, tenure, revision)
         self.term = Term(number, revision, lease)
         self.terms += 1
         self._stepped_down.clear()
@@ -239,11 +239,11 @@
             pause = self._ttl_s * RENEW_SHARE
             sent = loop.time()
             try:
-                await self._client.renew(term.lease)
+                await self._client.renew_lease(term.lease)
                 if self.term is term:
                     if sent >= self._valid_until:
                         # After a gap the key may have changed hands: see it first.
-                        entry = await self._client.get(TERM)
+                        entry = await self._client.get(TERM_KEY)
                         if entry is None or entry.revision != term.revision:
                             self.step_down("the term has passed")
                             return
@@ -251,7 +251,7 @@
             except LeaseExpiredError:
                 self.step_down("the lease is gone")
                 return
-            except (RequestRefusedError, OutcomeUnknownError) as exc:
+            except StoreUnavailableError as exc:
                 log.debug("renewal: %s", exc)
                 pause = self._ttl_s * RENEW_RETRY_SHARE
             try:
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -10,7 +10,7 @@
 from spoolcourse.control.http_client import Response
 from spoolcourse.control.leadership.election import Leadership
 from spoolcourse.control.store.client import StoreClient
-from spoolcourse.control.store.keys import PREFIX, TERM
+from spoolcourse.control.store.keys import PREFIX, TERM_KEY
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.settings import State
 from tests.fakes.clock import play
@@ -227,22 +227,22 @@
         limits = State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
         nodes = []
         for label in ("n0", "n1"):
-            client = StoreClient(wire.end_of(label), "state:1", limits, nodes=2)
+            client = StoreClient(wire.end_of(label), "state:1", limits, controllers=2)
             watch_cache = WatchCache(client, PREFIX)
             nodes.append(Leadership(client, watch_cache, label, f"run-{label}"))
             await watch_cache.reload()
         slow, quick = nodes
-        grant = slow._client.grant
+        grant = slow._client.grant_lease
 
         async def overtaken(ttl_s: float) -> int:
             await quick._stand()
             await slow._watch_cache.read_barrier()  # as the watch does all the time
             return await grant(ttl_s)
 
-        slow._client.grant = overtaken  # type: ignore[method-assign]
+        slow._client.grant_lease = overtaken  # type: ignore[method-assign]
         await slow._stand()
         assert quick.term is not None and slow.term is None
-        assert state.value(TERM) == {"term": 1, "run": "run-n1", "hold": quick.term.lease}
+        assert state.value(TERM_KEY) == {"term": 1, "run": "run-n1", "hold": quick.term.lease}
 
     play(story())
 
