--- a/spoolcourse/control/autoscaling/autoscaler.py
+++ b/spoolcourse/control/autoscaling/autoscaler.py
@@ -90,7 +90,7 @@
         logged_at = float("-inf")
         while True:
             await asyncio.sleep(SCALE_IN_PERIOD_S)
-            self._registry.expire()
+            self._registry.expire_leases()
             if log.isEnabledFor(logging.INFO) and self._clock() - logged_at > SUMMARY_S:
                 logged_at = self._clock()
                 log_fleet(self._registry, self._view)
@@ -101,11 +101,11 @@
 
     async def _delete(self, names: list[str]) -> None:
         for name in names:
-            self._registry.machines[name].deleting = True
+            self._registry.machines[name].deletion_requested = True
         try:
             await self._cloud.delete(names)
         except (CloudError, NoCapacityError) as exc:
             log.info("deletion: %s", exc)
             return
         for name in names:
-            self._registry.confirm_deleted(name)
+            self._registry.forget_deleted_machine(name)
--- a/spoolcourse/control/autoscaling/cancelled_work.py
+++ b/spoolcourse/control/autoscaling/cancelled_work.py
@@ -70,8 +70,8 @@
         """
         if not overdue:
             return False
-        known = self._clock() - machine.since
+        known = self._clock() - machine.first_seen_at
         jobs = {job for job, _ in machine.attempts} | {
-            unexpected[0] for unexpected in machine.unexpected_tasks
+            unexpected[0] for unexpected in machine.unexpected_attempts
         }
         return any(known > overdue[job] for job in jobs if job in overdue)
--- a/spoolcourse/control/autoscaling/early_deletion.py
+++ b/spoolcourse/control/autoscaling/early_deletion.py
@@ -100,23 +100,25 @@
         return (
             machine.confirmed
             and not machine.lease_expired
-            and not machine.deleting
+            and not machine.deletion_requested
             and self._probe.is_unreachable(machine)
         )
 
     def _late_workers(self, now: float) -> _Zones:
         zones = _Zones(Counter(), Counter())
         for machine in self._registry.machines.values():
-            if machine.heard_at is None or machine.listed_stage is HostStage.FAILED:
+            if machine.last_heartbeat_at is None or machine.listed_stage is HostStage.FAILED:
                 continue
             zone = machine.zone or ""
             zones.heard[zone] += 1
-            if now - machine.reported_at > self._places.late_s:
+            if now - machine.last_own_heartbeat_at > self._places.late_s:
                 zones.late[zone] += 1
         return zones
 
     def _budget(self) -> int:
         machines = self._registry.machines.values()
-        under_way = sum(1 for machine in machines if machine.deleting and replicas_on(machine))
+        under_way = sum(
+            1 for machine in machines if machine.deletion_requested and replicas_on(machine)
+        )
         most = max(DELETIONS_LEAST, int(DELETIONS_SHARE * len(machines)))
         return max(0, most - under_way)
--- a/spoolcourse/control/autoscaling/excess_capacity.py
+++ b/spoolcourse/control/autoscaling/excess_capacity.py
@@ -44,7 +44,7 @@
         ordinary = [
             machine
             for machine in self._registry.machines.values()
-            if machine.spot is False and machine.placeable and machine.id not in base
+            if machine.spot is False and machine.is_schedulable and machine.id not in base
         ]
         # Those already marked stay marked if possible: they have run emptier since.
         for machine in sorted(ordinary, key=lambda m: (not m.scale_in_candidate, len(m.attempts))):
@@ -59,13 +59,13 @@
         return sum(
             sizes.get(machine.machine_type or "", 0.0)
             for machine in self._registry.machines.values()
-            if machine.placeable or _is_coming(machine)
+            if machine.is_schedulable or _is_coming(machine)
         )
 
 
 def _is_coming(machine: Machine) -> bool:
     return (
-        machine.heard_at is None
-        and not machine.deleting
+        machine.last_heartbeat_at is None
+        and not machine.deletion_requested
         and machine.listed_stage is not HostStage.FAILED
     )
--- a/spoolcourse/control/autoscaling/fleet_summary.py
+++ b/spoolcourse/control/autoscaling/fleet_summary.py
@@ -23,9 +23,9 @@
 
     def add(self, machine: Machine, cpus: float) -> None:
         self.machines += 1
-        self.booting += machine.heard_at is None
+        self.booting += machine.last_heartbeat_at is None
         self.scale_in_candidate += machine.scale_in_candidate
-        self.empty += machine.heard_at is not None and not machine.attempts
+        self.empty += machine.last_heartbeat_at is not None and not machine.attempts
         self.cpus += cpus
         self.taken_cpus += sum(
             a.job_state.record.submission.cpus for a in machine.attempts.values()
--- a/spoolcourse/control/autoscaling/machine_list.py
+++ b/spoolcourse/control/autoscaling/machine_list.py
@@ -10,9 +10,9 @@
 from spoolcourse.control.cloud.client import CloudError
 from spoolcourse.control.http_client import NoResponseError
 from spoolcourse.control.leader_context import LeaderContext
-from spoolcourse.control.workers.call_limit import calls_at_once
+from spoolcourse.control.workers.call_limit import concurrent_call_limit
 from spoolcourse.control.workers.machine import Machine
-from spoolcourse.control.workers.worker_calls import raise_token
+from spoolcourse.control.workers.worker_client import raise_fencing_token
 from spoolcourse.wire.messages import Host, HostStage, MalformedError
 
 log = logging.getLogger(__name__)
@@ -58,12 +58,12 @@
     def _take(self, hosts: list[Host], now: float) -> None:
         for host in hosts:
             if host.id not in self._registry.deleted_names:
-                self._take_host(self._registry.machine(host.id), host, now)
+                self._take_host(self._registry.ensure_machine(host.id), host, now)
 
     def _take_host(self, machine: Machine, host: Host, now: float) -> None:
         """What the machine itself has reported counts more than the list, which lags."""
         if host.stage is HostStage.RUNNING and machine.listed_stage is not HostStage.RUNNING:
-            machine.running_at = now
+            machine.listed_running_since = now
         machine.listed_stage = host.stage
         machine.machine_type = machine.machine_type or host.machine_type
         machine.zone = machine.zone or host.zone
@@ -72,8 +72,8 @@
         machine.address = machine.address or host.address
         if machine.rented_at is None:
             machine.rented_at = now - host.age_s
-        if machine.heard_at is None and machine.up_at is None:
-            machine.up_at = machine.rented_at + self._view.boot_s(machine)
+        if machine.last_heartbeat_at is None and machine.expected_ready_at is None:
+            machine.expected_ready_at = machine.rented_at + self._view.boot_s(machine)
 
     async def _raise_tokens(self, hosts: list[Host]) -> None:
         """Raise the fencing token on machines that have not spoken under it yet.
@@ -82,7 +82,7 @@
         us.
         """
         machines = len(self._registry.machines)
-        gate = asyncio.Semaphore(calls_at_once(CALLS_LEAST, machines, self._sockets))
+        gate = asyncio.Semaphore(concurrent_call_limit(CALLS_LEAST, machines, self._sockets))
 
         async def raise_one(machine: Machine) -> None:
             async with gate:
@@ -104,9 +104,9 @@
 
     async def _raise_token(self, machine: Machine) -> None:
         try:
-            heartbeat = await raise_token(self._net, self._registry.proof, machine.address)
+            heartbeat = await raise_fencing_token(self._net, self._registry.proof, machine.address)
         except (NoResponseError, MalformedError) as exc:
             log.debug("%s: fencing token not raised: %s", machine.id, exc)
             return
         if heartbeat.machine == machine.id:
-            self._registry.observe(heartbeat)
+            self._registry.observe_heartbeat(heartbeat)
--- a/spoolcourse/control/autoscaling/replica_probe.py
+++ b/spoolcourse/control/autoscaling/replica_probe.py
@@ -14,7 +14,7 @@
 from spoolcourse.control.autoscaling.replica_places import ReplicaPlaces, replicas_on
 from spoolcourse.control.http_client import HttpClient, NoResponseError
 from spoolcourse.control.workers.machine import Machine
-from spoolcourse.control.workers.worker_calls import fetch_heartbeat
+from spoolcourse.control.workers.worker_client import fetch_heartbeat
 from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.wire.messages import MalformedError
 
@@ -55,7 +55,7 @@
         failures = self._failures.get(machine.id)
         return (
             failures is not None
-            and failures.reported_at == machine.reported_at
+            and failures.reported_at == machine.last_own_heartbeat_at
             and failures.count >= FAILURES_NEEDED
         )
 
@@ -85,16 +85,16 @@
         return (
             machine.confirmed
             and not machine.lease_expired
-            and not machine.deleting
-            and self._clock() - machine.reported_at > self._late_s
+            and not machine.deletion_requested
+            and self._clock() - machine.last_own_heartbeat_at > self._late_s
             and bool(machine.address)
             and bool(replicas_on(machine))
         )
 
     async def _probe(self, machine: Machine) -> None:
-        reported_at = machine.reported_at
+        reported_at = machine.last_own_heartbeat_at
         try:
-            self._registry.observe(await fetch_heartbeat(self._net, machine.address))
+            self._registry.observe_heartbeat(await fetch_heartbeat(self._net, machine.address))
             self._failures.pop(machine.id, None)
         except (NoResponseError, MalformedError) as exc:
             log.debug("%s: late, and does not answer: %s", machine.id, exc)
--- a/spoolcourse/control/autoscaling/scale_in.py
+++ b/spoolcourse/control/autoscaling/scale_in.py
@@ -94,7 +94,7 @@
                     spare_cpus -= cpus
             if reason is None:
                 continue
-            if not machine.deleting:
+            if not machine.deletion_requested:
                 log.info("%s: returned: %s", machine.id, reason)
             # One round deletes a bounded number: what must be gone in time does not wait in line.
             held_too_long = self._cancelled.may_be_on(machine, overdue)
@@ -103,7 +103,7 @@
 
     def _isolated(self) -> bool:
         """Most machines silent at once: more likely we are cut off than they are dead."""
-        known = [m for m in self._registry.machines.values() if m.heard_at is not None]
+        known = [m for m in self._registry.machines.values() if m.last_heartbeat_at is not None]
         quiet = sum(1 for machine in known if self._is_out_of_touch(machine))
         return len(known) >= ISOLATED_LEAST and quiet * 2 > len(known)
 
@@ -111,13 +111,13 @@
         return (
             not machine.confirmed
             or machine.unresponsive_since is not None
-            or self._registry.is_quiet(machine)
+            or self._registry.is_suspect(machine)
         )
 
     def _reason(
         self, machine: Machine, now: float, blind: bool, overdue: dict[str, float]
     ) -> str | None:
-        if machine.deleting:
+        if machine.deletion_requested:
             return "asked for before"
         if machine.listed_stage is HostStage.FAILED:
             return "it failed"
@@ -130,27 +130,27 @@
             reason = self._silence(machine, now)
             if reason is not None:
                 return reason
-        if len(machine.errors) >= FAULTY_JOBS and not machine.attempts:
+        if len(machine.failed_jobs) >= FAULTY_JOBS and not machine.attempts:
             return "tasks of several jobs fail on it"
         return None
 
     @staticmethod
     def _is_booting(machine: Machine) -> bool:
         return (
-            machine.heard_at is None
-            and machine.up_at is not None
+            machine.last_heartbeat_at is None
+            and machine.expected_ready_at is not None
             and machine.listed_stage is not HostStage.RUNNING
             and not machine.attempts
         )
 
     def _is_overdue(self, machine: Machine, now: float) -> bool:
-        if machine.up_at is None:
+        if machine.expected_ready_at is None:
             return False
         boot_s = self._view.boot_s(machine)
-        boots_for_s = now - (machine.up_at - boot_s)
+        boots_for_s = now - (machine.expected_ready_at - boot_s)
         # A leader that was just elected has heard nobody yet, and its list may be old.
         # Measured: 100 to 150 idle machines returned a second after each change.
-        known_for_s = now - machine.since
+        known_for_s = now - machine.first_seen_at
         return (
             boots_for_s > self._policy.boot_patience * boot_s
             and known_for_s > self._workers.quiet_s + 2 * self._list_lag_s
@@ -158,15 +158,15 @@
 
     def _silence(self, machine: Machine, now: float) -> str | None:
         patience_s = self._policy.silent_leases * self._workers.lease_s
-        last_sign = machine.heard_at
+        last_sign = machine.last_heartbeat_at
         if last_sign is None:
-            last_sign = machine.running_at or machine.since
+            last_sign = machine.listed_running_since or machine.first_seen_at
         if now - last_sign > patience_s:
             return "it is silent"
         unresponsive_since = machine.unresponsive_since
         if unresponsive_since is not None and now - unresponsive_since > patience_s:
             return "it takes no answers"
-        if now - machine.token_seen_at > patience_s:
+        if now - machine.fencing_token_seen_at > patience_s:
             # What it holds would stay open forever.
             return "our fencing token does not reach it"
         return None
@@ -174,7 +174,7 @@
     def _is_idle(self, machine: Machine, now: float) -> bool:
         if not machine.confirmed or machine.idle_since is None:
             return False
-        if machine.attempts or machine.unexpected_tasks:
+        if machine.attempts or machine.unexpected_attempts:
             return False
         return now - machine.idle_since > self._idle_limit_s(machine)
 
--- a/spoolcourse/control/autoscaling/scale_out.py
+++ b/spoolcourse/control/autoscaling/scale_out.py
@@ -103,15 +103,15 @@
         for name in names:
             if name in self._registry.deleted_names:
                 continue
-            machine = self._registry.machine(name)
+            machine = self._registry.ensure_machine(name)
             machine.machine_type, machine.zone, machine.spot = (
                 kind.machine_type,
                 kind.zone,
                 kind.spot,
             )
             machine.rented_at = asked_at
-            if machine.heard_at is None:
-                machine.up_at = asked_at + self._view.boot_s(machine)
+            if machine.last_heartbeat_at is None:
+                machine.expected_ready_at = asked_at + self._view.boot_s(machine)
         log.info("hired %d of %d %s: %s", len(names), count, _words(kind), " ".join(names))
         if len(names) < count:
             self._note_refusal(kind)
--- a/spoolcourse/control/autoscaling/service_reserve.py
+++ b/spoolcourse/control/autoscaling/service_reserve.py
@@ -54,7 +54,7 @@
     def _zones(self) -> dict[str, _Zone]:
         zones: defaultdict[str, _Zone] = defaultdict(_Zone)
         for machine in self._registry.machines.values():
-            if machine.spot is not False or not machine.placeable:
+            if machine.spot is not False or not machine.is_schedulable:
                 continue
             zone = zones[machine.zone or ""]
             held_cpus = _held_by_replicas(machine)
--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -37,7 +37,7 @@
 from spoolcourse.control.store.keys import PREFIX
 from spoolcourse.control.store.watch_cache import WATCH_GAP_LEADING_S, WATCH_GAP_S, WatchCache
 from spoolcourse.control.user_api.api import UserApi
-from spoolcourse.control.workers.heartbeat_relay import Relay, redirect
+from spoolcourse.control.workers.heartbeat_relay import HeartbeatRelay, redirect
 from spoolcourse.policy.keys import PolicySource, check_policy
 from spoolcourse.wire import paths
 from spoolcourse.wire.messages import MalformedError, parse_heartbeat
@@ -90,7 +90,9 @@
             self.load,
         )
         self.user_api = UserApi(self.context, lambda: self.leadership.leader_label)
-        self.relay = Relay(net, settings.label, settings.seeds, params.workers.heartbeat_interval_s)
+        self.relay = HeartbeatRelay(
+            net, settings.label, settings.seeds, params.workers.heartbeat_interval_s
+        )
         self.leader_term: LeaderTerm | None = None
         self._failover: FailoverStrategy = FailoverFromRecords(self.context)
         self.standby: Standby | None = None
--- a/spoolcourse/control/leader/active_leader.py
+++ b/spoolcourse/control/leader/active_leader.py
@@ -79,7 +79,7 @@
         )
         for job_state in self.job_queue.jobs.values():
             for attempt in job_state.attempts.values():
-                self.registry.link(attempt)
+                self.registry.track_attempt(attempt)
 
     def start(self, spawn: Callable[[Loop], None]) -> None:
         """Begin all loops."""
@@ -114,7 +114,7 @@
         """Whether nobody else can lead by now."""
         return self._leadership.valid()
 
-    def is_over(self, job: str) -> bool:
+    def is_job_over(self, job: str) -> bool:
         """Whether the job can't be live any more: every start was preceded by its record."""
         return job not in self._context.job_index.live and job not in self.job_queue.jobs
 
@@ -123,11 +123,11 @@
         known = self._context.machine_types().get(machine_type)
         return known.disk_gb if known else 0.0
 
-    def on_room(self) -> None:
+    def on_capacity_change(self) -> None:
         """Something may be placed now that could not be before."""
         self.scheduling.wake.set()
 
-    def reached(self, phase: FailoverPhase) -> None:
+    def record_phase(self, phase: FailoverPhase) -> None:
         """The failover has come to a phase; told again and again, and noted once."""
         self._timeline.record(phase)
 
@@ -172,8 +172,8 @@
         job_state.cancelled_known_at = self._clock()
         for attempt in list(job_state.attempts.values()):
             if attempt.never_sent:
-                self.registry.drop(attempt)  # never sent, and won't be
+                self.registry.release_attempt(attempt)  # never sent, and won't be
             else:
-                self.registry.stop(attempt)
+                self.registry.request_stop(attempt)
         self.command_dispatcher.wake.set()
         self.job_queue.check(job_state)
--- a/spoolcourse/control/leader/heartbeat_handler.py
+++ b/spoolcourse/control/leader/heartbeat_handler.py
@@ -9,14 +9,14 @@
 from spoolcourse.control.leadership.election import Leadership
 from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
 from spoolcourse.control.workers.heartbeat_relay import redirect
-from spoolcourse.control.workers.worker_registry import Answer, WorkerRegistry
+from spoolcourse.control.workers.worker_registry import AcceptedHeartbeat, WorkerRegistry
 from spoolcourse.wire.commands import Command, HeartbeatResponse, to_json_object
 from spoolcourse.wire.messages import Heartbeat
 
 log = logging.getLogger(__name__)
 
 
-def step_down_for(heartbeat: Heartbeat, leadership: Leadership) -> Response:
+def step_down_for_higher_token(heartbeat: Heartbeat, leadership: Leadership) -> Response:
     """End the term: a worker has heard of a later one."""
     leadership.step_down(f"{heartbeat.machine} has seen term {heartbeat.fencing_token}")
     return redirect(None)
@@ -46,20 +46,20 @@
         """Whether no worker has got through to this controller itself for a while."""
         return self._clock() - self._heard_directly_at > self._quiet_s
 
-    def answer(self, heartbeat: Heartbeat, relayed: bool) -> Response:
+    def handle(self, heartbeat: Heartbeat, relayed: bool) -> Response:
         """The answer to a heartbeat; `relayed`: a follower has passed it on."""
         if heartbeat.fencing_token > self._registry.fencing_token:
-            return step_down_for(heartbeat, self._leadership)
+            return step_down_for_higher_token(heartbeat, self._leadership)
         if not self._may_renew():
             # What others have confirmed as cancelled must be gone in time, though this controller
             # can't hear of it: from here on the leases run out.
-            self._registry.observe_unanswered(heartbeat)
+            self._registry.observe_unanswered_heartbeat(heartbeat)
             return retry_later("may not know of cancellations")
         with self._load.spent("report"):
-            outcome = self._registry.accept(heartbeat)
+            outcome = self._registry.process_heartbeat(heartbeat)
         commands: list[Command] = []
         fencing_token = None  # without one nobody's lease is renewed
-        if isinstance(outcome, Answer):
+        if isinstance(outcome, AcceptedHeartbeat):
             commands = outcome.commands
             fencing_token = self._registry.fencing_token
             if not relayed:
--- a/spoolcourse/control/leader/hinted_workers.py
+++ b/spoolcourse/control/leader/hinted_workers.py
@@ -13,8 +13,8 @@
 from spoolcourse.control.autoscaling.machine_list import CALLS_LEAST
 from spoolcourse.control.http_client import NoResponseError
 from spoolcourse.control.leader_context import LeaderContext
-from spoolcourse.control.workers.call_limit import calls_at_once
-from spoolcourse.control.workers.worker_calls import raise_token
+from spoolcourse.control.workers.call_limit import concurrent_call_limit
+from spoolcourse.control.workers.worker_client import raise_fencing_token
 from spoolcourse.wire.messages import MalformedError
 from spoolcourse.wire.peers import Hint
 
@@ -31,7 +31,7 @@
         self._proof = leader.proof
         self._hints = hints
         sockets = context.params.machine_limits.sockets
-        self._gate = asyncio.Semaphore(calls_at_once(CALLS_LEAST, len(hints), sockets))
+        self._gate = asyncio.Semaphore(concurrent_call_limit(CALLS_LEAST, len(hints), sockets))
         for hint in hints:
             leader.registry.hinted_images[hint.machine] = hint
 
@@ -45,9 +45,9 @@
             if known is not None and known.confirmed:
                 return  # its own heartbeat has come meanwhile
             try:
-                heartbeat = await raise_token(self._net, self._proof, hint.address)
+                heartbeat = await raise_fencing_token(self._net, self._proof, hint.address)
             except (NoResponseError, MalformedError) as exc:
                 log.debug("%s: not there as hinted: %s", hint.machine, exc)
                 return
             if heartbeat.machine == hint.machine:
-                self._registry.observe(heartbeat)
+                self._registry.observe_heartbeat(heartbeat)
--- a/spoolcourse/control/leader/leader_term.py
+++ b/spoolcourse/control/leader/leader_term.py
@@ -10,7 +10,7 @@
 from spoolcourse.control.http_client import Response, retry_later
 from spoolcourse.control.jobs.cancellation_query import CancellationQuery
 from spoolcourse.control.leader.active_leader import ActiveLeader, Loop
-from spoolcourse.control.leader.heartbeat_handler import step_down_for
+from spoolcourse.control.leader.heartbeat_handler import step_down_for_higher_token
 from spoolcourse.control.leadership.election import Leadership, Term
 from spoolcourse.control.leadership.failover_proof import SupersededError
 from spoolcourse.control.leadership.failover_timeline import FailoverPhase, FailoverTimeline
@@ -96,9 +96,9 @@
     def heartbeat(self, heartbeat: Heartbeat, relayed: bool = False) -> Response:
         """Answer a worker's heartbeat; `relayed`: a follower has passed it on."""
         if self.active is not None:
-            return self.active.admission.answer(heartbeat, relayed)
+            return self.active.admission.handle(heartbeat, relayed)
         if heartbeat.fencing_token > self._term.number:
-            return step_down_for(heartbeat, self._leadership)
+            return step_down_for_higher_token(heartbeat, self._leadership)
         return retry_later("taking over")
 
     def on_change(self, key: str) -> None:
--- a/spoolcourse/control/scheduling/scheduling_loop.py
+++ b/spoolcourse/control/scheduling/scheduling_loop.py
@@ -109,7 +109,7 @@
         with self._load.spent("place"):
             plan = place(snapshot)
         self.passes += 1
-        self._registry.leader.reached(FailoverPhase.FIRST_PASS)
+        self._registry.leader.record_phase(FailoverPhase.FIRST_PASS)
         job_states = self._snapshot_builder.job_states
         self._reasons = {job_states[i].id: reason for i, reason in plan.why.items()}
         wanted_cpus = held_cpus + _planned_cpus(snapshot, plan)
@@ -154,7 +154,7 @@
             number = (self._registry.fencing_token << ATTEMPT_BITS) + self._attempts
             attempt = self._job_queue.assign(job_state, task, machine.id, number, now)
             attempt.first = job_state.id in self._snapshot_builder.unbegun
-            self._registry.link(attempt)
+            self._registry.track_attempt(attempt)
         log.debug("%s: %d tasks to %s", job_state.id, len(chosen), machine.id)
 
     def _stop_for_claims(self, snapshot: Snapshot, plan: Plan) -> None:
@@ -164,9 +164,9 @@
         for attempt in self._snapshot_builder.attempts(chosen):
             log.info("%s: stopped to make room", attempt.name)
             if attempt.never_sent:
-                self._registry.drop(attempt)
+                self._registry.release_attempt(attempt)
             else:
-                self._registry.stop(attempt)
+                self._registry.request_stop(attempt)
                 self._command_dispatcher.wake.set()
 
     # -- machines to rent -----------------------------------------------------------------
--- a/spoolcourse/control/scheduling/snapshot_builder.py
+++ b/spoolcourse/control/scheduling/snapshot_builder.py
@@ -159,20 +159,20 @@
                 continue
             rare = machine_type.name in rare_types
             node = self._snapshot_cache.node(machine, machine_type, self._job_queue.jobs, now, rare)
-            if machine.heard_at is None and machine.up_at is not None:
+            if machine.last_heartbeat_at is None and machine.expected_ready_at is not None:
                 # An overdue machine comes up later than thought, or never.
-                late = max(0.0, now - machine.up_at)
-                node.ready_at = now + max(machine.up_at - now, 1.0 + late)
+                late = max(0.0, now - machine.expected_ready_at)
+                node.ready_at = now + max(machine.expected_ready_at - now, 1.0 + late)
             nodes.append(node)
             self.machines.append(machine)
         return nodes
 
     def _counts(self, machine: Machine, now: float) -> bool:
         """Whether it takes work now, or will once it has booted."""
-        if machine.heard_at is None and machine.up_at is not None:
-            return not machine.deleting and machine.listed_stage is not HostStage.FAILED
-        takes_work = machine.placeable and machine.full_until <= now
-        return takes_work and not self._registry.is_quiet(machine)
+        if machine.last_heartbeat_at is None and machine.expected_ready_at is not None:
+            return not machine.deletion_requested and machine.listed_stage is not HostStage.FAILED
+        takes_work = machine.is_schedulable and machine.no_room_until <= now
+        return takes_work and not self._registry.is_suspect(machine)
 
     def _unbegun(self, job_state: JobState, now: float) -> bool:
         """Whether the job has waited so long that its first task goes before rank.
@@ -224,7 +224,7 @@
         return [
             job_state
             for machine in self._registry.machines.values()
-            for unexpected in machine.unexpected_tasks
+            for unexpected in machine.unexpected_attempts
             if (job_state := self._job_queue.jobs.get(unexpected[0])) is not None
         ]
 
@@ -299,7 +299,7 @@
             else:
                 _note_held(job, self.zones.of(machine.zone))
         for machine in self._registry.machines.values():
-            for unexpected in machine.unexpected_tasks:
+            for unexpected in machine.unexpected_attempts:
                 if unexpected[0] == state.id:
                     _note_held(job, self.zones.of(machine.zone or ""))
 
--- a/spoolcourse/control/scheduling/snapshot_cache.py
+++ b/spoolcourse/control/scheduling/snapshot_cache.py
@@ -102,7 +102,7 @@
     ) -> Node:
         """What the pass sees of a machine, made again only if something changed there."""
         known = self._known.get(machine.id)
-        if known is None or known.changes != machine.changes or known.until <= now:
+        if known is None or known.changes != machine.change_count or known.until <= now:
             known = self._known[machine.id] = self._make(machine, machine_type, jobs, now)
         return Node(
             known.machine_type,
@@ -174,7 +174,7 @@
             if attempt.stopping:
                 node.free(task)
             node.tasks.append(task)
-        for job, _, _ in machine.unexpected_tasks:
+        for job, _, _ in machine.unexpected_attempts:
             job_state = jobs.get(job)
             if job_state is not None:
                 submission = job_state.record.submission
@@ -183,7 +183,7 @@
                 node.memory -= submission.memory_gb
         node.tasks.sort(key=lambda t: t.end)
         return MachineSnapshot(
-            machine.changes,
+            machine.change_count,
             until,
             node.machine_type,
             node.zone,
--- a/spoolcourse/control/scheduling/termination_notices.py
+++ b/spoolcourse/control/scheduling/termination_notices.py
@@ -46,9 +46,9 @@
             if attempt.stopping:
                 continue
             if attempt.never_sent:
-                self._registry.drop(attempt)
+                self._registry.release_attempt(attempt)
             elif attempt.stage is not AttemptStage.ASSIGNED and self._must_stop(attempt, left_s):
-                self._registry.stop(attempt)
+                self._registry.request_stop(attempt)
 
     def _must_stop(self, attempt: Attempt, left_s: float) -> bool:
         """Save what can be saved at the last moment, and don't wait for what can't finish."""
--- a/spoolcourse/control/workers/call_limit.py
+++ b/spoolcourse/control/workers/call_limit.py
@@ -6,7 +6,7 @@
 SOCKETS_SHARE = 0.2  # of a controller's, for calls to machines
 
 
-def calls_at_once(least: int, machines: int, sockets: int) -> int:
+def concurrent_call_limit(least: int, machines: int, sockets: int) -> int:
     """The bound for a fleet of that size; `sockets` of the controller, 0 if not known.
 
     Calls to machines behind a cut hang until they time out. With a fixed bound, those to a third
--- a/spoolcourse/control/workers/command_builder.py
+++ b/spoolcourse/control/workers/command_builder.py
@@ -9,7 +9,7 @@
 from spoolcourse.control.leadership.failover_timeline import FailoverPhase
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.wire.commands import Acknowledge, Command, Start, Stop
-from spoolcourse.wire.messages import EndCause, Heartbeat, TaskStage, TaskStatus, split_task_name
+from spoolcourse.wire.messages import EndCause, Heartbeat, TaskStage, TaskStatus, parse_task_name
 
 if TYPE_CHECKING:
     from spoolcourse.control.workers.worker_registry import Leader, WorkerRegistry
@@ -30,7 +30,7 @@
 
     # -- with the answer to a heartbeat ------------------------------------------------------
 
-    def answer(
+    def build_response(
         self, machine: Machine, heartbeat: Heartbeat, under_our_token: bool
     ) -> list[Command]:
         """The commands to answer a heartbeat with, those that can't wait first.
@@ -52,7 +52,7 @@
         urgent: list[Command] = []
         others: list[Command] = []
         for item in heartbeat.tasks:
-            job, task = split_task_name(item.task)
+            job, task = parse_task_name(item.task)
             if item.stage is not TaskStage.ENDED and self._is_cancelled(job):
                 urgent.append(Stop(item.task, item.attempt, 0.0))
                 continue
@@ -62,7 +62,7 @@
                 grace_s = self._stop_grace_s(machine, job, task, item)
                 if grace_s is not None:
                     others.append(Stop(item.task, item.attempt, grace_s))
-            elif (job, task, item.attempt) in machine.unacknowledged:
+            elif (job, task, item.attempt) in machine.unacknowledgeable:
                 continue
             elif self._may_acknowledge(job, task, item):
                 others.append(Acknowledge(item.task, item.attempt))
@@ -72,7 +72,7 @@
         """Whether its tasks must end at once; so must those of jobs that nobody knows."""
         job_state = self._job_queue.jobs.get(job)
         if job_state is None:
-            return self._leader.is_over(job)
+            return self._leader.is_job_over(job)
         return job_state.record.cancelled
 
     def _stops_of_cancelled_starts(self, machine: Machine, heartbeat: Heartbeat) -> list[Command]:
@@ -88,7 +88,7 @@
         ]
         if not cancelled:
             return []
-        listed = {split_task_name(item.task) for item in heartbeat.tasks}
+        listed = {parse_task_name(item.task) for item in heartbeat.tasks}
         return [
             Stop(attempt.name, attempt.number, 0.0)
             for attempt in cancelled
@@ -96,19 +96,19 @@
         ]
 
     def _add_starts(self, machine: Machine, heartbeat: Heartbeat, commands: list[Command]) -> None:
-        if not (self._leader.may_start() and machine.placeable):
+        if not (self._leader.may_start() and machine.is_schedulable):
             return
         for attempt in machine.attempts.values():
             if len(commands) >= COMMANDS_MAX:
                 return
             if attempt.stage is AttemptStage.ASSIGNED and self._startable(attempt):
                 attempt.start_sent_with = (heartbeat.incarnation, heartbeat.sequence)
-                self._leader.reached(FailoverPhase.FIRST_START)
+                self._leader.record_phase(FailoverPhase.FIRST_START)
                 commands.append(Start(attempt.name, attempt.number))
 
     # -- at the machine's address ---------------------------------------------------------
 
-    def due(self, busy: Container[str]) -> list[Machine]:
+    def machines_to_call(self, busy: Container[str]) -> list[Machine]:
         """Machines that something can be sent to now.
 
         What may become due later stays on the list; the fleet as a whole is never gone through.
@@ -125,16 +125,16 @@
                 and machine.address
                 and machine.confirmed
                 and machine.unreachable_until <= now
-                and not self._registry.is_quiet(machine)
+                and not self._registry.is_suspect(machine)
                 and (
                     any(map(_must_stop, attempts))
-                    or (may_start and machine.placeable and any(map(self._fresh, attempts)))
+                    or (may_start and machine.is_schedulable and any(map(self._fresh, attempts)))
                 )
             ):
                 found.append(machine)
         return found
 
-    def take_stops(self, machine: Machine) -> list[Command]:
+    def claim_stops(self, machine: Machine) -> list[Command]:
         """Stops to be sent to its address; they name an attempt, so late ones do no harm."""
         commands: list[Command] = []
         for attempt in machine.attempts.values():
@@ -144,13 +144,13 @@
                 commands.append(Stop(attempt.name, attempt.number, grace))
         return commands
 
-    def take_fresh_starts(self, machine: Machine) -> list[Attempt]:
+    def claim_starts(self, machine: Machine) -> list[Attempt]:
         """Starts to be sent to its address; from here on they may arrive at any time."""
-        if not (self._leader.may_start() and machine.placeable):
+        if not (self._leader.may_start() and machine.is_schedulable):
             return []
         fresh = [a for a in machine.attempts.values() if self._fresh(a)][:COMMANDS_MAX]
         if fresh:
-            self._leader.reached(FailoverPhase.FIRST_START)
+            self._leader.record_phase(FailoverPhase.FIRST_START)
         for attempt in fresh:
             attempt.sent_directly = True
             attempt.in_flight_incarnation = machine.incarnation
@@ -167,7 +167,7 @@
         """A result is forgotten by the worker only once it is durable here."""
         job_state = self._job_queue.jobs.get(job)
         if job_state is None:
-            return self._leader.is_over(job)
+            return self._leader.is_job_over(job)
         submission = job_state.record.submission
         if task >= submission.task_count or item.cause != EndCause.DONE or submission.is_service:
             return True
@@ -181,7 +181,7 @@
         job_state = self._job_queue.jobs.get(job)
         if job_state is None:
             return None
-        if (job, task, item.attempt) in machine.unexpected_tasks:
+        if (job, task, item.attempt) in machine.unexpected_attempts:
             return 0.0
         attempt = machine.attempts.get((job, task))
         if attempt is not None and attempt.stopping and item.stage is not TaskStage.SAVING:
--- a/spoolcourse/control/workers/command_dispatcher.py
+++ b/spoolcourse/control/workers/command_dispatcher.py
@@ -12,9 +12,9 @@
 import logging
 
 from spoolcourse.control.http_client import HttpClient, NoResponseError
-from spoolcourse.control.workers.call_limit import calls_at_once
+from spoolcourse.control.workers.call_limit import concurrent_call_limit
 from spoolcourse.control.workers.machine import Machine
-from spoolcourse.control.workers.worker_calls import WorkerIncarnation, send_commands
+from spoolcourse.control.workers.worker_client import WorkerIncarnation, send_commands
 from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.wire.commands import Start
 from spoolcourse.wire.messages import MalformedError
@@ -42,7 +42,7 @@
             while True:
                 await self.wake.wait()
                 self.wake.clear()
-                for machine in self._registry.commands.due(self._busy):
+                for machine in self._registry.commands.machines_to_call(self._busy):
                     if self._is_full():
                         break  # whoever comes back sees to the rest
                     task = asyncio.get_running_loop().create_task(self._send(machine))
@@ -52,7 +52,7 @@
                 task.cancel()
 
     def _is_full(self) -> bool:
-        most = calls_at_once(CALLS_LEAST, len(self._registry.machines), self._sockets)
+        most = concurrent_call_limit(CALLS_LEAST, len(self._registry.machines), self._sockets)
         return len(self._busy) >= most
 
     def may_keep(self) -> bool:
@@ -67,9 +67,9 @@
 
     async def _send(self, machine: Machine) -> None:
         try:
-            attempts = self._registry.commands.take_fresh_starts(machine)
+            attempts = self._registry.commands.claim_starts(machine)
             incarnation = WorkerIncarnation(machine.address, machine.incarnation)
-            commands = self._registry.commands.take_stops(machine) + [
+            commands = self._registry.commands.claim_stops(machine) + [
                 Start(a.name, a.number) for a in attempts
             ]
             try:
@@ -84,7 +84,7 @@
             if heartbeat.machine == machine.id:
                 for attempt in attempts:
                     attempt.in_flight_incarnation = None
-                self._registry.observe(heartbeat)
+                self._registry.observe_heartbeat(heartbeat)
         finally:
             held_back = self._is_full()
             self._busy.pop(machine.id, None)
--- a/spoolcourse/control/workers/heartbeat_relay.py
+++ b/spoolcourse/control/workers/heartbeat_relay.py
@@ -31,7 +31,7 @@
     return Response(421, to_json_object(Redirect(leader)))
 
 
-class Relay:
+class HeartbeatRelay:
     """Passes heartbeats on, and decides when a worker is sent to the leader."""
 
     def __init__(
--- a/spoolcourse/control/workers/reconciliation.py
+++ b/spoolcourse/control/workers/reconciliation.py
@@ -20,7 +20,7 @@
     Submission,
     TaskStage,
     TaskStatus,
-    split_task_name,
+    parse_task_name,
 )
 
 if TYPE_CHECKING:
@@ -63,18 +63,18 @@
     ) -> set[tuple[str, int]]:
         """What the heartbeat lists; the tasks whose attempts are there."""
         present: set[tuple[str, int]] = set()
-        unexpected_tasks = set(machine.unexpected_tasks)
-        machine.unexpected_tasks.clear()
+        unexpected_tasks = set(machine.unexpected_attempts)
+        machine.unexpected_attempts.clear()
         for item in heartbeat.tasks:
-            job, task = split_task_name(item.task)
+            job, task = parse_task_name(item.task)
             attempt = machine.attempts.get((job, task))
             if attempt is not None and attempt.number == item.attempt:
                 present.add((job, task))
                 self._take_progress(machine, attempt, item, now)
             elif self._take_unexpected(machine, job, task, item, now):
                 present.add((job, task))
-        if unexpected_tasks != machine.unexpected_tasks:
-            machine.changes += 1
+        if unexpected_tasks != machine.unexpected_attempts:
+            machine.change_count += 1
         return present
 
     def _take_absence(self, machine: Machine, attempt: Attempt, heartbeat: Heartbeat) -> None:
@@ -83,7 +83,7 @@
             attempt.in_flight_incarnation = None  # of another incarnation: it would be refused
         if attempt.stage is not AttemptStage.ASSIGNED:
             log.info("%s: no longer on %s", attempt.name, machine.id)
-            self._registry.drop(attempt)
+            self._registry.release_attempt(attempt)
             return
         sent_with = attempt.start_sent_with
         if sent_with is not None and sent_with >= (heartbeat.incarnation, heartbeat.sequence):
@@ -95,7 +95,7 @@
             or machine.unresponsive_since is not None
         )
         if unwanted and attempt.in_flight_incarnation is None:
-            self._registry.drop(attempt)
+            self._registry.release_attempt(attempt)
 
     @staticmethod
     def _note_fetches(machine: Machine, now: float) -> None:
@@ -122,11 +122,11 @@
         if stage is not attempt.stage:
             log.debug("%s: %s on %s", item.task, stage.value, machine.id)
             attempt.stage, attempt.since = stage, now
-            machine.changes += 1
+            machine.change_count += 1
         if attempt.is_on:
             job_state = attempt.job_state
             self._note_image(machine, job_state.record.submission)
-            machine.errors.discard(job_state.id)
+            machine.failed_jobs.discard(job_state.id)
             runs_well = now - attempt.since > HEALTHY_S
             if job_state.record.submission.is_service and job_state.failures and runs_well:
                 job_state.failures = 0
@@ -140,18 +140,18 @@
             # A copy of the start may still be on its way to the worker's address. While the
             # worker remembers the attempt, the copy has no effect; once it has forgotten it, the
             # copy would start it.
-            machine.unacknowledged.add((job_state.id, attempt.task, attempt.number))
+            machine.unacknowledgeable.add((job_state.id, attempt.task, attempt.number))
         if cause == EndCause.DONE:
             self._take_result(machine, attempt, now)
         elif cause == EndCause.ERROR:
             self._take_error(machine, attempt, now)
         elif cause == EndCause.NO_ROOM:
-            machine.full_until = now + REFUSED_START_PAUSE_S
+            machine.no_room_until = now + REFUSED_START_PAUSE_S
             log.info("%s: no room on %s", attempt.name, machine.id)
         elif cause in (EndCause.OTHER_ATTEMPT_THERE, EndCause.NO_SUCH_TASK):
             job_state.retry_at = now + REFUSED_START_PAUSE_S
             log.info("%s: %s on %s", attempt.name, cause, machine.id)
-        self._registry.drop(attempt)
+        self._registry.release_attempt(attempt)
 
     def _take_result(self, machine: Machine, attempt: Attempt, now: float) -> None:
         job_state = attempt.job_state
@@ -165,14 +165,14 @@
     def _take_error(self, machine: Machine, attempt: Attempt, now: float) -> None:
         job_state = attempt.job_state
         job_state.bad_machines[machine.id] = now + AVOID_S
-        machine.errors.add(job_state.id)
+        machine.failed_jobs.add(job_state.id)
         is_service = job_state.record.submission.is_service
         _count_failure(job_state, REPLICA_BACKOFF if is_service else ARRAY_BACKOFF, now)
         log.info("%s: failed on %s", attempt.name, machine.id)
 
     def _note_image(self, machine: Machine, submission: Submission) -> None:
         disk_gb = self._leader.disk_gb(machine.machine_type or "")
-        machine.note_image(submission.image, submission.image_gb, disk_gb)
+        machine.record_cached_image(submission.image, submission.image_gb, disk_gb)
 
     def _take_unexpected(
         self, machine: Machine, job: str, task: int, item: TaskStatus, now: float
@@ -188,7 +188,7 @@
                     self._job_queue.complete(job_state, task)
                     other = job_state.attempts.get(task)
                     if other is not None:
-                        self._registry.stop(other)
+                        self._registry.request_stop(other)
                 return False
             if (
                 task not in job_state.attempts
@@ -199,10 +199,10 @@
                 attempt = self._job_queue.adopt(job_state, task, machine.id, item.attempt, now)
                 attempt.stage = REPORTED_STAGES[item.stage]
                 machine.attempts[job, task] = attempt
-                machine.changes += 1
+                machine.change_count += 1
                 return True
         if item.stage is not TaskStage.ENDED:
-            machine.unexpected_tasks.add((job, task, item.attempt))
+            machine.unexpected_attempts.add((job, task, item.attempt))
         return False
 
 
--- a/spoolcourse/control/workers/worker_calls.py
+++ b/spoolcourse/control/workers/worker_client.py
@@ -29,7 +29,7 @@
     number: int
 
 
-async def raise_token(net: HttpClient, proof: FailoverProof, address: str) -> Heartbeat:
+async def raise_fencing_token(net: HttpClient, proof: FailoverProof, address: str) -> Heartbeat:
     """Tell a worker of the term, without commands; the worker's heartbeat."""
     found = await fetch_heartbeat(net, address)
     return await send_commands(net, proof, WorkerIncarnation(address, found.incarnation), [])
--- a/spoolcourse/control/workers/worker_registry.py
+++ b/spoolcourse/control/workers/worker_registry.py
@@ -35,14 +35,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class AcceptedHeartbeat:
     """A heartbeat that is news: the commands to answer it with."""
 
     commands: list[Command]
 
 
 @dataclass(frozen=True, slots=True)
-class Outdated:
+class OutdatedHeartbeat:
     """A heartbeat that is no newer than what is known, or whose machine is gone.
 
     It is a copy that was late on the way: no sign of life, and it must get no answer that could
@@ -50,7 +50,7 @@
     """
 
 
-HeartbeatOutcome = Answer | Outdated
+HeartbeatOutcome = AcceptedHeartbeat | OutdatedHeartbeat
 
 
 class Leader(Protocol):
@@ -60,7 +60,7 @@
         """Whether nobody else can lead by now."""
         ...
 
-    def is_over(self, job: str) -> bool:
+    def is_job_over(self, job: str) -> bool:
         """Whether the job can't be live any more."""
         ...
 
@@ -68,11 +68,11 @@
         """How much a machine of the type caches."""
         ...
 
-    def on_room(self) -> None:
+    def on_capacity_change(self) -> None:
         """Something may be placed now that could not be before."""
         ...
 
-    def reached(self, phase: FailoverPhase) -> None:
+    def record_phase(self, phase: FailoverPhase) -> None:
         """The failover has come to a phase; told again and again, and noted once."""
         ...
 
@@ -102,20 +102,20 @@
         # When each was deleted, the earliest first; names never come back.
         self.deleted_names: OrderedDict[str, float] = OrderedDict()
         self.pending_commands: set[str] = set()  # machines that may have something to be sent
-        self.quiet_s = workers.quiet_s
+        self.suspect_after_s = workers.quiet_s
         # What the leader before knew to be cached; it counts in the same incarnation only.
         self.hinted_images: dict[str, Hint] = {}
 
-    def machine(self, name: str) -> Machine:
+    def ensure_machine(self, name: str) -> Machine:
         """The machine of this name; made known if it was not."""
         machine = self.machines.get(name)
         if machine is None:
             machine = self.machines[name] = Machine(
-                name, self._clock(), token_seen_at=self._clock()
+                name, self._clock(), fencing_token_seen_at=self._clock()
             )
         return machine
 
-    def is_quiet(self, machine: Machine) -> bool:
+    def is_suspect(self, machine: Machine) -> bool:
         """Whether a machine has missed its heartbeats for certain.
 
         Its answers to calls don't count: a machine that reaches no controller loses with its lease
@@ -123,34 +123,37 @@
         there, nor is it called: with a zone cut off, hundreds of calls that hang would keep those
         to the rest waiting, and work would be bound until leases end.
         """
-        return machine.heard_at is not None and self._clock() - machine.reported_at > self.quiet_s
+        return (
+            machine.last_heartbeat_at is not None
+            and self._clock() - machine.last_own_heartbeat_at > self.suspect_after_s
+        )
 
-    def link(self, attempt: Attempt) -> None:
+    def track_attempt(self, attempt: Attempt) -> None:
         """Note on its machine that an attempt may be there."""
-        machine = self.machine(attempt.machine)
+        machine = self.ensure_machine(attempt.machine)
         machine.attempts[attempt.job_state.id, attempt.task] = attempt
-        machine.changes += 1
+        machine.change_count += 1
         machine.idle_since = None
         self.pending_commands.add(machine.id)
 
-    def stop(self, attempt: Attempt) -> None:
+    def request_stop(self, attempt: Attempt) -> None:
         """Have an attempt stopped; it counts until it is proven gone."""
         attempt.stopping = True
-        self.machine(attempt.machine).changes += 1
+        self.ensure_machine(attempt.machine).change_count += 1
         self.pending_commands.add(attempt.machine)
 
-    def drop(self, attempt: Attempt) -> None:
+    def release_attempt(self, attempt: Attempt) -> None:
         """Forget an attempt that is proven gone."""
         machine = self.machines.get(attempt.machine)
         if machine is not None:
             key = (attempt.job_state.id, attempt.task)
             if machine.attempts.get(key) is attempt:
                 del machine.attempts[key]
-                machine.changes += 1
+                machine.change_count += 1
         self.job_queue.drop(attempt)
-        self.leader.on_room()
+        self.leader.on_capacity_change()
 
-    def confirm_deleted(self, name: str) -> None:
+    def forget_deleted_machine(self, name: str) -> None:
         """The cloud has confirmed that the machine and all on it are gone."""
         now = self._clock()
         self.deleted_names[name] = now
@@ -160,9 +163,9 @@
         machine = self.machines.pop(name, None)
         if machine is not None:
             for attempt in list(machine.attempts.values()):
-                self.drop(attempt)
+                self.release_attempt(attempt)
 
-    def expire(self) -> None:
+    def expire_leases(self) -> None:
         """Drop what is proven gone by leases that have run out.
 
         Silence alone proves nothing. A lease proves an end only for a worker that has reported our
@@ -173,8 +176,8 @@
             if (
                 machine.confirmed
                 and not machine.lease_expired
-                and machine.leased_at is not None
-                and now - machine.leased_at > self._lease_over_s
+                and machine.lease_started_at is not None
+                and now - machine.lease_started_at > self._lease_over_s
             ):
                 log.info("%s: silent, its lease has run out", machine.id)
                 machine.lease_expired = True
@@ -182,10 +185,10 @@
                 # starts with the next one.
                 machine.incarnation, machine.sequence = machine.incarnation + 1, -1
                 machine.confirmed = False
-                machine.unexpected_tasks.clear()
-                machine.changes += 1
+                machine.unexpected_attempts.clear()
+                machine.change_count += 1
                 for attempt in list(machine.attempts.values()):
-                    self.drop(attempt)
+                    self.release_attempt(attempt)
 
     # -- machines that don't get our answers ------------------------------------------
 
@@ -197,7 +200,7 @@
         its heartbeats go on and it is never silent.
         """
         machine.ineffective_answers += 1
-        machine.answers_doubted_at = self._clock()
+        machine.answers_unproven_since = self._clock()
         if (
             machine.ineffective_answers >= INEFFECTIVE_ANSWERS_MAX
             and machine.unresponsive_since is None
@@ -207,18 +210,18 @@
 
     # -- heartbeats ------------------------------------------------------------------
 
-    def accept(self, heartbeat: Heartbeat) -> HeartbeatOutcome:
+    def process_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatOutcome:
         """Take in a heartbeat that carries no higher fencing token than ours."""
         now = self._clock()
         if heartbeat.machine in self.deleted_names:
-            return Outdated()
-        machine = self.machine(heartbeat.machine)
+            return OutdatedHeartbeat()
+        machine = self.ensure_machine(heartbeat.machine)
         if (heartbeat.incarnation, heartbeat.sequence) <= (machine.incarnation, machine.sequence):
-            return Outdated()
-        self.learn(machine, heartbeat)
-        machine.reported_at = machine.answered_at = machine.leased_at = now
+            return OutdatedHeartbeat()
+        self._apply_newer_heartbeat(machine, heartbeat)
+        machine.last_own_heartbeat_at = machine.last_answered_at = machine.lease_started_at = now
         under_our_token = heartbeat.fencing_token == self.fencing_token
-        return Answer(self.commands.answer(machine, heartbeat, under_our_token))
+        return AcceptedHeartbeat(self.commands.build_response(machine, heartbeat, under_our_token))
 
     def _take_hinted_images(self, machine: Machine) -> None:
         hint = self.hinted_images.pop(machine.id, None)
@@ -226,71 +229,73 @@
             return
         disk_gb = self.leader.disk_gb(machine.machine_type or "")
         for image, size_gb in reversed(hint.images.items()):
-            machine.note_image(image, size_gb, disk_gb)
+            machine.record_cached_image(image, size_gb, disk_gb)
 
-    def observe_unanswered(self, heartbeat: Heartbeat) -> None:
+    def observe_unanswered_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Take in a heartbeat that is not answered, and so renews nothing."""
-        self.observe(heartbeat)
+        self.observe_heartbeat(heartbeat)
         machine = self.machines.get(heartbeat.machine)
         if machine is not None and (heartbeat.incarnation, heartbeat.sequence) == (
             machine.incarnation,
             machine.sequence,
         ):
-            machine.reported_at = self._clock()
+            machine.last_own_heartbeat_at = self._clock()
 
-    def observe(self, heartbeat: Heartbeat) -> None:
+    def observe_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Take in a heartbeat that came as the answer to a call."""
         if heartbeat.machine in self.deleted_names:
             return
-        machine = self.machine(heartbeat.machine)
+        machine = self.ensure_machine(heartbeat.machine)
         if (heartbeat.incarnation, heartbeat.sequence) > (machine.incarnation, machine.sequence):
-            self.learn(machine, heartbeat)
+            self._apply_newer_heartbeat(machine, heartbeat)
 
-    def learn(self, machine: Machine, heartbeat: Heartbeat) -> None:
+    def _apply_newer_heartbeat(self, machine: Machine, heartbeat: Heartbeat) -> None:
         """Take in a heartbeat that is newer than what is known."""
         now = self._clock()
         if (
             heartbeat.incarnation != machine.incarnation
             or machine.lease_expired
-            or machine.heard_at is None
+            or machine.last_heartbeat_at is None
         ):
             if (
                 machine.confirmed
-                and machine.answered_at is not None
-                and now - machine.answered_at < RENEWED_SHARE * self._lease_s
+                and machine.last_answered_at is not None
+                and now - machine.last_answered_at < RENEWED_SHARE * self._lease_s
             ):
                 self.note_ineffective_answer(machine)  # its lease ran out although it was answered
             machine.confirmed = False
-            machine.unacknowledged.clear()
-            machine.answers_doubted_at = now
-        elif now - machine.answers_doubted_at > self._lease_over_s:
+            machine.unacknowledgeable.clear()
+            machine.answers_unproven_since = now
+        elif now - machine.answers_unproven_since > self._lease_over_s:
             # The incarnation has outlived a lease since, so answers do arrive. Commands that
             # arrive at its address are no such proof: they renew nothing.
             machine.ineffective_answers = 0
             machine.unresponsive_since = None
-        if machine.heard_at is None:
-            machine.token_seen_at = now  # it had to boot first: nothing could be proven before
-            machine.reported_at = now
-        machine.heard_at = now
+        if machine.last_heartbeat_at is None:
+            machine.fencing_token_seen_at = (
+                now  # it had to boot first: nothing could be proven before
+            )
+            machine.last_own_heartbeat_at = now
+        machine.last_heartbeat_at = now
         machine.incarnation, machine.sequence = heartbeat.incarnation, heartbeat.sequence
         machine.machine_type, machine.zone = heartbeat.machine_type, heartbeat.zone
         machine.spot, machine.address = heartbeat.spot, heartbeat.address
-        machine.up_at = None
+        machine.expected_ready_at = None
         machine.lease_expired = False
         if heartbeat.terminates_in_s is not None:
             machine.terminates_at = now + max(heartbeat.terminates_in_s, 0.0)
         else:
             machine.terminates_at = None
         if heartbeat.fencing_token == self.fencing_token:
-            machine.token_seen_at = now
+            machine.fencing_token_seen_at = now
             if not machine.confirmed:
                 machine.confirmed = True
                 # A incarnation that only calls have shown, as of a machine that reaches nobody: it
                 # may have begun just now. With an answer of before, its tasks would be taken
                 # for gone while they run.
-                machine.leased_at = now
+                machine.lease_started_at = now
                 log.debug("%s: confirmed in incarnation %d", machine.id, heartbeat.incarnation)
-                self.leader.reached(FailoverPhase.FIRST_WORKER)
+                self.leader.record_phase(FailoverPhase.FIRST_WORKER)
                 self._take_hinted_images(machine)
-                self.leader.on_room()
+                self.leader.on_capacity_change()
             self._reconciler.reconcile(machine, heartbeat, now)
--- a/spoolcourse/wire/messages.py
+++ b/spoolcourse/wire/messages.py
@@ -253,7 +253,7 @@
 
 
 @lru_cache(maxsize=65_536)  # every heartbeat names the same tasks again
-def split_task_name(name: str) -> tuple[str, int]:
+def parse_task_name(name: str) -> tuple[str, int]:
     """The job and the index of the task that a name in a heartbeat means."""
     job, slash, index = name.partition("/")
     if not slash or not JOB_ID.fullmatch(job) or not index.isascii() or not index.isdigit():
@@ -267,7 +267,7 @@
     if heartbeat.terminates_in_s is not None and not math.isfinite(heartbeat.terminates_in_s):
         raise MalformedError("recallS: a number is not finite")
     for item in heartbeat.tasks:
-        split_task_name(item.task)
+        parse_task_name(item.task)
         if item.stage is TaskStage.ENDED and not item.cause:
             raise MalformedError(f"pieces: {item.task}: ended without a cause")
     return heartbeat
--- a/tests/fakes/registry.py
+++ b/tests/fakes/registry.py
@@ -7,7 +7,7 @@
 from spoolcourse.control.jobs.job_queue import Attempt, JobQueue, JobState
 from spoolcourse.control.leadership.failover_timeline import FailoverPhase
 from spoolcourse.control.store.records import JobRecord
-from spoolcourse.control.workers.worker_registry import Answer, WorkerRegistry
+from spoolcourse.control.workers.worker_registry import AcceptedHeartbeat, WorkerRegistry
 from spoolcourse.wire.commands import to_json_object
 from spoolcourse.wire.messages import Heartbeat, Submission, parse
 from spoolcourse.wire.settings import Workers
@@ -40,28 +40,28 @@
     def may_start(self) -> bool:
         return self.valid
 
-    def is_over(self, job: str) -> bool:
+    def is_job_over(self, job: str) -> bool:
         return job not in self.job_queue.jobs
 
     def disk_gb(self, machine_type: str) -> float:
         return 0.0
 
-    def on_room(self) -> None:
+    def on_capacity_change(self) -> None:
         pass
 
-    def reached(self, phase: FailoverPhase) -> None:
+    def record_phase(self, phase: FailoverPhase) -> None:
         pass
 
     def heartbeat(self, *pieces: dict[str, Any], **fields: Any) -> list[dict[str, Any]] | None:
-        outcome = self.registry.accept(self._made(pieces, fields))
-        if not isinstance(outcome, Answer):
+        outcome = self.registry.process_heartbeat(self._made(pieces, fields))
+        if not isinstance(outcome, AcceptedHeartbeat):
             return None
         return [to_json_object(command) for command in outcome.commands]
 
     def observed(self, *pieces: dict[str, Any], **fields: Any) -> Heartbeat:
         """A heartbeat that comes as the answer to a call."""
         heartbeat = self._made(pieces, fields)
-        self.registry.observe(heartbeat)
+        self.registry.observe_heartbeat(heartbeat)
         return heartbeat
 
     def _made(self, pieces: tuple[dict[str, Any], ...], fields: dict[str, Any]) -> Heartbeat:
@@ -81,7 +81,7 @@
 
     def assign(self, piece: int = 0, number: int = 1, saved: bool = True) -> Attempt:
         attempt = self.job_queue.assign(self.job_state, piece, "m-1", number, self.now)
-        self.registry.link(attempt)
+        self.registry.track_attempt(attempt)
         if saved:
             self.save()
         return attempt
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -43,7 +43,7 @@
 def test_a_report_under_an_older_fencing_token_confirms_nothing() -> None:
     harness = RegistryHarness()
     attempt = harness.job_queue.adopt(harness.job_state, 0, "m-1", 1, harness.now)
-    harness.registry.link(attempt)
+    harness.registry.track_attempt(attempt)
     assert harness.heartbeat(baton=TERM - 1) == []
     assert harness.job_state.attempts, "the former leader's start may still arrive"
     harness.heartbeat()
@@ -89,17 +89,17 @@
     harness.assign()
     harness.heartbeat(on())
     harness.now += 10.5
-    harness.registry.expire()
+    harness.registry.expire_leases()
     assert harness.job_state.attempts, "within drift and margin"
     harness.now += 1.0
-    harness.registry.expire()
+    harness.registry.expire_leases()
     assert not harness.job_state.attempts
     # A machine that has not reported our baton may be kept alive by somebody else.
     other = RegistryHarness()
     other.heartbeat(baton=TERM - 1)
-    other.registry.link(other.job_queue.adopt(other.job_state, 0, "m-1", 1, other.now))
+    other.registry.track_attempt(other.job_queue.adopt(other.job_state, 0, "m-1", 1, other.now))
     other.now += 100.0
-    other.registry.expire()
+    other.registry.expire_leases()
     assert other.job_state.attempts
 
 
@@ -131,7 +131,7 @@
     harness = RegistryHarness()
     harness.heartbeat()
     harness.assign()
-    harness.registry.confirm_deleted("m-1")
+    harness.registry.forget_deleted_machine("m-1")
     assert harness.job_state.pending == 4
     assert harness.heartbeat(on()) is None and not harness.job_state.attempts
 
@@ -152,8 +152,8 @@
     harness.heartbeat()
     attempt = harness.assign()
     machine = harness.registry.machines["m-1"]
-    assert harness.registry.commands.take_fresh_starts(machine) == [attempt]
-    assert harness.registry.commands.due(()) == [], "sent that way once only"
+    assert harness.registry.commands.claim_starts(machine) == [attempt]
+    assert harness.registry.commands.machines_to_call(()) == [], "sent that way once only"
     harness.job_state.record.cancelled_at = 100.0
     harness.heartbeat()
     harness.heartbeat()
@@ -166,7 +166,7 @@
     harness = RegistryHarness()
     harness.heartbeat()
     attempt = harness.assign()
-    harness.registry.commands.take_fresh_starts(harness.registry.machines["m-1"])
+    harness.registry.commands.claim_starts(harness.registry.machines["m-1"])
     attempt.in_flight_incarnation = None  # it was answered, but a copy may come late
     harness.heartbeat(on())
     assert harness.heartbeat(on(stage="ended", cause="halted")) == []
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -44,37 +44,37 @@
     attempt = harness.assign(0, 2)
     harness.observed(on(0, 2), shift=2)
     harness.now += 2.0
-    harness.registry.expire()
+    harness.registry.expire_leases()
     assert harness.job_state.attempts == {0: attempt}
     harness.now += 10.0
-    harness.registry.expire()
+    harness.registry.expire_leases()
     assert not harness.job_state.attempts, "nobody renews that session: it is over by now"
 
 
 def test_a_machine_that_reaches_no_controller_gets_no_new_work() -> None:
     # Its answers to calls keep coming; what calls start there dies with each lease.
     harness = RegistryHarness()
-    harness.registry.quiet_s = 5.0
+    harness.registry.suspect_after_s = 5.0
     harness.heartbeat()
     machine = harness.registry.machines["m-1"]
     harness.now += 4.0
     harness.observed()
-    assert not harness.registry.is_quiet(machine)
+    assert not harness.registry.is_suspect(machine)
     harness.assign()
-    assert harness.registry.commands.due(()) == [machine]
+    assert harness.registry.commands.machines_to_call(()) == [machine]
     harness.now += 1.5
     harness.observed()
-    assert machine.heard_at == harness.now and harness.registry.is_quiet(machine)
-    assert harness.registry.commands.due(()) == [], "nor are starts sent"
+    assert machine.last_heartbeat_at == harness.now and harness.registry.is_suspect(machine)
+    assert harness.registry.commands.machines_to_call(()) == [], "nor are starts sent"
     harness.heartbeat()
-    assert harness.registry.commands.due(()) == [machine]
+    assert harness.registry.commands.machines_to_call(()) == [machine]
 
 
 def test_the_first_answer_after_a_change_of_leader_ends_what_is_cancelled() -> None:
     # It renews the lease and may be the last one that arrives: the next one is too late.
     harness = RegistryHarness()
     attempt = harness.job_queue.adopt(harness.job_state, 0, "m-1", 1, harness.now)
-    harness.registry.link(attempt)
+    harness.registry.track_attempt(attempt)
     harness.job_state.record.cancelled_at = harness.now - 30.0
     halt = {"verb": "halt", "piece": "job-000001/0", "try": 1, "windDownS": 0.0}
     assert harness.heartbeat(on(), baton=TERM - 1) == [halt]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -16,8 +16,8 @@
 from spoolcourse.control.scheduling.scheduling_loop import ATTEMPTS_MOST
 from spoolcourse.control.store.records import base_values, initial_machines
 from spoolcourse.control.store.watch_cache import CHANGES_MOST
-from spoolcourse.control.workers.call_limit import calls_at_once
-from spoolcourse.control.workers.heartbeat_relay import Relay
+from spoolcourse.control.workers.call_limit import concurrent_call_limit
+from spoolcourse.control.workers.heartbeat_relay import HeartbeatRelay
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.control.workers.worker_registry import DELETED_NAMES_KEPT_S
 from spoolcourse.wire.settings import Seed
@@ -84,12 +84,12 @@
     # a machine back that was gone.
     world = RegistryHarness()
     for number in range(2 * FLEET):
-        world.registry.confirm_deleted(f"m-{number:06d}")
+        world.registry.forget_deleted_machine(f"m-{number:06d}")
         world.now += 0.1
     assert world.heartbeat(spindle="m-000000") is None, "a late report of the first one"
     assert "m-000000" not in world.registry.machines
     world.now += DELETED_NAMES_KEPT_S
-    world.registry.confirm_deleted("m-999999")
+    world.registry.forget_deleted_machine("m-999999")
     assert list(world.registry.deleted_names) == ["m-999999"]
 
 
@@ -100,7 +100,7 @@
             return Response(200, {"baton": 1, "orders": []})
 
     async def story() -> None:
-        relay = Relay(LeaderNet(), "n0", [Seed("n1", "n1:81")], heartbeat_interval_s=1.5)
+        relay = HeartbeatRelay(LeaderNet(), "n0", [Seed("n1", "n1:81")], heartbeat_interval_s=1.5)
         statuses = []
         for _ in range(2):
             for number in range(3 * FLEET):
@@ -139,10 +139,10 @@
 
 
 def test_calls_at_once_grow_with_the_fleet_within_the_sockets() -> None:
-    assert calls_at_once(192, 200, 700) == 192
-    assert calls_at_once(192, FLEET, 0) == 500
-    assert calls_at_once(192, FLEET, 1500) == 300
-    assert calls_at_once(64, FLEET, 700) == 140
+    assert concurrent_call_limit(192, 200, 700) == 192
+    assert concurrent_call_limit(192, FLEET, 0) == 500
+    assert concurrent_call_limit(192, FLEET, 1500) == 300
+    assert concurrent_call_limit(64, FLEET, 700) == 140
 
 
 def test_a_term_that_has_used_up_its_attempt_numbers_is_followed_by_another() -> None:
@@ -244,7 +244,7 @@
 
     world = RegistryHarness()
     for number in range(FLEET):
-        world.registry.machine(f"m-{number:06d}")
+        world.registry.ensure_machine(f"m-{number:06d}")
     world.registry.machines = Counted(world.registry.machines)
     Counted.walks = 0
     assert world.heartbeat(spindle="m-003999") == []
--- a/tests/test_standby_hints.py
+++ b/tests/test_standby_hints.py
@@ -90,7 +90,7 @@
         harness.heartbeat(spindle=f"m-{number}")
         machine = harness.registry.machines[f"m-{number}"]
         for image in range(IMAGES_MOST + 4):
-            machine.note_image(f"i{image}", 1.0, 100.0)
+            machine.record_cached_image(f"i{image}", 1.0, 100.0)
     page = hint_page(harness.registry, "n0", 40, "after=m-1&most=2")
     assert [hint.machine for hint in page.hints] == ["m-2", "m-3"] and page.has_next
     assert all(len(hint.images) == IMAGES_MOST for hint in page.hints)
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -65,7 +65,7 @@
                     assert not renews(reply)
             await asyncio.sleep(1)
         assert not machine.attempts, "proven gone by its lease"
-        assert machine.heard_at is not None and machine.heard_at <= died
+        assert machine.last_heartbeat_at is not None and machine.last_heartbeat_at <= died
         again = [at for at, _, _ in world.cloud.starts[4:]]
         assert len(again) == 4 and max(again) < died + 30
         assert world.cloud.broken == []
