--- /dev/null
+++ b/spoolcourse/control/workers/machine_table.py
@@ -0,0 +1,97 @@
+"""The machines of a term and what may be on each: state only, without any decision."""
+
+from __future__ import annotations
+
+from collections import OrderedDict
+from collections.abc import Callable
+
+from spoolcourse.control.jobs.job_queue import Attempt, JobQueue
+from spoolcourse.control.workers.machine import Machine
+from spoolcourse.wire.identities import TaskId
+
+# Names of deleted machines are remembered for so long, however many they are: heartbeats and lists
+# of them come late, by minutes at most.
+DELETED_NAMES_KEPT_S = 3600.0
+
+
+class MachineTable:
+    """All machines of the term, by name, with the attempts that may be on them.
+
+    An attempt is tracked until it is proven gone. Releasing it frees its task in the job queue.
+    """
+
+    def __init__(
+        self,
+        job_queue: JobQueue,
+        clock: Callable[[], float],
+        suspect_after_s: float,
+        on_capacity_change: Callable[[], None],
+    ) -> None:
+        self.job_queue = job_queue
+        self._clock = clock
+        self._on_capacity_change = on_capacity_change
+        self.suspect_after_s = suspect_after_s
+        self.machines: dict[str, Machine] = {}
+        # When each was deleted, the earliest first; names are never used again.
+        self.deleted_names: OrderedDict[str, float] = OrderedDict()
+        self.pending_commands: set[str] = set()  # machines that may have something to be sent
+
+    def ensure_machine(self, name: str) -> Machine:
+        """The machine of this name, added if it is not known."""
+        machine = self.machines.get(name)
+        if machine is None:
+            now = self._clock()
+            machine = self.machines[name] = Machine(name, now, fencing_token_seen_at=now)
+        return machine
+
+    def is_suspect(self, machine: Machine) -> bool:
+        """Whether a machine has missed its heartbeats for certain.
+
+        That proves nothing about what it holds, but nothing new is put there, nor is it called:
+        with a zone cut off, hundreds of calls that hang would keep those to the rest waiting, and
+        work would be bound until leases end.
+        """
+        return machine.last_heartbeat_at is not None and machine.is_overdue(
+            self._clock(), self.suspect_after_s
+        )
+
+    def track_attempt(self, attempt: Attempt) -> None:
+        """Note on its machine that an attempt may be there."""
+        machine = self.ensure_machine(attempt.machine)
+        machine.attempts[TaskId(attempt.job_state.id, attempt.task)] = attempt
+        machine.change_count += 1
+        machine.idle_since = None
+        self.pending_commands.add(machine.id)
+
+    def request_stop(self, attempt: Attempt) -> None:
+        """Have an attempt stopped; it counts until it is proven gone."""
+        attempt.stopping = True
+        self.ensure_machine(attempt.machine).change_count += 1
+        self.pending_commands.add(attempt.machine)
+
+    def release_attempt(self, attempt: Attempt) -> None:
+        """Forget an attempt that is proven gone."""
+        machine = self.machines.get(attempt.machine)
+        if machine is not None:
+            task_id = TaskId(attempt.job_state.id, attempt.task)
+            if machine.attempts.get(task_id) is attempt:
+                del machine.attempts[task_id]
+                machine.change_count += 1
+        self.job_queue.drop(attempt)
+        self._on_capacity_change()
+
+    def release_all_attempts(self, machine: Machine) -> None:
+        """Forget all attempts on a machine: they are proven gone."""
+        for attempt in list(machine.attempts.values()):
+            self.release_attempt(attempt)
+
+    def forget_deleted_machine(self, name: str) -> None:
+        """The cloud has confirmed that the machine and all on it are gone."""
+        now = self._clock()
+        self.deleted_names[name] = now
+        self.deleted_names.move_to_end(name)
+        while next(iter(self.deleted_names.values())) < now - DELETED_NAMES_KEPT_S:
+            self.deleted_names.popitem(last=False)
+        machine = self.machines.pop(name, None)
+        if machine is not None:
+            self.release_all_attempts(machine)
--- a/spoolcourse/control/workers/reconciliation.py
+++ b/spoolcourse/control/workers/reconciliation.py
@@ -1,19 +1,21 @@
-"""What a heartbeat proves about the attempts that may be on its machine.
+"""Reconciliation: what a heartbeat proves about the attempts that may be on its machine.
 
 A worker has one heartbeat in flight, executes an answer within its time-out or never, and drops it
 in a later incarnation; so the next newer heartbeat under our fencing token tells for certain
 whether a start in an answer arrived. Starts sent to the worker's address may come late: they stay
-possible until the incarnation or our term ends.
+possible until the incarnation or our term ends (PROTOCOL, Delayed messages).
 """
 
 from __future__ import annotations
 
 import logging
-from typing import TYPE_CHECKING
 
 from spoolcourse.control.jobs.backoff import ARRAY_BACKOFF, REPLICA_BACKOFF, Backoff
 from spoolcourse.control.jobs.job_queue import REPORTED_STAGES, Attempt, AttemptStage, JobState
+from spoolcourse.control.workers.leader_interface import Leader
 from spoolcourse.control.workers.machine import Machine
+from spoolcourse.control.workers.machine_table import MachineTable
+from spoolcourse.wire.identities import AttemptId, TaskId
 from spoolcourse.wire.messages import (
     EndCause,
     Heartbeat,
@@ -23,194 +25,240 @@
     parse_task_name,
 )
 
-if TYPE_CHECKING:
-    from spoolcourse.control.workers.worker_registry import Leader, WorkerRegistry
-
 log = logging.getLogger(__name__)
 
 AVOID_S = 60.0  # a machine that a job failed on; forever, it might be left with none
-HEALTHY_S = 20.0  # a replica that has run for so long clears its service's pause
+HEALTHY_S = 20.0  # a replica that has run for so long clears its service's backoff
 REFUSED_START_PAUSE_S = 2.0  # after a start that the worker has refused
 
 
 class HeartbeatReconciler:
-    """Brings the registry in line with heartbeats under our fencing token."""
+    """Brings the machine table and the job queue in line with heartbeats under our token."""
 
-    def __init__(self, registry: WorkerRegistry, leader: Leader) -> None:
-        self._registry = registry
-        self._job_queue = registry.job_queue
+    def __init__(self, machines: MachineTable, leader: Leader) -> None:
+        self._machines = machines
+        self._job_queue = machines.job_queue
         self._leader = leader
 
     def reconcile(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
         """Bring what is known of a machine in line with its heartbeat."""
-        present = self._take_tasks(machine, heartbeat, now)
+        present = self._reconcile_reported(machine, heartbeat, now)
         if any(
-            _awaits_effect(attempt) and key not in present
-            for key, attempt in machine.attempts.items()
+            _awaits_effect(attempt) and task_id not in present
+            for task_id, attempt in machine.attempts.items()
         ):
-            self._registry.note_ineffective_answer(machine)
-        for key, attempt in list(machine.attempts.items()):
-            if key not in present:
-                self._take_absence(machine, attempt, heartbeat)
-        self._note_fetches(machine, now)
+            machine.record_ineffective_answer(now)
+        for task_id, attempt in list(machine.attempts.items()):
+            if task_id not in present:
+                self._reconcile_absent(machine, attempt, heartbeat)
+        _update_fetches(machine, now)
         if machine.attempts:
             machine.idle_since = None
         elif machine.idle_since is None:
             machine.idle_since = now
 
-    def _take_tasks(
+    # -- attempts that the heartbeat lists ---------------------------------------------------
+
+    def _reconcile_reported(
         self, machine: Machine, heartbeat: Heartbeat, now: float
-    ) -> set[tuple[str, int]]:
-        """What the heartbeat lists; the tasks whose attempts are there."""
-        present: set[tuple[str, int]] = set()
-        unexpected_tasks = set(machine.unexpected_attempts)
+    ) -> set[TaskId]:
+        """Take in what the heartbeat lists; the tasks whose counted attempts are there."""
+        present: set[TaskId] = set()
+        unexpected_before = set(machine.unexpected_attempts)
         machine.unexpected_attempts.clear()
-        for item in heartbeat.tasks:
-            job, task = parse_task_name(item.task)
-            attempt = machine.attempts.get((job, task))
-            if attempt is not None and attempt.number == item.attempt:
-                present.add((job, task))
-                self._take_progress(machine, attempt, item, now)
-            elif self._take_unexpected(machine, job, task, item, now):
-                present.add((job, task))
-        if unexpected_tasks != machine.unexpected_attempts:
+        for status in heartbeat.tasks:
+            task_id = parse_task_name(status.task)
+            attempt = machine.attempts.get(task_id)
+            if attempt is not None and attempt.number == status.attempt:
+                present.add(task_id)
+                self._update_attempt(machine, attempt, status, now)
+            elif self._reconcile_unexpected(machine, task_id, status, now):
+                present.add(task_id)
+        if unexpected_before != machine.unexpected_attempts:
             machine.change_count += 1
         return present
 
-    def _take_absence(self, machine: Machine, attempt: Attempt, heartbeat: Heartbeat) -> None:
-        """An attempt that the heartbeat does not list."""
-        if attempt.in_flight_incarnation != heartbeat.incarnation:
-            attempt.in_flight_incarnation = None  # of another incarnation: it would be refused
-        if attempt.stage is not AttemptStage.ASSIGNED:
-            log.info("%s: no longer on %s", attempt.name, machine.id)
-            self._registry.release_attempt(attempt)
-            return
-        sent_with = attempt.start_sent_with
-        if sent_with is not None and sent_with >= (heartbeat.incarnation, heartbeat.sequence):
-            return
-        attempt.start_sent_with = None  # that start never arrived and can't any more
-        unwanted = (
-            attempt.job_state.record.cancelled
-            or attempt.stopping
-            or machine.unresponsive_since is not None
-        )
-        if unwanted and attempt.in_flight_incarnation is None:
-            self._registry.release_attempt(attempt)
-
-    @staticmethod
-    def _note_fetches(machine: Machine, now: float) -> None:
-        """Since when images are being fetched there."""
-        fetched = {
-            attempt.job_state.record.submission.image
-            for attempt in machine.attempts.values()
-            if attempt.stage is AttemptStage.FETCHING
-        }
-        machine.fetching = {
-            image: machine.fetching.get(image, now)
-            for image in fetched
-            if image not in machine.images
-        }
-
-    def _take_progress(
-        self, machine: Machine, attempt: Attempt, item: TaskStatus, now: float
+    def _update_attempt(
+        self, machine: Machine, attempt: Attempt, status: TaskStatus, now: float
     ) -> None:
-        """What a heartbeat says of the attempt that counts there."""
-        if item.stage is TaskStage.ENDED:
-            self._take_end(machine, attempt, item.cause or "", now)
+        """Take in what a heartbeat says of the attempt that counts there."""
+        if status.stage is TaskStage.ENDED:
+            self._end_attempt(machine, attempt, status.cause or "", now)
             return
-        stage = REPORTED_STAGES[item.stage]
+        stage = REPORTED_STAGES[status.stage]
         if stage is not attempt.stage:
-            log.debug("%s: %s on %s", item.task, stage.value, machine.id)
+            log.debug(
+                "attempt %s: task=%s attempt=%d machine=%s",
+                stage.value,
+                status.task,
+                attempt.number,
+                machine.id,
+            )
             attempt.stage, attempt.since = stage, now
             machine.change_count += 1
         if attempt.is_on:
             job_state = attempt.job_state
-            self._note_image(machine, job_state.record.submission)
+            self._record_cached_image(machine, job_state.record.submission)
             machine.failed_jobs.discard(job_state.id)
             runs_well = now - attempt.since > HEALTHY_S
             if job_state.record.submission.is_service and job_state.failures and runs_well:
                 job_state.failures = 0
 
-    def _take_end(self, machine: Machine, attempt: Attempt, cause: str, now: float) -> None:
+    def _end_attempt(self, machine: Machine, attempt: Attempt, cause: str, now: float) -> None:
         job_state = attempt.job_state
-        log.debug("%s: ended, %s, on %s", attempt.name, cause, machine.id)
+        log.debug(
+            "attempt ended: task=%s attempt=%d machine=%s cause=%s",
+            attempt.name,
+            attempt.number,
+            machine.id,
+            cause,
+        )
         if attempt.in_flight_incarnation is not None or (
             attempt.sent_directly and cause != EndCause.DONE
         ):
             # A copy of the start may still be on its way to the worker's address. While the
             # worker remembers the attempt, the copy has no effect; once it has forgotten it, the
             # copy would start it.
-            machine.unacknowledgeable.add((job_state.id, attempt.task, attempt.number))
+            machine.unacknowledgeable.add(AttemptId(job_state.id, attempt.task, attempt.number))
         if cause == EndCause.DONE:
-            self._take_result(machine, attempt, now)
+            self._record_completion(machine, attempt, now)
         elif cause == EndCause.ERROR:
-            self._take_error(machine, attempt, now)
+            _record_error(machine, attempt, now)
         elif cause == EndCause.NO_ROOM:
             machine.no_room_until = now + REFUSED_START_PAUSE_S
-            log.info("%s: no room on %s", attempt.name, machine.id)
+            _log_refused_start(machine, attempt, cause)
         elif cause in (EndCause.OTHER_ATTEMPT_THERE, EndCause.NO_SUCH_TASK):
             job_state.retry_at = now + REFUSED_START_PAUSE_S
-            log.info("%s: %s on %s", attempt.name, cause, machine.id)
-        self._registry.release_attempt(attempt)
+            _log_refused_start(machine, attempt, cause)
+        self._machines.release_attempt(attempt)
 
-    def _take_result(self, machine: Machine, attempt: Attempt, now: float) -> None:
+    def _record_completion(self, machine: Machine, attempt: Attempt, now: float) -> None:
         job_state = attempt.job_state
-        self._note_image(machine, job_state.record.submission)
+        self._record_cached_image(machine, job_state.record.submission)
         if job_state.record.submission.is_service:
-            _count_failure(job_state, REPLICA_BACKOFF, now)
+            _count_failure(job_state, REPLICA_BACKOFF, now)  # a replica should run on
             return
         job_state.failures = 0
         self._job_queue.complete(job_state, attempt.task)
 
-    def _take_error(self, machine: Machine, attempt: Attempt, now: float) -> None:
-        job_state = attempt.job_state
-        job_state.bad_machines[machine.id] = now + AVOID_S
-        machine.failed_jobs.add(job_state.id)
-        is_service = job_state.record.submission.is_service
-        _count_failure(job_state, REPLICA_BACKOFF if is_service else ARRAY_BACKOFF, now)
-        log.info("%s: failed on %s", attempt.name, machine.id)
-
-    def _note_image(self, machine: Machine, submission: Submission) -> None:
+    def _record_cached_image(self, machine: Machine, submission: Submission) -> None:
         disk_gb = self._leader.disk_gb(machine.machine_type or "")
         machine.record_cached_image(submission.image, submission.image_gb, disk_gb)
 
-    def _take_unexpected(
-        self, machine: Machine, job: str, task: int, item: TaskStatus, now: float
+    # -- attempts that don't count there -----------------------------------------------------
+
+    def _reconcile_unexpected(
+        self, machine: Machine, task_id: TaskId, status: TaskStatus, now: float
     ) -> bool:
-        """Take in a task that is not the attempt counted there.
+        """Take in an attempt that does not count on this machine.
 
-        True if it was adopted as the attempt.
+        True if it was adopted, and counts from now on.
         """
-        job_state = self._job_queue.jobs.get(job)
-        if job_state is not None and task < job_state.record.submission.task_count:
-            if item.stage is TaskStage.ENDED:
-                if item.cause == EndCause.DONE and not job_state.record.submission.is_service:
-                    self._job_queue.complete(job_state, task)
-                    other = job_state.attempts.get(task)
-                    if other is not None:
-                        self._registry.request_stop(other)
+        job_state = self._job_queue.jobs.get(task_id.job)
+        if job_state is not None and task_id.index < job_state.record.submission.task_count:
+            if status.stage is TaskStage.ENDED:
+                self._record_unexpected_end(job_state, task_id.index, status)
                 return False
-            if (
-                task not in job_state.attempts
-                and not job_state.is_done(task)
-                and not job_state.record.cancelled
-            ):
-                # It runs and nobody else does: keep it.
-                attempt = self._job_queue.adopt(job_state, task, machine.id, item.attempt, now)
-                attempt.stage = REPORTED_STAGES[item.stage]
-                machine.attempts[job, task] = attempt
-                machine.change_count += 1
+            if _is_wanted(job_state, task_id.index):
+                self._adopt(machine, job_state, task_id, status, now)
                 return True
-        if item.stage is not TaskStage.ENDED:
-            machine.unexpected_attempts.add((job, task, item.attempt))
+        if status.stage is not TaskStage.ENDED:
+            machine.unexpected_attempts.add(AttemptId(*task_id, status.attempt))
         return False
 
+    def _record_unexpected_end(self, job_state: JobState, task: int, status: TaskStatus) -> None:
+        """A result counts whichever attempt has brought it; another attempt is stopped then."""
+        if status.cause != EndCause.DONE or job_state.record.submission.is_service:
+            return
+        self._job_queue.complete(job_state, task)
+        other = job_state.attempts.get(task)
+        if other is not None:
+            self._machines.request_stop(other)
+
+    def _adopt(
+        self,
+        machine: Machine,
+        job_state: JobState,
+        task_id: TaskId,
+        status: TaskStatus,
+        now: float,
+    ) -> None:
+        attempt = self._job_queue.adopt(job_state, task_id.index, machine.id, status.attempt, now)
+        attempt.stage = REPORTED_STAGES[status.stage]
+        machine.attempts[task_id] = attempt
+        machine.change_count += 1
+
+    # -- attempts that the heartbeat does not list -------------------------------------------
+
+    def _reconcile_absent(self, machine: Machine, attempt: Attempt, heartbeat: Heartbeat) -> None:
+        """Release an attempt that the heartbeat does not list, if it is proven gone."""
+        if attempt.in_flight_incarnation != heartbeat.incarnation:
+            attempt.in_flight_incarnation = None  # of another incarnation: it would be refused
+        if attempt.stage is not AttemptStage.ASSIGNED:
+            log.info(
+                "attempt gone: task=%s attempt=%d machine=%s",
+                attempt.name,
+                attempt.number,
+                machine.id,
+            )
+            self._machines.release_attempt(attempt)
+            return
+        sent_with = attempt.start_sent_with
+        if sent_with is not None and sent_with >= (heartbeat.incarnation, heartbeat.sequence):
+            return
+        attempt.start_sent_with = None  # that start never arrived and can't any more
+        unwanted = attempt.job_state.record.cancelled or attempt.stopping or machine.is_unresponsive
+        if unwanted and attempt.in_flight_incarnation is None:
+            self._machines.release_attempt(attempt)
+
 
 def _awaits_effect(attempt: Attempt) -> bool:
     """An answer carried its start, so the next heartbeat should show it."""
     return attempt.stage is AttemptStage.ASSIGNED and attempt.start_sent_with is not None
 
 
+def _is_wanted(job_state: JobState, task: int) -> bool:
+    """Whether the task should run and no attempt at it counts anywhere."""
+    return (
+        task not in job_state.attempts
+        and not job_state.is_done(task)
+        and not job_state.record.cancelled
+    )
+
+
+def _update_fetches(machine: Machine, now: float) -> None:
+    """Keep since when images are being fetched there."""
+    fetched = {
+        attempt.job_state.record.submission.image
+        for attempt in machine.attempts.values()
+        if attempt.stage is AttemptStage.FETCHING
+    }
+    machine.fetching = {
+        image: machine.fetching.get(image, now) for image in fetched if image not in machine.images
+    }
+
+
+def _record_error(machine: Machine, attempt: Attempt, now: float) -> None:
+    job_state = attempt.job_state
+    job_state.bad_machines[machine.id] = now + AVOID_S
+    machine.failed_jobs.add(job_state.id)
+    is_service = job_state.record.submission.is_service
+    _count_failure(job_state, REPLICA_BACKOFF if is_service else ARRAY_BACKOFF, now)
+    log.info(
+        "attempt failed: task=%s attempt=%d machine=%s", attempt.name, attempt.number, machine.id
+    )
+
+
+def _log_refused_start(machine: Machine, attempt: Attempt, cause: str) -> None:
+    log.info(
+        "start refused: task=%s attempt=%d machine=%s cause=%s",
+        attempt.name,
+        attempt.number,
+        machine.id,
+        cause,
+    )
+
+
 def _count_failure(job_state: JobState, backoff: Backoff, now: float) -> None:
     job_state.failures += 1
     pause_s = backoff.pause_s(job_state.failures)
--- a/spoolcourse/control/workers/worker_registry.py
+++ b/spoolcourse/control/workers/worker_registry.py
@@ -1,23 +1,23 @@
 """The leader's workers: which heartbeats count, and what silence and leases prove.
 
-What a heartbeat proves about tasks is worked out in `report_reconciler`, what a machine is told in
-`command_builder`.
+What a heartbeat proves about attempts is worked out in `reconciliation`, which commands a machine
+gets in `command_builder`. The states of a machine are described in `docs/machine-states.md`.
 """
 
 from __future__ import annotations
 
 import logging
-from collections import OrderedDict
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Protocol
 
-from spoolcourse.control.jobs.job_queue import Attempt, JobQueue
+from spoolcourse.control.jobs.job_queue import JobQueue
 from spoolcourse.control.leadership.failover_proof import FailoverProof
 from spoolcourse.control.leadership.failover_timeline import FailoverPhase
 from spoolcourse.control.leadership.renewal_deadline import DRIFT
 from spoolcourse.control.workers.command_builder import CommandBuilder
+from spoolcourse.control.workers.leader_interface import Leader
 from spoolcourse.control.workers.machine import Machine
+from spoolcourse.control.workers.machine_table import MachineTable
 from spoolcourse.control.workers.reconciliation import HeartbeatReconciler
 from spoolcourse.wire.commands import Command
 from spoolcourse.wire.messages import Heartbeat
@@ -26,17 +26,13 @@
 
 log = logging.getLogger(__name__)
 
-INEFFECTIVE_ANSWERS_MAX = 3  # within a lease: later answers will have no effect either
-# Names of deleted machines are remembered for so long, however many they are: heartbeats and lists
-# of them come late, by minutes at most.
-DELETED_NAMES_KEPT_S = 3600.0
 LEASE_MARGIN_S = 1.0  # beyond a lease and the clocks' drift, for a worker to end its tasks
 RENEWED_SHARE = 0.8  # of a lease: an answer that recent should have renewed it
 
 
 @dataclass(frozen=True, slots=True)
 class AcceptedHeartbeat:
-    """A heartbeat that is news: the commands to answer it with."""
+    """A heartbeat that is newer than what is known, with the commands to answer it with."""
 
     commands: list[Command]
 
@@ -53,32 +49,8 @@
 HeartbeatOutcome = AcceptedHeartbeat | OutdatedHeartbeat
 
 
-class Leader(Protocol):
-    """What the registry asks of the leader, and tells it."""
-
-    def may_start(self) -> bool:
-        """Whether nobody else can lead by now."""
-        ...
-
-    def is_job_over(self, job: str) -> bool:
-        """Whether the job can't be live any more."""
-        ...
-
-    def disk_gb(self, machine_type: str) -> float:
-        """How much a machine of the type caches."""
-        ...
-
-    def on_capacity_change(self) -> None:
-        """Something may be placed now that could not be before."""
-        ...
-
-    def record_phase(self, phase: FailoverPhase) -> None:
-        """The failover has come to a phase; told again and again, and noted once."""
-        ...
-
-
-class WorkerRegistry:
-    """All machines of the term."""
+class WorkerRegistry(MachineTable):
+    """The machine table of a term, kept up to date by heartbeats and leases."""
 
     def __init__(
         self,
@@ -88,85 +60,20 @@
         clock: Callable[[], float],
         leader: Leader,
     ) -> None:
-        self.job_queue = job_queue
+        super().__init__(job_queue, clock, workers.quiet_s, leader.on_capacity_change)
         self.proof = proof
         self.fencing_token = proof.fencing_token
+        self.leader = leader
         self._lease_s = workers.lease_s
         # After it a lease is over for certain.
         self._lease_over_s = workers.lease_s * (1 + DRIFT) + LEASE_MARGIN_S
-        self._clock = clock
-        self.leader = leader
         self._reconciler = HeartbeatReconciler(self, leader)
         self.commands = CommandBuilder(self, leader, clock)
-        self.machines: dict[str, Machine] = {}
-        # When each was deleted, the earliest first; names never come back.
-        self.deleted_names: OrderedDict[str, float] = OrderedDict()
-        self.pending_commands: set[str] = set()  # machines that may have something to be sent
-        self.suspect_after_s = workers.quiet_s
         # What the leader before knew to be cached; it counts in the same incarnation only.
         self.hinted_images: dict[str, Hint] = {}
 
-    def ensure_machine(self, name: str) -> Machine:
-        """The machine of this name; made known if it was not."""
-        machine = self.machines.get(name)
-        if machine is None:
-            machine = self.machines[name] = Machine(
-                name, self._clock(), fencing_token_seen_at=self._clock()
-            )
-        return machine
-
-    def is_suspect(self, machine: Machine) -> bool:
-        """Whether a machine has missed its heartbeats for certain.
-
-        Its answers to calls don't count: a machine that reaches no controller loses with its lease
-        whatever calls start there. That proves nothing about what it holds, but nothing new is put
-        there, nor is it called: with a zone cut off, hundreds of calls that hang would keep those
-        to the rest waiting, and work would be bound until leases end.
-        """
-        return (
-            machine.last_heartbeat_at is not None
-            and self._clock() - machine.last_own_heartbeat_at > self.suspect_after_s
-        )
-
-    def track_attempt(self, attempt: Attempt) -> None:
-        """Note on its machine that an attempt may be there."""
-        machine = self.ensure_machine(attempt.machine)
-        machine.attempts[attempt.job_state.id, attempt.task] = attempt
-        machine.change_count += 1
-        machine.idle_since = None
-        self.pending_commands.add(machine.id)
-
-    def request_stop(self, attempt: Attempt) -> None:
-        """Have an attempt stopped; it counts until it is proven gone."""
-        attempt.stopping = True
-        self.ensure_machine(attempt.machine).change_count += 1
-        self.pending_commands.add(attempt.machine)
-
-    def release_attempt(self, attempt: Attempt) -> None:
-        """Forget an attempt that is proven gone."""
-        machine = self.machines.get(attempt.machine)
-        if machine is not None:
-            key = (attempt.job_state.id, attempt.task)
-            if machine.attempts.get(key) is attempt:
-                del machine.attempts[key]
-                machine.change_count += 1
-        self.job_queue.drop(attempt)
-        self.leader.on_capacity_change()
-
-    def forget_deleted_machine(self, name: str) -> None:
-        """The cloud has confirmed that the machine and all on it are gone."""
-        now = self._clock()
-        self.deleted_names[name] = now
-        self.deleted_names.move_to_end(name)
-        while next(iter(self.deleted_names.values())) < now - DELETED_NAMES_KEPT_S:
-            self.deleted_names.popitem(last=False)
-        machine = self.machines.pop(name, None)
-        if machine is not None:
-            for attempt in list(machine.attempts.values()):
-                self.release_attempt(attempt)
-
     def expire_leases(self) -> None:
-        """Drop what is proven gone by leases that have run out.
+        """Release what is proven gone by leases that have run out.
 
         Silence alone proves nothing. A lease proves an end only for a worker that has reported our
         fencing token in this incarnation: nobody else's answer can have renewed it.
@@ -179,60 +86,27 @@
                 and machine.lease_started_at is not None
                 and now - machine.lease_started_at > self._lease_over_s
             ):
-                log.info("%s: silent, its lease has run out", machine.id)
-                machine.lease_expired = True
-                # What still comes from that incarnation was held on the way: a sign of life
-                # starts with the next one.
-                machine.incarnation, machine.sequence = machine.incarnation + 1, -1
-                machine.confirmed = False
-                machine.unexpected_attempts.clear()
-                machine.change_count += 1
-                for attempt in list(machine.attempts.values()):
-                    self.release_attempt(attempt)
-
-    # -- machines that don't get our answers ------------------------------------------
-
-    def note_ineffective_answer(self, machine: Machine) -> None:
-        """Count an answer that had no effect.
-
-        After some of them the machine gets no more work, and what it was to start goes elsewhere
-        once that is proven not to have arrived: those tasks would stay bound to it forever, for
-        its heartbeats go on and it is never silent.
-        """
-        machine.ineffective_answers += 1
-        machine.answers_unproven_since = self._clock()
-        if (
-            machine.ineffective_answers >= INEFFECTIVE_ANSWERS_MAX
-            and machine.unresponsive_since is None
-        ):
-            log.info("%s: takes no answers", machine.id)
-            machine.unresponsive_since = self._clock()
+                log.info("lease expired, machine silent: machine=%s", machine.id)
+                machine.record_lease_expiry()
+                self.release_all_attempts(machine)
 
     # -- heartbeats ------------------------------------------------------------------
 
     def process_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatOutcome:
-        """Take in a heartbeat that carries no higher fencing token than ours."""
+        """Take in a machine's own heartbeat that carries no higher fencing token than ours."""
         now = self._clock()
         if heartbeat.machine in self.deleted_names:
             return OutdatedHeartbeat()
         machine = self.ensure_machine(heartbeat.machine)
-        if (heartbeat.incarnation, heartbeat.sequence) <= (machine.incarnation, machine.sequence):
+        if not machine.is_newer(heartbeat):
             return OutdatedHeartbeat()
         self._apply_newer_heartbeat(machine, heartbeat)
         machine.last_own_heartbeat_at = machine.last_answered_at = machine.lease_started_at = now
         under_our_token = heartbeat.fencing_token == self.fencing_token
         return AcceptedHeartbeat(self.commands.build_response(machine, heartbeat, under_our_token))
 
-    def _take_hinted_images(self, machine: Machine) -> None:
-        hint = self.hinted_images.pop(machine.id, None)
-        if hint is None or hint.incarnation != machine.incarnation:
-            return
-        disk_gb = self.leader.disk_gb(machine.machine_type or "")
-        for image, size_gb in reversed(hint.images.items()):
-            machine.record_cached_image(image, size_gb, disk_gb)
-
     def observe_unanswered_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Take in a heartbeat that is not answered, and so renews nothing."""
+        """Take in a machine's own heartbeat that is not answered, and so renews nothing."""
         self.observe_heartbeat(heartbeat)
         machine = self.machines.get(heartbeat.machine)
         if machine is not None and (heartbeat.incarnation, heartbeat.sequence) == (
@@ -242,60 +116,66 @@
             machine.last_own_heartbeat_at = self._clock()
 
     def observe_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Take in a heartbeat that came as the answer to a call."""
+        """Take in a heartbeat that came as the response to a call."""
         if heartbeat.machine in self.deleted_names:
             return
         machine = self.ensure_machine(heartbeat.machine)
-        if (heartbeat.incarnation, heartbeat.sequence) > (machine.incarnation, machine.sequence):
+        if machine.is_newer(heartbeat):
             self._apply_newer_heartbeat(machine, heartbeat)
 
     def _apply_newer_heartbeat(self, machine: Machine, heartbeat: Heartbeat) -> None:
-        """Take in a heartbeat that is newer than what is known."""
         now = self._clock()
         if (
             heartbeat.incarnation != machine.incarnation
             or machine.lease_expired
             or machine.last_heartbeat_at is None
         ):
-            if (
-                machine.confirmed
-                and machine.last_answered_at is not None
-                and now - machine.last_answered_at < RENEWED_SHARE * self._lease_s
-            ):
-                self.note_ineffective_answer(machine)  # its lease ran out although it was answered
-            machine.confirmed = False
-            machine.unacknowledgeable.clear()
-            machine.answers_unproven_since = now
+            self._begin_incarnation(machine, now)
         elif now - machine.answers_unproven_since > self._lease_over_s:
             # The incarnation has outlived a lease since, so answers do arrive. Commands that
             # arrive at its address are no such proof: they renew nothing.
-            machine.ineffective_answers = 0
-            machine.unresponsive_since = None
+            machine.clear_ineffective_answers()
         if machine.last_heartbeat_at is None:
-            machine.fencing_token_seen_at = (
-                now  # it had to boot first: nothing could be proven before
-            )
+            # It had to boot first: nothing could be proven before.
+            machine.fencing_token_seen_at = now
             machine.last_own_heartbeat_at = now
-        machine.last_heartbeat_at = now
-        machine.incarnation, machine.sequence = heartbeat.incarnation, heartbeat.sequence
-        machine.machine_type, machine.zone = heartbeat.machine_type, heartbeat.zone
-        machine.spot, machine.address = heartbeat.spot, heartbeat.address
-        machine.expected_ready_at = None
-        machine.lease_expired = False
-        if heartbeat.terminates_in_s is not None:
-            machine.terminates_at = now + max(heartbeat.terminates_in_s, 0.0)
-        else:
-            machine.terminates_at = None
+        machine.record_heartbeat(heartbeat, now)
         if heartbeat.fencing_token == self.fencing_token:
             machine.fencing_token_seen_at = now
             if not machine.confirmed:
-                machine.confirmed = True
-                # A incarnation that only calls have shown, as of a machine that reaches nobody: it
-                # may have begun just now. With an answer of before, its tasks would be taken
-                # for gone while they run.
-                machine.lease_started_at = now
-                log.debug("%s: confirmed in incarnation %d", machine.id, heartbeat.incarnation)
-                self.leader.record_phase(FailoverPhase.FIRST_WORKER)
-                self._take_hinted_images(machine)
-                self.leader.on_capacity_change()
+                self._confirm_incarnation(machine, now)
             self._reconciler.reconcile(machine, heartbeat, now)
+
+    def _begin_incarnation(self, machine: Machine, now: float) -> None:
+        if (
+            machine.confirmed
+            and machine.last_answered_at is not None
+            and now - machine.last_answered_at < RENEWED_SHARE * self._lease_s
+        ):
+            # Its lease ran out although it was answered.
+            machine.record_ineffective_answer(now)
+        machine.confirmed = False
+        machine.unacknowledgeable.clear()
+        machine.answers_unproven_since = now
+
+    def _confirm_incarnation(self, machine: Machine, now: float) -> None:
+        """The incarnation is under our fencing token: nobody else can renew its lease now."""
+        machine.confirmed = True
+        # An incarnation that only calls have shown, as of a machine that reaches no controller,
+        # may have begun just now. With an answer of before, its tasks would be taken for gone
+        # while they run.
+        machine.lease_started_at = now
+        log.debug(
+            "incarnation confirmed: machine=%s incarnation=%d", machine.id, machine.incarnation
+        )
+        self.leader.record_phase(FailoverPhase.FIRST_WORKER)
+        self._apply_hinted_images(machine)
+        self.leader.on_capacity_change()
+
+    def _apply_hinted_images(self, machine: Machine) -> None:
+        hint = self.hinted_images.pop(machine.id, None)
+        if hint is None or hint.incarnation != machine.incarnation:
+            return
+        disk_gb = self.leader.disk_gb(machine.machine_type or "")
+        for image, size_gb in reversed(hint.images.items()):
+            machine.record_cached_image(image, size_gb, disk_gb)
--- a/spoolcourse/wire/messages.py
+++ b/spoolcourse/wire/messages.py
@@ -11,6 +11,8 @@
 import msgspec
 import orjson
 
+from spoolcourse.wire.identities import TaskId
+
 T = TypeVar("T")
 
 RANKS = ("prod", "high", "standard", "best_effort")  # the highest first
@@ -253,12 +255,12 @@
 
 
 @lru_cache(maxsize=65_536)  # every heartbeat names the same tasks again
-def parse_task_name(name: str) -> tuple[str, int]:
-    """The job and the index of the task that a name in a heartbeat means."""
+def parse_task_name(name: str) -> TaskId:
+    """The task that a name in a heartbeat means; raises `MalformedError`."""
     job, slash, index = name.partition("/")
     if not slash or not JOB_ID.fullmatch(job) or not index.isascii() or not index.isdigit():
         raise MalformedError(f"piece: {name[:60]!r} is not JOB/NUMBER")
-    return job, int(index)
+    return TaskId(job, int(index))
 
 
 def parse_heartbeat(raw: bytes) -> Heartbeat:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -19,7 +19,7 @@
 from spoolcourse.control.workers.call_limit import concurrent_call_limit
 from spoolcourse.control.workers.heartbeat_relay import HeartbeatRelay
 from spoolcourse.control.workers.machine import Machine
-from spoolcourse.control.workers.worker_registry import DELETED_NAMES_KEPT_S
+from spoolcourse.control.workers.machine_table import DELETED_NAMES_KEPT_S
 from spoolcourse.wire.settings import Seed
 from tests.fakes.clock import play
 from tests.fakes.registry import RegistryHarness
