--- a/tests/golden/adapter.py
+++ b/tests/golden/adapter.py
@@ -20,6 +20,7 @@
 from spoolcourse.control.placement.preempt import choose_victims
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.policy.keys import Policy
+from spoolcourse.wire.identities import TaskId
 from spoolcourse.wire.messages import HostStage, MachineType
 from tests.golden.inputs import NOW, SIZES, Fields
 
@@ -141,17 +142,17 @@
     number = machine["machine_type"]
     known = Machine(
         id=machine["name"],
-        since=0.0,
+        first_seen_at=0.0,
         machine_type=None if number is None else f"type-{number}",
         spot=machine["spot"],
         confirmed=machine["confirmed"],
-        heard_at=machine["heard_at"],
-        deleting=machine["deleting"],
+        last_heartbeat_at=machine["heard_at"],
+        deletion_requested=machine["deleting"],
         listed_stage=HostStage.FAILED if machine["failed"] else None,
         scale_in_candidate=machine["surplus"],
     )
     for task in range(machine["attempts"]):  # only their number counts
-        known.attempts[machine["name"], task] = cast(Attempt, None)
+        known.attempts[TaskId(machine["name"], task)] = cast(Attempt, None)
     return known
 
 
--- a/tests/golden_records/adapter.py
+++ b/tests/golden_records/adapter.py
@@ -413,10 +413,10 @@
 def readings() -> dict[str, Any]:
     """What the product reads in recorded answers and values, as plain data."""
     data = {name: orjson.loads(text) for name, text in ANSWERS_OF_THE_STORE.items()}
-    revision, changes = key_value_store.read_changes(data["changes"])
+    watched = key_value_store.read_watch(data["changes"])
     outcomes = (
-        key_value_store.carried_out(data["carried out"]),
-        key_value_store.conditions_failed(data["conditions failed"]),
+        key_value_store.read_success(data["carried out"]),
+        key_value_store.read_conflict(data["conditions failed"]),
     )
     pages = [key_value_store.read_page(data[name]) for name in ("page", "page, empty")]
     entry = key_value_store.read_entry("a", data["entry"])
@@ -431,9 +431,14 @@
             [[[e.key, e.value, e.revision] for e in p.entries], p.has_next, p.store_revision]
             for p in pages
         ],
-        "store changes": [revision, [[c.key, c.value, c.revision] for c in changes]],
+        "store changes": [
+            watched.store_revision,
+            [[c.key, c.value, c.revision] for c in watched.changes],
+        ],
         "store lease": key_value_store.read_lease(data["lease"]),
-        "store outcomes": [[o.ok, o.store_revision, list(o.failed)] for o in outcomes],
+        "store outcomes": [
+            [o.succeeded, o.store_revision, list(o.conflicting_keys)] for o in outcomes
+        ],
         "store, no such lease": key_value_store.NO_SUCH_LEASE,
         "cloud, no capacity": cloud.NO_CAPACITY,
         "cloud limits": [cloud.LIST_PAGE, cloud.DELETE_MAX, cloud.PROVISION_MAX],
@@ -448,8 +453,8 @@
             orjson.dumps(records.FinalState.from_value({"stage": "aborted"}).value())
         ),
         "task name": messages.task_name("job-000001", 12),
-        "task of a name": list(messages.split_task_name("job-000001/12")),
-        "progress of a key": list(keys.split_progress("spoolcourse/live/prog/job-000001/12")),
+        "task of a name": list(messages.parse_task_name("job-000001/12")),
+        "progress of a key": list(keys.parse_progress_key("spoolcourse/live/prog/job-000001/12")),
         "ranks": list(messages.RANKS),
         "end causes": [cause.value for cause in messages.EndCause],
         "report as it came": orjson.loads(
@@ -475,7 +480,7 @@
         "store watch": key_value_store.watch_path("spoolcourse/", 17, 2.5),
         "store lease renewal": key_value_store.renew_path(7),
         "store lease end": key_value_store.lease_path(7),
-        "key of a base part": keys.base_part_key(2),
+        "key of a base part": keys.initial_machines_part_key(2),
         "key of a job": keys.job_key("job-000001"),
         "key of a final state": keys.final_key("job-000001"),
         "key of progress": keys.progress_key("job-000001", 3),
@@ -500,15 +505,15 @@
         "transaction": paths.TRANSACTION,
         "leases": paths.LEASES,
         "key prefix": keys.PREFIX,
-        "key prefix of what lives": keys.LIVE,
-        "key of the leader": keys.LEADER,
-        "key of the term": keys.TERM,
-        "key of the base": keys.BASE,
-        "key of the level": keys.LEVEL,
-        "key of the catalog": keys.CATALOG,
-        "key prefix of jobs": keys.JOB,
-        "key prefix of progress": keys.PROGRESS,
-        "key prefix of final states": keys.FINAL,
+        "key prefix of what lives": keys.LIVE_PREFIX,
+        "key of the leader": keys.LEADER_KEY,
+        "key of the term": keys.TERM_KEY,
+        "key of the base": keys.INITIAL_MACHINES_KEY,
+        "key of the level": keys.FEATURE_LEVEL_KEY,
+        "key of the catalog": keys.CATALOG_KEY,
+        "key prefix of jobs": keys.JOB_PREFIX,
+        "key prefix of progress": keys.PROGRESS_PREFIX,
+        "key prefix of final states": keys.FINAL_PREFIX,
     }
     return built | fixed
 
@@ -695,7 +700,7 @@
         }
         | {
             f"task name: {name}": _refusal(
-                lambda raw: messages.split_task_name(raw.decode()), name.encode()
+                lambda raw: messages.parse_task_name(raw.decode()), name.encode()
             )
             for name in ("", "job-000001", "job-1/0", "job-000001/x", "job-000001/", "/0")
         }
