--- a/spoolcourse/control/machines/cancelled_work.py
+++ b/spoolcourse/control/autoscaling/cancelled_work.py
@@ -7,12 +7,12 @@
 
 from collections.abc import Callable
 
-from spoolcourse.control.fleet.machine import Machine
 from spoolcourse.control.jobs.job_queue import JobQueue
+from spoolcourse.control.workers.machine import Machine
 from spoolcourse.wire.settings import Workers
 
 SHARE = 0.4  # of `cancel_s`: its tasks should have ended by then, and a deletion may need retries
-TRANSIT_S = 0.5  # of a report
+TRANSIT_S = 0.5  # of a heartbeat
 LAST_CALL_S = 5.0  # for the deletion itself
 
 
@@ -36,11 +36,11 @@
     def _patience(self, age_when_learned: float) -> float:
         """How long machines are given to be told.
 
-        A leader that took over, or learned late, has less left; but each is given its next report,
-        or a fleet that is about to be told would be deleted (and leases end what no leader that
-        knows less may keep alive).
+        A leader that took over, or learned late, has less left; but each is given its next
+        heartbeat, or a fleet that is about to be told would be deleted (and leases end what no
+        leader that knows less may keep alive).
         """
-        next_report = self._workers.report_gap_s + TRANSIT_S
+        next_report = self._workers.heartbeat_gap_s + TRANSIT_S
         left = self._workers.cancel_s - LAST_CALL_S - age_when_learned
         return min(self._workers.quiet_s, max(left, next_report))
 
@@ -52,7 +52,7 @@
         now, wall_clock = self._clock(), self._wall_clock()
         found = {}
         for job_state in self._job_queue.jobs.values():
-            at = job_state.record.aborted_at
+            at = job_state.record.cancelled_at
             if at is None:
                 continue
             age = wall_clock - at + self._skew_s
@@ -70,8 +70,8 @@
         """
         if not overdue:
             return False
-        known = self._clock() - machine.since
+        known = self._clock() - machine.first_seen_at
         jobs = {job for job, _ in machine.attempts} | {
-            unexpected[0] for unexpected in machine.unexpected_tasks
+            unexpected[0] for unexpected in machine.unexpected_attempts
         }
         return any(known > overdue[job] for job in jobs if job in overdue)
--- a/spoolcourse/control/machines/surplus.py
+++ b/spoolcourse/control/autoscaling/excess_capacity.py
@@ -1,18 +1,18 @@
-"""How much capacity there is beside what was wanted of late, and which machines are too many."""
+"""How much capacity there is beside what was wanted recently, and which machines are too many."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from spoolcourse.control.fleet.machine import Machine
-from spoolcourse.control.fleet.worker_registry import WorkerRegistry
-from spoolcourse.control.machines.demand import Demand
-from spoolcourse.control.machines.fleet_view import FleetView
+from spoolcourse.control.autoscaling.demand import Demand
+from spoolcourse.control.autoscaling.fleet_view import FleetView
+from spoolcourse.control.workers.machine import Machine
+from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.policy.keys import KEYS, Policy
 from spoolcourse.wire.messages import HostStage
 
 
-class Surplus:
+class ExcessCapacity:
     """Compares the fleet with the peaks of demand."""
 
     def __init__(
@@ -34,7 +34,7 @@
         return wanted - self._capacity()
 
     def mark(self, now: float, base: frozenset[str], reserved: set[str]) -> None:
-        """Mark ordinary machines above what was wanted of late, the emptiest first.
+        """Mark ordinary machines above what was wanted recently, the emptiest first.
 
         They cost a multiple of spot ones; marked, they run empty and go. Types that some jobs
         depend on stay, and so do those reserved for services.
@@ -44,14 +44,14 @@
         ordinary = [
             machine
             for machine in self._registry.machines.values()
-            if machine.spot is False and machine.placeable and machine.id not in base
+            if machine.spot is False and machine.is_schedulable and machine.id not in base
         ]
         # Those already marked stay marked if possible: they have run emptier since.
-        for machine in sorted(ordinary, key=lambda m: (not m.surplus, len(m.attempts))):
+        for machine in sorted(ordinary, key=lambda m: (not m.scale_in_candidate, len(m.attempts))):
             cpus = self._view.cpus(machine)
             needed = machine.id in reserved or self._is_rare(machine.machine_type or "")
-            machine.surplus = cpus <= spare and not needed
-            if machine.surplus:
+            machine.scale_in_candidate = cpus <= spare and not needed
+            if machine.scale_in_candidate:
                 spare -= cpus
 
     def _capacity(self) -> float:
@@ -59,13 +59,13 @@
         return sum(
             sizes.get(machine.machine_type or "", 0.0)
             for machine in self._registry.machines.values()
-            if machine.placeable or _is_coming(machine)
+            if machine.is_schedulable or _is_coming(machine)
         )
 
 
 def _is_coming(machine: Machine) -> bool:
     return (
-        machine.heard_at is None
-        and not machine.deleting
+        machine.last_heartbeat_at is None
+        and not machine.deletion_requested
         and machine.listed_stage is not HostStage.FAILED
     )
--- a/spoolcourse/control/machines/fleet_summary.py
+++ b/spoolcourse/control/autoscaling/fleet_summary.py
@@ -5,9 +5,9 @@
 import logging
 from dataclasses import dataclass
 
-from spoolcourse.control.fleet.machine import Machine
-from spoolcourse.control.fleet.worker_registry import WorkerRegistry
-from spoolcourse.control.machines.fleet_view import FleetView
+from spoolcourse.control.autoscaling.fleet_view import FleetView
+from spoolcourse.control.workers.machine import Machine
+from spoolcourse.control.workers.worker_registry import WorkerRegistry
 
 log = logging.getLogger(__name__)
 
@@ -16,16 +16,16 @@
 class _KindSummary:
     machines: int = 0
     booting: int = 0
-    surplus: int = 0
+    scale_in_candidate: int = 0
     empty: int = 0
     cpus: float = 0.0
     taken_cpus: float = 0.0
 
     def add(self, machine: Machine, cpus: float) -> None:
         self.machines += 1
-        self.booting += machine.heard_at is None
-        self.surplus += machine.surplus
-        self.empty += machine.heard_at is not None and not machine.attempts
+        self.booting += machine.last_heartbeat_at is None
+        self.scale_in_candidate += machine.scale_in_candidate
+        self.empty += machine.last_heartbeat_at is not None and not machine.attempts
         self.cpus += cpus
         self.taken_cpus += sum(
             a.job_state.record.submission.cpus for a in machine.attempts.values()
@@ -46,7 +46,7 @@
             "yes" if spot else "no",
             summary.machines,
             summary.booting,
-            summary.surplus,
+            summary.scale_in_candidate,
             summary.empty,
             summary.cpus,
             summary.taken_cpus,
--- a/spoolcourse/control/machines/replica_places.py
+++ b/spoolcourse/control/autoscaling/replica_places.py
@@ -9,13 +9,13 @@
 from collections import Counter
 from collections.abc import Callable
 
-from spoolcourse.control.fleet.machine import Machine
-from spoolcourse.control.fleet.worker_registry import WorkerRegistry
 from spoolcourse.control.jobs.job_queue import Attempt, JobState
+from spoolcourse.control.workers.machine import Machine
+from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.wire.messages import MachineType, fits
 from spoolcourse.wire.settings import Workers
 
-LATE_S = 1.0  # for a report on its way, and for this process to get round to it
+LATE_S = 1.0  # for a heartbeat on its way, and for this process to get round to it
 
 
 class ReplicaPlaces:
@@ -31,7 +31,7 @@
         self._registry = registry
         self._clock = clock
         self._machine_types = machine_types
-        self.late_s = workers.report_gap_s + LATE_S
+        self.late_s = workers.heartbeat_gap_s + LATE_S
 
     def has_place_elsewhere(self, replica: Attempt) -> bool:
         """Whether some other machine takes the replica under the rules of any start.
@@ -41,10 +41,10 @@
         now = self._clock()
         types = self._machine_types()
         for machine in self._registry.machines.values():
-            if machine.id == replica.machine or not machine.placeable:
+            if machine.id == replica.machine or not machine.is_schedulable:
                 continue
             machine_type = types.get(machine.machine_type or "")
-            if machine_type is None or now - machine.reported_at > self.late_s:
+            if machine_type is None or now - machine.last_own_heartbeat_at > self.late_s:
                 continue
             if _takes(machine, machine_type, replica.job_state) and self._zone_takes(
                 replica, machine
@@ -73,7 +73,7 @@
         attempt
         for attempt in machine.attempts.values()
         if attempt.job_state.record.submission.is_service
-        and not attempt.job_state.record.aborted
+        and not attempt.job_state.record.cancelled
         and not attempt.never_sent
     ]
 
--- a/spoolcourse/control/machines/renting.py
+++ b/spoolcourse/control/autoscaling/scale_out.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from spoolcourse.control.leader.leader_context import LeaderContext
-from spoolcourse.control.machines.cloud import CloudError, CloudWriter, NoCapacityError
-from spoolcourse.control.machines.fleet_view import FleetView
-from spoolcourse.wire.cloud import HIRE_MAX, MachineKind
+from spoolcourse.control.autoscaling.fleet_view import FleetView
+from spoolcourse.control.cloud.client import CloudError, CloudWriter, NoCapacityError
+from spoolcourse.control.leader_context import LeaderContext
+from spoolcourse.wire.cloud import PROVISION_MAX, MachineKind
 
 log = logging.getLogger(__name__)
 
@@ -29,12 +29,12 @@
 def _requests(count: int) -> Iterator[int]:
     """The sizes of the requests that ask for so many machines."""
     while count > 0:
-        asked = min(count, HIRE_MAX)
+        asked = min(count, PROVISION_MAX)
         yield asked
         count -= asked
 
 
-class Renting:
+class ScaleOut:
     """Asks for what the last pass wanted."""
 
     def __init__(
@@ -88,7 +88,7 @@
         for _ in range(TRIES):
             asked_at = self._clock()
             try:
-                names = await self._cloud.hire(name, kind, count)
+                names = await self._cloud.provision(name, kind, count)
             except NoCapacityError:
                 self._note_refusal(kind)
                 return
@@ -103,15 +103,15 @@
         for name in names:
             if name in self._registry.deleted_names:
                 continue
-            machine = self._registry.machine(name)
+            machine = self._registry.ensure_machine(name)
             machine.machine_type, machine.zone, machine.spot = (
                 kind.machine_type,
                 kind.zone,
                 kind.spot,
             )
             machine.rented_at = asked_at
-            if machine.heard_at is None:
-                machine.up_at = asked_at + self._view.boot_s(machine)
+            if machine.last_heartbeat_at is None:
+                machine.expected_ready_at = asked_at + self._view.boot_s(machine)
         log.info("hired %d of %d %s: %s", len(names), count, _words(kind), " ".join(names))
         if len(names) < count:
             self._note_refusal(kind)
--- a/spoolcourse/control/machines/service_reserve.py
+++ b/spoolcourse/control/autoscaling/service_reserve.py
@@ -10,9 +10,9 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from spoolcourse.control.fleet.machine import Machine
-from spoolcourse.control.fleet.worker_registry import WorkerRegistry
-from spoolcourse.control.machines.fleet_view import FleetView
+from spoolcourse.control.autoscaling.fleet_view import FleetView
+from spoolcourse.control.workers.machine import Machine
+from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.policy.keys import Policy
 
 
@@ -54,7 +54,7 @@
     def _zones(self) -> dict[str, _Zone]:
         zones: defaultdict[str, _Zone] = defaultdict(_Zone)
         for machine in self._registry.machines.values():
-            if machine.spot is not False or not machine.placeable:
+            if machine.spot is not False or not machine.is_schedulable:
                 continue
             zone = zones[machine.zone or ""]
             held_cpus = _held_by_replicas(machine)
--- a/spoolcourse/control/catalog.py
+++ b/spoolcourse/control/cloud/catalog.py
@@ -1,7 +1,7 @@
 """The machine types and their prices, read from the cloud now and then.
 
-The types are kept in the state service as well, so that a node that starts while the cloud is out
-can take submissions.
+The types are kept in the key-value store as well, so that a controller that starts while the cloud
+is out can take submissions.
 """
 
 from __future__ import annotations
@@ -11,14 +11,15 @@
 import random
 from typing import Any
 
+from spoolcourse.control.cloud.client import Cloud, CloudError, NoCapacityError
 from spoolcourse.control.leadership.election import Leadership
-from spoolcourse.control.machines.cloud import Cloud, CloudError, NoCapacityError
-from spoolcourse.control.store.client import RefusedError, StoreClient, UnclearError
-from spoolcourse.control.store.keys import CATALOG
+from spoolcourse.control.store.client import StoreClient
+from spoolcourse.control.store.errors import StoreUnavailableError
+from spoolcourse.control.store.keys import CATALOG_KEY
 from spoolcourse.control.store.records import catalog_value
 from spoolcourse.control.store.watch_cache import WatchCache
+from spoolcourse.wire.key_value_store import Put
 from spoolcourse.wire.messages import Catalog, MachineType, MalformedError, parse
-from spoolcourse.wire.state_service import Put
 
 log = logging.getLogger(__name__)
 
@@ -27,7 +28,7 @@
 FOLLOWING_S = 60.0
 RETRY_S = 1.0  # without it nothing can be accepted
 STORE_RETRY_S = 5.0  # the stored one is for starts during an outage of the cloud
-JITTER = (0.8, 1.2)  # so that the nodes don't ask in step
+JITTER = (0.8, 1.2)  # so that the controllers don't ask in step
 
 
 class CatalogLoop:
@@ -41,7 +42,7 @@
         self._watch_cache = watch_cache
         self._leadership = leadership
         self.machine_types: dict[str, MachineType] = {}
-        watch_cache.listen(self._on_change)
+        watch_cache.add_listener(self._on_change)
 
     async def run(self) -> None:
         """Run until cancelled."""
@@ -54,13 +55,13 @@
             except (CloudError, NoCapacityError) as exc:
                 log.info("catalog: %s", exc)
                 pause = RETRY_S
-            except (RefusedError, UnclearError) as exc:
+            except StoreUnavailableError as exc:
                 log.debug("catalog not stored: %s", exc)
                 pause = STORE_RETRY_S
             await asyncio.sleep(pause * random.uniform(*JITTER))
 
     def _on_change(self, key: str, value: Any, revision: int) -> None:
-        if key != CATALOG or value is None or self.machine_types:
+        if key != CATALOG_KEY or value is None or self.machine_types:
             return
         try:
             self._take(parse(value, Catalog))
@@ -74,13 +75,15 @@
         if not self._leadership.valid():
             return
         machine_types = sorted(catalog.machine_types, key=lambda kind: kind.name)
-        entry = self._watch_cache.get(CATALOG)
+        entry = self._watch_cache.get(CATALOG_KEY)
         if entry is not None:
             stored = parse(entry.value, Catalog).machine_types
             if {kind.name for kind in stored} == {kind.name for kind in machine_types}:
                 return
         value = catalog_value(machine_types)
-        revision = self._watch_cache.revision(CATALOG)
-        outcome = await self._client.txn({CATALOG: revision}, [Put(CATALOG, value)])
-        if outcome.ok:
-            self._watch_cache.apply(CATALOG, value, outcome.store_revision)
+        revision = self._watch_cache.revision(CATALOG_KEY)
+        outcome = await self._client.compare_and_swap(
+            {CATALOG_KEY: revision}, [Put(CATALOG_KEY, value)]
+        )
+        if outcome.succeeded:
+            self._watch_cache.apply(CATALOG_KEY, value, outcome.store_revision)
--- a/spoolcourse/control/context.py
+++ b/spoolcourse/control/context.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from spoolcourse.control.cloud.client import Cloud
+from spoolcourse.control.http_client import HttpClient
 from spoolcourse.control.jobs.job_index import JobIndex
-from spoolcourse.control.load import Load
-from spoolcourse.control.machines.cloud import Cloud
-from spoolcourse.control.net import Net
+from spoolcourse.control.process_load import Load
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.policy.keys import PolicySource
@@ -20,7 +20,7 @@
 class ControllerContext:
     """Made once for a controller, and handed to each leader term of it."""
 
-    net: Net
+    net: HttpClient
     client: StoreClient
     watch_cache: WatchCache
     job_index: JobIndex
--- a/spoolcourse/control/standby/comparison.py
+++ b/spoolcourse/control/failover/comparison.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from spoolcourse.control.failover.restore import RestoredJobs
 from spoolcourse.control.jobs.job_queue import Attempt, Chunk, JobState
-from spoolcourse.control.standby.restore import RestoredJobs
 
 ChunkForm = tuple[int, dict[int, tuple[str, int]], int, int, int]
 AttemptForm = tuple[int, int, str, int, str]
@@ -34,7 +34,7 @@
         "tasks done": (one.done, other.done),
         "tasks to be tried again": (one.requeued, other.requeued),
         "first task that was never assigned": (one.first_unassigned, other.first_unassigned),
-        "tasks that a chunk may hold": (one.held_most, other.held_most),
+        "tasks that a chunk may hold": (one.max_held_per_chunk, other.max_held_per_chunk),
     }
     return [name for name, (left, right) in pairs.items() if left != right]
 
--- a/spoolcourse/control/standby/shadow.py
+++ b/spoolcourse/control/failover/shadow_queue.py
@@ -13,11 +13,17 @@
 from typing import Any
 
 from spoolcourse.control.context import ControllerContext
+from spoolcourse.control.failover.restore import RestoredJobs, empty_job_queue
 from spoolcourse.control.jobs.job_queue import Chunk, JobState
-from spoolcourse.control.standby.restore import RestoredJobs, empty_job_queue
-from spoolcourse.control.store.keys import JOB, PROGRESS, TERM, progress_key, split_progress
+from spoolcourse.control.store.keys import (
+    JOB_PREFIX,
+    PROGRESS_PREFIX,
+    TERM_KEY,
+    parse_progress_key,
+    progress_key,
+)
 from spoolcourse.control.store.records import JobRecord, Progress, TermRecord
-from spoolcourse.wire.state_service import Entry
+from spoolcourse.wire.key_value_store import Entry
 
 
 class MisfitError(Exception):
@@ -50,18 +56,18 @@
         return len(self._job_queue.jobs)
 
     def rebuild(self, entries: Iterable[Entry]) -> None:
-        """Take in all records anew; this shadow must be an empty one."""
+        """Take in all records again; this shadow must be an empty one."""
         for entry in entries:
             self.apply(entry.key, entry.value, entry.revision)
 
     def apply(self, key: str, value: Any, revision: int) -> None:
         """Take in one change; `value` is None where the key was deleted."""
-        if key.startswith(JOB):
-            self._apply_job(key[len(JOB) :], value, revision)
-        elif key.startswith(PROGRESS):
-            job, index = split_progress(key)
+        if key.startswith(JOB_PREFIX):
+            self._apply_job(key[len(JOB_PREFIX) :], value, revision)
+        elif key.startswith(PROGRESS_PREFIX):
+            job, index = parse_progress_key(key)
             self._apply_progress(job, index, value, revision)
-        elif key == TERM:
+        elif key == TERM_KEY:
             self._apply_term(value)
 
     def hand_over(self) -> RestoredJobs:
@@ -154,7 +160,7 @@
 def _check_same_job(known: JobRecord, found: JobRecord) -> None:
     if (known.submission, known.at, known.chunk) != (found.submission, found.at, found.chunk):
         raise MisfitError(f"{known.submission.id} is another job than before")
-    if known.aborted and not found.aborted:
+    if known.cancelled and not found.cancelled:
         raise MisfitError(f"{known.submission.id} was cancelled, and is not any more")
 
 
--- a/spoolcourse/control/standby/follower.py
+++ b/spoolcourse/control/failover/warm_standby.py
@@ -8,11 +8,11 @@
 from typing import Any
 
 from spoolcourse.control.context import ControllerContext
-from spoolcourse.control.standby.hints import HintBook
-from spoolcourse.control.standby.restore import RestoredJobs
-from spoolcourse.control.standby.shadow import MisfitError, Shadow
-from spoolcourse.control.store.client import RefusedError, UnclearError
-from spoolcourse.control.store.keys import TERM
+from spoolcourse.control.failover.hints import HintBook
+from spoolcourse.control.failover.restore import RestoredJobs
+from spoolcourse.control.failover.shadow_queue import MisfitError, Shadow
+from spoolcourse.control.store.errors import StoreUnavailableError
+from spoolcourse.control.store.keys import TERM_KEY
 from spoolcourse.control.store.records import TermRecord
 from spoolcourse.control.store.retry import RetryDelay
 from spoolcourse.control.store.watch_cache import WatchGap
@@ -25,7 +25,7 @@
 
 
 class ShadowState(Enum):
-    """Whether a take-over can go on from the shadow."""
+    """Whether a failover can go on from the shadow."""
 
     FIT = "fit"
     UNFIT = "unfit"  # changes were missed: it is rebuilt from a read
@@ -33,7 +33,7 @@
 
 
 class Standby:
-    """Keeps a shadow while this node follows, and hands it over when it is elected."""
+    """Keeps a shadow while this controller follows, and hands it over when it is elected."""
 
     def __init__(self, context: ControllerContext, settings: StandbySettings) -> None:
         self._context = context
@@ -47,15 +47,14 @@
         self.rebuilds = 0
         self.mismatches = 0  # of the shadow and a restore, found where that is verified
         self.hints = HintBook()
-        self._watch_cache.listen(self._on_change)
-        self._watch_cache.on_gap = self._on_gap
-        self._watch_cache.on_load = self._rebuild
+        self._watch_cache.add_listener(self._on_change)
+        self._watch_cache.add_observer(self)
 
     # -- for operators and the election ---------------------------------------------------
 
     @property
     def state(self) -> ShadowState:
-        """Whether a take-over can go on from the shadow."""
+        """Whether a failover can go on from the shadow."""
         return self._state
 
     @property
@@ -65,7 +64,7 @@
 
     @property
     def silence_s(self) -> float:
-        """For how long the state service has told nothing, not even that nothing changed."""
+        """For how long the key-value store has told nothing, not even that nothing changed."""
         return self._clock() - self._watch_cache.synced_at
 
     @property
@@ -75,7 +74,7 @@
 
     def answer(self) -> StandbyReply:
         """The answer to a leader that would hand over."""
-        entry = self._watch_cache.get(TERM)
+        entry = self._watch_cache.get(TERM_KEY)
         term = TermRecord.number_of(entry.value if entry else None)
         revision = self._watch_cache.store_revision
         if self.caught_up:
@@ -87,7 +86,7 @@
             reason += f": {self.unfit_reason}"
         return StandbyReply(False, term, revision, reason)
 
-    def standing_delay_s(self) -> float:
+    def candidacy_delay_s(self) -> float:
         """How long to let others stand for election first."""
         return 0.0 if self.caught_up else self._settings.defer_s
 
@@ -102,7 +101,8 @@
             self._become_unfit(f"a change does not fit: {exc}")
             self._unfit.set()
 
-    def _on_gap(self, gap: WatchGap) -> None:
+    def on_watch_gap(self, gap: WatchGap) -> None:
+        """Changes were missed: the shadow is unfit."""
         if self._state is ShadowState.LEADING:
             return
         self._become_unfit(gap.value)
@@ -116,13 +116,17 @@
         self._state = ShadowState.UNFIT
         self.unfit_reason = reason
 
+    def on_reload(self) -> None:
+        """All keys were read again: rebuild the shadow."""
+        self._rebuild()
+
     def _rebuild(self) -> None:
-        """Build the shadow anew from what the watch cache holds."""
+        """Build the shadow again from what the watch cache holds."""
         if self._state is ShadowState.LEADING:
             return
         shadow = Shadow(self._context)
         try:
-            shadow.rebuild(self._watch_cache.below(self._watch_cache.live))
+            shadow.rebuild(self._watch_cache.entries_below(self._watch_cache.live_prefix))
         except (MisfitError, ValueError, KeyError, TypeError) as exc:
             self._become_unfit(f"the records do not fit: {exc}")
             return
@@ -142,8 +146,8 @@
         while True:
             await self._unfit.wait()
             try:
-                await self._watch_cache.load()
-            except (RefusedError, UnclearError) as exc:
+                await self._watch_cache.reload()
+            except StoreUnavailableError as exc:
                 log.debug("standby: not rebuilt yet: %s", exc)
                 await retry.wait()
                 continue
@@ -163,7 +167,7 @@
         return shadow.hand_over() if shadow is not None else None
 
     def follow_again(self) -> None:
-        """The term of this node is over."""
+        """The term of this controller is over."""
         if self._state is not ShadowState.LEADING:
             return
         self._state = ShadowState.UNFIT
--- a/spoolcourse/control/fleet/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Workers: their reports, their commands, and what proves an end."""
--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -16,11 +16,16 @@
 from typing import Any
 
 from spoolcourse.control.leadership.renewal_deadline import DRIFT
-from spoolcourse.control.store.client import LeaseGoneError, RefusedError, StoreClient, UnclearError
-from spoolcourse.control.store.keys import LEADER, TERM
+from spoolcourse.control.store.client import StoreClient
+from spoolcourse.control.store.errors import (
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    StoreUnavailableError,
+)
+from spoolcourse.control.store.keys import LEADER_KEY, TERM_KEY
 from spoolcourse.control.store.records import LeaderRecord, TermRecord
 from spoolcourse.control.store.watch_cache import WatchCache
-from spoolcourse.wire.state_service import Put
+from spoolcourse.wire.key_value_store import Put
 
 log = logging.getLogger(__name__)
 
@@ -33,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Term:
-    """A term that this node was elected for."""
+    """A term that this controller was elected for."""
 
     number: int
     revision: int  # of the term key: the fencing condition of every leader write
@@ -58,45 +63,46 @@
         self._ttl_s = ttl_s
         self.term: Term | None = None
         self.terms = 0  # elected so many times
-        self.vacant_at: float | None = None  # when this node saw that nobody leads
+        self.vacant_at: float | None = None  # when this controller saw that nobody leads
         # For how long to let others stand first; a follower that is behind does.
-        self.standing_delay_s: Callable[[], float] = lambda: 0.0
+        self.candidacy_delay_s: Callable[[], float] = lambda: 0.0
         self._valid_until = float("-inf")
         self._stands_from = float("-inf")
         self._changed = asyncio.Event()
-        self._deposed = asyncio.Event()
+        self._stepped_down = asyncio.Event()
         self.on_elected: Callable[[Term], None] = lambda term: None
-        self.on_deposed: Callable[[], None] = lambda: None
-        watch_cache.listen(self._on_change)
+        self.on_stepped_down: Callable[[], None] = lambda: None
+        watch_cache.add_listener(self._on_change)
 
     @property
     def leader_label(self) -> str | None:
-        """The label of the leader as far as this node knows."""
-        entry = self._watch_cache.get(LEADER)
+        """The label of the leader as far as this controller knows."""
+        entry = self._watch_cache.get(LEADER_KEY)
         return LeaderRecord.label_of(entry.value) if entry else None
 
     @property
     def informed(self) -> bool:
-        """Whether this node would have heard of a change of leader by now."""
+        """Whether this controller would have heard of a change of leader by now."""
         silence = asyncio.get_running_loop().time() - self._watch_cache.synced_at
         return silence < 2 * self._ttl_s
 
     def valid(self) -> bool:
-        """True while no other node can have been elected."""
+        """True while no other controller can have been elected."""
         return self.term is not None and (
-            asyncio.get_running_loop().time() < self._valid_until and not self._deposed.is_set()
+            asyncio.get_running_loop().time() < self._valid_until
+            and not self._stepped_down.is_set()
         )
 
-    def depose(self, reason: str) -> None:
+    def step_down(self, reason: str) -> None:
         """Step down at once."""
         if self.term is None:
             return
         log.info("term %d: stepping down: %s", self.term.number, reason)
         self.term = None
         self._valid_until = float("-inf")
-        self._deposed.set()
+        self._stepped_down.set()
         self._client.set_leader(False)
-        self.on_deposed()
+        self.on_stepped_down()
 
     async def resign(self, reason: str) -> None:
         """Step down, and let the lease go at once: others need not wait for its end."""
@@ -104,25 +110,27 @@
         if term is None:
             return
         self._stands_from = asyncio.get_running_loop().time() + RESIGNED_S
-        self.depose(reason)
+        self.step_down(reason)
         try:
-            await self._client.release(term.lease)
-        except (RefusedError, UnclearError) as exc:
+            await self._client.revoke_lease(term.lease)
+        except StoreUnavailableError as exc:
             log.info("the lease is left to run out: %s", exc)
 
     def _on_change(self, key: str, value: Any, revision: int) -> None:
-        if key in (LEADER, TERM):
+        if key in (LEADER_KEY, TERM_KEY):
             self._changed.set()
-            if key == LEADER:
+            if key == LEADER_KEY:
                 self._note_vacancy(value)
-            if key == TERM and self.term is not None and revision > self.term.revision:
-                self.depose("a newer term was elected")
+            if key == TERM_KEY and self.term is not None and revision > self.term.revision:
+                self.step_down("a newer term was elected")
 
     def _note_vacancy(self, value: Any) -> None:
         if value is None:
             self.vacant_at = asyncio.get_running_loop().time()
         elif LeaderRecord.label_of(value) != self._label:
-            self.vacant_at = None  # a take-over of this node's own is counted from the next one
+            self.vacant_at = (
+                None  # a failover of this controller's own is counted from the next one
+            )
 
     async def run(self) -> None:
         """Stand for election, lead, and stand again, until cancelled."""
@@ -133,7 +141,7 @@
                 await self._lead()
                 continue
             self._changed.clear()
-            entry = self._watch_cache.get(LEADER)
+            entry = self._watch_cache.get(LEADER_KEY)
             if entry is not None and not self._is_former_self(entry.value):
                 # Wake for a change; look again now and then in case the watch hangs.
                 try:
@@ -141,23 +149,23 @@
                         await self._changed.wait()
                 except TimeoutError:
                     if loop.time() - self._watch_cache.synced_at > self._ttl_s:
-                        await self._watch_cache.sync()
+                        await self._watch_cache.read_barrier()
                 continue
             if await self._another_stands():
                 continue
             try:
                 await self._stand()
-            except (RefusedError, UnclearError, LeaseGoneError) as exc:
+            except (StoreUnavailableError, LeaseExpiredError) as exc:
                 log.debug("election: %s", exc)
                 await asyncio.sleep(random.uniform(*ELECTION_PAUSE_S))
 
     async def _another_stands(self) -> bool:
-        """Let others stand first where this node is behind or has resigned; whether one did.
+        """Let others stand first where this controller is behind or has resigned; whether one did.
 
-        The wait is bounded: with all nodes behind, somebody still leads.
+        The wait is bounded: with all controllers behind, somebody still leads.
         """
         resigned_for_s = self._stands_from - asyncio.get_running_loop().time()
-        delay_s = max(self.standing_delay_s(), resigned_for_s)
+        delay_s = max(self.candidacy_delay_s(), resigned_for_s)
         if delay_s <= 0:
             return False
         log.info("others may stand for election for %.1f s", delay_s)
@@ -176,9 +184,9 @@
 
     async def _stand(self) -> None:
         loop = asyncio.get_running_loop()
-        if not await self._watch_cache.sync():
-            raise UnclearError("the state service did not answer")
-        leader, former = self._watch_cache.get(LEADER), self._watch_cache.get(TERM)
+        if not await self._watch_cache.read_barrier():
+            raise OutcomeUnknownError("read barrier", "no answer")
+        leader, former = self._watch_cache.get(LEADER_KEY), self._watch_cache.get(TERM_KEY)
         if leader is not None and not self._is_former_self(leader.value):
             return
         number = TermRecord.number_of(former.value if former else None) + 1
@@ -186,11 +194,11 @@
         # bring another's election while the lease is granted: with the revisions of that, this
         # claim would push it out under the very same number, and two would share a fencing token.
         conditions = {
-            LEADER: leader.revision if leader else 0,
-            TERM: former.revision if former else 0,
+            LEADER_KEY: leader.revision if leader else 0,
+            TERM_KEY: former.revision if former else 0,
         }
         sent = loop.time()
-        lease = await self._client.grant(self._ttl_s)
+        lease = await self._client.grant_lease(self._ttl_s)
         # The lease is part of what the read-back asks for: an earlier claim of this run that
         # was carried out late has the same number, but its key hangs on another lease, and
         # renewing the new one would keep alive nothing.
@@ -198,26 +206,26 @@
         tenure = record.value()
         claim = LeaderRecord(record, self._label).value()
         try:
-            outcome = await self._client.txn(
+            outcome = await self._client.compare_and_swap(
                 conditions,
-                [Put(LEADER, claim, lease), Put(TERM, tenure)],
+                [Put(LEADER_KEY, claim, lease), Put(TERM_KEY, tenure)],
                 urgent=True,
             )
-            if not outcome.ok:
-                await self._watch_cache.sync()
+            if not outcome.succeeded:
+                await self._watch_cache.read_barrier()
                 return
             revision = outcome.store_revision
-        except UnclearError:
+        except OutcomeUnknownError:
             # Perhaps it was carried out: the term key tells, and says whose it is.
-            found = await self._client.get(TERM)
+            found = await self._client.get(TERM_KEY)
             if found is None or found.value != tenure:
                 raise
             revision = found.revision
-        self._watch_cache.apply(LEADER, claim, revision)
-        self._watch_cache.apply(TERM, tenure, revision)
+        self._watch_cache.apply(LEADER_KEY, claim, revision)
+        self._watch_cache.apply(TERM_KEY, tenure, revision)
         self.term = Term(number, revision, lease)
         self.terms += 1
-        self._deposed.clear()
+        self._stepped_down.clear()
         self._valid_until = sent + self._ttl_s * (1 - DRIFT)
         self._client.set_leader(True)
         log.info("elected for term %d", number)
@@ -231,23 +239,23 @@
             pause = self._ttl_s * RENEW_SHARE
             sent = loop.time()
             try:
-                await self._client.renew(term.lease)
+                await self._client.renew_lease(term.lease)
                 if self.term is term:
                     if sent >= self._valid_until:
                         # After a gap the key may have changed hands: see it first.
-                        entry = await self._client.get(TERM)
+                        entry = await self._client.get(TERM_KEY)
                         if entry is None or entry.revision != term.revision:
-                            self.depose("the term has passed")
+                            self.step_down("the term has passed")
                             return
                     self._valid_until = sent + self._ttl_s * (1 - DRIFT)
-            except LeaseGoneError:
-                self.depose("the lease is gone")
+            except LeaseExpiredError:
+                self.step_down("the lease is gone")
                 return
-            except (RefusedError, UnclearError) as exc:
+            except StoreUnavailableError as exc:
                 log.debug("renewal: %s", exc)
                 pause = self._ttl_s * RENEW_RETRY_SHARE
             try:
                 async with asyncio.timeout(pause):
-                    await self._deposed.wait()
+                    await self._stepped_down.wait()
             except TimeoutError:
                 pass
--- a/spoolcourse/control/standby/proof.py
+++ b/spoolcourse/control/leadership/failover_proof.py
@@ -1,6 +1,6 @@
 """The proof that a new leader has seen every placement of the leaders before it.
 
-The claim of a term is a write at some revision of the state service, and it changes the revision
+The claim of a term is a write at some revision of the key-value store, and it changes the revision
 of the term key. Every write of an earlier leader is conditional on the term key as that leader
 knew it, so none is carried out after the claim; and a placement is written before its start is
 sent. Whoever has taken in every change up to the claim has therefore seen every placement that
@@ -13,7 +13,7 @@
 from typing import final
 
 from spoolcourse.control.leadership.election import Term
-from spoolcourse.control.store.keys import TERM
+from spoolcourse.control.store.keys import TERM_KEY
 from spoolcourse.control.store.watch_cache import WatchCache
 
 
@@ -25,7 +25,7 @@
 
 
 class UnprovenError(Exception):
-    """The take-over is not proven."""
+    """The failover is not proven."""
 
 
 class BehindError(UnprovenError):
@@ -37,7 +37,7 @@
 
 
 @final
-class TakeoverProof:
+class FailoverProof:
     """Needed by whatever decides or commands for a term.
 
     It can be made only from a watch cache that has reached the claim of the term, and it does not
@@ -53,7 +53,7 @@
                 f"term {term.number} was claimed at revision {term.revision}, "
                 f"and only {applied_revision} is taken in"
             )
-        if watch_cache.revision(TERM) != term.revision:
+        if watch_cache.revision(TERM_KEY) != term.revision:
             raise SupersededError(f"the claim of term {term.number} is not the latest one")
         self._term = term
         self._applied_revision = applied_revision
--- a/spoolcourse/control/placement/snapshot_builder.py
+++ b/spoolcourse/control/scheduling/snapshot_builder.py
@@ -5,11 +5,11 @@
 import logging
 from math import inf
 
-from spoolcourse.control.fleet.machine import Machine
-from spoolcourse.control.fleet.worker_registry import WorkerRegistry
 from spoolcourse.control.jobs.job_queue import Attempt, JobQueue, JobState
 from spoolcourse.control.placement.model import Job, Node, Snapshot, Team
-from spoolcourse.control.placement.snapshot_cache import Index, SnapshotCache
+from spoolcourse.control.scheduling.snapshot_cache import Index, SnapshotCache
+from spoolcourse.control.workers.machine import Machine
+from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.policy.keys import Policy
 from spoolcourse.wire.messages import HostStage, MachineType, fits
 from spoolcourse.wire.settings import Objective, Params
@@ -48,7 +48,7 @@
         self.unbegun: set[str] = set()  # jobs whose first task goes before rank
 
     def _mark_rare(self, now: float, machine_types: dict[str, MachineType]) -> None:
-        """Machine types that some job of late depends on, while others have a choice."""
+        """Machine types that some job recently depends on, while others have a choice."""
         for job_state in self._job_queue.jobs.values():
             fitting = [
                 b.name for b in machine_types.values() if fits(job_state.record.submission, b)
@@ -58,7 +58,7 @@
                     self._rare_until[name] = now + self._policy.rare_s
 
     def is_rare(self, machine_type: str, now: float) -> bool:
-        """Whether some job of late can use this type only, or few beside it."""
+        """Whether some job recently can use this type only, or few beside it."""
         return self._rare_until.get(machine_type, 0.0) > now
 
     def estimate(self, job_state: JobState) -> float:
@@ -107,7 +107,7 @@
         two claims would stop each other in turn.
         """
         self.job_states = sorted(
-            (state for state in self._job_queue.jobs.values() if not state.record.aborted),
+            (state for state in self._job_queue.jobs.values() if not state.record.cancelled),
             key=lambda state: state.order,
         )
         self.unbegun = {state.id for state in self.job_states if self._unbegun(state, now)}
@@ -159,20 +159,20 @@
                 continue
             rare = machine_type.name in rare_types
             node = self._snapshot_cache.node(machine, machine_type, self._job_queue.jobs, now, rare)
-            if machine.heard_at is None and machine.up_at is not None:
+            if machine.last_heartbeat_at is None and machine.expected_ready_at is not None:
                 # An overdue machine comes up later than thought, or never.
-                late = max(0.0, now - machine.up_at)
-                node.ready_at = now + max(machine.up_at - now, 1.0 + late)
+                late = max(0.0, now - machine.expected_ready_at)
+                node.ready_at = now + max(machine.expected_ready_at - now, 1.0 + late)
             nodes.append(node)
             self.machines.append(machine)
         return nodes
 
     def _counts(self, machine: Machine, now: float) -> bool:
         """Whether it takes work now, or will once it has booted."""
-        if machine.heard_at is None and machine.up_at is not None:
-            return not machine.deleting and machine.listed_stage is not HostStage.FAILED
-        takes_work = machine.placeable and machine.full_until <= now
-        return takes_work and not self._registry.is_quiet(machine)
+        if machine.last_heartbeat_at is None and machine.expected_ready_at is not None:
+            return not machine.deletion_requested and machine.listed_stage is not HostStage.FAILED
+        takes_work = machine.is_schedulable and machine.no_room_until <= now
+        return takes_work and not self._registry.is_suspect(machine)
 
     def _unbegun(self, job_state: JobState, now: float) -> bool:
         """Whether the job has waited so long that its first task goes before rank.
@@ -224,7 +224,7 @@
         return [
             job_state
             for machine in self._registry.machines.values()
-            for unexpected in machine.unexpected_tasks
+            for unexpected in machine.unexpected_attempts
             if (job_state := self._job_queue.jobs.get(unexpected[0])) is not None
         ]
 
@@ -299,7 +299,7 @@
             else:
                 _note_held(job, self.zones.of(machine.zone))
         for machine in self._registry.machines.values():
-            for unexpected in machine.unexpected_tasks:
+            for unexpected in machine.unexpected_attempts:
                 if unexpected[0] == state.id:
                     _note_held(job, self.zones.of(machine.zone or ""))
 
--- a/spoolcourse/control/placement/snapshot_cache.py
+++ b/spoolcourse/control/scheduling/snapshot_cache.py
@@ -2,7 +2,7 @@
 
 A machine's free room and its tasks' expected ends are worked out again only when something
 changed there, or when time alone changes them. Measured on a fleet of 534 machines, where a
-pass worked out all of them anew ten times a second: four fifths of the leader's time.
+pass worked out all of them again ten times a second: four fifths of the leader's time.
 """
 
 from __future__ import annotations
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from spoolcourse.control.fleet.machine import Machine
 from spoolcourse.control.jobs.job_queue import Attempt, JobState
 from spoolcourse.control.placement.model import LEAST_RATE, Node, RunningTask
+from spoolcourse.control.workers.machine import Machine
 from spoolcourse.wire.messages import MachineType
 
 LOOK_AGAIN_S = 0.5  # an overrun or a fetch under way is looked at again after so long
@@ -100,9 +100,9 @@
         now: float,
         rare: bool,
     ) -> Node:
-        """What the pass sees of a machine, made anew only if something changed there."""
+        """What the pass sees of a machine, made again only if something changed there."""
         known = self._known.get(machine.id)
-        if known is None or known.changes != machine.changes or known.until <= now:
+        if known is None or known.changes != machine.change_count or known.until <= now:
             known = self._known[machine.id] = self._make(machine, machine_type, jobs, now)
         return Node(
             known.machine_type,
@@ -117,7 +117,7 @@
             dict(known.fetching) if known.fetching else {},
             known.tasks,
             0.0,
-            machine.surplus,
+            machine.scale_in_candidate,
             rare,
             known.freed,
         )
@@ -174,7 +174,7 @@
             if attempt.stopping:
                 node.free(task)
             node.tasks.append(task)
-        for job, _, _ in machine.unexpected_tasks:
+        for job, _, _ in machine.unexpected_attempts:
             job_state = jobs.get(job)
             if job_state is not None:
                 submission = job_state.record.submission
@@ -183,7 +183,7 @@
                 node.memory -= submission.memory_gb
         node.tasks.sort(key=lambda t: t.end)
         return MachineSnapshot(
-            machine.changes,
+            machine.change_count,
             until,
             node.machine_type,
             node.zone,
@@ -205,6 +205,6 @@
                 return attempt.since + estimate, True
             # A task that overran its estimate is expected to need half again of what it
             # took so far; else it would be due at any moment, and push the head back
-            # for ever.
+            # forever.
             return now + elapsed * OVERRUN_SHARE + OVERRUN_LEAST_S, False
         return now + max(fetch - elapsed, LEAST_FETCH_S) + estimate, False
--- a/spoolcourse/control/leader/termination.py
+++ b/spoolcourse/control/scheduling/termination_notices.py
@@ -4,11 +4,11 @@
 
 import asyncio
 
-from spoolcourse.control.fleet.machine import Machine
+from spoolcourse.control.autoscaling.replica_places import ReplicaPlaces
 from spoolcourse.control.jobs.job_queue import Attempt, AttemptStage
-from spoolcourse.control.leader.leader_context import LeaderContext
-from spoolcourse.control.machines.replica_places import ReplicaPlaces
-from spoolcourse.control.placement.snapshot_builder import SnapshotBuilder
+from spoolcourse.control.leader_context import LeaderContext
+from spoolcourse.control.scheduling.snapshot_builder import SnapshotBuilder
+from spoolcourse.control.workers.machine import Machine
 
 PERIOD_S = 0.5
 REPORTS_NEEDED = 2  # to hear of the end of a task that was stopped in time
@@ -29,7 +29,9 @@
         self._registry = leader.registry
         self._snapshot_builder = snapshot_builder
         self._places = places
-        self._last_call_s = REPORTS_NEEDED * leader.controller.params.workers.report_s + MARGIN_S
+        self._last_call_s = (
+            REPORTS_NEEDED * leader.controller.params.workers.heartbeat_interval_s + MARGIN_S
+        )
 
     async def run(self) -> None:
         """Run until cancelled."""
@@ -44,9 +46,9 @@
             if attempt.stopping:
                 continue
             if attempt.never_sent:
-                self._registry.drop(attempt)
+                self._registry.release_attempt(attempt)
             elif attempt.stage is not AttemptStage.ASSIGNED and self._must_stop(attempt, left_s):
-                self._registry.stop(attempt)
+                self._registry.request_stop(attempt)
 
     def _must_stop(self, attempt: Attempt, left_s: float) -> bool:
         """Save what can be saved at the last moment, and don't wait for what can't finish."""
--- a/spoolcourse/control/store/budget.py
+++ b/spoolcourse/control/store/budget.py
@@ -1,57 +1,69 @@
-"""Rate budgets, so that one node never uses up what all nodes share."""
+"""This controller's share of the key-value store's limits.
+
+The limits hold for all controllers together. Source: PROTOCOL, Limits and errors.
+"""
 
 from __future__ import annotations
 
-import asyncio
-
-
-class BudgetSpentError(Exception):
-    """The budget is spent for a while: come back in `after` seconds."""
-
-    def __init__(self, after: float) -> None:
-        super().__init__(f"busy for {after:.1f} s")
-        self.after = after
-
-
-class TokenBucket:
-    """A token bucket. Waiters are served in order; `urgent` ones are never held up.
-
-    Nobody waits longer than `longest_s`: who would have to is told at once, and takes
-    nothing. Otherwise a burst of requests that give up while they wait would leave a debt
-    that blocks everything after it.
-    """
-
-    def __init__(self, rate: float, burst: float, longest_s: float = 1.0) -> None:
-        self.rate = rate
-        self.burst = max(burst, 1.0)
-        self.longest_s = longest_s
-        self._level = self.burst
-        self._at = 0.0
-
-    def _refill(self, now: float) -> None:
-        self._level = min(self.burst, self._level + (now - self._at) * self.rate)
-        self._at = now
-
-    async def take(self, amount: float = 1.0, *, urgent: bool = False) -> None:
-        """Wait until `amount` is available; it is booked at once, so order holds."""
-        self._refill(asyncio.get_running_loop().time())
-        wait = (amount - self._level) / self.rate
-        if not urgent and wait > self.longest_s and self._level < self.burst:
-            raise BudgetSpentError(wait)
-        self._level -= amount
-        if wait > 0 and not urgent:
-            try:
-                await asyncio.sleep(wait)
-            except asyncio.CancelledError:
-                self._level += amount
-                raise
-
-    def spare(self) -> bool:
-        """At least half of a burst is left, for what is more urgent."""
-        self._refill(asyncio.get_running_loop().time())
-        return self._level >= self.burst / 2
-
-    def drain(self) -> None:
-        """The service said 429: whatever we thought was left is not."""
-        self._refill(asyncio.get_running_loop().time())
-        self._level = min(self._level, 0.0)
+from spoolcourse.control.rate_limit import RateLimitExceededError, TokenBucket
+from spoolcourse.control.store.errors import RequestRefusedError
+from spoolcourse.wire.settings import State
+
+UNUSED_CONTROLLER_SHARES = 0.5  # shares of the requests that no controller uses
+LEADER_WRITE_SHARE = 0.5  # of the writes; the leader makes most of them
+FOLLOWERS_WRITE_SHARE = 0.4  # of the writes, for all followers together
+MIN_OPERATIONS = 3  # of a transaction: as many as the one that ends a job of one chunk
+
+
+class StoreBudget:
+    """Token buckets for requests, and for puts and deletes."""
+
+    def __init__(self, limits: State, controllers: int) -> None:
+        """Divide the limits among the controllers, as a follower at first.
+
+        Args:
+            limits: The store's limits; the smaller ones where some are to come.
+            controllers: How many controllers share them.
+        """
+        self._limits = limits
+        self._followers = max(controllers - 1, 1)
+        rate = limits.rps / (controllers + UNUSED_CONTROLLER_SHARES)
+        self._requests = TokenBucket(rate, rate)
+        self._operations = TokenBucket(1.0, 1.0)
+        self.set_leader(False)
+
+    def set_leader(self, leading: bool) -> None:
+        """Use the leader's share of the writes, or a follower's.
+
+        The leader writes most, so its share is larger; the shares add up to less than the whole.
+        """
+        share = LEADER_WRITE_SHARE if leading else FOLLOWERS_WRITE_SHARE / self._followers
+        self._operations.set_rate(self._limits.write_rps * share)
+
+    @property
+    def max_operations(self) -> int:
+        """Puts and deletes in one transaction: no more than can be had at once."""
+        return min(self._limits.txn_ops, max(MIN_OPERATIONS, int(self._operations.burst)))
+
+    def has_spare_writes(self) -> bool:
+        """Whether at least half of the budget for writes is left."""
+        return self._operations.has_spare_capacity()
+
+    async def acquire_request(self, request: str, urgent: bool) -> None:
+        """Wait for the budget of one request; raises `RequestRefusedError` if that is too long."""
+        await _acquire(self._requests, 1, request, urgent)
+
+    async def acquire_operations(self, count: int, request: str, urgent: bool) -> None:
+        """Wait for the budget of puts and deletes; raises `RequestRefusedError` likewise."""
+        await _acquire(self._operations, count, request, urgent)
+
+    def on_too_many_requests(self) -> None:
+        """The store answered 429: no requests are left for now."""
+        self._requests.empty()
+
+
+async def _acquire(bucket: TokenBucket, tokens: int, request: str, urgent: bool) -> None:
+    try:
+        await bucket.acquire(tokens, urgent=urgent)
+    except RateLimitExceededError as exc:
+        raise RequestRefusedError(request, str(exc), exc.retry_after_s) from exc
--- /dev/null
+++ b/spoolcourse/control/workers/__init__.py
@@ -0,0 +1,1 @@
+"""Workers: their heartbeats, their commands, and what proves an end."""
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -1,4 +1,4 @@
-"""Reports, commands and transactions that arrive late."""
+"""Heartbeats, commands and transactions that arrive late."""
 
 from __future__ import annotations
 
@@ -8,18 +8,19 @@
 import pytest
 
 from spoolcourse.control.leadership.election import Leadership
-from spoolcourse.control.store.client import StoreClient, UnclearError
+from spoolcourse.control.store.client import StoreClient
+from spoolcourse.control.store.errors import OutcomeUnknownError
 from spoolcourse.control.store.keys import (
-    FINAL,
-    JOB,
-    LEADER,
+    FINAL_PREFIX,
+    JOB_PREFIX,
+    LEADER_KEY,
     PREFIX,
-    PROGRESS,
+    PROGRESS_PREFIX,
+    TERM_KEY,
     final_key,
     job_key,
-    split_progress,
+    parse_progress_key,
 )
-from spoolcourse.control.store.keys import TERM as TERM_KEY
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.settings import State
 from tests.fakes.clock import play
@@ -31,12 +32,12 @@
 
 
 def test_work_on_a_machine_that_only_calls_reach_is_not_started_elsewhere_too() -> None:
-    # Its lease runs out; calls show its next session. With the last answer taken for the
-    # beginning of that session's lease, what was started there was thought gone while it ran.
+    # Its lease runs out; calls show its next incarnation. With the last answer taken for the
+    # beginning of that incarnation's lease, what was started there was thought gone while it ran.
     harness = RegistryHarness()
-    harness.report()
+    harness.heartbeat()
     harness.assign()
-    harness.report(on())
+    harness.heartbeat(on())
     machine = harness.registry.machines["m-1"]
     harness.now += 10.2  # its lease has run out, which is not certain here yet
     shown = harness.observed(shift=2, tick=1)
@@ -44,44 +45,44 @@
     attempt = harness.assign(0, 2)
     harness.observed(on(0, 2), shift=2)
     harness.now += 2.0
-    harness.registry.expire()
+    harness.registry.expire_leases()
     assert harness.job_state.attempts == {0: attempt}
     harness.now += 10.0
-    harness.registry.expire()
+    harness.registry.expire_leases()
     assert not harness.job_state.attempts, "nobody renews that session: it is over by now"
 
 
 def test_a_machine_that_reaches_no_controller_gets_no_new_work() -> None:
     # Its answers to calls keep coming; what calls start there dies with each lease.
     harness = RegistryHarness()
-    harness.registry.quiet_s = 5.0
-    harness.report()
+    harness.registry.suspect_after_s = 5.0
+    harness.heartbeat()
     machine = harness.registry.machines["m-1"]
     harness.now += 4.0
     harness.observed()
-    assert not harness.registry.is_quiet(machine)
+    assert not harness.registry.is_suspect(machine)
     harness.assign()
-    assert harness.registry.commands.due(()) == [machine]
+    assert harness.registry.commands.machines_to_call(()) == [machine]
     harness.now += 1.5
     harness.observed()
-    assert machine.heard_at == harness.now and harness.registry.is_quiet(machine)
-    assert harness.registry.commands.due(()) == [], "nor are starts sent"
-    harness.report()
-    assert harness.registry.commands.due(()) == [machine]
+    assert machine.last_heartbeat_at == harness.now and harness.registry.is_suspect(machine)
+    assert harness.registry.commands.machines_to_call(()) == [], "nor are starts sent"
+    harness.heartbeat()
+    assert harness.registry.commands.machines_to_call(()) == [machine]
 
 
 def test_the_first_answer_after_a_change_of_leader_ends_what_is_cancelled() -> None:
     # It renews the lease and may be the last one that arrives: the next one is too late.
     harness = RegistryHarness()
     attempt = harness.job_queue.adopt(harness.job_state, 0, "m-1", 1, harness.now)
-    harness.registry.link(attempt)
-    harness.job_state.record.aborted_at = harness.now - 30.0
+    harness.registry.track_attempt(attempt)
+    harness.job_state.record.cancelled_at = harness.now - 30.0
     halt = {"verb": "halt", "piece": "job-000001/0", "try": 1, "windDownS": 0.0}
-    assert harness.report(on(), baton=TERM - 1) == [halt]
+    assert harness.heartbeat(on(), baton=TERM - 1) == [halt]
     assert harness.job_state.attempts, "that it is told proves nothing"
-    # One that is not shown may still start there: the halt goes out all the same.
-    assert harness.report(baton=TERM - 1) == [halt]
-    assert harness.report() == [] and not harness.job_state.attempts
+    # One that is not shown may still start there: the halt goes out nevertheless.
+    assert harness.heartbeat(baton=TERM - 1) == [halt]
+    assert harness.heartbeat() == [] and not harness.job_state.attempts
 
 
 def test_a_claim_that_is_carried_out_late_is_not_taken_for_the_next_one() -> None:
@@ -91,17 +92,17 @@
         state, wire = FakeState(), FakeWire()
         wire.hosts["state:1"] = state.serve
         limits = State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
-        client = StoreClient(wire.end_of("n0"), "state:1", limits, nodes=2)
+        client = StoreClient(wire.end_of("n0"), "state:1", limits, controllers=2)
         watch_cache = WatchCache(client, PREFIX)
         node = Leadership(client, watch_cache, "n0", "run-0")
-        await watch_cache.load()
+        await watch_cache.reload()
         wire.filters.append(
             lambda src, dst, method, path, body: "hold" if path == "/multi" else None
         )
         for _ in range(2):
             try:
                 await node._stand()
-            except UnclearError:
+            except OutcomeUnknownError:
                 if len(wire.held) == 2:
                     break
                 # The first claim is carried out while the second one is under way.
@@ -114,25 +115,25 @@
 
                 client.get = late  # type: ignore[method-assign]
         assert node.term is None and len(wire.held) == 2
-        assert state.value(LEADER) is not None
+        assert state.value(LEADER_KEY) is not None
         await asyncio.sleep(4)
-        assert state.value(LEADER) is None, "nobody renews it, so others may stand"
+        assert state.value(LEADER_KEY) is None, "nobody renews it, so others may stand"
 
     play(story())
 
 
 def guarded(key: str) -> set[str]:
     """Keys whose change makes a write of this one wrong."""
-    if key.startswith(PROGRESS):
-        return {key, job_key(split_progress(key)[0]), TERM_KEY}
-    if key.startswith(FINAL):
-        return {key, job_key(key[len(FINAL) :]), TERM_KEY}
-    return {key, final_key(key[len(JOB) :])} if key.startswith(JOB) else {key}
+    if key.startswith(PROGRESS_PREFIX):
+        return {key, job_key(parse_progress_key(key)[0]), TERM_KEY}
+    if key.startswith(FINAL_PREFIX):
+        return {key, job_key(key[len(FINAL_PREFIX) :]), TERM_KEY}
+    return {key, final_key(key[len(JOB_PREFIX) :])} if key.startswith(JOB_PREFIX) else {key}
 
 
 def late_writes(world: World, every: int) -> Any:
     """Each so many-th transaction gets no answer and is carried out later. If anything that
-    it depends on has changed since, deleted and made anew included, it must change nothing."""
+    it depends on has changed since, deleted and made again included, it must change nothing."""
     count = 0
     sent: dict[int, int] = {}
     bodies: list[Any] = []
@@ -247,7 +248,7 @@
         world = World()
         world.cloud.run_s = lambda task: 4.0
         await world.up_with_machine()
-        kind = FINAL if meanwhile == "ended" else PROGRESS
+        kind = FINAL_PREFIX if meanwhile == "ended" else PROGRESS_PREFIX
 
         def hold(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
             puts = [op.get("set", "") for op in (body or {}).get("apply", [])]
--- a/tests/test_standby_properties.py
+++ b/tests/test_standby_properties.py
@@ -1,6 +1,6 @@
 """Whatever changes come, and however they come, a shadow is what a restore would make.
 
-The state service is a model; the watch brings its changes in pieces, twice, ahead of their turn
+The key-value store is a model; the watch brings its changes in pieces, twice, ahead of their turn
 or not at all, and pages are read while it changes.
 """
 
@@ -15,16 +15,16 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from spoolcourse.control.context import ControllerContext
+from spoolcourse.control.failover.comparison import differences
+from spoolcourse.control.failover.restore import restore_from_records
+from spoolcourse.control.failover.warm_standby import ShadowState, Standby
 from spoolcourse.control.jobs.job_index import JobIndex
-from spoolcourse.control.standby.comparison import differences
-from spoolcourse.control.standby.follower import ShadowState, Standby
-from spoolcourse.control.standby.restore import restore_from_records
-from spoolcourse.control.store.keys import TERM, job_key, progress_key
+from spoolcourse.control.store.keys import TERM_KEY, job_key, progress_key
 from spoolcourse.control.store.records import JobRecord, Progress
 from spoolcourse.control.store.watch_cache import WatchGap
+from spoolcourse.wire.key_value_store import Change, Entry
 from spoolcourse.wire.messages import Submission, parse
 from spoolcourse.wire.standby_settings import StandbySettings
-from spoolcourse.wire.state_service import Change, Entry
 from tests.fakes.proof import LIMITS, cache_at
 from tests.fakes.world import job
 
@@ -36,7 +36,7 @@
 
 
 class ShadowMachine(RuleBasedStateMachine):
-    """Users, a leader, the state service, and a follower with its shadow."""
+    """Users, a leader, the key-value store, and a follower with its shadow."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -55,7 +55,7 @@
             ),
         )
         self.standby = Standby(self.context, StandbySettings(enabled=True))
-        self.read_all(lambda: None)
+        self.list_entries(lambda: None)
 
     # -- what is written ------------------------------------------------------------------
 
@@ -91,7 +91,7 @@
     def cancel(self, number: int) -> None:
         record = self.record(number)
         if record is not None:
-            record.aborted_at = 3.0
+            record.cancelled_at = 3.0
             self.write((job_key(record.submission.id), record.value()))
 
     @rule(number=JOBS, task=TASKS, machine=st.sampled_from(["m-1", "m-2"]))
@@ -129,7 +129,7 @@
 
     @rule()
     def elect(self) -> None:
-        self.write((TERM, {"term": self.revision + 1, "run": "r", "hold": 1}))
+        self.write((TERM_KEY, {"term": self.revision + 1, "run": "r", "hold": 1}))
 
     # -- what the follower gets of it -----------------------------------------------------
 
@@ -158,7 +158,7 @@
     @rule(number=JOBS, task=TASKS, ends=st.booleans(), seen=st.booleans())
     def lose_changes(self, number: int, task: int, ends: bool, seen: bool) -> None:
         """Changes are missed; while all keys are read, some change, and a watch may tell of it."""
-        self.standby._on_gap(WatchGap.COMPACTED)
+        self.standby.on_watch_gap(WatchGap.COMPACTED)
 
         def meanwhile() -> None:
             self.accept(number, 34)
@@ -166,21 +166,20 @@
             if ends:
                 self.finish(number, 0)
 
-        self.read_all(meanwhile, seen)
+        self.list_entries(meanwhile, seen)
 
-    def read_all(self, meanwhile: Callable[[], None], seen: bool = False) -> None:
+    def list_entries(self, meanwhile: Callable[[], None], seen: bool = False) -> None:
         first = self.revision
-        self.cache._reads += 1
+        self.cache._reloads_under_way += 1
         entries = [Entry(k, v, r) for k, (v, r) in sorted(self.keys.items()) if "/prog/" not in k]
         meanwhile()
         entries += [Entry(k, v, r) for k, (v, r) in sorted(self.keys.items()) if "/prog/" in k]
         if seen:
             self.watch(self.revision, 0)
         self.cache._replace(entries, first)
-        self.cache._reads -= 1
+        self.cache._reloads_under_way -= 1
         self.cache._advance(first, [])
-        self.cache.loaded.set()
-        self.cache.on_load()
+        self.cache._mark_loaded()
 
     # -- what must hold -------------------------------------------------------------------
 
@@ -198,7 +197,10 @@
     @invariant()
     def what_is_caught_up_is_what_is_stored(self) -> None:
         if self.cache.store_revision == self.revision:
-            known = {e.key: (e.value, e.revision) for e in self.cache.below(self.cache.live)}
+            known = {
+                e.key: (e.value, e.revision)
+                for e in self.cache.entries_below(self.cache.live_prefix)
+            }
             assert known == self.keys
 
 
