--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -70,9 +70,14 @@
         self.job_index = JobIndex(self.client, self.watch_cache)
         self.cloud = Cloud(net, settings.outside.cloud, params.cloud.rps)
         run = run_id or f"{random.getrandbits(64):016x}"
-        self.leadership = Leadership(self.client, self.watch_cache, settings.label, run)
-        self.leadership.on_elected = self._elected
-        self.leadership.on_stepped_down = self._stepped_down
+        self.leadership = Leadership(
+            self.client,
+            self.watch_cache,
+            settings.label,
+            run,
+            listener=self,
+            candidacy_delay_s=self._candidacy_delay_s,
+        )
         self._catalog = CatalogLoop(self.cloud, self.client, self.watch_cache, self.leadership)
         self.load = Load()
         self.context = ControllerContext(
@@ -108,7 +113,6 @@
     def _use_standby(self, settings: StandbySettings) -> None:
         self.standby = Standby(self.context, settings)
         self._failover = FailoverFromShadow(self.context, self.standby, settings)
-        self.leadership.candidacy_delay_s = self.standby.candidacy_delay_s
         self._standby_loops.append(self.standby.run)
         if settings.hint_period_s > 0:
             hint_loop = HintLoop(
@@ -161,14 +165,20 @@
         self.start()
         await asyncio.gather(*self._tasks)
 
-    def _elected(self, term: Term) -> None:
+    def _candidacy_delay_s(self) -> float:
+        return 0.0 if self.standby is None else self.standby.candidacy_delay_s()
+
+    def on_elected(self, term: Term) -> None:
+        """Begin the term."""
         self.watch_cache.watch_gap_s = WATCH_GAP_LEADING_S
-        self.leader_term = LeaderTerm(term, self.leadership, self.context, self._failover)
+        self.leader_term = LeaderTerm(
+            term, self.leadership, self.context, self._failover, self._trace
+        )
         self.last_failover_timeline = self.leader_term.timeline
-        self.last_failover_timeline.on_complete = self._trace
         self.leader_term.start()
 
-    def _stepped_down(self) -> None:
+    def on_stepped_down(self) -> None:
+        """End the term at once."""
         self.watch_cache.watch_gap_s = WATCH_GAP_S
         if self.leader_term is not None:
             self.leader_term.stop()
--- a/spoolcourse/control/leader/leader_term.py
+++ b/spoolcourse/control/leader/leader_term.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import logging
+from collections.abc import Callable
 
 from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.failover.strategies import FailoverStrategy
@@ -30,6 +31,7 @@
         leadership: Leadership,
         context: ControllerContext,
         failover: FailoverStrategy,
+        on_failover_complete: Callable[[FailoverTimeline], None],
     ) -> None:
         self._term = term
         self._leadership = leadership
@@ -37,7 +39,7 @@
         self._failover = failover
         self._renewal_deadline = RenewalDeadline(context.params.workers)
         self._tasks: list[asyncio.Task[None]] = []
-        self.timeline = FailoverTimeline(context.clock)
+        self.timeline = FailoverTimeline(context.clock, on_failover_complete)
         if leadership.vacant_at is not None:
             self.timeline.record(FailoverPhase.VACANT, leadership.vacant_at)
         self.timeline.record(FailoverPhase.ELECTED)
--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -13,7 +13,7 @@
 import random
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, Protocol
 
 from spoolcourse.control.leadership.renewal_deadline import DRIFT
 from spoolcourse.control.store.client import (
@@ -45,6 +45,21 @@
     lease: int
 
 
+class LeadershipListener(Protocol):
+    """Called at once when this controller's leadership begins or ends."""
+
+    def on_elected(self, term: Term) -> None:
+        """This controller has been elected for the term."""
+
+    def on_stepped_down(self) -> None:
+        """This controller does not lead any more."""
+
+
+def no_candidacy_delay_s() -> float:
+    """Stand for election at once."""
+    return 0.0
+
+
 class Leadership:
     """Stands for election when nobody leads, and keeps the lease while leading."""
 
@@ -55,23 +70,24 @@
         label: str,
         run_id: str,
         ttl_s: float = LEASE_S,
+        listener: LeadershipListener | None = None,
+        candidacy_delay_s: Callable[[], float] = no_candidacy_delay_s,
     ) -> None:
+        """`candidacy_delay_s`: for how long to let others stand first; one that is behind does."""
         self._client = client
         self._watch_cache = watch_cache
         self._label = label
         self._run_id = run_id
         self._ttl_s = ttl_s
+        self._listener = listener
+        self._candidacy_delay_s = candidacy_delay_s
         self.term: Term | None = None
         self.terms = 0  # elected so many times
         self.vacant_at: float | None = None  # when this controller saw that nobody leads
-        # For how long to let others stand first; a follower that is behind does.
-        self.candidacy_delay_s: Callable[[], float] = lambda: 0.0
         self._valid_until = float("-inf")
         self._stands_from = float("-inf")
         self._changed = asyncio.Event()
         self._stepped_down = asyncio.Event()
-        self.on_elected: Callable[[Term], None] = lambda term: None
-        self.on_stepped_down: Callable[[], None] = lambda: None
         watch_cache.listen(self._on_change)
 
     @property
@@ -102,7 +118,8 @@
         self._valid_until = float("-inf")
         self._stepped_down.set()
         self._client.set_leader(False)
-        self.on_stepped_down()
+        if self._listener is not None:
+            self._listener.on_stepped_down()
 
     async def resign(self, reason: str) -> None:
         """Step down, and let the lease go at once: others need not wait for its end."""
@@ -165,7 +182,7 @@
         The wait is bounded: with all controllers behind, somebody still leads.
         """
         resigned_for_s = self._stands_from - asyncio.get_running_loop().time()
-        delay_s = max(self.candidacy_delay_s(), resigned_for_s)
+        delay_s = max(self._candidacy_delay_s(), resigned_for_s)
         if delay_s <= 0:
             return False
         log.info("others may stand for election for %.1f s", delay_s)
@@ -229,7 +246,8 @@
         self._valid_until = sent + self._ttl_s * (1 - DRIFT)
         self._client.set_leader(True)
         log.info("elected for term %d", number)
-        self.on_elected(self.term)
+        if self._listener is not None:
+            self._listener.on_elected(self.term)
 
     async def _lead(self) -> None:
         """Renew until deposed. Without answers the term goes on, but is not `valid`."""
--- a/spoolcourse/control/leadership/failover_timeline.py
+++ b/spoolcourse/control/leadership/failover_timeline.py
@@ -40,11 +40,14 @@
 class FailoverTimeline:
     """The phases of one failover; each is noted once."""
 
-    def __init__(self, clock: Callable[[], float]) -> None:
+    def __init__(
+        self, clock: Callable[[], float], on_complete: Callable[[FailoverTimeline], None]
+    ) -> None:
+        """`on_complete` is called once, when the last phase is recorded."""
         self._clock = clock
+        self._on_complete = on_complete
         self._at: dict[FailoverPhase, float] = {}
         self.proof: FailoverProof | None = None
-        self.on_complete: Callable[[FailoverTimeline], None] = lambda timeline: None
 
     def record(self, phase: FailoverPhase, at: float | None = None) -> None:
         """Note a phase, now or at a moment before; only the first time counts."""
@@ -67,4 +70,4 @@
             "failover by phase: %s",
             ", ".join(f"{i.phase.value} {i.seconds:.3f} s" for i in self.intervals()),
         )
-        self.on_complete(self)
+        self._on_complete(self)
