--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -29,8 +29,9 @@
 )
 from spoolcourse.control.jobs.job_index import JobIndex
 from spoolcourse.control.leader.leader_term import LeaderTerm
-from spoolcourse.control.leadership.election import Leadership, Term
+from spoolcourse.control.leadership.election import Leadership
 from spoolcourse.control.leadership.failover_timeline import FailoverTimeline
+from spoolcourse.control.leadership.term import Term
 from spoolcourse.control.peer_api import PeerApi
 from spoolcourse.control.process_load import Load
 from spoolcourse.control.store.client import StoreClient
--- a/spoolcourse/control/failover/handover.py
+++ b/spoolcourse/control/failover/handover.py
@@ -6,8 +6,7 @@
 
 from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.leadership.election import Leadership
-from spoolcourse.control.leadership.peers import ask_peers
-from spoolcourse.wire import paths
+from spoolcourse.control.leadership.peers import STANDBY_QUERY, query_peers
 from spoolcourse.wire.peers import HandoverReply, StandbyReply
 
 log = logging.getLogger(__name__)
@@ -22,7 +21,7 @@
     term = leadership.term
     if term is None or not leadership.valid():
         raise HandoverRefusedError("this controller is not sure to lead")
-    replies = await ask_peers(context.net, context.peers, paths.STANDBY, StandbyReply)
+    replies = await query_peers(context.net, context.peers, STANDBY_QUERY)
     successors: list[str] = []
     reasons: list[str] = []
     for peer, reply in zip(context.peers, replies, strict=True):
--- a/spoolcourse/control/failover/hints.py
+++ b/spoolcourse/control/failover/hints.py
@@ -18,8 +18,7 @@
 
 from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.http_client import NoResponseError
-from spoolcourse.control.store.keys import TERM
-from spoolcourse.control.store.records import TermRecord
+from spoolcourse.control.leadership.term import known_term_number
 from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.wire import paths
 from spoolcourse.wire.messages import MalformedError, parse
@@ -180,7 +179,7 @@
             if reply.status != 200:
                 return UNSUPPORTED_S if reply.status == 404 else self._settings.hint_period_s
             page = parse(reply.data, HintPage)
-            self._book.take(page, seed.label, after, most, self._known_term())
+            self._book.take(page, seed.label, after, most, known_term_number(self._watch_cache))
         except MalformedError:
             self._book.refuse(HintRefusal.MALFORMED)
         except HintRefusedError as exc:
@@ -192,7 +191,3 @@
                 self._after = page.hints[-1].machine
                 return min(NEXT_PAGE_S, self._settings.hint_period_s)
         return self._settings.hint_period_s
-
-    def _known_term(self) -> int:
-        entry = self._watch_cache.get(TERM)
-        return TermRecord.number_of(entry.value if entry else None)
--- a/spoolcourse/control/failover/strategies.py
+++ b/spoolcourse/control/failover/strategies.py
@@ -15,8 +15,8 @@
     restore_from_records,
 )
 from spoolcourse.control.failover.warm_standby import Standby
-from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.leadership.failover_proof import BehindError, FailoverProof, ProofSource
+from spoolcourse.control.leadership.term import Term
 from spoolcourse.control.store.retry import RetryDelay
 from spoolcourse.wire.peers import Hint
 from spoolcourse.wire.standby_settings import StandbySettings
--- a/spoolcourse/control/failover/warm_standby.py
+++ b/spoolcourse/control/failover/warm_standby.py
@@ -11,9 +11,8 @@
 from spoolcourse.control.failover.hints import HintBook
 from spoolcourse.control.failover.restore import RestoredJobs
 from spoolcourse.control.failover.shadow_queue import MisfitError, Shadow
+from spoolcourse.control.leadership.term import known_term_number
 from spoolcourse.control.store.client import OutcomeUnknownError, RequestRefusedError
-from spoolcourse.control.store.keys import TERM
-from spoolcourse.control.store.records import TermRecord
 from spoolcourse.control.store.retry import RetryDelay
 from spoolcourse.control.store.watch_cache import WatchGap
 from spoolcourse.wire.peers import StandbyReply
@@ -75,8 +74,7 @@
 
     def answer(self) -> StandbyReply:
         """The answer to a leader that would hand over."""
-        entry = self._watch_cache.get(TERM)
-        term = TermRecord.number_of(entry.value if entry else None)
+        term = known_term_number(self._watch_cache)
         revision = self._watch_cache.store_revision
         if self.caught_up:
             return StandbyReply(True, term, revision)
--- a/spoolcourse/control/jobs/cancellation_query.py
+++ b/spoolcourse/control/jobs/cancellation_query.py
@@ -1,7 +1,7 @@
-"""A leader's question to its peers for cancellations that it can't know of.
+"""A leader's query to its peers for cancellations that it can't know of.
 
-It is asked while the key-value store does not answer, so that work survives an outage in which
-nobody can confirm any, and a cancellation that somebody could confirm still ends its tasks in time.
+It is sent while the key-value store does not answer. So work survives an outage in which nobody
+can confirm a cancellation, and one that somebody could confirm still ends its tasks in time.
 """
 
 from __future__ import annotations
@@ -12,52 +12,54 @@
 
 import msgspec
 
-from spoolcourse.control.context import ControllerContext
+from spoolcourse.control.http_client import HttpClient
 from spoolcourse.control.jobs.job_index import JobIndex
-from spoolcourse.control.leadership.election import Term
-from spoolcourse.control.leadership.peers import ask_peers
+from spoolcourse.control.leadership.peers import cancellations_query, query_peers
 from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
-from spoolcourse.control.store.keys import TERM
-from spoolcourse.control.store.records import TermRecord
+from spoolcourse.control.leadership.term import Term, known_term_number
 from spoolcourse.control.store.watch_cache import WatchCache
-from spoolcourse.wire import paths
-from spoolcourse.wire.messages import MalformedError
-from spoolcourse.wire.peers import CancellationReply
+from spoolcourse.wire.peers import CancellationReply, parse_since_revision
+from spoolcourse.wire.settings import Seed
 
-PERIOD_S = 1.0
-LATE_S = 2.0  # without a read of the key-value store: the health check makes one each second
+QUERY_PERIOD_S = 1.0
+STORE_SILENCE_MAX_S = 2.0  # without a read of the store: the health check makes one each second
 
 
 def answer_query(job_index: JobIndex, watch_cache: WatchCache, query: str) -> dict[str, Any]:
-    """The answer to a leader that knows everything up to the revision it names."""
-    name, _, text = query.partition("=")
-    if name != "beyond" or not text.isascii() or not text.isdigit():
-        raise MalformedError("beyond: a revision is needed")
-    term = watch_cache.get(TERM)
-    told = CancellationReply(
-        TermRecord.number_of(term.value if term is not None else None),
+    """Answer a leader that knows everything up to the revision it names.
+
+    Raises `MalformedError` if the query names none.
+    """
+    since_revision = parse_since_revision(query)
+    reply = CancellationReply(
+        known_term_number(watch_cache),
         watch_cache.synced_at > float("-inf"),
-        job_index.cancellations.beyond(int(text)),
+        job_index.cancellations.beyond(since_revision),
     )
-    found: dict[str, Any] = msgspec.to_builtins(told)
-    return found
+    json_object: dict[str, Any] = msgspec.to_builtins(reply)
+    return json_object
 
 
 class CancellationQuery:
-    """Asks the peers while the key-value store does not answer."""
+    """Queries the peers while the key-value store does not answer."""
 
     def __init__(
         self,
-        context: ControllerContext,
+        net: HttpClient,
+        peers: list[Seed],
+        watch_cache: WatchCache,
+        job_index: JobIndex,
+        clock: Callable[[], float],
         term: Term,
         renewal_deadline: RenewalDeadline,
         step_down: Callable[[str], None],
     ) -> None:
-        self._net = context.net
-        self._peers = context.peers
-        self._watch_cache = context.watch_cache
-        self._job_index = context.job_index
-        self._clock = context.clock
+        """`clock` is steady, in seconds; `step_down` ends the term for the reason given."""
+        self._net = net
+        self._peers = peers
+        self._watch_cache = watch_cache
+        self._job_index = job_index
+        self._clock = clock
         self._term = term
         self._renewal_deadline = renewal_deadline
         self._step_down = step_down
@@ -65,22 +67,28 @@
     async def run(self) -> None:
         """Run until cancelled."""
         while True:
-            await asyncio.sleep(PERIOD_S)
-            if self._clock() - self._watch_cache.synced_at > LATE_S:
-                await self.ask()
-
-    async def ask(self) -> None:
-        """Ask every peer once, and act on what they tell."""
-        asked = self._clock()
-        path = f"{paths.CANCELLATIONS}?beyond={self._watch_cache.store_revision}"
-        told = await ask_peers(self._net, self._peers, path, CancellationReply)
-        for reply in told:
+            await asyncio.sleep(QUERY_PERIOD_S)
+            if self._clock() - self._watch_cache.synced_at > STORE_SILENCE_MAX_S:
+                await self._query_all()
+
+    async def _query_all(self) -> None:
+        """Query every peer once. Step down if one knows a later term; else apply the replies."""
+        asked_at = self._clock()
+        query = cancellations_query(self._watch_cache.store_revision)
+        replies = await query_peers(self._net, self._peers, query)
+        for reply in replies:
             if reply is not None and reply.term > self._term.number:
                 self._step_down(f"a peer knows of term {reply.term}")
                 return
-        for reply in told:
-            for found in (reply and reply.cancelled) or ():
-                self._job_index.learn_cancelled(found)
-        self._renewal_deadline.acknowledged_by_peers(
-            asked, [t is not None and t.informed and t.cancelled is not None for t in told]
+        for reply in replies:
+            for cancellation in (reply and reply.cancelled) or ():
+                self._job_index.learn_cancelled(cancellation)
+        # Only now: the cancellations are applied before any lease is renewed on their account.
+        self._renewal_deadline.record_peer_acknowledgements(
+            asked_at, [_acknowledges(reply) for reply in replies]
         )
+
+
+def _acknowledges(reply: CancellationReply | None) -> bool:
+    """Whether the peer's reply holds every cancellation that it can have confirmed."""
+    return reply is not None and reply.has_read_store and reply.cancelled is not None
--- a/spoolcourse/control/leader/heartbeat_handler.py
+++ b/spoolcourse/control/leader/heartbeat_handler.py
@@ -70,7 +70,7 @@
         )
 
     def _may_renew(self) -> bool:
-        self._renewal_deadline.synced(self._watch_cache.synced_at)
+        self._renewal_deadline.record_store_read(self._watch_cache.synced_at)
         may_renew = self._renewal_deadline.may_renew(self._clock())
         if may_renew != self._renews:
             self._renews = may_renew
--- a/spoolcourse/control/leader/initial_machines.py
+++ b/spoolcourse/control/leader/initial_machines.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from spoolcourse.control.context import ControllerContext
-from spoolcourse.control.leadership.election import Term
-from spoolcourse.control.leadership.term_record import write_in_term
+from spoolcourse.control.leadership.fenced_write import write_fenced
+from spoolcourse.control.leadership.term import Term
 from spoolcourse.control.store.keys import BASE, base_part_key
 from spoolcourse.control.store.records import base_parts, base_values, initial_machines
 from spoolcourse.wire.messages import Host, HostStage
@@ -56,7 +56,8 @@
 
     async def _put(self, key: str, value: dict[str, Any], conditions: dict[str, int]) -> bool:
         """Write one value if this term goes on; whether it is written."""
-        return await write_in_term(self._context, self._term, key, value, conditions)
+        client, watch_cache = self._context.client, self._watch_cache
+        return await write_fenced(client, watch_cache, self._term, key, value, conditions)
 
     def _found(self, hosts: list[Host]) -> list[str]:
         if self._term.number != FIRST_TERM:
--- a/spoolcourse/control/leader/leader_term.py
+++ b/spoolcourse/control/leader/leader_term.py
@@ -12,11 +12,12 @@
 from spoolcourse.control.jobs.cancellation_query import CancellationQuery
 from spoolcourse.control.leader.active_leader import ActiveLeader, Loop
 from spoolcourse.control.leader.heartbeat_handler import step_down_for
-from spoolcourse.control.leadership.election import Leadership, Term
+from spoolcourse.control.leadership.election import Leadership
 from spoolcourse.control.leadership.failover_proof import SupersededError
 from spoolcourse.control.leadership.failover_timeline import FailoverPhase, FailoverTimeline
 from spoolcourse.control.leadership.feature_level import FeatureLevel
 from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
+from spoolcourse.control.leadership.term import Term
 from spoolcourse.wire.messages import Heartbeat
 
 log = logging.getLogger(__name__)
@@ -50,10 +51,23 @@
     def start(self) -> None:
         """Begin to take over; the other loops follow once that is done."""
         step_down = self._leadership.step_down
-        query = CancellationQuery(self._context, self._term, self._renewal_deadline, step_down)
+        context = self._context
+        query = CancellationQuery(
+            context.net,
+            context.peers,
+            context.watch_cache,
+            context.job_index,
+            context.clock,
+            self._term,
+            self._renewal_deadline,
+            step_down,
+        )
+        level = FeatureLevel(
+            context.net, context.client, context.watch_cache, context.peers, self._term
+        )
         self._spawn(self._run_failover())
         self._spawn(query.run())
-        self._spawn(FeatureLevel(self._context, self._term).run())
+        self._spawn(level.run())
 
     def stop(self) -> None:
         """End all loops."""
--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -12,10 +12,10 @@
 import logging
 import random
 from collections.abc import Callable
-from dataclasses import dataclass
 from typing import Any, Protocol
 
-from spoolcourse.control.leadership.renewal_deadline import DRIFT
+from spoolcourse.control.leadership.renewal_deadline import CLOCK_DRIFT
+from spoolcourse.control.leadership.term import Term
 from spoolcourse.control.store.client import (
     LeaseExpiredError,
     OutcomeUnknownError,
@@ -36,15 +36,6 @@
 ELECTION_PAUSE_S = (0.1, 0.4)  # by chance, so that two candidates don't stand in step
 
 
-@dataclass(frozen=True, slots=True)
-class Term:
-    """A term that this controller was elected for."""
-
-    number: int
-    revision: int  # of the term key: the fencing condition of every leader write
-    lease: int
-
-
 class LeadershipListener(Protocol):
     """Called at once when this controller's leadership begins or ends."""
 
@@ -129,7 +120,7 @@
         self._stands_from = asyncio.get_running_loop().time() + RESIGNED_S
         self.step_down(reason)
         try:
-            await self._client.release(term.lease)
+            await self._client.release(term.lease_id)
         except (RequestRefusedError, OutcomeUnknownError) as exc:
             log.info("the lease is left to run out: %s", exc)
 
@@ -243,7 +234,7 @@
         self.term = Term(number, revision, lease)
         self.terms += 1
         self._stepped_down.clear()
-        self._valid_until = sent + self._ttl_s * (1 - DRIFT)
+        self._valid_until = sent + self._ttl_s * (1 - CLOCK_DRIFT)
         self._client.set_leader(True)
         log.info("elected for term %d", number)
         if self._listener is not None:
@@ -257,7 +248,7 @@
             pause = self._ttl_s * RENEW_SHARE
             sent = loop.time()
             try:
-                await self._client.renew(term.lease)
+                await self._client.renew(term.lease_id)
                 if self.term is term:
                     if sent >= self._valid_until:
                         # After a gap the key may have changed hands: see it first.
@@ -265,7 +256,7 @@
                         if entry is None or entry.revision != term.revision:
                             self.step_down("the term has passed")
                             return
-                    self._valid_until = sent + self._ttl_s * (1 - DRIFT)
+                    self._valid_until = sent + self._ttl_s * (1 - CLOCK_DRIFT)
             except LeaseExpiredError:
                 self.step_down("the lease is gone")
                 return
--- a/spoolcourse/control/leadership/failover_proof.py
+++ b/spoolcourse/control/leadership/failover_proof.py
@@ -12,7 +12,7 @@
 from enum import Enum
 from typing import final
 
-from spoolcourse.control.leadership.election import Term
+from spoolcourse.control.leadership.term import Term
 from spoolcourse.control.store.keys import TERM
 from spoolcourse.control.store.watch_cache import WatchCache
 
--- a/spoolcourse/control/leadership/feature_level.py
+++ b/spoolcourse/control/leadership/feature_level.py
@@ -1,8 +1,8 @@
 """Which stored forms every controller can read, while versions change one process at a time.
 
 A process that ends before its turn comes back as it was. So what the version before can't read
-is written only once every controller has said that it can; the leader asks, and notes it in the
-key-value store, where it stays true: whoever was new comes back new.
+is written only once every controller has said that it can. The leader asks, and records it in the
+key-value store, where it stays true: a controller of the new version comes back with it.
 """
 
 from __future__ import annotations
@@ -10,55 +10,67 @@
 import asyncio
 import logging
 
-from spoolcourse.control.context import ControllerContext
-from spoolcourse.control.leadership.election import Term
-from spoolcourse.control.leadership.peers import ask_peers
-from spoolcourse.control.leadership.term_record import write_in_term
+from spoolcourse.control.http_client import HttpClient
+from spoolcourse.control.leadership.fenced_write import write_fenced
+from spoolcourse.control.leadership.peers import LEVEL_QUERY, query_peers
+from spoolcourse.control.leadership.term import Term
+from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.keys import LEVEL
 from spoolcourse.control.store.records import level_of, level_value
 from spoolcourse.control.store.watch_cache import WatchCache
-from spoolcourse.wire import paths
-from spoolcourse.wire.peers import LevelReply
+from spoolcourse.wire.settings import Seed
 
 log = logging.getLogger(__name__)
 
-SERVICES = 2  # 1: arrays only
-PERIOD_S = 1.0
+SERVICES_LEVEL = 2  # 1: arrays only
+QUERY_PERIOD_S = 1.0
 
 
-def answer() -> dict[str, int]:
-    """The answer of this version."""
-    return level_value(SERVICES)
+def level_reply() -> dict[str, int]:
+    """What this version answers to the query for its level."""
+    return level_value(SERVICES_LEVEL)
 
 
-def all_new(watch_cache: WatchCache) -> bool:
-    """Whether this controller has seen it noted."""
+def all_support_services(watch_cache: WatchCache) -> bool:
+    """Whether it is recorded that every controller can read the forms of services."""
     entry = watch_cache.get(LEVEL)
-    return entry is not None and level_of(entry.value) >= SERVICES
+    return entry is not None and level_of(entry.value) >= SERVICES_LEVEL
 
 
 class FeatureLevel:
-    """The leader's loop; it ends once it is noted."""
+    """The leader's loop; it ends once the level is recorded."""
 
-    def __init__(self, context: ControllerContext, term: Term) -> None:
-        self._context = context
-        self._net = context.net
-        self._watch_cache = context.watch_cache
-        self._peers = context.peers
+    def __init__(
+        self,
+        net: HttpClient,
+        client: StoreClient,
+        watch_cache: WatchCache,
+        peers: list[Seed],
+        term: Term,
+    ) -> None:
+        self._net = net
+        self._client = client
+        self._watch_cache = watch_cache
+        self._peers = peers
         self._term = term
 
     async def run(self) -> None:
-        """Ask until every controller is new, and note that."""
-        while not all_new(self._watch_cache):
-            replies = await ask_peers(self._net, self._peers, paths.LEVEL, LevelReply)
-            if all(reply is not None and reply.level >= SERVICES for reply in replies):
-                await self._note()
-            await asyncio.sleep(PERIOD_S)
+        """Query the peers until all of them have this version's level, and record that."""
+        while not all_support_services(self._watch_cache):
+            replies = await query_peers(self._net, self._peers, LEVEL_QUERY)
+            if all(reply is not None and reply.level >= SERVICES_LEVEL for reply in replies):
+                await self._record_level()
+            await asyncio.sleep(QUERY_PERIOD_S)
 
-    async def _note(self) -> None:
-        value = level_value(SERVICES)
-        conditions = {LEVEL: self._watch_cache.revision(LEVEL)}
-        if await write_in_term(self._context, self._term, LEVEL, value, conditions):
-            log.info("all controllers are new: services are taken")
+    async def _record_level(self) -> None:
+        if await write_fenced(
+            self._client,
+            self._watch_cache,
+            self._term,
+            LEVEL,
+            level_value(SERVICES_LEVEL),
+            {LEVEL: self._watch_cache.revision(LEVEL)},
+        ):
+            log.info("all controllers support services, term=%d", self._term.number)
         else:
             await self._watch_cache.read_barrier()
--- /dev/null
+++ b/spoolcourse/control/leadership/fenced_write.py
@@ -0,0 +1,38 @@
+"""Single values that a leader writes only while its term is the latest one."""
+
+from __future__ import annotations
+
+import logging
+from typing import Any
+
+from spoolcourse.control.leadership.term import Term
+from spoolcourse.control.store.client import OutcomeUnknownError, RequestRefusedError, StoreClient
+from spoolcourse.control.store.keys import TERM
+from spoolcourse.control.store.watch_cache import WatchCache
+from spoolcourse.wire.key_value_store import Put
+
+log = logging.getLogger(__name__)
+
+
+async def write_fenced(
+    client: StoreClient,
+    watch_cache: WatchCache,
+    term: Term,
+    key: str,
+    value: dict[str, Any],
+    expected_revisions: dict[str, int],
+) -> bool:
+    """Write a value if the term goes on and the keys have the expected revisions.
+
+    Returns whether it is known to be written. After False it may be written nevertheless, now or
+    later: the watch cache will show that.
+    """
+    expected_revisions = expected_revisions | {TERM: term.revision}
+    try:
+        outcome = await client.compare_and_swap(expected_revisions, [Put(key, value)])
+    except (RequestRefusedError, OutcomeUnknownError) as exc:
+        log.info("key=%s not written yet, term=%d: %s", key, term.number, exc)
+        return False
+    if outcome.ok:
+        watch_cache.apply(key, value, outcome.store_revision)
+    return outcome.ok
--- a/spoolcourse/control/leadership/peers.py
+++ b/spoolcourse/control/leadership/peers.py
@@ -1,33 +1,61 @@
-"""A question to every other controller."""
+"""Queries to all other controllers at once."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
-from typing import TypeVar
+from dataclasses import dataclass
+from typing import Generic, TypeVar
 
 from spoolcourse.control.http_client import HttpClient, NoResponseError
+from spoolcourse.wire import paths
 from spoolcourse.wire.messages import MalformedError, parse
+from spoolcourse.wire.peers import (
+    CancellationReply,
+    LevelReply,
+    StandbyReply,
+    cancellations_path,
+)
 from spoolcourse.wire.settings import Seed
 
 log = logging.getLogger(__name__)
 
-T = TypeVar("T")
+Reply = TypeVar("Reply")
+ReplyCo = TypeVar("ReplyCo", covariant=True)
 TIMEOUT_S = 1.0
 
 
-async def ask_peers(net: HttpClient, peers: list[Seed], path: str, kind: type[T]) -> list[T | None]:
-    """Ask all peers at once; their answers in the same order.
+@dataclass(frozen=True, slots=True)
+class PeerQuery(Generic[ReplyCo]):
+    """What a peer is asked for, and the form of its reply."""
 
-    None for one that does not answer in time, or whose version does not know the question.
+    path: str
+    reply_type: type[ReplyCo]
+
+
+LEVEL_QUERY = PeerQuery(paths.LEVEL, LevelReply)
+STANDBY_QUERY = PeerQuery(paths.STANDBY, StandbyReply)
+
+
+def cancellations_query(since_revision: int) -> PeerQuery[CancellationReply]:
+    """The query for the cancellations that a peer knows of since a revision."""
+    return PeerQuery(cancellations_path(since_revision), CancellationReply)
+
+
+async def query_peers(
+    net: HttpClient, peers: list[Seed], query: PeerQuery[Reply]
+) -> list[Reply | None]:
+    """Query all peers at once; returns their replies in the order of the peers.
+
+    None for one that does not answer in time, or whose version does not know the query.
     """
-    return await asyncio.gather(*(_ask(net, peer, path, kind) for peer in peers))
+    return await asyncio.gather(*(_query_peer(net, peer, query) for peer in peers))
 
 
-async def _ask(net: HttpClient, peer: Seed, path: str, kind: type[T]) -> T | None:
+async def _query_peer(net: HttpClient, peer: Seed, query: PeerQuery[Reply]) -> Reply | None:
     try:
-        reply = await net.call(peer.endpoint, "GET", path, timeout=TIMEOUT_S)
-        return parse(reply.data, kind) if reply.status == 200 else None
+        response = await net.call(peer.endpoint, "GET", query.path, timeout=TIMEOUT_S)
+        return parse(response.data, query.reply_type) if response.status == 200 else None
     except (NoResponseError, MalformedError) as exc:
-        log.debug("%s does not answer %s: %s", peer.label, path, exc)
+        log.debug("query failed, controller=%s path=%s: %s", peer.label, query.path, exc)
         return None
--- a/spoolcourse/control/peer_api.py
+++ b/spoolcourse/control/peer_api.py
@@ -45,7 +45,7 @@
         if path == paths.CANCELLATIONS:
             return Response(200, answer_query(node.job_index, node.watch_cache, query))
         if path == paths.LEVEL:
-            return Response(200, feature_level.answer())
+            return Response(200, feature_level.level_reply())
         if path == paths.STATUS:
             return Response(200, collect_status(node).to_json_object())
         if path == paths.METRICS:
--- a/spoolcourse/control/user_api/api.py
+++ b/spoolcourse/control/user_api/api.py
@@ -24,7 +24,7 @@
     retry_later,
 )
 from spoolcourse.control.jobs.job_index import RecordTooLargeError
-from spoolcourse.control.leadership.feature_level import all_new
+from spoolcourse.control.leadership.feature_level import all_support_services
 from spoolcourse.control.store.client import OutcomeUnknownError, RequestRefusedError
 from spoolcourse.control.store.records import FinalState
 from spoolcourse.control.user_api.checks import refusal, usable_machine_types
@@ -179,10 +179,10 @@
         What this controller learns by a sync no peer knows better. Asking them nevertheless kept
         users waiting for a second or more where one of them was cut off.
         """
-        if all_new(self._watch_cache):
+        if all_support_services(self._watch_cache):
             return True
         await self._sync()
-        return all_new(self._watch_cache)
+        return all_support_services(self._watch_cache)
 
     async def _accept(self, submission: Submission) -> Response:
         try:
--- a/spoolcourse/control/workers/worker_registry.py
+++ b/spoolcourse/control/workers/worker_registry.py
@@ -15,7 +15,7 @@
 from spoolcourse.control.jobs.job_queue import Attempt, JobQueue
 from spoolcourse.control.leadership.failover_proof import FailoverProof
 from spoolcourse.control.leadership.failover_timeline import FailoverPhase
-from spoolcourse.control.leadership.renewal_deadline import DRIFT
+from spoolcourse.control.leadership.renewal_deadline import CLOCK_DRIFT
 from spoolcourse.control.workers.command_builder import CommandBuilder
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.control.workers.reconciliation import HeartbeatReconciler
@@ -93,7 +93,7 @@
         self.fencing_token = proof.fencing_token
         self._lease_s = workers.lease_s
         # After it a lease is over for certain.
-        self._lease_over_s = workers.lease_s * (1 + DRIFT) + LEASE_MARGIN_S
+        self._lease_over_s = workers.lease_s * (1 + CLOCK_DRIFT) + LEASE_MARGIN_S
         self._clock = clock
         self.leader = leader
         self._reconciler = HeartbeatReconciler(self, leader)
--- a/spoolcourse/wire/peers.py
+++ b/spoolcourse/wire/peers.py
@@ -4,6 +4,11 @@
 
 import msgspec
 
+from spoolcourse.wire import paths
+from spoolcourse.wire.messages import MalformedError
+
+SINCE_REVISION_PARAMETER = "beyond"  # of the query for cancellations
+
 
 class Cancellation(msgspec.Struct, frozen=True):
     """A cancellation, with the time and the revision of its record."""
@@ -14,17 +19,30 @@
 
 
 class CancellationReply(msgspec.Struct, frozen=True):
-    """What a controller knows of cancellations beyond a revision.
+    """What a controller knows of cancellations since a revision.
 
-    `cancelled` is null if it may have forgotten some; `informed` says whether it has read the
-    key-value store since its process began.
+    `cancelled` is null if it may have forgotten some; `has_read_store` says whether it has read
+    the key-value store since its process began.
     """
 
     term: int
-    informed: bool
+    has_read_store: bool = msgspec.field(name="informed")
     cancelled: list[Cancellation] | None
 
 
+def cancellations_path(since_revision: int) -> str:
+    """The path, with its query, that asks for a `CancellationReply`."""
+    return f"{paths.CANCELLATIONS}?{SINCE_REVISION_PARAMETER}={since_revision}"
+
+
+def parse_since_revision(query: str) -> int:
+    """The revision in the query of a `cancellations_path`; raises `MalformedError` without one."""
+    name, _, text = query.partition("=")
+    if name != SINCE_REVISION_PARAMETER or not text.isascii() or not text.isdigit():
+        raise MalformedError(f"{SINCE_REVISION_PARAMETER}: a revision is needed")
+    return int(text)
+
+
 class LevelReply(msgspec.Struct, frozen=True):
     """The feature level of a controller."""
 
--- a/tests/fakes/proof.py
+++ b/tests/fakes/proof.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.leadership.failover_proof import FailoverProof, ProofSource
+from spoolcourse.control.leadership.term import Term
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.keys import PREFIX, TERM
 from spoolcourse.control.store.watch_cache import WatchCache
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -201,20 +201,20 @@
         Workers(heartbeat_interval_s=1.5, lease_s=10.0, cancel_s=40.0)
     )
     assert not renewal_deadline.may_renew(0.0)
-    renewal_deadline.synced(100.0)
-    renewal_deadline.synced(90.0)
-    assert renewal_deadline.known_to == 100.0
-    last = 100.0 + renewal_deadline.window_s
+    renewal_deadline.record_store_read(100.0)
+    renewal_deadline.record_store_read(90.0)
+    assert renewal_deadline.caught_up_at == 100.0
+    last = 100.0 + renewal_deadline.renewal_window_s
     assert renewal_deadline.may_renew(last) and not renewal_deadline.may_renew(last + 0.01)
     # Whoever was answered last is rid of everything in time, both clocks at their worst.
     assert last + 10.0 * 1.0005 < 100.0 + 40.0 * 0.9995 - 1.0
-    assert not renewal_deadline.acknowledged_by_peers(130.0, [True, False])
-    assert renewal_deadline.known_to == 100.0
+    assert not renewal_deadline.record_peer_acknowledgements(130.0, [True, False])
+    assert renewal_deadline.caught_up_at == 100.0
     assert (
-        renewal_deadline.acknowledged_by_peers(130.0, [True, True])
-        and renewal_deadline.known_to == 130.0
+        renewal_deadline.record_peer_acknowledgements(130.0, [True, True])
+        and renewal_deadline.caught_up_at == 130.0
     )
-    assert renewal_deadline.acknowledged_by_peers(140.0, []), (
+    assert renewal_deadline.record_peer_acknowledgements(140.0, []), (
         "nobody else could have confirmed anything"
     )
 
--- a/tests/test_standby_takeover.py
+++ b/tests/test_standby_takeover.py
@@ -11,8 +11,8 @@
 from spoolcourse.control.failover.strategies import FailoverResult
 from spoolcourse.control.failover.warm_standby import ShadowState
 from spoolcourse.control.http_client import Response
-from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.leadership.failover_proof import ProofSource
+from spoolcourse.control.leadership.term import Term
 from spoolcourse.control.store.keys import PROGRESS, TERM, split_progress
 from spoolcourse.wire.standby_settings import StandbySettings
 from tests.fakes.clock import play
--- a/tests/test_takeover_proof.py
+++ b/tests/test_takeover_proof.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.leadership.failover_proof import (
     BehindError,
     FailoverProof,
     ProofSource,
     SupersededError,
 )
+from spoolcourse.control.leadership.term import Term
 from spoolcourse.control.store.keys import TERM
 from tests.fakes.proof import cache_at, proven
 
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -242,7 +242,7 @@
         slow._client.grant = overtaken  # type: ignore[method-assign]
         await slow._stand()
         assert quick.term is not None and slow.term is None
-        assert state.value(TERM) == {"term": 1, "run": "run-n1", "hold": quick.term.lease}
+        assert state.value(TERM) == {"term": 1, "run": "run-n1", "hold": quick.term.lease_id}
 
     play(story())
 
--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -6,8 +6,8 @@
 
 from spoolcourse.control.jobs.job_queue import JobQueue, JobState
 from spoolcourse.control.jobs.writer import Writer
-from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.leadership.failover_proof import FailoverProof, ProofSource
+from spoolcourse.control.leadership.term import Term
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.keys import PREFIX, TERM, job_key
 from spoolcourse.control.store.records import JobRecord
