--- a/spoolcourse/control/cloud/catalog.py
+++ b/spoolcourse/control/cloud/catalog.py
@@ -71,7 +71,7 @@
         self.machine_types = {kind.name: kind for kind in catalog.machine_types}
 
     async def _store(self, catalog: Catalog) -> None:
-        if not self._leadership.valid():
+        if not self._leadership.holds_lease():
             return
         machine_types = sorted(catalog.machine_types, key=lambda kind: kind.name)
         entry = self._watch_cache.get(CATALOG)
--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -271,6 +271,6 @@
                 return redirect(None)
             leadership = self.leadership
             return self.relay.handle(
-                heartbeat.machine, raw, leadership.leader_label, leadership.informed
+                heartbeat.machine, raw, leadership.leader_label, leadership.has_recent_view
             )
         return self.leader_term.heartbeat(heartbeat, relayed=from_peer)
--- a/spoolcourse/control/failover/handover.py
+++ b/spoolcourse/control/failover/handover.py
@@ -19,7 +19,7 @@
 async def hand_over(context: ControllerContext, leadership: Leadership) -> HandoverReply:
     """Step down if some other controller is caught up; raises `HandoverRefusedError` if none is."""
     term = leadership.term
-    if term is None or not leadership.valid():
+    if term is None or not leadership.holds_lease():
         raise HandoverRefusedError("this controller is not sure to lead")
     replies = await query_peers(context.net, context.peers, STANDBY_QUERY)
     successors: list[str] = []
@@ -34,7 +34,7 @@
         raise HandoverRefusedError("no standby is caught up: " + "; ".join(reasons or ["no peers"]))
     if leadership.term is not term:
         raise HandoverRefusedError("this controller does not lead any more")
-    await leadership.resign(f"handed over to one of {', '.join(successors)}")
+    await leadership.step_down_and_release_lease(f"handed over to one of {', '.join(successors)}")
     return HandoverReply(term.number, successors)
 
 
--- a/spoolcourse/control/leader/active_leader.py
+++ b/spoolcourse/control/leader/active_leader.py
@@ -112,7 +112,7 @@
 
     def may_start(self) -> bool:
         """Whether nobody else can lead by now."""
-        return self._leadership.valid()
+        return self._leadership.holds_lease()
 
     def is_over(self, job: str) -> bool:
         """Whether the job can't be live any more: every start was preceded by its record."""
--- a/spoolcourse/control/status.py
+++ b/spoolcourse/control/status.py
@@ -170,7 +170,7 @@
     lease: str | UnsetType = UNSET
     if node.leader_term is not None and leadership.term is not None:
         term = leadership.term.number
-        lease = "valid" if leadership.valid() else "uncertain"
+        lease = "valid" if leadership.holds_lease() else "uncertain"
     return ControllerStatus(
         node=node.label,
         role="leader" if node.leader_term is not None else "follower",
@@ -178,7 +178,7 @@
         ready=node.ready,
         healthy=node.healthy,
         live_jobs=len(node.job_index.live),
-        terms=leadership.terms,
+        terms=leadership.elections_won,
         store_requests=node.client.sent,
         store_failures=node.client.failed,
         store_writes=node.client.written,
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -100,7 +100,7 @@
         )
         for _ in range(2):
             try:
-                await node._stand()
+                await node._stand_for_election()
             except OutcomeUnknownError:
                 if len(wire.held) == 2:
                     break
--- a/tests/test_standby_takeover.py
+++ b/tests/test_standby_takeover.py
@@ -242,7 +242,7 @@
 
         async def kill_claimant() -> None:
             run = world.state.value(TERM)["run"]
-            label = next(n for n, c in world.nodes.items() if c.leadership._run_id == run)
+            label = next(n for n, c in world.nodes.items() if c.leadership.run_id == run)
             claimed.append(label)
             world.kill(label)
 
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -235,12 +235,12 @@
         grant = slow._client.grant
 
         async def overtaken(ttl_s: float) -> int:
-            await quick._stand()
+            await quick._stand_for_election()
             await slow._watch_cache.read_barrier()  # as the watch does all the time
             return await grant(ttl_s)
 
         slow._client.grant = overtaken  # type: ignore[method-assign]
-        await slow._stand()
+        await slow._stand_for_election()
         assert quick.term is not None and slow.term is None
         assert state.value(TERM) == {"term": 1, "run": "run-n1", "hold": quick.term.lease_id}
 
