--- a/spoolcourse/control/failover/strategies.py
+++ b/spoolcourse/control/failover/strategies.py
@@ -15,7 +15,11 @@
     restore_from_records,
 )
 from spoolcourse.control.failover.warm_standby import Standby
-from spoolcourse.control.leadership.failover_proof import BehindError, FailoverProof, ProofSource
+from spoolcourse.control.leadership.failover_proof import (
+    FailoverProof,
+    ProofSource,
+    WatchCacheBehindError,
+)
 from spoolcourse.control.leadership.term import Term
 from spoolcourse.control.store.retry import RetryDelay
 from spoolcourse.wire.peers import Hint
@@ -56,7 +60,7 @@
             if await self._context.watch_cache.read_barrier():
                 try:
                     return self._finish(term)
-                except BehindError as exc:
+                except WatchCacheBehindError as exc:
                     log.info("failover not proven yet: %s", exc)
             await asyncio.sleep(RETRY_S)
 
--- a/spoolcourse/control/leader/leader_term.py
+++ b/spoolcourse/control/leader/leader_term.py
@@ -13,7 +13,7 @@
 from spoolcourse.control.leader.active_leader import ActiveLeader, Loop
 from spoolcourse.control.leader.heartbeat_handler import step_down_for
 from spoolcourse.control.leadership.election import Leadership
-from spoolcourse.control.leadership.failover_proof import SupersededError
+from spoolcourse.control.leadership.failover_proof import TermSupersededError
 from spoolcourse.control.leadership.failover_timeline import FailoverPhase, FailoverTimeline
 from spoolcourse.control.leadership.feature_level import FeatureLevel
 from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
@@ -81,7 +81,7 @@
     async def _guarded(self, loop: Loop) -> None:
         try:
             await loop
-        except SupersededError as exc:
+        except TermSupersededError as exc:
             self._leadership.step_down(str(exc))
         except Exception:
             # A leader without one of its loops would be worse than no leader.
--- a/spoolcourse/control/leadership/failover_proof.py
+++ b/spoolcourse/control/leadership/failover_proof.py
@@ -3,8 +3,8 @@
 The claim of a term is a write at some revision of the key-value store, and it changes the revision
 of the term key. Every write of an earlier leader is conditional on the term key as that leader
 knew it, so none is carried out after the claim; and a placement is written before its start is
-sent. Whoever has taken in every change up to the claim has therefore seen every placement that
-can ever have been sent.
+sent. A controller that has applied every change up to the claim has therefore seen every placement
+that can ever have been sent.
 """
 
 from __future__ import annotations
@@ -21,24 +21,40 @@
     """Where the job queue of a new leader came from."""
 
     RECORDS = "records"  # rebuilt from the records after a read barrier
-    SHADOW = "shadow"  # kept up by the watch, and caught up to the claim
+    SHADOW = "shadow"  # kept current by the watch, and caught up to the claim
 
 
-class UnprovenError(Exception):
-    """The failover is not proven."""
+class FailoverUnprovenError(Exception):
+    """The failover to a term is not proven."""
 
 
-class BehindError(UnprovenError):
-    """Changes before the claim may be missing: catch up and try again."""
+class WatchCacheBehindError(FailoverUnprovenError):
+    """Changes before the claim may be missing from the watch cache: catch up and try again."""
 
+    def __init__(self, term: Term, applied_revision: int) -> None:
+        super().__init__(
+            f"term {term.number} was claimed at revision {term.revision}, "
+            f"and only {applied_revision} is applied"
+        )
+        self.term = term
+        self.applied_revision = applied_revision
 
-class SupersededError(UnprovenError):
+
+class TermSupersededError(FailoverUnprovenError):
     """The claim is not the latest one that is known: this term can never be proven."""
 
+    def __init__(self, term: Term, latest_claim_revision: int) -> None:
+        super().__init__(
+            f"the claim of term {term.number} at revision {term.revision} is not the latest one, "
+            f"that is at revision {latest_claim_revision}"
+        )
+        self.term = term
+        self.latest_claim_revision = latest_claim_revision
+
 
 @final
 class FailoverProof:
-    """Needed by whatever decides or commands for a term.
+    """Required by every part that decides or commands for a term.
 
     It can be made only from a watch cache that has reached the claim of the term, and it does not
     change afterwards.
@@ -47,14 +63,13 @@
     __slots__ = ("_applied_revision", "_source", "_term")
 
     def __init__(self, term: Term, watch_cache: WatchCache, source: ProofSource) -> None:
+        """Raises `WatchCacheBehindError` or `TermSupersededError` if there is no proof."""
         applied_revision = watch_cache.store_revision
         if applied_revision < term.revision:
-            raise BehindError(
-                f"term {term.number} was claimed at revision {term.revision}, "
-                f"and only {applied_revision} is taken in"
-            )
-        if watch_cache.revision(TERM) != term.revision:
-            raise SupersededError(f"the claim of term {term.number} is not the latest one")
+            raise WatchCacheBehindError(term, applied_revision)
+        latest_claim_revision = watch_cache.revision(TERM)
+        if latest_claim_revision != term.revision:
+            raise TermSupersededError(term, latest_claim_revision)
         self._term = term
         self._applied_revision = applied_revision
         self._source = source
@@ -76,10 +91,10 @@
 
     @property
     def applied_revision(self) -> int:
-        """The revision up to which every change had been taken in; not below the claim."""
+        """The revision up to which every change had been applied; not below the claim."""
         return self._applied_revision
 
     @property
     def source(self) -> ProofSource:
-        """How the job queue was got."""
+        """Where the job queue came from."""
         return self._source
--- a/tests/test_takeover_proof.py
+++ b/tests/test_takeover_proof.py
@@ -5,10 +5,10 @@
 import pytest
 
 from spoolcourse.control.leadership.failover_proof import (
-    BehindError,
     FailoverProof,
     ProofSource,
-    SupersededError,
+    TermSupersededError,
+    WatchCacheBehindError,
 )
 from spoolcourse.control.leadership.term import Term
 from spoolcourse.control.store.keys import TERM
@@ -18,7 +18,7 @@
 def test_a_proof_needs_every_change_up_to_the_claim() -> None:
     watch_cache = cache_at(40)
     watch_cache.apply(TERM, {"term": 3}, 41)  # the claim itself is known ahead of the watch
-    with pytest.raises(BehindError, match="revision 41, and only 40"):
+    with pytest.raises(WatchCacheBehindError, match="revision 41, and only 40"):
         FailoverProof(Term(3, 41, 0), watch_cache, ProofSource.SHADOW)
     watch_cache.store_revision = 41
     proof = FailoverProof(Term(3, 41, 0), watch_cache, ProofSource.SHADOW)
@@ -28,7 +28,7 @@
 def test_a_claim_that_another_has_followed_proves_nothing() -> None:
     watch_cache = cache_at(60)
     watch_cache.apply(TERM, {"term": 4}, 55)
-    with pytest.raises(SupersededError):
+    with pytest.raises(TermSupersededError):
         FailoverProof(Term(3, 41, 0), watch_cache, ProofSource.RECORDS)
 
 
