--- a/tests/fakes/gap.py
+++ b/tests/fakes/isolated_leader.py
@@ -1,4 +1,4 @@
-"""A leader that can be cut off or refused while jobs run."""
+"""A leader that the network or the key-value store isolates while jobs run."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 CANCEL_S = 40.0  # of the settings of `World`
 
 
-class Gap:
+class IsolatedLeader:
     """A world with a job of four tasks on each of some machines, and its leader."""
 
     def __init__(self, world: World) -> None:
@@ -20,7 +20,7 @@
         self.cancelled_at = 0.0
 
     @classmethod
-    async def begin(cls, jobs: int = 2) -> Gap:
+    async def with_running_jobs(cls, jobs: int = 2) -> IsolatedLeader:
         world = World()
         world.cloud.run_s = lambda task: 300.0
         world.cloud.capacity = 4
@@ -31,48 +31,48 @@
         await asyncio.sleep(3)
         return cls(world)
 
-    def apart(self, node: str, *others: str) -> Any:
-        """Nothing passes between the node and the others, either way. `m-`: all machines."""
+    def partition(self, controller: str, *others: str) -> Any:
+        """Nothing passes between the controller and the others, either way. `m-`: all machines."""
 
         def check(src: str, dst: str, *rest: Any) -> str | None:
             ends = {src, dst.split(":")[0]}
-            return "cut" if node in ends and any(e.startswith(others) for e in ends) else None
+            return "cut" if controller in ends and any(e.startswith(others) for e in ends) else None
 
         self.world.wire.filters.append(check)
         return check
 
-    def refuse(self, node: str) -> Any:
-        """The key-value store refuses this node alone; its open watches wait meanwhile."""
+    def refuse_store_requests_of(self, controller: str) -> Any:
+        """The key-value store refuses this controller alone; its open watches wait meanwhile."""
 
         def check(src: str, dst: str, *rest: Any) -> str | None:
-            return "503" if (src, dst) == (node, "state:1") else None
+            return "503" if (src, dst) == (controller, "state:1") else None
 
         self.world.wire.filters.append(check)
-        self.world.wire.stalled.add((node, "state:1"))
+        self.world.wire.stalled.add((controller, "state:1"))
         return check
 
-    async def cancel(self, number: int = 1, through: str | None = None) -> None:
+    async def confirm_cancellation(self, number: int = 1, through: str | None = None) -> None:
         reply = await self.world.cancel(number, through or self.others[0])
         assert (reply.status, reply.data["stage"]) == (200, "aborted")
         self.cancelled_at = self.world.now()
 
-    async def open(self, number: int = 1, through: str | None = None) -> None:
-        """Refused alone, a cancellation through another, and the outage for all."""
-        refused = self.refuse(self.leader)
+    async def cancel_behind_leader(self, number: int = 1, through: str | None = None) -> None:
+        """Refuse the leader alone, cancel through a peer, and begin an outage for all."""
+        refusal = self.refuse_store_requests_of(self.leader)
         await asyncio.sleep(0.5)
-        await self.cancel(number, through)
+        await self.confirm_cancellation(number, through)
         self.world.state.out = True
-        self.world.wire.filters.remove(refused)
+        self.world.wire.filters.remove(refusal)
 
-    def close(self) -> None:
+    def end_outage(self) -> None:
         self.world.state.end_outage()
         self.world.wire.stalled.clear()
 
-    async def gone_in_time(self, number: int = 1) -> None:
+    async def wait_until_tasks_gone_in_time(self, number: int = 1) -> None:
         name = f"job-{number:06d}"
         left = self.cancelled_at + CANCEL_S - self.world.now()
         await self.world.until(lambda: not self.world.cloud.on_machines(name), left)
 
-    async def hold_on(self, until_s: float) -> None:
-        """Until so long after the cancellation."""
+    async def sleep_after_cancellation(self, until_s: float) -> None:
+        """Sleep until so long after the cancellation."""
         await asyncio.sleep(self.cancelled_at + until_s - self.world.now())
--- a/tests/test_takeover_proof.py
+++ b/tests/test_failover_proof.py
@@ -25,13 +25,13 @@
     assert (proof.fencing_token, proof.claim_revision, proof.applied_revision) == (3, 41, 41)
 
 
-def test_a_claim_that_another_has_followed_proves_nothing() -> None:
+def test_a_superseded_claim_proves_nothing() -> None:
     watch_cache = cache_at(60)
     watch_cache.apply(TERM, {"term": 4}, 55)
     with pytest.raises(TermSupersededError):
         FailoverProof(Term(3, 41, 0), watch_cache, ProofSource.RECORDS)
 
 
-def test_a_proof_can_not_be_changed() -> None:
+def test_a_proof_is_immutable() -> None:
     with pytest.raises(AttributeError):
         proven(7).term = Term(8, 9, 0)  # type: ignore[misc]
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -17,7 +17,7 @@
 from spoolcourse.control.store.records import JobRecord, Progress
 from spoolcourse.wire.peers import Cancellation
 from tests.fakes.clock import play
-from tests.fakes.gap import Gap
+from tests.fakes.isolated_leader import IsolatedLeader
 from tests.fakes.services import service
 from tests.fakes.world import World, job
 
@@ -234,8 +234,8 @@
     """The leader is refused by the key-value store, loses workers, and peers relay and testify."""
 
     async def story() -> None:
-        gap = await Gap.begin()
-        world, seen = gap.world, dict[tuple[str, str], tuple[Any, Response]]()
+        isolated = await IsolatedLeader.with_running_jobs()
+        world, seen = isolated.world, dict[tuple[str, str], tuple[Any, Response]]()
         call = world.wire.call
 
         async def record(
@@ -250,13 +250,13 @@
 
         world.wire.call = record  # type: ignore[method-assign]
         assert (await world.submit(service(3))).status == 201
-        away = gap.apart(gap.leader, "m-")
+        away = isolated.partition(isolated.leader, "m-")
         await asyncio.sleep(8)
-        refusal = gap.refuse(gap.others[0])
+        refusal = isolated.refuse_store_requests_of(isolated.others[0])
         await asyncio.sleep(2)
-        for ask in (world.poll(2, gap.others[0]), world.cancel(2, gap.others[0])):
+        for ask in (world.poll(2, isolated.others[0]), world.cancel(2, isolated.others[0])):
             assert (await ask).status == 200
-        assert (await world.submit(job(4), gap.others[0])).status == 201
+        assert (await world.submit(job(4), isolated.others[0])).status == 201
         world.wire.filters.remove(refusal)
         world.wire.filters.remove(away)
         world.state.out = True
@@ -301,12 +301,12 @@
 
 def test_questions_of_older_versions_are_answered_in_their_forms() -> None:
     async def story() -> None:
-        gap = await Gap.begin()
-        world = gap.world
+        isolated = await IsolatedLeader.with_running_jobs()
+        world = isolated.world
         await world.cancel(1)
         await asyncio.sleep(1)
-        follower = world.nodes[gap.others[0]]
-        leader = world.nodes[gap.leader]
+        follower = world.nodes[isolated.others[0]]
+        leader = world.nodes[isolated.leader]
 
         async def ask(method: str, path: str, body: Any) -> Response:
             if path == "/v1/report":
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -102,7 +102,7 @@
     play(story())
 
 
-def test_a_leader_with_its_workers_alone_claims_nothing_and_lets_them_go_in_time() -> None:
+def test_a_leader_partitioned_with_its_workers_answers_nothing_and_releases_them_in_time() -> None:
     async def story() -> None:
         world = World()
         world.cloud.run_s = lambda task: 60.0
@@ -142,7 +142,7 @@
     play(story())
 
 
-def test_a_follower_cut_off_for_long_names_no_leader() -> None:
+def test_a_follower_partitioned_for_long_names_no_leader() -> None:
     async def story() -> None:
         world = World()
         name = world.cloud.add()
@@ -165,7 +165,7 @@
 
 
 @pytest.mark.parametrize("after", [0.0, 0.02, 0.2, 0.6, 1.1, 2.4, 2.6])
-def test_processes_back_at_once_in_the_middle_of_an_election(after: float) -> None:
+def test_controllers_restarted_during_an_election_elect_one_leader(after: float) -> None:
     async def story() -> None:
         world = World()
         world.cloud.run_s = lambda task: 25.0
@@ -218,20 +218,20 @@
     play(story())
 
 
-def test_an_election_that_was_overtaken_while_its_lease_was_granted_fails() -> None:
+def test_a_claim_fails_if_another_was_elected_while_its_lease_was_granted() -> None:
     # Seen on a recorded day: two controllers that started together were both elected for
     # term 1, the second over the first.
     async def story() -> None:
         state, wire = FakeState(), FakeWire()
         wire.hosts["state:1"] = state.serve
         limits = State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
-        nodes = []
+        candidates = []
         for label in ("n0", "n1"):
             client = StoreClient(wire.end_of(label), "state:1", limits, nodes=2)
             watch_cache = WatchCache(client, PREFIX)
-            nodes.append(Leadership(client, watch_cache, label, f"run-{label}"))
+            candidates.append(Leadership(client, watch_cache, label, f"run-{label}"))
             await watch_cache.reload()
-        slow, quick = nodes
+        slow, quick = candidates
         grant = slow._client.grant
 
         async def overtaken(ttl_s: float) -> int:
