--- a/spoolcourse/control/leadership/__init__.py
+++ b/spoolcourse/control/leadership/__init__.py
@@ -1,1 +1,1 @@
-"""Election, term, and what a leader may not know."""
+"""Election, terms, fenced writes, and until when a leader may renew the leases of workers."""
