--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -29,8 +29,9 @@
 )
 from spoolcourse.control.jobs.job_index import JobIndex
 from spoolcourse.control.leader.leader_term import LeaderTerm
-from spoolcourse.control.leadership.election import Leadership, Term
+from spoolcourse.control.leadership.election import Leadership
 from spoolcourse.control.leadership.failover_timeline import FailoverTimeline
+from spoolcourse.control.leadership.term import Term
 from spoolcourse.control.peer_api import PeerApi
 from spoolcourse.control.process_load import Load
 from spoolcourse.control.store.client import StoreClient
@@ -74,9 +75,14 @@
         self.job_index = JobIndex(self.client, self.watch_cache)
         self.cloud = Cloud(net, settings.outside.cloud, params.cloud.rps)
         run = run_id or f"{random.getrandbits(64):016x}"
-        self.leadership = Leadership(self.client, self.watch_cache, settings.label, run)
-        self.leadership.on_elected = self._elected
-        self.leadership.on_stepped_down = self._stepped_down
+        self.leadership = Leadership(
+            self.client,
+            self.watch_cache,
+            settings.label,
+            run,
+            listener=self,
+            candidacy_delay_s=self._candidacy_delay_s,
+        )
         self._catalog = CatalogLoop(self.cloud, self.client, self.watch_cache, self.leadership)
         self.load = Load()
         self.context = ControllerContext(
@@ -114,7 +120,6 @@
     def _use_standby(self, settings: StandbySettings) -> None:
         self.standby = Standby(self.context, settings)
         self._failover = FailoverFromShadow(self.context, self.standby, settings)
-        self.leadership.candidacy_delay_s = self.standby.candidacy_delay_s
         self._standby_loops.append(self.standby.run)
         if settings.hint_period_s > 0:
             hint_loop = HintLoop(
@@ -167,14 +172,20 @@
         self.start()
         await asyncio.gather(*self._tasks)
 
-    def _elected(self, term: Term) -> None:
+    def _candidacy_delay_s(self) -> float:
+        return 0.0 if self.standby is None else self.standby.candidacy_delay_s()
+
+    def on_elected(self, term: Term) -> None:
+        """Begin the term."""
         self.watch_cache.watch_pause_s = LEADER_WATCH_PAUSE_S
-        self.leader_term = LeaderTerm(term, self.leadership, self.context, self._failover)
+        self.leader_term = LeaderTerm(
+            term, self.leadership, self.context, self._failover, self._trace
+        )
         self.last_failover_timeline = self.leader_term.timeline
-        self.last_failover_timeline.on_complete = self._trace
         self.leader_term.start()
 
-    def _stepped_down(self) -> None:
+    def on_stepped_down(self) -> None:
+        """End the term at once."""
         self.watch_cache.watch_pause_s = FOLLOWER_WATCH_PAUSE_S
         if self.leader_term is not None:
             self.leader_term.stop()
@@ -266,6 +277,6 @@
                 return redirect(None)
             leadership = self.leadership
             return self.relay.handle(
-                heartbeat.machine, raw, leadership.leader_label, leadership.informed
+                heartbeat.machine, raw, leadership.leader_label, leadership.has_recent_view
             )
         return self.leader_term.heartbeat(heartbeat, relayed=from_peer)
--- a/spoolcourse/control/leader/leader_term.py
+++ b/spoolcourse/control/leader/leader_term.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import logging
+from collections.abc import Callable
 
 from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.failover.strategies import FailoverStrategy
@@ -11,11 +12,12 @@
 from spoolcourse.control.jobs.cancellation_query import CancellationQuery
 from spoolcourse.control.leader.active_leader import ActiveLeader, Loop
 from spoolcourse.control.leader.heartbeat_handler import step_down_for_higher_token
-from spoolcourse.control.leadership.election import Leadership, Term
-from spoolcourse.control.leadership.failover_proof import SupersededError
+from spoolcourse.control.leadership.election import Leadership
+from spoolcourse.control.leadership.failover_proof import TermSupersededError
 from spoolcourse.control.leadership.failover_timeline import FailoverPhase, FailoverTimeline
 from spoolcourse.control.leadership.feature_level import FeatureLevel
 from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
+from spoolcourse.control.leadership.term import Term
 from spoolcourse.wire.messages import Heartbeat
 
 log = logging.getLogger(__name__)
@@ -30,6 +32,7 @@
         leadership: Leadership,
         context: ControllerContext,
         failover: FailoverStrategy,
+        on_failover_complete: Callable[[FailoverTimeline], None],
     ) -> None:
         self._term = term
         self._leadership = leadership
@@ -37,7 +40,7 @@
         self._failover = failover
         self._renewal_deadline = RenewalDeadline(context.params.workers)
         self._tasks: list[asyncio.Task[None]] = []
-        self.timeline = FailoverTimeline(context.clock)
+        self.timeline = FailoverTimeline(context.clock, on_failover_complete)
         if leadership.vacant_at is not None:
             self.timeline.record(FailoverPhase.VACANT, leadership.vacant_at)
         self.timeline.record(FailoverPhase.ELECTED)
@@ -48,10 +51,23 @@
     def start(self) -> None:
         """Begin to take over; the other loops follow once that is done."""
         step_down = self._leadership.step_down
-        query = CancellationQuery(self._context, self._term, self._renewal_deadline, step_down)
+        context = self._context
+        query = CancellationQuery(
+            context.net,
+            context.peers,
+            context.watch_cache,
+            context.job_index,
+            context.clock,
+            self._term,
+            self._renewal_deadline,
+            step_down,
+        )
+        level = FeatureLevel(
+            context.net, context.client, context.watch_cache, context.peers, self._term
+        )
         self._spawn(self._run_failover())
         self._spawn(query.run())
-        self._spawn(FeatureLevel(self._context, self._term).run())
+        self._spawn(level.run())
 
     def stop(self) -> None:
         """End all loops."""
@@ -65,7 +81,7 @@
     async def _guarded(self, loop: Loop) -> None:
         try:
             await loop
-        except SupersededError as exc:
+        except TermSupersededError as exc:
             self._leadership.step_down(str(exc))
         except Exception:
             # A leader without one of its loops would be worse than no leader.
--- a/tests/golden_records/adapter.py
+++ b/tests/golden_records/adapter.py
@@ -257,7 +257,7 @@
     "cancellation reply": _message(
         peers.CancellationReply(
             term=3,
-            informed=True,
+            has_read_store=True,
             cancelled=[
                 peers.Cancellation(job="job-000001", at=1000.5, revision=18),
                 peers.Cancellation(job="job-000002", at=1001.0, revision=19),
@@ -265,15 +265,17 @@
         )
     ),
     "cancellation reply, none": _message(
-        peers.CancellationReply(term=0, informed=False, cancelled=[])
+        peers.CancellationReply(term=0, has_read_store=False, cancelled=[])
     ),
     "cancellation reply, some forgotten": _message(
-        peers.CancellationReply(term=3, informed=True, cancelled=None)
+        peers.CancellationReply(term=3, has_read_store=True, cancelled=None)
     ),
     "level reply": _message(peers.LevelReply(level=2)),
     "level reply of this version": Form(
-        peers.LevelReply(level=feature_level.SERVICES),
-        lambda reply: feature_level.answer() if reply.level == feature_level.SERVICES else None,
+        peers.LevelReply(level=feature_level.SERVICES_LEVEL),
+        lambda reply: (
+            feature_level.level_reply() if reply.level == feature_level.SERVICES_LEVEL else None
+        ),
         lambda data: messages.parse(data, peers.LevelReply),
     ),
     "hint": _message(HINTS[0]),
--- a/tests/golden_records/interfaces.py
+++ b/tests/golden_records/interfaces.py
@@ -25,7 +25,7 @@
 from spoolcourse.wire.messages import BODY_LIMIT
 from spoolcourse.wire.standby_settings import OFF, StandbySettings
 from tests.fakes.clock import play
-from tests.fakes.gap import Gap
+from tests.fakes.isolated_leader import IsolatedLeader
 from tests.fakes.services import service
 from tests.fakes.world import LABELS, World, job
 
@@ -608,15 +608,15 @@
         await world.submit(job(number))
     await world.until(lambda: len(world.cloud.starts) == 8, 60)
     await asyncio.sleep(3)
-    gap = Gap(world)
+    isolated = IsolatedLeader(world)
     assert (await world.submit(service(3))).status == 201
-    away = gap.apart(gap.leader, "m-")
+    away = isolated.partition(isolated.leader, "m-")
     await asyncio.sleep(8)
-    refusal = gap.refuse(gap.others[0])
+    refusal = isolated.refuse_store_requests_of(isolated.others[0])
     await asyncio.sleep(2)
-    for ask in (world.poll(2, gap.others[0]), world.cancel(2, gap.others[0])):
+    for ask in (world.poll(2, isolated.others[0]), world.cancel(2, isolated.others[0])):
         assert (await ask).status == 200
-    assert (await world.submit(job(4), gap.others[0])).status == 201
+    assert (await world.submit(job(4), isolated.others[0])).status == 201
     world.wire.filters.remove(refusal)
     world.wire.filters.remove(away)
     world.state.out = True
--- a/tests/test_takeover_proof.py
+++ b/tests/test_failover_proof.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.leadership.failover_proof import (
-    BehindError,
     FailoverProof,
     ProofSource,
-    SupersededError,
+    TermSupersededError,
+    WatchCacheBehindError,
 )
+from spoolcourse.control.leadership.term import Term
 from spoolcourse.control.store.keys import TERM_KEY
 from tests.fakes.proof import cache_at, proven
 
@@ -18,20 +18,20 @@
 def test_a_proof_needs_every_change_up_to_the_claim() -> None:
     watch_cache = cache_at(40)
     watch_cache.apply(TERM_KEY, {"term": 3}, 41)  # the claim itself is known ahead of the watch
-    with pytest.raises(BehindError, match="revision 41, and only 40"):
+    with pytest.raises(WatchCacheBehindError, match="revision 41, and only 40"):
         FailoverProof(Term(3, 41, 0), watch_cache, ProofSource.SHADOW)
     watch_cache.store_revision = 41
     proof = FailoverProof(Term(3, 41, 0), watch_cache, ProofSource.SHADOW)
     assert (proof.fencing_token, proof.claim_revision, proof.applied_revision) == (3, 41, 41)
 
 
-def test_a_claim_that_another_has_followed_proves_nothing() -> None:
+def test_a_superseded_claim_proves_nothing() -> None:
     watch_cache = cache_at(60)
     watch_cache.apply(TERM_KEY, {"term": 4}, 55)
-    with pytest.raises(SupersededError):
+    with pytest.raises(TermSupersededError):
         FailoverProof(Term(3, 41, 0), watch_cache, ProofSource.RECORDS)
 
 
-def test_a_proof_can_not_be_changed() -> None:
+def test_a_proof_is_immutable() -> None:
     with pytest.raises(AttributeError):
         proven(7).term = Term(8, 9, 0)  # type: ignore[misc]
--- a/tests/test_standby_takeover.py
+++ b/tests/test_standby_takeover.py
@@ -11,8 +11,8 @@
 from spoolcourse.control.failover.strategies import FailoverResult
 from spoolcourse.control.failover.warm_standby import ShadowState
 from spoolcourse.control.http_client import Response
-from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.leadership.failover_proof import ProofSource
+from spoolcourse.control.leadership.term import Term
 from spoolcourse.control.store.keys import PROGRESS_PREFIX, TERM_KEY, parse_progress_key
 from spoolcourse.wire.standby_settings import StandbySettings
 from tests.fakes.clock import play
@@ -242,7 +242,7 @@
 
         async def kill_claimant() -> None:
             run = world.state.value(TERM_KEY)["run"]
-            label = next(n for n, c in world.nodes.items() if c.leadership._run_id == run)
+            label = next(n for n, c in world.nodes.items() if c.leadership.run_id == run)
             claimed.append(label)
             world.kill(label)
 
