--- a/spoolcourse/control/autoscaling/replica_places.py
+++ b/spoolcourse/control/autoscaling/replica_places.py
@@ -9,7 +9,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from spoolcourse.control.jobs.job_queue import Attempt, JobState
+from spoolcourse.control.jobs.model import Attempt, JobState
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.wire.messages import MachineType, fits
--- a/spoolcourse/control/failover/comparison.py
+++ b/spoolcourse/control/failover/comparison.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from spoolcourse.control.failover.restore import RestoredJobs
-from spoolcourse.control.jobs.job_queue import Attempt, Chunk, JobState
+from spoolcourse.control.jobs.model import Attempt, Chunk, JobState
 
 ChunkForm = tuple[int, dict[int, tuple[str, int]], int, int, int]
 AttemptForm = tuple[int, int, str, int, str]
--- a/spoolcourse/control/failover/shadow_queue.py
+++ b/spoolcourse/control/failover/shadow_queue.py
@@ -14,7 +14,7 @@
 
 from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.failover.restore import RestoredJobs, empty_job_queue
-from spoolcourse.control.jobs.job_queue import Chunk, JobState
+from spoolcourse.control.jobs.model import Chunk, JobState
 from spoolcourse.control.store.keys import JOB, PROGRESS, TERM, progress_key, split_progress
 from spoolcourse.control.store.records import JobRecord, Progress, TermRecord
 from spoolcourse.wire.key_value_store import Entry
--- /dev/null
+++ b/spoolcourse/control/jobs/model.py
@@ -0,0 +1,194 @@
+"""What the leader knows of its jobs: attempts, chunks of progress and the state of each job.
+
+These are plain data. `JobQueue` changes them and `ProgressWriter` persists them.
+"""
+
+from __future__ import annotations
+
+import sys
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+from enum import Enum
+
+from spoolcourse.control.store.records import JobRecord, Progress
+from spoolcourse.wire.messages import TaskStage, task_name
+
+UNBOUNDED = sys.maxsize  # tasks that a chunk may hold, where its size alone bounds them
+
+
+class AttemptStage(Enum):
+    """What is known of an attempt."""
+
+    OPEN = "open"  # adopted from the records; it may be anywhere
+    ASSIGNED = "assigned"  # not seen on its machine
+    FETCHING = "fetching"
+    RUNNING = "running"
+    SAVING = "saving"
+
+
+REPORTED_STAGES = {
+    TaskStage.FETCHING: AttemptStage.FETCHING,
+    TaskStage.RUNNING: AttemptStage.RUNNING,
+    TaskStage.SAVING: AttemptStage.SAVING,
+}
+
+
+@dataclass(slots=True, eq=False)
+class Attempt:
+    """One attempt at a task. It exists until it is proven gone."""
+
+    job_state: JobState
+    task: int
+    number: int
+    machine: str
+    version: int  # of its chunk when it was assigned
+    since: float  # when `stage` began
+    stage: AttemptStage = AttemptStage.ASSIGNED
+    start_sent_with: tuple[int, int] | None = None  # the heartbeat whose response carried the start
+    sent_directly: bool = False  # the start was also sent to the machine's address
+    in_flight_incarnation: int | None = None  # the incarnation in which that may still arrive
+    first: bool = False  # it went before rank, so that its job begins: no claim stops it
+    stopping: bool = False
+    stop_sent: bool = False  # to the machine's address
+
+    @property
+    def name(self) -> str:
+        """The task's name in heartbeats and commands."""
+        return task_name(self.job_state.id, self.task)
+
+    @property
+    def is_on(self) -> bool:
+        """Whether it has its image: it runs, or saves its progress."""
+        return self.stage is AttemptStage.RUNNING or self.stage is AttemptStage.SAVING
+
+    @property
+    def never_sent(self) -> bool:
+        """No start is under way, nor can have arrived."""
+        return (
+            self.stage is AttemptStage.ASSIGNED
+            and self.start_sent_with is None
+            and self.in_flight_incarnation is None
+        )
+
+    @property
+    def saved(self) -> bool:
+        """Whether the record of the attempt is durable."""
+        return self.job_state.chunk(self.task).saved >= self.version
+
+
+@dataclass(slots=True, eq=False)
+class Chunk:
+    """A progress key: the wanted content, and how much of it is durable."""
+
+    index: int
+    progress: Progress = field(default_factory=Progress)
+    revision: int = 0
+    version: int = 0
+    saved: int = 0
+
+
+@dataclass(slots=True, eq=False)
+class JobState:
+    """A live job while this controller leads."""
+
+    record: JobRecord
+    chunks: dict[int, Chunk] = field(default_factory=dict)
+    attempts: dict[int, Attempt] = field(default_factory=dict)
+    done: int = 0
+    requeued: set[int] = field(default_factory=set)
+    first_unassigned: int = 0  # tasks from here on were never assigned, but for those held or done
+    retry_at: float = 0.0
+    failures: int = 0  # attempts in a row that ended in error
+    bad_machines: dict[str, float] = field(default_factory=dict)  # it failed there: until when
+    final: bool = False  # the final state is durable
+    waiting_since: float = 0.0
+    # Chunks made for a larger limit of the key-value store than the one to come never hold more
+    # than fits into that; what they hold beyond it ends gradually.
+    max_held_per_chunk: int = UNBOUNDED
+    cancelled_known_at: float = 0.0  # when this leader heard of it; only if it is cancelled
+
+    @property
+    def id(self) -> str:
+        """The job's id."""
+        return self.record.submission.id
+
+    @property
+    def order(self) -> tuple[float, str]:
+        """What jobs are ordered by: their arrival."""
+        return (self.record.at, self.id)
+
+    @property
+    def pending(self) -> int:
+        """How many tasks are neither done nor held by an attempt."""
+        return self.record.submission.task_count - self.done - len(self.attempts)
+
+    @property
+    def all_running(self) -> bool:
+        """All its tasks run, and none is being stopped."""
+        return self.pending == 0 and all(
+            a.stage is AttemptStage.RUNNING and not a.stopping for a in self.attempts.values()
+        )
+
+    @property
+    def assignable(self) -> int:
+        """Pending tasks that may be assigned now: see `held_most`."""
+        if self.max_held_per_chunk >= self.record.chunk:
+            return self.pending
+        size, tasks, total = self.record.chunk, self.record.submission.task_count, 0
+        for index in range(self.record.chunks):
+            here = min(size, tasks - index * size)
+            chunk = self.chunks.get(index)
+            if chunk is not None:
+                held = len(chunk.progress.held)
+                here -= held + chunk.progress.done.bit_count()
+                total += max(0, min(here, self.max_held_per_chunk - held))
+            else:
+                total += min(here, self.max_held_per_chunk)
+        return total
+
+    @property
+    def finished(self) -> bool:
+        """Nothing is left to do but to write the final state."""
+        if self.record.cancelled:
+            return not self.attempts
+        if self.record.submission.is_service:
+            return False  # only its user ends it
+        return self.done == self.record.submission.task_count
+
+    def chunk(self, task: int) -> Chunk:
+        """The chunk that a task belongs to."""
+        index = task // self.record.chunk
+        chunk = self.chunks.get(index)
+        if chunk is None:
+            chunk = self.chunks[index] = Chunk(index)
+        return chunk
+
+    def is_done(self, task: int) -> bool:
+        """Whether the task has a result."""
+        chunk = self.chunks.get(task // self.record.chunk)
+        return chunk is not None and bool(chunk.progress.done >> (task % self.record.chunk) & 1)
+
+    def candidates(self) -> Iterator[int]:
+        """Pending tasks: those that lost an attempt first, then in order."""
+        if self.max_held_per_chunk >= self.record.chunk:
+            yield from self._candidates()
+            return
+        held = {i: len(c.progress.held) for i, c in self.chunks.items()}
+        for task in self._candidates():
+            index = task // self.record.chunk
+            if held.get(index, 0) < self.max_held_per_chunk:
+                held[index] = held.get(index, 0) + 1
+                yield task
+
+    def _candidates(self) -> Iterator[int]:
+        yield from sorted(p for p in self.requeued if p not in self.attempts)
+        task = self.first_unassigned
+        while task < self.record.submission.task_count:
+            if task not in self.attempts and task not in self.requeued:
+                if not self.is_done(task):
+                    yield task
+                elif task == self.first_unassigned:
+                    self.first_unassigned += 1
+            elif task == self.first_unassigned:
+                self.first_unassigned += 1
+            task += 1
--- a/spoolcourse/control/jobs/writer.py
+++ b/spoolcourse/control/jobs/progress_writer.py
@@ -14,7 +14,8 @@
 
 import orjson
 
-from spoolcourse.control.jobs.job_queue import Chunk, JobQueue, JobState
+from spoolcourse.control.jobs.job_queue import JobQueue
+from spoolcourse.control.jobs.model import Chunk, JobState
 from spoolcourse.control.leadership.failover_proof import FailoverProof
 from spoolcourse.control.store.client import OutcomeUnknownError, RequestRefusedError, StoreClient
 from spoolcourse.control.store.keys import TERM, final_key, job_key, progress_key
@@ -31,7 +32,7 @@
 TXN_BYTES = 48 * 1024  # of 64 KiB: the rest is for conditions and spelling
 
 
-class Writer:
+class ProgressWriter:
     """Writes dirty chunks and final states, within the budget for writes."""
 
     def __init__(
--- a/spoolcourse/control/leader/active_leader.py
+++ b/spoolcourse/control/leader/active_leader.py
@@ -9,8 +9,8 @@
 from spoolcourse.control.autoscaling.autoscaler import FleetAutoscaler
 from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.failover.strategies import FailoverResult
-from spoolcourse.control.jobs.job_queue import JobState
-from spoolcourse.control.jobs.writer import Writer
+from spoolcourse.control.jobs.model import JobState
+from spoolcourse.control.jobs.progress_writer import ProgressWriter
 from spoolcourse.control.leader.heartbeat_handler import HeartbeatHandler
 from spoolcourse.control.leader.hinted_workers import HintedWorkers
 from spoolcourse.control.leader.initial_machines import InitialMachines
@@ -69,7 +69,7 @@
         self.termination = TerminationLoop(leader, self.snapshot_builder, self.autoscaler.places)
         self.admission = HeartbeatHandler(context, leadership, self.registry, renewal_deadline)
         self.hinted_workers = HintedWorkers(leader, failover.hints)
-        self.writer = Writer(
+        self.writer = ProgressWriter(
             context.client,
             context.watch_cache,
             self.job_queue,
--- a/spoolcourse/control/scheduling/scheduling_loop.py
+++ b/spoolcourse/control/scheduling/scheduling_loop.py
@@ -16,7 +16,7 @@
     top_up,
 )
 from spoolcourse.control.cloud.client import max_provisions
-from spoolcourse.control.jobs.job_queue import JobState
+from spoolcourse.control.jobs.model import JobState
 from spoolcourse.control.leader_context import LeaderContext
 from spoolcourse.control.leadership.failover_timeline import FailoverPhase
 from spoolcourse.control.placement.backfill import place
--- a/spoolcourse/control/scheduling/snapshot_builder.py
+++ b/spoolcourse/control/scheduling/snapshot_builder.py
@@ -5,7 +5,8 @@
 import logging
 from math import inf
 
-from spoolcourse.control.jobs.job_queue import Attempt, JobQueue, JobState
+from spoolcourse.control.jobs.job_queue import JobQueue
+from spoolcourse.control.jobs.model import Attempt, JobState
 from spoolcourse.control.placement.model import Job, Node, Snapshot, Team
 from spoolcourse.control.scheduling.snapshot_cache import Index, SnapshotCache
 from spoolcourse.control.workers.machine import Machine
--- a/spoolcourse/control/scheduling/snapshot_cache.py
+++ b/spoolcourse/control/scheduling/snapshot_cache.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from spoolcourse.control.jobs.job_queue import Attempt, JobState
+from spoolcourse.control.jobs.model import Attempt, JobState
 from spoolcourse.control.placement.model import LEAST_RATE, Node, RunningTask
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.wire.messages import MachineType
--- a/spoolcourse/control/scheduling/termination_notices.py
+++ b/spoolcourse/control/scheduling/termination_notices.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from spoolcourse.control.autoscaling.replica_places import ReplicaPlaces
-from spoolcourse.control.jobs.job_queue import Attempt, AttemptStage
+from spoolcourse.control.jobs.model import Attempt, AttemptStage
 from spoolcourse.control.leader_context import LeaderContext
 from spoolcourse.control.scheduling.snapshot_builder import SnapshotBuilder
 from spoolcourse.control.workers.machine import Machine
--- a/spoolcourse/control/status.py
+++ b/spoolcourse/control/status.py
@@ -9,7 +9,7 @@
 from msgspec import UNSET, UnsetType
 
 from spoolcourse.control.failover.warm_standby import ShadowState
-from spoolcourse.control.jobs.job_queue import AttemptStage
+from spoolcourse.control.jobs.model import AttemptStage
 
 if TYPE_CHECKING:
     from spoolcourse.control.controller import Controller
--- a/spoolcourse/control/workers/command_builder.py
+++ b/spoolcourse/control/workers/command_builder.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Container
 from typing import TYPE_CHECKING
 
-from spoolcourse.control.jobs.job_queue import Attempt, AttemptStage, JobState
+from spoolcourse.control.jobs.model import Attempt, AttemptStage, JobState
 from spoolcourse.control.leadership.failover_timeline import FailoverPhase
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.wire.commands import Acknowledge, Command, Start, Stop
--- a/spoolcourse/control/workers/machine.py
+++ b/spoolcourse/control/workers/machine.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-from spoolcourse.control.jobs.job_queue import Attempt
+from spoolcourse.control.jobs.model import Attempt
 from spoolcourse.wire.messages import HostStage
 
 
--- a/spoolcourse/control/workers/reconciliation.py
+++ b/spoolcourse/control/workers/reconciliation.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from spoolcourse.control.jobs.backoff import ARRAY_BACKOFF, REPLICA_BACKOFF, Backoff
-from spoolcourse.control.jobs.job_queue import REPORTED_STAGES, Attempt, AttemptStage, JobState
+from spoolcourse.control.jobs.model import REPORTED_STAGES, Attempt, AttemptStage, JobState
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.wire.messages import (
     EndCause,
--- a/spoolcourse/control/workers/worker_registry.py
+++ b/spoolcourse/control/workers/worker_registry.py
@@ -12,7 +12,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from spoolcourse.control.jobs.job_queue import Attempt, JobQueue
+from spoolcourse.control.jobs.job_queue import JobQueue
+from spoolcourse.control.jobs.model import Attempt
 from spoolcourse.control.leadership.failover_proof import FailoverProof
 from spoolcourse.control.leadership.failover_timeline import FailoverPhase
 from spoolcourse.control.leadership.renewal_deadline import DRIFT
--- a/tests/fakes/registry.py
+++ b/tests/fakes/registry.py
@@ -4,7 +4,8 @@
 
 from typing import Any
 
-from spoolcourse.control.jobs.job_queue import Attempt, JobQueue, JobState
+from spoolcourse.control.jobs.job_queue import JobQueue
+from spoolcourse.control.jobs.model import Attempt, JobState
 from spoolcourse.control.leadership.failover_timeline import FailoverPhase
 from spoolcourse.control.store.records import JobRecord
 from spoolcourse.control.workers.worker_registry import Answer, WorkerRegistry
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from spoolcourse.control.jobs.job_queue import AttemptStage
+from spoolcourse.control.jobs.model import AttemptStage
 from spoolcourse.control.store.records import Progress
 from spoolcourse.wire.messages import MalformedError, parse_heartbeat
 from tests.fakes.registry import TERM, RegistryHarness, on
--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -4,8 +4,9 @@
 
 import asyncio
 
-from spoolcourse.control.jobs.job_queue import JobQueue, JobState
-from spoolcourse.control.jobs.writer import Writer
+from spoolcourse.control.jobs.job_queue import JobQueue
+from spoolcourse.control.jobs.model import JobState
+from spoolcourse.control.jobs.progress_writer import ProgressWriter
 from spoolcourse.control.leadership.election import Term
 from spoolcourse.control.leadership.failover_proof import FailoverProof, ProofSource
 from spoolcourse.control.store.client import StoreClient
@@ -40,7 +41,7 @@
         await asyncio.sleep(10)
         await watch_cache.reload()
         proof = FailoverProof(term, watch_cache, ProofSource.RECORDS)
-        writer = Writer(client, watch_cache, works, proof, lambda why: None, lambda: None)
+        writer = ProgressWriter(client, watch_cache, works, proof, lambda why: None, lambda: None)
         running = asyncio.create_task(writer.run())
         for work in jobs[:20]:
             works.complete(work, 0)
@@ -83,7 +84,7 @@
         await watch_cache.reload()
         proof = FailoverProof(term, watch_cache, ProofSource.RECORDS)
         running = asyncio.create_task(
-            Writer(client, watch_cache, works, proof, lambda why: None, lambda: None).run()
+            ProgressWriter(client, watch_cache, works, proof, lambda why: None, lambda: None).run()
         )
         attempts = [works.assign(work, piece, "m-000001", piece, 0.0) for piece in range(100)]
         await asyncio.sleep(2)
