--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -43,10 +43,10 @@
     # Measured: with asyncio's 256 KiB, three more calls into the kernel for every heartbeat.
     code = """
 import asyncio
-from spoolcourse.control.http_client import Reply
+from spoolcourse.control.http_client import Response
 from spoolcourse.control.http_server import listen
 def handler(request):
-    return Reply(200, {})
+    return Response(200, {})
 async def main():
     server = await listen(("127.0.0.1", 0), handler)
     reader, writer = await asyncio.open_connection(*server.sockets[0].getsockname())
