--- /dev/null
+++ b/spoolcourse/control/jobs/chunk_batch.py
@@ -0,0 +1,106 @@
+"""Chunks of progress that are written with one transaction."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+
+import orjson
+
+from spoolcourse.control.jobs.job_queue import JobQueue
+from spoolcourse.control.jobs.model import Chunk
+from spoolcourse.control.store.keys import job_key, progress_key
+from spoolcourse.wire.identities import ChunkId
+from spoolcourse.wire.key_value_store import Operation, Put
+
+# Bytes that a change adds besides its value, at the most: its key, its conditions and their
+# spelling.
+CHANGE_OVERHEAD_BYTES = 300
+BATCH_MAX_BYTES = 48 * 1024  # of 64 KiB for a transaction: the rest is for conditions and spelling
+
+
+@dataclass(frozen=True, slots=True)
+class BatchLimits:
+    """What the key-value store takes."""
+
+    value_bytes: int  # of one value
+    operations: int  # in one transaction
+
+
+@dataclass(frozen=True, slots=True)
+class ChunkWrite:
+    """A chunk as it was when its write was prepared; the chunk itself may change meanwhile."""
+
+    chunk: Chunk
+    version: int  # of the chunk's content in `put`
+    put: Put
+    value_bytes: int
+    job_revision: int  # of the job's record, which must not have been cancelled since
+
+
+@dataclass(slots=True)
+class ChunkBatch:
+    """Writes for one transaction, and the revisions that it is conditional on.
+
+    Each write is conditional on the revisions of its key and of its job's record: no assignment
+    becomes durable for a job that was cancelled before (docs/design.md, "Rules", `ran_cancelled`).
+    """
+
+    expected_revisions: dict[str, int]
+    writes: list[ChunkWrite] = field(default_factory=list)
+
+    @property
+    def operations(self) -> list[Operation]:
+        """The operations of the transaction."""
+        return [write.put for write in self.writes]
+
+    def add(self, write: ChunkWrite) -> None:
+        """Add a write with its conditions."""
+        chunk = write.chunk
+        self.expected_revisions[write.put.key] = chunk.revision
+        self.expected_revisions[job_key(chunk.id.job)] = write.job_revision
+        self.writes.append(write)
+
+
+def select_batch(
+    job_queue: JobQueue,
+    chunk_ids: Iterable[ChunkId],
+    limits: BatchLimits,
+    expected_revisions: dict[str, int],
+) -> ChunkBatch:
+    """As many of the chunks, in their order, as one transaction takes.
+
+    Chunks that can't be written, or need not be, are no longer pending after that.
+    """
+    batch = ChunkBatch(expected_revisions)
+    size_bytes = 0
+    for chunk_id in chunk_ids:
+        write = _prepare_write(job_queue, chunk_id)
+        if write is None or write.value_bytes > limits.value_bytes:
+            # Too large is what was made for a limit that has dropped: the results stay with the
+            # workers until what it holds has ended and it fits. It comes back with its next change.
+            job_queue.clear_pending_write(chunk_id)
+            continue
+        size_bytes += write.value_bytes + CHANGE_OVERHEAD_BYTES
+        is_full = size_bytes > BATCH_MAX_BYTES or len(batch.writes) >= limits.operations
+        if batch.writes and is_full:
+            break
+        batch.add(write)
+    return batch
+
+
+def _prepare_write(job_queue: JobQueue, chunk_id: ChunkId) -> ChunkWrite | None:
+    """The write of a chunk; None if its job is over or about to be, or nothing is pending."""
+    job, index = chunk_id
+    job_state = job_queue.jobs.get(job)
+    chunk = job_queue.pending_writes.get(chunk_id)
+    if job_state is None or chunk is None or job in job_queue.pending_final_states:
+        return None
+    value = chunk.progress.value()
+    return ChunkWrite(
+        chunk,
+        chunk.version,
+        Put(progress_key(job, index), value),
+        len(orjson.dumps(value)),
+        job_state.record.revision,
+    )
--- /dev/null
+++ b/spoolcourse/control/jobs/term_transactions.py
@@ -0,0 +1,94 @@
+"""Transactions of the leader's term, and reconciliation where they fail."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+
+from spoolcourse.control.jobs.job_queue import JobQueue
+from spoolcourse.control.leadership.election import Term
+from spoolcourse.control.store.client import OutcomeUnknownError, RequestRefusedError, StoreClient
+from spoolcourse.control.store.keys import TERM, job_key, progress_key
+from spoolcourse.control.store.watch_cache import WatchCache
+from spoolcourse.wire.key_value_store import Operation, Outcome
+
+log = logging.getLogger(__name__)
+
+
+class TermTransactions:
+    """Commits transactions that are conditional on the term.
+
+    So a deposed leader's write changes nothing, however late it arrives (docs/design.md, "Rules",
+    `ran_twice`).
+    """
+
+    def __init__(
+        self,
+        client: StoreClient,
+        watch_cache: WatchCache,
+        job_queue: JobQueue,
+        term: Term,
+        step_down: Callable[[str], None],
+        on_persisted: Callable[[], None],
+    ) -> None:
+        self._client = client
+        self._watch_cache = watch_cache
+        self._job_queue = job_queue
+        self._term = term
+        self._step_down = step_down
+        self._on_persisted = on_persisted
+
+    def conditions(self) -> dict[str, int]:
+        """The revisions that every transaction of the term is conditional on."""
+        return {TERM: self._term.revision}
+
+    async def commit(
+        self, expected_revisions: dict[str, int], operations: list[Operation]
+    ) -> Outcome:
+        """Carry out a transaction, or learn that one of its conditions does not hold.
+
+        Raises:
+            RequestRefusedError: It was not carried out.
+            OutcomeUnknownError: It may have been carried out, or may be later. The job queue has
+                been reconciled with the watch cache, if that could be synced.
+        """
+        try:
+            return await self._client.compare_and_swap(expected_revisions, operations)
+        except OutcomeUnknownError:
+            # It may have been carried out, or may still be. Look; the same conditions
+            # make sure that it and the next try can't both be carried out.
+            if not await self._watch_cache.read_barrier():
+                raise
+            self._reconcile_with_cache()
+            raise
+
+    async def reconcile_after_conflict(self, outcome: Outcome) -> None:
+        """Find out what a transaction conflicted with.
+
+        Raises:
+            RequestRefusedError: The term has passed, or the watch cache could not be synced.
+        """
+        if TERM in outcome.failed:
+            self._step_down("a write was refused: the term has passed")
+            raise RequestRefusedError("deposed")
+        log.debug("progress write conflict: keys=%s", outcome.failed)
+        if not await self._watch_cache.read_barrier():
+            raise RequestRefusedError("no sync after a conflict")
+        self._reconcile_with_cache()
+
+    def _reconcile_with_cache(self) -> None:
+        """Bring revisions, and jobs that have ended, in line with the synced watch cache."""
+        for job, job_state in list(self._job_queue.jobs.items()):
+            revision = self._watch_cache.revision(job_key(job))
+            if revision == 0 and job in self._job_queue.pending_final_states:
+                self._job_queue.remove(job_state)
+                self._on_persisted()
+                continue
+            for chunk in job_state.chunks.values():
+                entry = self._watch_cache.get(progress_key(job, chunk.index))
+                if entry is not None and entry.revision != chunk.revision:
+                    chunk.revision = entry.revision
+                    if entry.value == chunk.progress.value():
+                        chunk.persisted_version = chunk.version
+                        self._job_queue.clear_pending_write(chunk.id)
+                        self._on_persisted()
--- a/spoolcourse/control/leader/active_leader.py
+++ b/spoolcourse/control/leader/active_leader.py
@@ -100,7 +100,7 @@
 
     async def _sweep(self) -> None:
         try:
-            await self.writer.sweep(self._leftover_keys)
+            await self.writer.delete_progress(self._leftover_keys)
         except (RequestRefusedError, OutcomeUnknownError) as exc:
             log.info("progress of finished jobs is left for the next term: %s", exc)
 
