--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -67,7 +67,7 @@
         nodes = len(settings.seeds) + 1
         self.client = StoreClient(net, settings.outside.state, params.state, nodes)
         self.watch_cache = WatchCache(self.client, PREFIX)
-        self.job_index = JobIndex(self.client, self.watch_cache)
+        self.job_index = JobIndex(self.watch_cache)
         self.cloud = Cloud(net, settings.outside.cloud, params.cloud.rps)
         run = run_id or f"{random.getrandbits(64):016x}"
         self.leadership = Leadership(self.client, self.watch_cache, settings.label, run)
--- a/spoolcourse/control/jobs/cancellation_query.py
+++ b/spoolcourse/control/jobs/cancellation_query.py
@@ -37,7 +37,7 @@
     told = CancellationReply(
         TermRecord.number_of(term.value if term is not None else None),
         watch_cache.synced_at > float("-inf"),
-        job_index.cancellations.beyond(int(text)),
+        job_index.cancellations.after(int(text)),
     )
     found: dict[str, Any] = msgspec.to_builtins(told)
     return found
@@ -80,7 +80,7 @@
                 return
         for reply in told:
             for found in (reply and reply.cancelled) or ():
-                self._job_index.learn_cancelled(found)
+                self._job_index.apply_cancellation(found)
         self._renewal_deadline.acknowledged_by_peers(
             asked, [t is not None and t.informed and t.cancelled is not None for t in told]
         )
--- a/spoolcourse/control/jobs/cancellations.py
+++ b/spoolcourse/control/jobs/cancellations.py
@@ -2,7 +2,7 @@
 
 They are for a leader that can't ask the key-value store. Whatever a controller tells its users has
 come by its watch cache before: its own writes, and what it read. So to remember what the cache
-showed is to remember what was confirmed.
+showed is to remember what was confirmed (docs/design.md, "What the leader may not know").
 """
 
 from __future__ import annotations
@@ -11,28 +11,28 @@
 
 from spoolcourse.wire.peers import Cancellation
 
-KNOWN_MAX = 20_000
+CANCELLATIONS_MAX = 20_000
 
 
 class Cancellations:
     """The most recent cancellations that this controller knows of."""
 
-    def __init__(self, most: int = KNOWN_MAX) -> None:
-        self._most = most
-        self._known: OrderedDict[str, Cancellation] = OrderedDict()
-        self._floor = 0  # of what happened up to this revision some may be forgotten
+    def __init__(self, max_count: int = CANCELLATIONS_MAX) -> None:
+        self._max_count = max_count
+        self._by_job: OrderedDict[str, Cancellation] = OrderedDict()
+        self._forgotten_up_to = 0  # some of the cancellations up to this revision may be missing
 
-    def note(self, found: Cancellation) -> None:
-        """Remember a cancellation."""
-        if found.job in self._known:
+    def add(self, cancellation: Cancellation) -> None:
+        """Remember a cancellation; the first one of a job counts."""
+        if cancellation.job in self._by_job:
             return
-        self._known[found.job] = found
-        while len(self._known) > self._most:
-            _, oldest = self._known.popitem(last=False)
-            self._floor = max(self._floor, oldest.revision)
-
-    def beyond(self, store_revision: int) -> list[Cancellation] | None:
-        """Those later than a revision; None if some of them may have been forgotten."""
-        if store_revision < self._floor:
+        self._by_job[cancellation.job] = cancellation
+        while len(self._by_job) > self._max_count:
+            _, oldest = self._by_job.popitem(last=False)
+            self._forgotten_up_to = max(self._forgotten_up_to, oldest.revision)
+
+    def after(self, store_revision: int) -> list[Cancellation] | None:
+        """Those after a revision of the store; None if some of them may have been forgotten."""
+        if store_revision < self._forgotten_up_to:
             return None
-        return [c for c in self._known.values() if c.revision > store_revision]
+        return [c for c in self._by_job.values() if c.revision > store_revision]
--- /dev/null
+++ b/spoolcourse/control/jobs/job_records.py
@@ -0,0 +1,104 @@
+"""The user API's reads and writes of jobs in the key-value store."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from typing import Any
+
+import orjson
+
+from spoolcourse.control.jobs.job_index import JobIndex, final_status
+from spoolcourse.control.store.client import OutcomeUnknownError, StoreClient
+from spoolcourse.control.store.keys import final_key, job_key
+from spoolcourse.control.store.records import FinalState, JobRecord, chunk_tasks
+from spoolcourse.control.store.watch_cache import WatchCache
+from spoolcourse.wire.key_value_store import Put
+from spoolcourse.wire.messages import JobStatus, Submission
+
+CANCELLATION_BYTES = 64  # what a cancellation adds to a record
+
+
+class RecordTooLargeError(Exception):
+    """A job's record fits into no value of the key-value store.
+
+    Attributes:
+        job: The job's id.
+        record_bytes: The record's size.
+        max_bytes: What it may have.
+    """
+
+    def __init__(self, job: str, record_bytes: int, max_bytes: int) -> None:
+        super().__init__("the job is too long to be stored")  # users are given this
+        self.job = job
+        self.record_bytes = record_bytes
+        self.max_bytes = max_bytes
+
+
+class JobRecords:
+    """Accepts and cancels jobs, and reads how they ended.
+
+    Every method raises RequestRefusedError if the key-value store has certainly not carried out
+    what was asked, and OutcomeUnknownError if that is not known.
+    """
+
+    def __init__(self, client: StoreClient, watch_cache: WatchCache, job_index: JobIndex) -> None:
+        self._client = client
+        self._watch_cache = watch_cache
+        self._job_index = job_index
+
+    async def read_final_status(self, job: str) -> JobStatus | None:
+        """A consistent answer about a job that the synced cache does not hold live.
+
+        The sync comes first, then this read: a job that was final by the sync is found
+        here, and one that was not has never been accepted by then (docs/design.md, "Rules",
+        `forgotten`, `invented`).
+        """
+        entry = await self._client.get(final_key(job))
+        if entry is None:
+            return None
+        final_state = FinalState.from_value(entry.value)
+        self._job_index.remember_final(job, final_state)
+        return final_status(job, final_state)
+
+    async def accept(self, submission: Submission, accepted_at: float) -> bool:
+        """Write a new job, accepted at a time of day; False if the id is known already.
+
+        Raises RecordTooLargeError, beside what every method raises.
+        """
+        limit_kb = self._client.limits.value_kb
+        record = JobRecord(submission, accepted_at, chunk_tasks(limit_kb), None, 0)
+        key = job_key(submission.id)
+        value = record.value()
+        record_bytes, max_bytes = len(orjson.dumps(value)), limit_kb * 1024 - CANCELLATION_BYTES
+        if record_bytes > max_bytes:
+            raise RecordTooLargeError(submission.id, record_bytes, int(max_bytes))
+        return await self._put(key, value, {key: 0, final_key(submission.id): 0})
+
+    async def cancel(self, job: str, cancelled_at: float) -> bool:
+        """Mark a live job cancelled at a time of day; False if it changed meanwhile (look again).
+
+        Conditional on the record's revision, like the leader's final state: one of them wins
+        (docs/design.md, "Rules", `ran_cancelled`).
+        """
+        record = self._job_index.live[job]
+        if record.cancelled:
+            return True
+        cancelled = replace(record, cancelled_at=cancelled_at)
+        key = job_key(job)
+        return await self._put(key, cancelled.value(), {key: record.revision})
+
+    async def _put(
+        self, key: str, value: dict[str, Any], expected_revisions: dict[str, int]
+    ) -> bool:
+        """Write a record; where the outcome is unknown, read back whether it is there."""
+        try:
+            outcome = await self._client.compare_and_swap(expected_revisions, [Put(key, value)])
+        except OutcomeUnknownError:
+            entry = await self._client.get(key)
+            if entry is None or entry.value != value:
+                raise
+            self._watch_cache.apply(key, entry.value, entry.revision)
+            return True
+        if outcome.ok:
+            self._watch_cache.apply(key, value, outcome.store_revision)
+        return outcome.ok
--- a/spoolcourse/control/user_api/api.py
+++ b/spoolcourse/control/user_api/api.py
@@ -23,7 +23,7 @@
     error_response,
     retry_later,
 )
-from spoolcourse.control.jobs.job_index import RecordTooLargeError
+from spoolcourse.control.jobs.job_records import JobRecords, RecordTooLargeError
 from spoolcourse.control.leadership.feature_level import all_new
 from spoolcourse.control.store.client import OutcomeUnknownError, RequestRefusedError
 from spoolcourse.control.store.records import FinalState
@@ -65,6 +65,7 @@
 
     def __init__(self, context: ControllerContext, leader_label: Callable[[], str | None]) -> None:
         self._job_index = context.job_index
+        self._job_records = JobRecords(context.client, context.watch_cache, context.job_index)
         self._watch_cache = context.watch_cache
         self._client = context.client
         self._net = context.net
@@ -147,11 +148,12 @@
 
     async def _known(self, job: str) -> JobStatus | None:
         """The job's current state for certain; None if it was never accepted."""
-        final = self._job_index.final(job)
+        final = self._job_index.known_final_status(job)
         if final is not None:
             return final
         await self._sync()
-        return self._job_index.current(job) or await self._job_index.read_final_state(job)
+        known = self._job_index.known_status(job)
+        return known or await self._job_records.read_final_status(job)
 
     async def _submit(self, raw: bytes) -> Response:
         try:
@@ -159,7 +161,7 @@
         except MalformedError as exc:
             return await self._refuse(_id_of(raw), error_response(400, str(exc)))
         job = submission.id
-        if job in self._job_index.live or self._job_index.final(job) is not None:
+        if job in self._job_index.live or self._job_index.known_final_status(job) is not None:
             known = await self._known(job)
             if known is not None:
                 return _reply(200, known)
@@ -186,7 +188,7 @@
 
     async def _accept(self, submission: Submission) -> Response:
         try:
-            accepted = await self._job_index.accept(submission, self._wall_clock())
+            accepted = await self._job_records.accept(submission, self._wall_clock())
         except RecordTooLargeError as exc:
             return await self._refuse(submission.id, error_response(422, str(exc)))
         if accepted:
@@ -235,7 +237,7 @@
                 return NO_SUCH_JOB
             if known.stage.is_final:
                 return _reply(200, JobAnswer(job, known.stage))
-            if job in self._job_index.live and await self._job_index.cancel(
+            if job in self._job_index.live and await self._job_records.cancel(
                 job, self._wall_clock()
             ):
                 log.info("%s cancelled", job)
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -220,9 +220,9 @@
 
 
 def test_a_node_that_forgot_cancellations_says_so() -> None:
-    known = Cancellations(most=2)
+    known = Cancellations(max_count=2)
     for revision in (5, 7, 9):
-        known.note(Cancellation(f"job-{revision:06d}", 1.0, revision))
-    assert known.beyond(4) is None
-    assert [c.revision for c in known.beyond(5) or []] == [7, 9]
-    assert [c.revision for c in known.beyond(7) or []] == [9]
+        known.add(Cancellation(f"job-{revision:06d}", 1.0, revision))
+    assert known.after(4) is None
+    assert [c.revision for c in known.after(5) or []] == [7, 9]
+    assert [c.revision for c in known.after(7) or []] == [9]
--- a/tests/test_standby_properties.py
+++ b/tests/test_standby_properties.py
@@ -46,7 +46,7 @@
         self.attempts = 0
         self.accepted: set[int] = set()
         self.cache = cache_at(0)
-        index = JobIndex(cast(Any, None), self.cache)
+        index = JobIndex(self.cache)
         params = SimpleNamespace(state=LIMITS)
         self.context = cast(
             ControllerContext,
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -329,7 +329,7 @@
         assert (await ask("GET", "/cancellations?beyond=x", None)).status == 400
         # One that may have forgotten some says so by null, and vouches for nothing.
         follower.job_index.cancellations = Cancellations(0)
-        follower.job_index.cancellations.note(Cancellation("job-000001", 1000.5, 18))
+        follower.job_index.cancellations.add(Cancellation("job-000001", 1000.5, 18))
         reply = await ask("GET", "/cancellations?beyond=0", None)
         assert reply.data["cancelled"] is None
 
