--- a/spoolcourse/control/jobs/cancellation_query.py
+++ b/spoolcourse/control/jobs/cancellation_query.py
@@ -34,7 +34,7 @@
     reply = CancellationReply(
         known_term_number(watch_cache),
         watch_cache.synced_at > float("-inf"),
-        job_index.cancellations.beyond(since_revision),
+        job_index.cancellations.after(since_revision),
     )
     json_object: dict[str, Any] = msgspec.to_builtins(reply)
     return json_object
@@ -82,7 +82,7 @@
                 return
         for reply in replies:
             for cancellation in (reply and reply.cancelled) or ():
-                self._job_index.learn_cancelled(cancellation)
+                self._job_index.apply_cancellation(cancellation)
         # Only now: the cancellations are applied before any lease is renewed on their account.
         self._renewal_deadline.record_peer_acknowledgements(
             asked_at, [_acknowledges(reply) for reply in replies]
--- a/spoolcourse/control/scheduling/scheduling_loop.py
+++ b/spoolcourse/control/scheduling/scheduling_loop.py
@@ -16,7 +16,7 @@
     top_up,
 )
 from spoolcourse.control.cloud.client import max_provisions
-from spoolcourse.control.jobs.job_queue import JobState
+from spoolcourse.control.jobs.model import JobState
 from spoolcourse.control.leader_context import LeaderContext
 from spoolcourse.control.leadership.failover_timeline import FailoverPhase
 from spoolcourse.control.placement.backfill import place
@@ -146,14 +146,14 @@
     def _assign(self, decision: Decision, now: float) -> None:
         job_state = self._snapshot_builder.job_states[decision.job]
         machine = self._snapshot_builder.machines[decision.node]
-        chosen = list(islice(job_state.candidates(), decision.count))
+        chosen = list(islice(job_state.assignable_tasks(), decision.count))
         for task in chosen:
             if self._attempts >= ATTEMPTS_MOST:
                 raise AttemptNumbersSpentError
             self._attempts += 1
             number = (self._registry.fencing_token << ATTEMPT_BITS) + self._attempts
             attempt = self._job_queue.assign(job_state, task, machine.id, number, now)
-            attempt.first = job_state.id in self._snapshot_builder.unbegun
+            attempt.exempt_from_preemption = job_state.id in self._snapshot_builder.unbegun
             self._registry.track_attempt(attempt)
         log.debug("%s: %d tasks to %s", job_state.id, len(chosen), machine.id)
 
--- a/spoolcourse/control/status.py
+++ b/spoolcourse/control/status.py
@@ -9,7 +9,7 @@
 from msgspec import UNSET, UnsetType
 
 from spoolcourse.control.failover.warm_standby import ShadowState
-from spoolcourse.control.jobs.job_queue import AttemptStage
+from spoolcourse.control.jobs.model import AttemptStage
 
 if TYPE_CHECKING:
     from spoolcourse.control.controller import Controller
@@ -160,7 +160,7 @@
         machines_confirmed=sum(1 for machine in machines if machine.confirmed),
         passes=leader.scheduling.passes,
         pass_cost_s=leader.scheduling.pass_cost_s,
-        unsaved_keys=len(leader.job_queue.dirty),
+        unsaved_keys=len(leader.job_queue.pending_writes),
     )
 
 
--- a/spoolcourse/control/store/keys.py
+++ b/spoolcourse/control/store/keys.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from typing import NamedTuple
+from spoolcourse.wire.identities import ChunkId
 
 PREFIX = "spoolcourse/"
 LIVE_PREFIX = PREFIX + "live/"
@@ -21,13 +21,6 @@
 FINAL_PREFIX = PREFIX + "fin/"
 
 
-class ChunkId(NamedTuple):
-    """A part of a job's tasks, whose progress is one key."""
-
-    job: str
-    chunk_index: int  # `index` is a method of tuples
-
-
 def initial_machines_part_key(part: int) -> str:
     """The key of a further part (from 1 on) of the initial machines.
 
--- a/spoolcourse/control/workers/command_builder.py
+++ b/spoolcourse/control/workers/command_builder.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Container
 
-from spoolcourse.control.jobs.job_queue import Attempt, AttemptStage, JobState
+from spoolcourse.control.jobs.model import Attempt, AttemptStage, JobState
 from spoolcourse.control.leadership.failover_timeline import FailoverPhase
 from spoolcourse.control.workers.leader_interface import Leader
 from spoolcourse.control.workers.machine import Machine
@@ -170,7 +170,7 @@
         if task >= submission.task_count or status.cause != EndCause.DONE or submission.is_service:
             return True
         chunk = job_state.chunk(task)
-        return job_state.is_done(task) and chunk.saved == chunk.version
+        return job_state.is_done(task) and chunk.is_persisted
 
     def _stop_grace_s(self, machine: Machine, task_id: TaskId, status: TaskStatus) -> float | None:
         """The grace period to stop an attempt with, or None to let it run on."""
@@ -214,4 +214,4 @@
 
 def _is_startable(attempt: Attempt) -> bool:
     """Its record is durable and it is still wanted."""
-    return attempt.saved and not attempt.stopping and not attempt.job_state.record.cancelled
+    return attempt.is_persisted and not attempt.stopping and not attempt.job_state.record.cancelled
--- a/spoolcourse/control/workers/machine.py
+++ b/spoolcourse/control/workers/machine.py
@@ -10,7 +10,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-from spoolcourse.control.jobs.job_queue import Attempt
+from spoolcourse.control.jobs.model import Attempt
 from spoolcourse.wire.identities import AttemptId, TaskId
 from spoolcourse.wire.messages import Heartbeat, HostStage
 
--- a/spoolcourse/control/workers/machine_table.py
+++ b/spoolcourse/control/workers/machine_table.py
@@ -5,7 +5,8 @@
 from collections import OrderedDict
 from collections.abc import Callable
 
-from spoolcourse.control.jobs.job_queue import Attempt, JobQueue
+from spoolcourse.control.jobs.job_queue import JobQueue
+from spoolcourse.control.jobs.model import Attempt
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.wire.identities import TaskId
 
--- a/spoolcourse/control/workers/reconciliation.py
+++ b/spoolcourse/control/workers/reconciliation.py
@@ -11,7 +11,7 @@
 import logging
 
 from spoolcourse.control.jobs.backoff import ARRAY_BACKOFF, REPLICA_BACKOFF, Backoff
-from spoolcourse.control.jobs.job_queue import REPORTED_STAGES, Attempt, AttemptStage, JobState
+from spoolcourse.control.jobs.model import REPORTED_STAGES, Attempt, AttemptStage, JobState
 from spoolcourse.control.workers.leader_interface import Leader
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.control.workers.machine_table import MachineTable
@@ -96,7 +96,7 @@
             )
             attempt.stage, attempt.since = stage, now
             machine.change_count += 1
-        if attempt.is_on:
+        if attempt.is_executing:
             job_state = attempt.job_state
             self._record_cached_image(machine, job_state.record.submission)
             machine.failed_jobs.discard(job_state.id)
--- a/tests/fakes/registry.py
+++ b/tests/fakes/registry.py
@@ -4,7 +4,8 @@
 
 from typing import Any
 
-from spoolcourse.control.jobs.job_queue import Attempt, JobQueue, JobState
+from spoolcourse.control.jobs.job_queue import JobQueue
+from spoolcourse.control.jobs.model import Attempt, JobState
 from spoolcourse.control.leadership.failover_timeline import FailoverPhase
 from spoolcourse.control.store.records import JobRecord
 from spoolcourse.control.workers.worker_registry import AcceptedHeartbeat, WorkerRegistry
@@ -88,7 +89,7 @@
 
     def save(self) -> None:
         for chunk in self.job_state.chunks.values():
-            chunk.saved = chunk.version
+            chunk.persisted_version = chunk.version
 
 
 def on(piece: int = 0, number: int = 1, stage: str = "running", **more: Any) -> dict[str, Any]:
--- a/tests/golden/adapter.py
+++ b/tests/golden/adapter.py
@@ -14,7 +14,7 @@
     plan_provisioning,
     top_up,
 )
-from spoolcourse.control.jobs.job_queue import Attempt
+from spoolcourse.control.jobs.model import Attempt
 from spoolcourse.control.placement.backfill import place
 from spoolcourse.control.placement.model import Job, Node, Plan, RunningTask, Snapshot, Team
 from spoolcourse.control.placement.preempt import choose_victims
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from spoolcourse.control.jobs.job_queue import AttemptStage
+from spoolcourse.control.jobs.model import AttemptStage
 from spoolcourse.control.store.records import Progress
 from spoolcourse.wire.messages import MalformedError, parse_heartbeat
 from tests.fakes.registry import TERM, RegistryHarness, on
@@ -69,7 +69,7 @@
     harness.heartbeat()
     orders = harness.heartbeat(on(stage="ended", cause=cause))
     assert orders == [REAP]
-    assert harness.job_state.pending == 4 and next(harness.job_state.candidates()) == 0
+    assert harness.job_state.pending == 4 and next(harness.job_state.assignable_tasks()) == 0
     assert ("m-1" in harness.job_state.bad_machines) == (cause == "error")
 
 
