--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -12,7 +12,7 @@
 from spoolcourse.control.cloud.catalog import CatalogLoop
 from spoolcourse.control.cloud.client import Cloud
 from spoolcourse.control.context import ControllerContext
-from spoolcourse.control.failover.hints import HintLoop
+from spoolcourse.control.failover.hint_loop import HintLoop
 from spoolcourse.control.failover.strategies import (
     FailoverFromRecords,
     FailoverFromShadow,
--- /dev/null
+++ b/spoolcourse/control/failover/hint_loop.py
@@ -0,0 +1,86 @@
+"""A follower's requests for hints.
+
+It asks page by page, so a page that is lost is asked for again, and a leader whose version does
+not know the query (404) costs nothing.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable
+
+from spoolcourse.control.context import ControllerContext
+from spoolcourse.control.failover.hint_cache import (
+    HintCache,
+    HintPageRejectedError,
+    HintRejection,
+)
+from spoolcourse.control.failover.hint_query import HintQuery
+from spoolcourse.control.http_client import NoResponseError
+from spoolcourse.control.leadership.term import known_term_number
+from spoolcourse.wire.messages import MalformedError, parse
+from spoolcourse.wire.peers import HintPage
+from spoolcourse.wire.settings import Seed
+from spoolcourse.wire.standby_settings import StandbySettings
+
+log = logging.getLogger(__name__)
+
+NEXT_PAGE_DELAY_S = 0.2
+UNSUPPORTED_DELAY_S = 30.0  # until a leader of a version without hints is asked again
+REQUEST_TIMEOUT_S = 1.0
+
+
+class HintLoop:
+    """Asks the leader for one page at a time."""
+
+    def __init__(
+        self,
+        context: ControllerContext,
+        settings: StandbySettings,
+        hint_cache: HintCache,
+        leader_label: Callable[[], str | None],
+    ) -> None:
+        """`leader_label`: the label of the controller that leads; None if none is known."""
+        self._net = context.net
+        self._watch_cache = context.watch_cache
+        self._peers = {peer.label: peer for peer in context.peers}
+        self._settings = settings
+        self._hint_cache = hint_cache
+        self._leader_label = leader_label
+        self._next_page_after = ""
+
+    async def run(self) -> None:
+        """Ask periodically until cancelled; a controller that leads itself asks nobody."""
+        while True:
+            leader = self._peers.get(self._leader_label() or "")
+            delay_s = self._settings.hint_period_s
+            if leader is not None:
+                delay_s = await self._request_page(leader)
+            await asyncio.sleep(delay_s)
+
+    async def _request_page(self, leader: Seed) -> float:
+        """Ask for the next page; returns the seconds to wait before the one after it."""
+        query = HintQuery(self._next_page_after, self._settings.hint_machines)
+        self._next_page_after = ""
+        try:
+            reply = await self._net.call(
+                leader.endpoint, "GET", query.path, timeout=REQUEST_TIMEOUT_S
+            )
+            if reply.status != 200:
+                return UNSUPPORTED_DELAY_S if reply.status == 404 else self._settings.hint_period_s
+            page = parse(reply.data, HintPage)
+            self._hint_cache.accept_page(
+                page, leader.label, query, known_term_number(self._watch_cache)
+            )
+        except MalformedError:
+            self._hint_cache.count_rejection(HintRejection.MALFORMED)
+        except HintPageRejectedError as exc:
+            log.info("hint page rejected: controller=%s: %s", leader.label, exc)
+        except NoResponseError as exc:
+            log.debug("hint page not received: controller=%s: %s", leader.label, exc)
+        else:
+            if page.has_next:
+                self._next_page_after = page.hints[-1].machine
+                return min(NEXT_PAGE_DELAY_S, self._settings.hint_period_s)
+        return self._settings.hint_period_s
--- a/spoolcourse/control/failover/strategies.py
+++ b/spoolcourse/control/failover/strategies.py
@@ -95,7 +95,7 @@
             proof = FailoverProof(term, self._context.watch_cache, ProofSource.RECORDS)
             restored = restore_from_records(self._context)
         note_waiting_times(self._context, restored.job_queue)
-        return FailoverResult(proof, restored, self._standby.hints.of_term(term.number - 1))
+        return FailoverResult(proof, restored, self._standby.hints.for_term(term.number - 1))
 
     def _verified(self, shadowed: RestoredJobs) -> RestoredJobs | None:
         """The shadow's job queue if it is what a restore makes, else None."""
--- a/spoolcourse/control/failover/warm_standby.py
+++ b/spoolcourse/control/failover/warm_standby.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from spoolcourse.control.context import ControllerContext
-from spoolcourse.control.failover.hints import HintBook
+from spoolcourse.control.failover.hint_cache import HintCache
 from spoolcourse.control.failover.restore import RestoredJobs
 from spoolcourse.control.failover.shadow_queue import MisfitError, Shadow
 from spoolcourse.control.leadership.term import known_term_number
@@ -45,7 +45,7 @@
         self.unfit_reason = "the state service has not been read yet"
         self.rebuilds = 0
         self.mismatches = 0  # of the shadow and a restore, found where that is verified
-        self.hints = HintBook()
+        self.hints = HintCache()
         self._watch_cache.add_listener(self._on_change)
         self._watch_cache.add_observer(self)
 
@@ -100,7 +100,7 @@
             self._unfit.set()
 
     def on_watch_gap(self, gap: WatchGap) -> None:
-        """Changes were missed: the shadow is unfit."""
+        """Changes were missed: the shadow is stale."""
         if self._state is ShadowState.LEADING:
             return
         self._become_unfit(gap.value)
--- a/spoolcourse/control/peer_api.py
+++ b/spoolcourse/control/peer_api.py
@@ -7,7 +7,7 @@
 
 from spoolcourse.control import metrics
 from spoolcourse.control.failover.handover import HandoverRefusedError, hand_over
-from spoolcourse.control.failover.hints import hint_page
+from spoolcourse.control.failover.hint_page import build_hint_page
 from spoolcourse.control.http_client import Request, Response, error_response
 from spoolcourse.control.jobs.cancellation_query import answer_query
 from spoolcourse.control.leadership import feature_level
@@ -63,7 +63,8 @@
         if node.leader_term is None or node.leader_term.active is None:
             return self._not_the_leader()
         registry, revision = node.leader_term.active.registry, node.watch_cache.store_revision
-        return Response(200, to_json_object(hint_page(registry, node.label, revision, query)))
+        page = build_hint_page(registry, node.label, revision, query)
+        return Response(200, to_json_object(page))
 
     async def _hand_over(self) -> Response:
         node = self._node
--- a/spoolcourse/control/status.py
+++ b/spoolcourse/control/status.py
@@ -125,7 +125,7 @@
         attempts=shadow.attempts if shadow else 0,
         team_cpus={team: used.cpus for team, used in usage.items()},
         hints=len(standby.hints),
-        hints_refused={why.value: count for why, count in standby.hints.refused.items()},
+        hints_refused={why.value: count for why, count in standby.hints.rejections.items()},
         mismatches=standby.mismatches,
     )
 
--- a/tests/golden_records/adapter.py
+++ b/tests/golden_records/adapter.py
@@ -13,7 +13,7 @@
 import msgspec
 import orjson
 
-from spoolcourse.control.failover.hints import hints_path
+from spoolcourse.control.failover.hint_query import HintQuery
 from spoolcourse.control.leadership import feature_level
 from spoolcourse.control.store import keys, records
 from spoolcourse.errors import UserError
@@ -472,8 +472,8 @@
 def all_paths() -> dict[str, str]:
     """Paths of requests and keys of the store, fixed and built."""
     built = {
-        "hints": hints_path("m-00 0000/&", 200),
-        "hints, from the first on": hints_path("", 200),
+        "hints": HintQuery("m-00 0000/&", 200).path,
+        "hints, from the first on": HintQuery("", 200).path,
         "machine list": cloud.list_path(""),
         "machine list, further": cloud.list_path("m-000499"),
         "store entry": key_value_store.entry_path("spoolcourse/live/term"),
--- a/tests/test_standby_hints.py
+++ b/tests/test_standby_hints.py
@@ -10,13 +10,13 @@
 import pytest
 from msgspec.structs import replace
 
-from spoolcourse.control.failover.hints import (
-    IMAGES_MOST,
-    HintBook,
-    HintRefusal,
-    HintRefusedError,
-    hint_page,
+from spoolcourse.control.failover.hint_cache import (
+    HintCache,
+    HintPageRejectedError,
+    HintRejection,
 )
+from spoolcourse.control.failover.hint_page import build_hint_page
+from spoolcourse.control.failover.hint_query import MAX_IMAGES_PER_MACHINE, HintQuery
 from spoolcourse.control.failover.tracing import FailoverTracer
 from spoolcourse.control.http_client import Response
 from spoolcourse.control.leadership.failover_timeline import FailoverPhase
@@ -31,41 +31,43 @@
 PAGE = HintPage(7, "n0", 40, [Hint("m-1", "m-1:9", 1, {"img": 1.0}), Hint("m-2", "m-2:9", 1)])
 
 
-def take(book: HintBook, page: HintPage, asked: str = "n0", after: str = "", most: int = 2) -> None:
-    book.take(page, asked, after, most, least_term=7)
+def take(
+    hint_cache: HintCache, page: HintPage, asked: str = "n0", after: str = "", most: int = 2
+) -> None:
+    hint_cache.accept_page(page, asked, HintQuery(after, most), known_term=7)
 
 
 @pytest.mark.parametrize(
-    ("page", "refusal"),
+    ("page", "rejection"),
     [
-        (replace(PAGE, leader="n9"), HintRefusal.NOT_THE_LEADER),
-        (replace(PAGE, term=6), HintRefusal.LOWER_TERM),
-        (replace(PAGE, hints=[*PAGE.hints, Hint("m-3", "", 1)]), HintRefusal.TOO_LARGE),
-        (replace(PAGE, hints=[Hint("m-1", "m" * 300, 1)]), HintRefusal.TOO_LARGE),
+        (replace(PAGE, leader="n9"), HintRejection.NOT_THE_LEADER),
+        (replace(PAGE, term=6), HintRejection.LOWER_TERM),
+        (replace(PAGE, hints=[*PAGE.hints, Hint("m-3", "", 1)]), HintRejection.TOO_LARGE),
+        (replace(PAGE, hints=[Hint("m-1", "m" * 300, 1)]), HintRejection.TOO_LARGE),
         (
             replace(PAGE, hints=[Hint("m-1", "m-1:9", 1, {f"i{n}": 1.0 for n in range(17)})]),
-            HintRefusal.TOO_LARGE,
+            HintRejection.TOO_LARGE,
         ),
-        (replace(PAGE, hints=PAGE.hints[::-1]), HintRefusal.MALFORMED),
-        (replace(PAGE, hints=[], has_next=True), HintRefusal.MALFORMED),
+        (replace(PAGE, hints=PAGE.hints[::-1]), HintRejection.MALFORMED),
+        (replace(PAGE, hints=[], has_next=True), HintRejection.MALFORMED),
     ],
 )
 def test_an_answer_that_can_not_be_right_is_refused_and_changes_nothing(
-    page: HintPage, refusal: HintRefusal
+    page: HintPage, rejection: HintRejection
 ) -> None:
-    book = HintBook()
-    take(book, PAGE)
-    with pytest.raises(HintRefusedError):
-        take(book, page)
-    assert book.of_term(7) == PAGE.hints and dict(book.refused) == {refusal: 1}
+    hint_cache = HintCache()
+    take(hint_cache, PAGE)
+    with pytest.raises(HintPageRejectedError):
+        take(hint_cache, page)
+    assert hint_cache.for_term(7) == PAGE.hints and dict(hint_cache.rejections) == {rejection: 1}
 
 
 def test_hints_of_an_earlier_term_are_stale_and_unknown_fields_are_ignored() -> None:
-    book = HintBook()
-    take(book, parse(as_json(), HintPage))
-    assert book.of_term(8) == [] and len(book.of_term(7)) == 2
-    book.take(replace(PAGE, term=9, hints=[]), "n0", "", 2, least_term=9)
-    assert book.of_term(7) == [] and len(book) == 0
+    hint_cache = HintCache()
+    take(hint_cache, parse(as_json(), HintPage))
+    assert hint_cache.for_term(8) == [] and len(hint_cache.for_term(7)) == 2
+    hint_cache.accept_page(replace(PAGE, term=9, hints=[]), "n0", HintQuery("", 2), known_term=9)
+    assert hint_cache.for_term(7) == [] and len(hint_cache) == 0
 
 
 def as_json() -> dict[str, Any]:
@@ -75,12 +77,12 @@
 
 
 def test_a_page_says_all_of_the_names_that_it_covers() -> None:
-    book = HintBook()
+    hint_cache = HintCache()
     first = replace(PAGE, has_next=True)
-    take(book, first)
-    take(book, replace(PAGE, hints=[Hint("m-5", "m-5:9", 1)]), after="m-2")
-    take(book, replace(first, hints=[Hint("m-2", "m-2:9", 1), Hint("m-3", "m-3:9", 1)]))
-    assert sorted(hint.machine for hint in book.of_term(7)) == ["m-2", "m-3", "m-5"]
+    take(hint_cache, first)
+    take(hint_cache, replace(PAGE, hints=[Hint("m-5", "m-5:9", 1)]), after="m-2")
+    take(hint_cache, replace(first, hints=[Hint("m-2", "m-2:9", 1), Hint("m-3", "m-3:9", 1)]))
+    assert sorted(hint.machine for hint in hint_cache.for_term(7)) == ["m-2", "m-3", "m-5"]
 
 
 def test_a_leaders_pages_are_bounded_and_go_on_after_a_name() -> None:
@@ -89,14 +91,14 @@
         harness.sequence = 0
         harness.heartbeat(spindle=f"m-{number}")
         machine = harness.registry.machines[f"m-{number}"]
-        for image in range(IMAGES_MOST + 4):
+        for image in range(MAX_IMAGES_PER_MACHINE + 4):
             machine.record_cached_image(f"i{image}", 1.0, 100.0)
-    page = hint_page(harness.registry, "n0", 40, "after=m-1&most=2")
+    page = build_hint_page(harness.registry, "n0", 40, "after=m-1&most=2")
     assert [hint.machine for hint in page.hints] == ["m-2", "m-3"] and page.has_next
-    assert all(len(hint.images) == IMAGES_MOST for hint in page.hints)
+    assert all(len(hint.images) == MAX_IMAGES_PER_MACHINE for hint in page.hints)
     for query in ("after=m-1", "most=0", "most=501", "most=-1"):
         with pytest.raises(MalformedError):
-            hint_page(harness.registry, "n0", 40, query)
+            build_hint_page(harness.registry, "n0", 40, query)
 
 
 @pytest.mark.parametrize("incarnation", [1, 2])
@@ -138,7 +140,7 @@
         world.cloud.take(idle)
         successor = await failover(world, former)
         hints = world.nodes[successor].standby
-        assert hints is not None and idle in [h.machine for h in hints.hints.of_term(1)]
+        assert hints is not None and idle in [h.machine for h in hints.hints.for_term(1)]
         await asyncio.sleep(3)
         assert idle not in world.active(successor).registry.machines
 
