--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -18,7 +18,7 @@
     FailoverFromShadow,
     FailoverStrategy,
 )
-from spoolcourse.control.failover.warm_standby import Standby
+from spoolcourse.control.failover.warm_standby import WarmStandby
 from spoolcourse.control.http_client import (
     HttpClient,
     NoResponseError,
@@ -105,7 +105,7 @@
         )
         self.leader_term: LeaderTerm | None = None
         self._failover: FailoverStrategy = FailoverFromRecords(self.context)
-        self.standby: Standby | None = None
+        self.standby: WarmStandby | None = None
         self.last_failover_timeline: FailoverTimeline | None = None
         self._peer_api = PeerApi(self)
         self._standby_loops: list[Callable[[], Coroutine[Any, Any, None]]] = []
@@ -118,7 +118,7 @@
         self.healthy = True
 
     def _use_standby(self, settings: StandbySettings) -> None:
-        self.standby = Standby(self.context, settings)
+        self.standby = WarmStandby(self.context, settings)
         self._failover = FailoverFromShadow(self.context, self.standby, settings)
         self._standby_loops.append(self.standby.run)
         if settings.hint_period_s > 0:
@@ -173,7 +173,7 @@
         await asyncio.gather(*self._tasks)
 
     def _candidacy_delay_s(self) -> float:
-        return 0.0 if self.standby is None else self.standby.candidacy_delay_s()
+        return 0.0 if self.standby is None else self.standby.readiness.candidacy_delay_s()
 
     def on_elected(self, term: Term) -> None:
         """Begin the term."""
@@ -191,7 +191,7 @@
             self.leader_term.stop()
             self.leader_term = None
         if self.standby is not None:
-            self.standby.follow_again()
+            self.standby.resume_shadowing()
 
     def _on_change(self, key: str, value: Any, revision: int) -> None:
         if self.leader_term is not None:
--- a/spoolcourse/control/failover/comparison.py
+++ b/spoolcourse/control/failover/comparison.py
@@ -1,62 +1,80 @@
-"""Whether two job queues are interchangeable: a shadow's, and one restored from the records."""
+"""Compares job queues: a shadow's, and one restored from the records."""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from spoolcourse.control.failover.restore import RestoredJobs
-from spoolcourse.control.jobs.model import Attempt, Chunk, JobState
-
-ChunkForm = tuple[int, dict[int, tuple[str, int]], int, int, int]
-AttemptForm = tuple[int, int, str, int, str]
-
-
-def differences(one: RestoredJobs, other: RestoredJobs) -> list[str]:
-    """What differs between them, in words; empty if either can take the other's place."""
-    found: list[str] = []
-    jobs, other_jobs = one.job_queue.jobs, other.job_queue.jobs
-    for job in sorted(jobs.keys() ^ other_jobs.keys()):
-        found.append(f"{job}: only in {'the first' if job in jobs else 'the second'}")
-    for job in sorted(jobs.keys() & other_jobs.keys()):
-        found += [f"{job}: {what}" for what in _job_differences(jobs[job], other_jobs[job])]
-    if set(one.job_queue.pending_final_states) != set(other.job_queue.pending_final_states):
-        found.append("the jobs whose final state is to be written")
-    if set(one.job_queue.pending_writes) != set(other.job_queue.pending_writes):
-        found.append("the chunks that are to be written")
-    if set(one.leftover_keys) != set(other.leftover_keys):
-        found.append("the progress that finished jobs have left behind")
-    return found
-
-
-def _job_differences(one: JobState, other: JobState) -> list[str]:
+from spoolcourse.control.jobs.model import Attempt, AttemptStage, Chunk, JobState
+
+
+class ComparedChunk(NamedTuple):
+    """What must be equal of a chunk of tasks."""
+
+    done: int  # bits
+    held: dict[int, tuple[str, int]]  # by task: machine and number of the attempt
+    revision: int
+    version: int
+    saved: int
+
+
+class ComparedAttempt(NamedTuple):
+    """What must be equal of an attempt."""
+
+    task: int
+    number: int
+    machine: str
+    version: int
+    stage: AttemptStage
+
+
+def list_differences(left: RestoredJobs, right: RestoredJobs) -> list[str]:
+    """What differs, in words; empty if either can be used in place of the other."""
+    differences: list[str] = []
+    left_jobs, right_jobs = left.job_queue.jobs, right.job_queue.jobs
+    for job in sorted(left_jobs.keys() ^ right_jobs.keys()):
+        differences.append(f"{job}: only in {'the first' if job in left_jobs else 'the second'}")
+    for job in sorted(left_jobs.keys() & right_jobs.keys()):
+        names = _list_job_differences(left_jobs[job], right_jobs[job])
+        differences += [f"{job}: {name}" for name in names]
+    if set(left.job_queue.pending_final_states) != set(right.job_queue.pending_final_states):
+        differences.append("the jobs whose final state is to be written")
+    if set(left.job_queue.pending_writes) != set(right.job_queue.pending_writes):
+        differences.append("the chunks that are to be written")
+    if set(left.leftover_keys) != set(right.leftover_keys):
+        differences.append("the progress that finished jobs have left behind")
+    return differences
+
+
+def _list_job_differences(left: JobState, right: JobState) -> list[str]:
     pairs = {
-        "record": (one.record, other.record),
-        "chunks": (_chunks(one), _chunks(other)),
-        "attempts": (_attempts(one), _attempts(other)),
-        "tasks done": (one.done, other.done),
-        "tasks to be tried again": (one.requeued, other.requeued),
-        "first task that was never assigned": (one.first_unassigned, other.first_unassigned),
-        "tasks that a chunk may hold": (one.max_held_per_chunk, other.max_held_per_chunk),
+        "record": (left.record, right.record),
+        "chunks": (_chunks(left), _chunks(right)),
+        "attempts": (_attempts(left), _attempts(right)),
+        "tasks done": (left.done, right.done),
+        "tasks to be tried again": (left.requeued, right.requeued),
+        "first task that was never assigned": (left.first_unassigned, right.first_unassigned),
+        "tasks that a chunk may hold": (left.max_held_per_chunk, right.max_held_per_chunk),
     }
-    return [name for name, (left, right) in pairs.items() if left != right]
+    return [name for name, (one, other) in pairs.items() if one != other]
 
 
-def _chunks(job_state: JobState) -> dict[int, ChunkForm]:
-    return {index: _chunk_form(chunk) for index, chunk in job_state.chunks.items()}
+def _chunks(job_state: JobState) -> dict[int, ComparedChunk]:
+    return {index: _compared_chunk(chunk) for index, chunk in job_state.chunks.items()}
 
 
-def _chunk_form(chunk: Chunk) -> ChunkForm:
+def _compared_chunk(chunk: Chunk) -> ComparedChunk:
     progress = chunk.progress
-    return (progress.done, progress.held, chunk.revision, chunk.version, chunk.persisted_version)
+    return ComparedChunk(
+        progress.done, progress.held, chunk.revision, chunk.version, chunk.persisted_version
+    )
 
 
-def _attempts(job_state: JobState) -> dict[int, AttemptForm]:
-    return {task: _attempt_form(attempt) for task, attempt in job_state.attempts.items()}
+def _attempts(job_state: JobState) -> dict[int, ComparedAttempt]:
+    return {task: _compared_attempt(attempt) for task, attempt in job_state.attempts.items()}
 
 
-def _attempt_form(attempt: Attempt) -> AttemptForm:
-    return (
-        attempt.task,
-        attempt.number,
-        attempt.machine,
-        attempt.chunk_version,
-        attempt.stage.value,
+def _compared_attempt(attempt: Attempt) -> ComparedAttempt:
+    return ComparedAttempt(
+        attempt.task, attempt.number, attempt.machine, attempt.chunk_version, attempt.stage
     )
--- a/spoolcourse/control/failover/restore.py
+++ b/spoolcourse/control/failover/restore.py
@@ -1,4 +1,4 @@
-"""The job queue as the records show it."""
+"""The job queue, rebuilt from the records."""
 
 from __future__ import annotations
 
@@ -9,19 +9,20 @@
 from spoolcourse.control.store.keys import PROGRESS_PREFIX, parse_progress_key
 from spoolcourse.control.store.records import Progress, chunk_tasks
 
-SavedProgress = dict[str, dict[int, tuple[Progress, int]]]  # job, chunk: progress and revision
+# By job and chunk: the progress, and the revision of its record.
+SavedProgress = dict[str, dict[int, tuple[Progress, int]]]
 
 
 @dataclass(frozen=True, slots=True)
 class RestoredJobs:
-    """A job queue in which every attempt may be anywhere still."""
+    """A job queue whose attempts are not yet found: each may still be on its machine, or not."""
 
     job_queue: JobQueue
-    leftover_keys: list[str]  # of progress that finished jobs have left behind
+    leftover_keys: list[str]  # progress keys of finished jobs, to be deleted
 
 
 def empty_job_queue(context: ControllerContext) -> JobQueue:
-    """A job queue for the limits of the deployment's key-value store."""
+    """A job queue for the limits of the deployment's key-value store, without jobs."""
     return JobQueue(chunk_tasks(context.params.state.least.value_kb))
 
 
@@ -35,8 +36,8 @@
     return RestoredJobs(job_queue, leftover_keys)
 
 
-def note_waiting_times(context: ControllerContext, job_queue: JobQueue) -> None:
-    """Have every job wait since it was accepted, by the time of day in its record."""
+def restore_waiting_times(context: ControllerContext, job_queue: JobQueue) -> None:
+    """Count each job's waiting time from when it was accepted, by the wall time in its record."""
     now, wall_now = context.clock(), context.wall_clock()
     for job_state in job_queue.jobs.values():
         age_s = max(0.0, wall_now - job_state.record.at)
--- a/spoolcourse/control/failover/shadow_queue.py
+++ b/spoolcourse/control/failover/shadow_job_queue.py
@@ -1,8 +1,8 @@
 """A job queue that is kept in line with the records change by change.
 
-It is what a restore from the records would make at any moment: the same jobs, progress and
-attempts. A change costs no more than the chunk of tasks that it names, however large fleet and
-backlog are.
+At any moment it equals what a restore from the records would build: the same jobs, progress and
+attempts. Applying a change costs no more than the chunk of tasks that it names, however large fleet
+and backlog are.
 """
 
 from __future__ import annotations
@@ -27,42 +27,51 @@
 from spoolcourse.wire.key_value_store import Entry
 
 
-class MisfitError(Exception):
-    """A change that can't follow on what is known: something before it was missed."""
+class InconsistentChangeError(Exception):
+    """A change that can't follow from what is known: an earlier one was missed."""
+
+    def __init__(self, subject: str, problem: str) -> None:
+        super().__init__(f"{subject} {problem}")
+        self.subject = subject  # the job, progress key or term that the change is about
+        self.problem = problem
 
 
 @dataclass(slots=True)
 class TeamUsage:
-    """What a team's attempts hold, wherever they are."""
+    """What a team's attempts hold on all machines."""
 
     cpus: float = 0.0
     gpus: float = 0.0
 
 
-class Shadow:
-    """Jobs, progress, attempts and what teams use, as the changes taken in so far show them."""
+class ShadowJobQueue:
+    """Jobs, progress, attempts and what teams use, as the changes applied so far show them."""
 
     def __init__(self, context: ControllerContext) -> None:
         self._clock = context.clock
         self._job_queue = empty_job_queue(context)
-        # Progress whose job is not live: left behind by a finished job, or read ahead of its job.
-        self._unattached: defaultdict[str, dict[int, Chunk]] = defaultdict(dict)
+        # Progress whose job is not live: left over from a finished job, or read before its job.
+        self._orphaned_chunks: defaultdict[str, dict[int, Chunk]] = defaultdict(dict)
         self._term = 0
-        self.attempts = 0
+        self.attempt_count = 0
         self.team_usage: defaultdict[str, TeamUsage] = defaultdict(TeamUsage)
 
     @property
-    def jobs(self) -> int:
+    def job_count(self) -> int:
         """How many jobs are live."""
         return len(self._job_queue.jobs)
 
-    def rebuild(self, entries: Iterable[Entry]) -> None:
-        """Take in all records again; this shadow must be an empty one."""
+    def load(self, entries: Iterable[Entry]) -> None:
+        """Apply all records to an empty queue; raises what `apply` raises."""
         for entry in entries:
             self.apply(entry.key, entry.value, entry.revision)
 
     def apply(self, key: str, value: Any, revision: int) -> None:
-        """Take in one change; `value` is None where the key was deleted."""
+        """Apply one change; `value` is None where the key was deleted.
+
+        Raises `InconsistentChangeError`, or `ValueError`, `KeyError` or `TypeError` for a record
+        that can't be read; the queue must not be used after any of them.
+        """
         if key.startswith(JOB_PREFIX):
             self._apply_job(key[len(JOB_PREFIX) :], value, revision)
         elif key.startswith(PROGRESS_PREFIX):
@@ -71,15 +80,20 @@
         elif key == TERM_KEY:
             self._apply_term(value)
 
-    def hand_over(self) -> RestoredJobs:
-        """Give the job queue away as of now; this shadow must not be used any more."""
+    def as_restored(self) -> RestoredJobs:
+        """The job queue as a restore would build it now.
+
+        It is not copied: once a leader changes it, no further change must be applied here.
+        """
         now = self._clock()
         for job_state in self._job_queue.jobs.values():
             job_state.cancelled_known_at = now
             for attempt in job_state.attempts.values():
                 attempt.since = now
         leftover_keys = [
-            progress_key(job, index) for job, chunks in self._unattached.items() for index in chunks
+            progress_key(job, index)
+            for job, chunks in self._orphaned_chunks.items()
+            for index in chunks
         ]
         return RestoredJobs(self._job_queue, leftover_keys)
 
@@ -88,31 +102,31 @@
     def _apply_term(self, value: dict[str, Any] | None) -> None:
         number = TermRecord.number_of(value)
         if number < self._term:
-            raise MisfitError(f"term {number} after term {self._term}")
+            raise InconsistentChangeError(f"term {number}", f"after term {self._term}")
         self._term = number
 
     def _apply_job(self, job: str, value: dict[str, Any] | None, revision: int) -> None:
         job_state = self._job_queue.jobs.get(job)
         if value is None:
             if job_state is not None:
-                self._remove(job_state)
+                self._remove_job(job_state)
             return
         record = JobRecord.from_value(value, revision)
         if job_state is not None:
             _check_same_job(job_state.record, record)
             job_state.record = record
-            self._note_finished(job_state)
+            self._update_finished(job_state)
             return
         job_state = self._job_queue.restore(record, self._clock(), {})
-        for chunk in self._unattached.pop(job, {}).values():
-            self._take_chunk(job_state, chunk)
+        for chunk in self._orphaned_chunks.pop(job, {}).values():
+            self._replace_chunk(job_state, chunk)
 
-    def _remove(self, job_state: JobState) -> None:
-        self._count(job_state, -len(job_state.attempts))
+    def _remove_job(self, job_state: JobState) -> None:
+        self._add_to_usage(job_state, -len(job_state.attempts))
         del self._job_queue.jobs[job_state.id]
         self._job_queue.pending_final_states.pop(job_state.id, None)
         if job_state.chunks:
-            self._unattached[job_state.id] = job_state.chunks
+            self._orphaned_chunks[job_state.id] = job_state.chunks
 
     def _apply_progress(
         self, job: str, index: int, value: dict[str, Any] | None, revision: int
@@ -120,61 +134,64 @@
         job_state = self._job_queue.jobs.get(job)
         if value is None:
             if job_state is None:
-                self._forget_unattached(job, index)
+                self._remove_orphaned_chunk(job, index)
             else:
-                self._take_chunk(job_state, Chunk(ChunkId(job, index)))
+                self._replace_chunk(job_state, Chunk(ChunkId(job, index)))
                 del job_state.chunks[index]
             return
         chunk = Chunk(ChunkId(job, index), Progress.from_value(value), revision)
         if job_state is None:
-            self._unattached[job][index] = chunk
+            self._orphaned_chunks[job][index] = chunk
         else:
             _check_progress(job_state, chunk)
-            self._take_chunk(job_state, chunk)
+            self._replace_chunk(job_state, chunk)
 
-    def _forget_unattached(self, job: str, index: int) -> None:
-        chunks = self._unattached[job]
+    def _remove_orphaned_chunk(self, job: str, index: int) -> None:
+        chunks = self._orphaned_chunks[job]
         chunks.pop(index, None)
         if not chunks:
-            del self._unattached[job]
+            del self._orphaned_chunks[job]
 
-    def _take_chunk(self, job_state: JobState, chunk: Chunk) -> None:
+    def _replace_chunk(self, job_state: JobState, chunk: Chunk) -> None:
         before = len(job_state.attempts)
         self._job_queue.apply_recorded_chunk(job_state, chunk, self._clock())
-        self._count(job_state, len(job_state.attempts) - before)
-        self._note_finished(job_state)
+        self._add_to_usage(job_state, len(job_state.attempts) - before)
+        self._update_finished(job_state)
 
-    def _note_finished(self, job_state: JobState) -> None:
+    def _update_finished(self, job_state: JobState) -> None:
         if job_state.finished:
             self._job_queue.queue_final_state_if_finished(job_state)
         else:
             self._job_queue.pending_final_states.pop(job_state.id, None)
 
-    def _count(self, job_state: JobState, attempts: int) -> None:
+    def _add_to_usage(self, job_state: JobState, attempts: int) -> None:
         submission = job_state.record.submission
         usage = self.team_usage[submission.team]
         usage.cpus += attempts * submission.cpus
         usage.gpus += attempts * submission.gpus
-        self.attempts += attempts
+        self.attempt_count += attempts
 
 
-def _check_same_job(known: JobRecord, found: JobRecord) -> None:
-    if (known.submission, known.at, known.chunk) != (found.submission, found.at, found.chunk):
-        raise MisfitError(f"{known.submission.id} is another job than before")
-    if known.cancelled and not found.cancelled:
-        raise MisfitError(f"{known.submission.id} was cancelled, and is not any more")
+def _check_same_job(known: JobRecord, changed: JobRecord) -> None:
+    """A job's submission never changes, and a cancellation is final."""
+    job = known.submission.id
+    known_identity = (known.submission, known.at, known.chunk)
+    if known_identity != (changed.submission, changed.at, changed.chunk):
+        raise InconsistentChangeError(job, "is another job than before")
+    if known.cancelled and not changed.cancelled:
+        raise InconsistentChangeError(job, "was cancelled, and is not any more")
 
 
 def _check_progress(job_state: JobState, chunk: Chunk) -> None:
-    """Results never vanish, and every task belongs to its chunk."""
+    """Every task belongs to its chunk, and results are never lost."""
     record = job_state.record
-    name = progress_key(job_state.id, chunk.index)
+    key = progress_key(job_state.id, chunk.index)
     first = chunk.index * record.chunk
     tasks = min(record.chunk, record.submission.task_count - first)
     if not 0 <= chunk.index < record.chunks or chunk.progress.done >> tasks:
-        raise MisfitError(f"{name} is beyond the job's tasks")
+        raise InconsistentChangeError(key, "is beyond the job's tasks")
     if any(not first <= task < first + tasks for task in chunk.progress.held):
-        raise MisfitError(f"{name} holds a task of another chunk")
+        raise InconsistentChangeError(key, "holds a task of another chunk")
     known = job_state.chunks.get(chunk.index)
     if known is not None and known.progress.done & ~chunk.progress.done:
-        raise MisfitError(f"{name} has lost results")
+        raise InconsistentChangeError(key, "has lost results")
--- /dev/null
+++ b/spoolcourse/control/failover/shadow_status.py
@@ -0,0 +1,29 @@
+"""What a warm standby says of its shadow, to operators and to the leader."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+
+
+class ShadowState(Enum):
+    """Whether a failover can use the shadow. The values are shown in `/status` and to peers."""
+
+    USABLE = "fit"
+    STALE = "unfit"  # changes were missed: it is rebuilt from a read of all keys
+    LEADING = "leading"  # this controller leads with the job queue
+
+
+@dataclass(slots=True)
+class ShadowStatus:
+    """The state of the shadow and its history in this process."""
+
+    state: ShadowState = ShadowState.STALE
+    stale_reason: str = "the state service has not been read yet"
+    rebuilds: int = 0
+    mismatches: int = 0  # failovers whose shadow differed from a restore, where that is verified
+
+    def record_mismatch(self) -> None:
+        """The shadow differed from a restore from the records."""
+        self.mismatches += 1
+        self.stale_reason = "it differs from the records"
--- a/spoolcourse/control/failover/strategies.py
+++ b/spoolcourse/control/failover/strategies.py
@@ -1,4 +1,4 @@
-"""A new leader's first step: the proof, and the job queue to go on with."""
+"""A new leader's first step: the proof of the failover, and the job queue to lead with."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from typing import Protocol
 
 from spoolcourse.control.context import ControllerContext
-from spoolcourse.control.failover.comparison import differences
+from spoolcourse.control.failover.comparison import list_differences
 from spoolcourse.control.failover.restore import (
     RestoredJobs,
-    note_waiting_times,
     restore_from_records,
+    restore_waiting_times,
 )
-from spoolcourse.control.failover.warm_standby import Standby
+from spoolcourse.control.failover.warm_standby import WarmStandby
 from spoolcourse.control.leadership.failover_proof import (
     FailoverProof,
     ProofSource,
@@ -27,83 +27,99 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_S = 0.1
-DIFFERENCES_LOGGED = 20
+READ_BARRIER_RETRY_S = 0.1
+MAX_LOGGED_DIFFERENCES = 20
 
 
 @dataclass(frozen=True, slots=True)
 class FailoverResult:
-    """What a failover ends with."""
+    """What a leader starts with."""
 
     proof: FailoverProof
     restored: RestoredJobs
-    hints: list[Hint] = field(default_factory=list)  # of the leader before
+    hints: list[Hint] = field(default_factory=list)  # from the leader of the term before
 
 
 class FailoverStrategy(Protocol):
-    """A way to take over from the leader before."""
+    """How a new leader gets its proof and its job queue."""
 
     async def run(self, term: Term) -> FailoverResult:
-        """Catch up to the claim of the term, and prove it; goes on until the term ends."""
+        """Catch up to the claim of the term and prove it; retried until the term ends.
+
+        Raises `TermSupersededError` if the claim is not the latest one that is known.
+        """
         ...
 
 
 class FailoverFromRecords:
-    """A read barrier, then everything is rebuilt from the records: the standby is off."""
+    """A read barrier and a restore from the records: the strategy without a warm standby."""
 
     def __init__(self, context: ControllerContext) -> None:
         self._context = context
 
     async def run(self, term: Term) -> FailoverResult:
-        """Catch up to the claim of the term, and prove it; goes on until the term ends."""
+        """See `FailoverStrategy.run`."""
+        watch_cache = self._context.watch_cache
         while True:
-            if await self._context.watch_cache.read_barrier():
+            if await watch_cache.read_barrier():
                 try:
-                    return self._finish(term)
+                    proof = FailoverProof(term, watch_cache, ProofSource.RECORDS)
                 except WatchCacheBehindError as exc:
                     log.info("failover not proven yet: %s", exc)
-            await asyncio.sleep(RETRY_S)
-
-    def _finish(self, term: Term) -> FailoverResult:
-        proof = FailoverProof(term, self._context.watch_cache, ProofSource.RECORDS)
-        restored = restore_from_records(self._context)
-        note_waiting_times(self._context, restored.job_queue)
-        return FailoverResult(proof, restored)
+                else:
+                    restored = restore_from_records(self._context)
+                    return _complete(self._context, proof, restored, hints=[])
+            await asyncio.sleep(READ_BARRIER_RETRY_S)
 
 
 class FailoverFromShadow:
-    """One request that catches up to the claim; then the shadow is what a restore would make."""
+    """One request that catches up to the claim; the shadow then equals a restore."""
 
     def __init__(
-        self, context: ControllerContext, standby: Standby, settings: StandbySettings
+        self, context: ControllerContext, standby: WarmStandby, settings: StandbySettings
     ) -> None:
         self._context = context
         self._standby = standby
-        self._verify = settings.verify
+        self._verifies_shadow = settings.verify
 
     async def run(self, term: Term) -> FailoverResult:
-        """Catch up to the claim of the term, and prove it; goes on until the term ends."""
+        """See `FailoverStrategy.run`."""
+        watch_cache = self._context.watch_cache
         retry = RetryDelay()
-        while not await self._context.watch_cache.catch_up_to(term.revision):
+        while not await watch_cache.catch_up_to(term.revision):
             await retry.wait()
-        proof = FailoverProof(term, self._context.watch_cache, ProofSource.SHADOW)
-        restored = self._standby.hand_over()
-        if restored is not None and self._verify:
-            restored = self._verified(restored)
-        if restored is None:
-            log.warning("the shadow can't be used (%s): restoring", self._standby.unfit_reason)
-            proof = FailoverProof(term, self._context.watch_cache, ProofSource.RECORDS)
+        # From here on nothing is awaited: no change comes between the comparison and the result.
+        differences = self._shadow_differences()
+        is_usable = self._standby.shadow is not None and not differences
+        source = ProofSource.SHADOW if is_usable else ProofSource.RECORDS
+        # Before the job queue is detached: a superseded controller keeps its shadow.
+        proof = FailoverProof(term, watch_cache, source)
+        restored = self._standby.detach_job_queue()
+        if differences:
+            self._record_mismatch(differences)
+        if restored is None or differences:
+            reason = self._standby.status.stale_reason
+            log.warning("shadow not usable, restoring: term=%d: %s", term.number, reason)
             restored = restore_from_records(self._context)
-        note_waiting_times(self._context, restored.job_queue)
-        return FailoverResult(proof, restored, self._standby.hints.for_term(term.number - 1))
-
-    def _verified(self, shadowed: RestoredJobs) -> RestoredJobs | None:
-        """The shadow's job queue if it is what a restore makes, else None."""
-        found = differences(shadowed, restore_from_records(self._context))
-        if not found:
-            return shadowed
-        self._standby.mismatches += 1
-        self._standby.unfit_reason = "it differs from the records"
-        for difference in found[:DIFFERENCES_LOGGED]:
-            log.error("the shadow differs from the records: %s", difference)
-        return None
+        hints = self._standby.hints.for_term(term.number - 1)
+        return _complete(self._context, proof, restored, hints)
+
+    def _shadow_differences(self) -> list[str]:
+        """How the shadow differs from a restore; empty if there is none or it is not verified."""
+        shadow = self._standby.shadow
+        if shadow is None or not self._verifies_shadow:
+            return []
+        return list_differences(shadow.as_restored(), restore_from_records(self._context))
+
+    def _record_mismatch(self, differences: list[str]) -> None:
+        self._standby.status.record_mismatch()
+        for difference in differences[:MAX_LOGGED_DIFFERENCES]:
+            log.error("shadow differs from the records: %s", difference)
+
+
+def _complete(
+    context: ControllerContext, proof: FailoverProof, restored: RestoredJobs, hints: list[Hint]
+) -> FailoverResult:
+    """The end of every failover."""
+    restore_waiting_times(context, restored.job_queue)
+    return FailoverResult(proof, restored, hints)
--- a/spoolcourse/control/peer_api.py
+++ b/spoolcourse/control/peer_api.py
@@ -59,7 +59,7 @@
         if node.standby is None:
             return error_response(404, "the warm standby is off")
         if path == paths.STANDBY:
-            return Response(200, to_json_object(node.standby.answer()))
+            return Response(200, to_json_object(node.standby.readiness.reply()))
         if node.leader_term is None or node.leader_term.active is None:
             return self._not_the_leader()
         registry, revision = node.leader_term.active.registry, node.watch_cache.store_revision
--- a/spoolcourse/control/status.py
+++ b/spoolcourse/control/status.py
@@ -8,12 +8,12 @@
 import msgspec
 from msgspec import UNSET, UnsetType
 
-from spoolcourse.control.failover.warm_standby import ShadowState
+from spoolcourse.control.failover.shadow_status import ShadowState
 from spoolcourse.control.jobs.model import AttemptStage
 
 if TYPE_CHECKING:
     from spoolcourse.control.controller import Controller
-    from spoolcourse.control.failover.warm_standby import Standby
+    from spoolcourse.control.failover.warm_standby import WarmStandby
     from spoolcourse.control.leader.active_leader import ActiveLeader
     from spoolcourse.control.leadership.failover_timeline import FailoverTimeline
     from spoolcourse.control.scheduling.scheduling_loop import WaitingJob
@@ -110,23 +110,25 @@
     )
 
 
-def _standby_status(node: Controller, standby: Standby) -> StandbyStatus:
+def _standby_status(node: Controller, standby: WarmStandby) -> StandbyStatus:
     shadow, revision = standby.shadow, node.watch_cache.store_revision
     usage = shadow.team_usage if shadow else {}
     return StandbyStatus(
-        state=standby.state.value,
-        unfit_reason=standby.unfit_reason if standby.state is ShadowState.UNFIT else "",
-        caught_up=standby.caught_up,
+        state=standby.status.state.value,
+        unfit_reason=standby.status.stale_reason
+        if standby.status.state is ShadowState.STALE
+        else "",
+        caught_up=standby.readiness.caught_up,
         revision=revision,
         revisions_behind=max(0, standby.hints.leader_revision - revision),
-        silence_s=round(min(standby.silence_s, SILENCE_SHOWN_S), 3),
-        rebuilds=standby.rebuilds,
-        jobs=shadow.jobs if shadow else 0,
-        attempts=shadow.attempts if shadow else 0,
+        silence_s=round(min(standby.readiness.silence_s, SILENCE_SHOWN_S), 3),
+        rebuilds=standby.status.rebuilds,
+        jobs=shadow.job_count if shadow else 0,
+        attempts=shadow.attempt_count if shadow else 0,
         team_cpus={team: used.cpus for team, used in usage.items()},
         hints=len(standby.hints),
         hints_refused={why.value: count for why, count in standby.hints.rejections.items()},
-        mismatches=standby.mismatches,
+        mismatches=standby.status.mismatches,
     )
 
 
--- a/tests/test_standby_takeover.py
+++ b/tests/test_standby_failover.py
@@ -8,10 +8,10 @@
 
 import pytest
 
+from spoolcourse.control.failover.shadow_status import ShadowState
 from spoolcourse.control.failover.strategies import FailoverResult
-from spoolcourse.control.failover.warm_standby import ShadowState
 from spoolcourse.control.http_client import Response
-from spoolcourse.control.leadership.failover_proof import ProofSource
+from spoolcourse.control.leadership.failover_proof import ProofSource, TermSupersededError
 from spoolcourse.control.leadership.term import Term
 from spoolcourse.control.store.keys import PROGRESS_PREFIX, TERM_KEY, parse_progress_key
 from spoolcourse.wire.standby_settings import StandbySettings
@@ -152,10 +152,10 @@
         assert proof.applied_revision >= proof.claim_revision
         standby = world.nodes[successor].standby
         assert standby is not None
-        states = [standby.state]
+        states = [standby.status.state]
         world.nodes[successor].leadership.step_down("test")
-        states.append(standby.state)
-        assert states == [ShadowState.LEADING, ShadowState.FIT], "it is a standby again"
+        states.append(standby.status.state)
+        assert states == [ShadowState.LEADING, ShadowState.USABLE], "it is a standby again"
         await all_done(world, 1)
 
     play(story())
@@ -402,7 +402,7 @@
             for label in others[:behind]:
                 standby = world.nodes[label].standby
                 assert standby is not None
-                standby._become_unfit("test")
+                standby._mark_stale("test")
             refuse_one_lease(world, others[1])  # it is slower, which a bounded wait makes up for
             world.kill(former)
             successor = await failover(world, former)
@@ -412,3 +412,41 @@
             await all_done(world, 1)
 
     play(story())
+
+
+def test_a_shadow_that_differs_from_the_records_is_counted_and_replaced_by_a_restore() -> None:
+    async def story() -> None:
+        world = World(standby=ON)
+        former = await busy(world)
+        for label in (n for n in LABELS if n != former):
+            standby = world.nodes[label].standby
+            assert standby is not None and standby.shadow is not None
+            job_state = standby.shadow.as_restored().job_queue.jobs["job-000001"]
+            del job_state.attempts[next(iter(job_state.attempts))]
+        world.kill(former)
+        successor = await failover(world, former)
+        assert world.active(successor).proof.source is ProofSource.RECORDS
+        standby = world.nodes[successor].standby
+        assert standby is not None and standby.status.mismatches == 1
+        assert standby.status.stale_reason == "it differs from the records"
+        await all_done(world, 1)
+
+    play(story())
+
+
+def test_a_superseded_controller_keeps_its_shadow() -> None:
+    async def story() -> None:
+        world = World(standby=ON)
+        former = await busy(world)
+        node = world.nodes[next(n for n in LABELS if n != former)]
+        standby = node.standby
+        assert standby is not None and standby.shadow is not None
+        shadow, rebuilds = standby.shadow, standby.status.rebuilds
+        earlier = Term(0, node.watch_cache.revision(TERM_KEY) - 1, 0)
+        with pytest.raises(TermSupersededError):
+            await node._failover.run(earlier)
+        assert standby.shadow is shadow and standby.status.state is ShadowState.USABLE
+        assert (standby.status.rebuilds, standby.status.mismatches) == (rebuilds, 0)
+        await all_done(world, 1)
+
+    play(story())
--- a/tests/test_standby_hints.py
+++ b/tests/test_standby_hints.py
@@ -26,7 +26,7 @@
 from tests.fakes.clock import play
 from tests.fakes.registry import RegistryHarness
 from tests.fakes.world import LABELS, World, job
-from tests.test_standby_takeover import ON, busy, failover
+from tests.test_standby_failover import ON, busy, failover
 
 PAGE = HintPage(7, "n0", 40, [Hint("m-1", "m-1:9", 1, {"img": 1.0}), Hint("m-2", "m-2:9", 1)])
 
@@ -200,7 +200,7 @@
         world.kill(others[0])
         standby = world.nodes[others[1]].standby
         assert standby is not None
-        standby._become_unfit("a gap")
+        standby._mark_stale("a gap")
         reply = await hand_over(world, former)
         assert reply.status == 409 and world.leader == former
         assert f"{others[0]} does not answer" in reply.data["error"]
--- a/tests/test_standby_properties.py
+++ b/tests/test_standby_properties.py
@@ -15,9 +15,10 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from spoolcourse.control.context import ControllerContext
-from spoolcourse.control.failover.comparison import differences
+from spoolcourse.control.failover.comparison import list_differences
 from spoolcourse.control.failover.restore import restore_from_records
-from spoolcourse.control.failover.warm_standby import ShadowState, Standby
+from spoolcourse.control.failover.shadow_status import ShadowState
+from spoolcourse.control.failover.warm_standby import WarmStandby
 from spoolcourse.control.jobs.job_index import JobIndex
 from spoolcourse.control.store.keys import TERM_KEY, job_key, progress_key
 from spoolcourse.control.store.records import JobRecord, Progress
@@ -54,7 +55,7 @@
                 watch_cache=self.cache, job_index=index, params=params, clock=lambda: 7.0
             ),
         )
-        self.standby = Standby(self.context, StandbySettings(enabled=True))
+        self.standby = WarmStandby(self.context, StandbySettings(enabled=True))
         self.list_entries(lambda: None)
 
     # -- what is written ------------------------------------------------------------------
@@ -186,11 +187,11 @@
     @invariant()
     def the_shadow_is_what_a_restore_makes(self) -> None:
         shadow = self.standby.shadow
-        assert self.standby.state is ShadowState.FIT and shadow is not None
+        assert self.standby.status.state is ShadowState.USABLE and shadow is not None
         restored = restore_from_records(self.context)
-        assert differences(shadow.hand_over(), restored) == []
+        assert list_differences(shadow.as_restored(), restored) == []
         job_states = restored.job_queue.jobs.values()
-        assert shadow.attempts == sum(len(job_state.attempts) for job_state in job_states)
+        assert shadow.attempt_count == sum(len(job_state.attempts) for job_state in job_states)
         held = sum(2.0 * len(job_state.attempts) for job_state in job_states)
         assert shadow.team_usage["red"].cpus == held
 
@@ -225,5 +226,5 @@
     machine.watch(6, 0)
     shadow = machine.standby.shadow
     assert shadow is not None
-    assert shadow.hand_over().leftover_keys == [progress_key("job-000001", 0)]
+    assert shadow.as_restored().leftover_keys == [progress_key("job-000001", 0)]
     machine.the_shadow_is_what_a_restore_makes()
