--- /dev/null
+++ b/spoolcourse/control/failover/leadership_transfer.py
@@ -0,0 +1,95 @@
+"""Leadership transfer: on request, the leader steps down if another controller is caught up."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import dataclass
+from enum import Enum
+
+from spoolcourse.control.context import ControllerContext
+from spoolcourse.control.leadership.election import Leadership
+from spoolcourse.control.leadership.peers import STANDBY_QUERY, query_peers
+from spoolcourse.wire.peers import HandoverReply, StandbyReply
+
+
+class PeerIneligibility(Enum):
+    """Why a controller can't succeed the leader."""
+
+    NO_REPLY = "no reply"  # or a version that does not know the question
+    NOT_CAUGHT_UP = "not caught up"
+    OTHER_TERM = "other term"  # it has not heard of this term, or has heard of a later one
+
+
+@dataclass(frozen=True, slots=True)
+class IneligiblePeer:
+    """A controller that can't succeed the leader, with its reply if there was one."""
+
+    label: str
+    ineligibility: PeerIneligibility
+    leader_term: int
+    reply: StandbyReply | None = None
+
+    def __str__(self) -> str:
+        """The text for the operator who asked for the transfer."""
+        if self.reply is None:
+            return f"{self.label} does not answer"
+        if self.ineligibility is PeerIneligibility.NOT_CAUGHT_UP:
+            return f"{self.label} is not: {self.reply.reason}"
+        return f"{self.label} knows of term {self.reply.term}, not of {self.leader_term}"
+
+
+class TransferRefusal(Enum):
+    """Why the leader goes on leading. The values are shown to the operator."""
+
+    LEASE_UNCERTAIN = "this controller is not sure to lead"
+    NO_SUCCESSOR = "no standby is caught up"
+    TERM_ENDED = "this controller does not lead any more"
+
+
+class LeadershipTransferRefusedError(Exception):
+    """Leadership was not transferred; nothing has changed."""
+
+    def __init__(
+        self, refusal: TransferRefusal, ineligible_peers: Sequence[IneligiblePeer] = ()
+    ) -> None:
+        text = refusal.value
+        if refusal is TransferRefusal.NO_SUCCESSOR:
+            text += ": " + ("; ".join(map(str, ineligible_peers)) or "no peers")
+        super().__init__(text)
+        self.refusal = refusal
+        self.ineligible_peers = ineligible_peers
+
+
+async def transfer_leadership(context: ControllerContext, leadership: Leadership) -> HandoverReply:
+    """Step down if at least one other controller is caught up; which one leads is elected.
+
+    Raises `LeadershipTransferRefusedError` if there is none, or this controller does not lead.
+    """
+    term = leadership.term
+    if term is None or not leadership.holds_lease():
+        raise LeadershipTransferRefusedError(TransferRefusal.LEASE_UNCERTAIN)
+    replies = await query_peers(context.net, context.peers, STANDBY_QUERY)
+    successors: list[str] = []
+    ineligible_peers: list[IneligiblePeer] = []
+    for peer, reply in zip(context.peers, replies, strict=True):
+        ineligibility = _ineligibility(reply, term.number)
+        if ineligibility is None:
+            successors.append(peer.label)
+        else:
+            ineligible_peers.append(IneligiblePeer(peer.label, ineligibility, term.number, reply))
+    if not successors:
+        raise LeadershipTransferRefusedError(TransferRefusal.NO_SUCCESSOR, ineligible_peers)
+    if leadership.term is not term:
+        raise LeadershipTransferRefusedError(TransferRefusal.TERM_ENDED)
+    await leadership.step_down_and_release_lease(
+        f"leadership transferred to one of {', '.join(successors)}"
+    )
+    return HandoverReply(term.number, successors)
+
+
+def _ineligibility(reply: StandbyReply | None, term: int) -> PeerIneligibility | None:
+    if reply is None:
+        return PeerIneligibility.NO_REPLY
+    if not reply.caught_up:
+        return PeerIneligibility.NOT_CAUGHT_UP
+    return PeerIneligibility.OTHER_TERM if reply.term != term else None
--- a/spoolcourse/control/peer_api.py
+++ b/spoolcourse/control/peer_api.py
@@ -6,8 +6,11 @@
 from typing import TYPE_CHECKING
 
 from spoolcourse.control import metrics
-from spoolcourse.control.failover.handover import HandoverRefusedError, hand_over
 from spoolcourse.control.failover.hint_page import build_hint_page
+from spoolcourse.control.failover.leadership_transfer import (
+    LeadershipTransferRefusedError,
+    transfer_leadership,
+)
 from spoolcourse.control.http_client import Request, Response, error_response
 from spoolcourse.control.jobs.cancellation_query import answer_query
 from spoolcourse.control.leadership import feature_level
@@ -32,7 +35,7 @@
         """The answer; None for a path that is not of this interface alone."""
         path, _, query = request.path.partition("?")
         if path == paths.HANDOVER and request.method == "POST":
-            return self._hand_over()
+            return self._transfer_leadership()
         if request.method != "GET":
             return None
         try:
@@ -66,13 +69,14 @@
         page = build_hint_page(registry, node.label, revision, query)
         return Response(200, to_json_object(page))
 
-    async def _hand_over(self) -> Response:
+    async def _transfer_leadership(self) -> Response:
         node = self._node
         if node.leader_term is None:
             return self._not_the_leader()
         try:
-            return Response(200, to_json_object(await hand_over(node.context, node.leadership)))
-        except HandoverRefusedError as exc:
+            reply = await transfer_leadership(node.context, node.leadership)
+            return Response(200, to_json_object(reply))
+        except LeadershipTransferRefusedError as exc:
             return error_response(409, str(exc))
 
     def _not_the_leader(self) -> Response:
