--- a/spoolcourse/control/failover/__init__.py
+++ b/spoolcourse/control/failover/__init__.py
@@ -1,1 +1,1 @@
-"""Warm standby: what a follower keeps ready for a failover, and the proof that ends one."""
+"""Failover: the warm standby that followers keep, and how a new leader gets its job queue."""
--- a/spoolcourse/control/failover/tracing.py
+++ b/spoolcourse/control/failover/tracing.py
@@ -1,7 +1,7 @@
-"""Traces of failovers: a span for each phase, by OpenTelemetry, written when it is over.
+"""Traces of failovers: an OpenTelemetry span for each phase, written after the last one.
 
-Off by default; the library is loaded only where it is on, when the controller starts. Spans are
-made from a finished timeline, so a failover itself does nothing for them.
+Off by default; the library is imported only where tracing is on, when the controller starts. Spans
+are made from a completed timeline, so they take no time during a failover.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class FailoverTracer:
-    """Writes each failover as a trace, one JSON object a line."""
+    """Writes each failover as a trace: one JSON object a line for each span."""
 
     def __init__(
         self,
@@ -30,6 +30,7 @@
         wall_clock: Callable[[], float],
         out: IO[str] = sys.stderr,
     ) -> None:
+        """Both clocks in seconds: timelines are by `clock`, spans by `wall_clock`."""
         self._clock = clock
         self._wall_clock = wall_clock
         resource = Resource({"service.name": "spoolcourse", "service.instance.id": label})
@@ -41,16 +42,16 @@
         self._tracer = provider.get_tracer("spoolcourse.standby")
 
     def write(self, timeline: FailoverTimeline) -> None:
-        """Write the spans of a failover that has come to its last phase."""
+        """Write the spans of a completed failover; nothing for one that was not proven."""
         intervals, proof = timeline.intervals(), timeline.proof
         if not intervals or proof is None:
             return
-        offset_s = self._wall_clock() - self._clock()
+        wall_offset_s = self._wall_clock() - self._clock()
 
         def nanoseconds(at: float) -> int:
-            return int((at + offset_s) * NANOSECONDS)
+            return int((at + wall_offset_s) * NANOSECONDS)
 
-        whole = self._tracer.start_span(
+        failover_span = self._tracer.start_span(
             "take-over",
             start_time=nanoseconds(intervals[0].began_at),
             attributes={
@@ -60,10 +61,10 @@
                 "spoolcourse.proof_source": proof.source.value,
             },
         )
-        parent = set_span_in_context(whole)
+        parent = set_span_in_context(failover_span)
         for interval in intervals:
-            span = self._tracer.start_span(
+            phase_span = self._tracer.start_span(
                 interval.phase.value, parent, start_time=nanoseconds(interval.began_at)
             )
-            span.end(nanoseconds(interval.ended_at))
-        whole.end(nanoseconds(intervals[-1].ended_at))
+            phase_span.end(nanoseconds(interval.ended_at))
+        failover_span.end(nanoseconds(intervals[-1].ended_at))
--- a/spoolcourse/wire/standby_settings.py
+++ b/spoolcourse/wire/standby_settings.py
@@ -1,4 +1,4 @@
-"""The operators' file that turns the warm standby on: TOML with one table, `[standby]`."""
+"""The settings file of the warm standby: TOML with one table, `[standby]`."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 
 class StandbySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What followers keep ready for a failover; what is left out keeps its default."""
+    """The table `[standby]`; keys that are left out have the defaults below."""
 
     enabled: bool = False
-    # A follower that is not caught up lets others stand for election first, for so long.
+    # Seconds for which a follower that is not caught up lets others stand for election first.
     defer_s: Annotated[float, msgspec.Meta(ge=0, le=5)] = 0.5
-    # A follower that has heard nothing of the key-value store for so long is not caught up.
+    # Seconds without an answer of the key-value store after which a follower is not caught up.
     behind_s: Annotated[float, msgspec.Meta(ge=2.5, le=60)] = 5.0
     # Compare the shadow with a restore from the records at each failover.
     verify: bool = False
-    # Followers ask the leader for hints so often; 0: never.
+    # Seconds between a follower's requests for hints; 0: never.
     hint_period_s: Annotated[float, msgspec.Meta(ge=0, le=60)] = 1.0
-    # Machines in one answer.
+    # Machines in one page of hints.
     hint_machines: Annotated[int, msgspec.Meta(ge=1, le=500)] = 200
     # Write a trace of each failover, as OpenTelemetry spans in JSON, to standard error.
     trace: bool = False
 
 
-class _File(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class _StandbyFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     standby: StandbySettings
 
 
@@ -37,19 +37,25 @@
 
 
 def parse_standby(text: str, source: str) -> StandbySettings:
-    """Check the settings; the error names the key that is unknown, wrong or out of range."""
+    """The checked settings; `source` is the file's name for errors.
+
+    Raises `UserError`, naming the key that is unknown, wrong or out of range.
+    """
     try:
         data = tomllib.loads(text)
     except tomllib.TOMLDecodeError as exc:
         raise UserError(f"{source}: not TOML: {exc}") from exc
     try:
-        return msgspec.convert(data, _File).standby
+        return msgspec.convert(data, _StandbyFile).standby
     except msgspec.ValidationError as exc:
         raise UserError(f"{source}: {exc}") from exc
 
 
 def load_standby(path: str | None) -> StandbySettings:
-    """Read and check the file; without one the standby is off."""
+    """The checked settings of a file; without a file the standby is off.
+
+    Raises `UserError` if the file can't be read, or as `parse_standby` does.
+    """
     if path is None:
         return OFF
     try:
