--- a/tests/test_standby_properties.py
+++ b/tests/test_standby_properties.py
@@ -1,7 +1,7 @@
-"""Whatever changes come, and however they come, a shadow is what a restore would make.
+"""However changes arrive, a shadow equals a restore from the records.
 
-The key-value store is a model; the watch brings its changes in pieces, twice, ahead of their turn
-or not at all, and pages are read while it changes.
+The key-value store is a model. The watch delivers its changes in parts, twice, out of order or not
+at all, and pages are read while it changes.
 """
 
 from __future__ import annotations
@@ -72,13 +72,13 @@
                 self.keys[key] = (value, self.revision)
 
     def record(self, number: int) -> JobRecord | None:
-        found = self.keys.get(job_key(f"job-{number:06d}"))
-        return JobRecord.from_value(*found) if found else None
+        entry = self.keys.get(job_key(f"job-{number:06d}"))
+        return JobRecord.from_value(*entry) if entry else None
 
     def progress(self, number: int, task: int) -> tuple[str, Progress]:
         key = progress_key(f"job-{number:06d}", task // CHUNK)
-        found = self.keys.get(key)
-        return key, Progress.from_value(found[0]) if found else Progress()
+        entry = self.keys.get(key)
+        return key, Progress.from_value(entry[0]) if entry else Progress()
 
     @rule(number=JOBS, tasks=TASK_COUNTS)
     def accept(self, number: int, tasks: int) -> None:
@@ -132,18 +132,18 @@
     def elect(self) -> None:
         self.write((TERM_KEY, {"term": self.revision + 1, "run": "r", "hold": 1}))
 
-    # -- what the follower gets of it -----------------------------------------------------
+    # -- what the follower receives ---------------------------------------------------
 
     @rule(count=st.integers(1, 6), again=st.integers(0, 6))
     def watch(self, count: int, again: int) -> None:
-        """The next revisions, and some of those before once more."""
+        """The next revisions, and some earlier ones again."""
         reached = min(self.cache.store_revision + count, self.revision)
         since = self.cache.store_revision - again
         self.cache._advance(reached, [c for c in self.log if since < c.revision <= reached])
 
     @rule(behind=st.integers(1, 6), span=st.integers(1, 6))
-    def late_answer(self, behind: int, span: int) -> None:
-        """An answer that was overtaken by a later one."""
+    def answer_late(self, behind: int, span: int) -> None:
+        """An answer that arrives after a later one."""
         reached = self.cache.store_revision - behind
         since = reached - span
         self.cache._advance(reached, [c for c in self.log if since < c.revision <= reached])
@@ -151,14 +151,14 @@
     @precondition(lambda self: self.log)
     @rule(data=st.data())
     def write_ahead(self, data: st.DataObject) -> None:
-        """This node's own write is known to it before the watch brings it."""
+        """This controller's own write is applied before the watch delivers it."""
         key = data.draw(st.sampled_from(sorted({c.key for c in self.log})))
         if key in self.keys:
             self.cache.apply(key, *self.keys[key])
 
     @rule(number=JOBS, task=TASKS, ends=st.booleans(), seen=st.booleans())
     def lose_changes(self, number: int, task: int, ends: bool, seen: bool) -> None:
-        """Changes are missed; while all keys are read, some change, and a watch may tell of it."""
+        """Changes are missed; keys change while all are read, and the watch may deliver that."""
         self.standby.on_watch_gap(WatchGap.COMPACTED)
 
         def meanwhile() -> None:
@@ -185,7 +185,7 @@
     # -- what must hold -------------------------------------------------------------------
 
     @invariant()
-    def the_shadow_is_what_a_restore_makes(self) -> None:
+    def the_shadow_equals_a_restore(self) -> None:
         shadow = self.standby.shadow
         assert self.standby.status.state is ShadowState.USABLE and shadow is not None
         restored = restore_from_records(self.context)
@@ -196,7 +196,7 @@
         assert shadow.team_usage["red"].cpus == held
 
     @invariant()
-    def what_is_caught_up_is_what_is_stored(self) -> None:
+    def a_caught_up_cache_equals_the_store(self) -> None:
         if self.cache.store_revision == self.revision:
             known = {
                 e.key: (e.value, e.revision)
@@ -216,8 +216,8 @@
 TestShadow = ShadowMachine.TestCase
 
 
-def test_progress_that_a_finished_job_leaves_behind_is_known() -> None:
-    # The machine above comes to this too seldom to be relied on.
+def test_progress_left_over_from_a_finished_job_is_listed() -> None:
+    # The state machine above reaches this too rarely.
     machine = ShadowMachine()
     machine.accept(1, 34)
     machine.place(1, 0, "m-1")
@@ -227,4 +227,4 @@
     shadow = machine.standby.shadow
     assert shadow is not None
     assert shadow.as_restored().leftover_keys == [progress_key("job-000001", 0)]
-    machine.the_shadow_is_what_a_restore_makes()
+    machine.the_shadow_equals_a_restore()
--- a/tests/test_standby_settings.py
+++ b/tests/test_standby_settings.py
@@ -12,7 +12,7 @@
 DEPLOYED = Path(__file__).resolve().parent.parent / "deploy" / "standby.toml"
 
 
-def test_the_deployed_file_turns_it_on_and_without_one_it_is_off() -> None:
+def test_the_deployed_file_turns_the_standby_on_and_without_a_file_it_is_off() -> None:
     assert load_standby(str(DEPLOYED)).enabled and load_standby(None) is OFF
     assert not parse_standby("[standby]\n", "f").enabled
 
@@ -33,7 +33,7 @@
         ("[standby", ["TOML"]),
     ],
 )
-def test_a_wrong_file_is_refused_with_key_and_reason(text: str, reasons: list[str]) -> None:
-    with pytest.raises(UserError) as refused:
+def test_an_invalid_file_is_rejected_with_key_and_reason(text: str, reasons: list[str]) -> None:
+    with pytest.raises(UserError) as rejected:
         parse_standby(text, "standby.toml")
-    assert all(reason in str(refused.value) for reason in ["standby.toml", *reasons])
+    assert all(reason in str(rejected.value) for reason in ["standby.toml", *reasons])
