--- /dev/null
+++ b/tests/test_fencing_token_announcer.py
@@ -0,0 +1,108 @@
+"""A new leader's calls to workers that have sent no heartbeat under its fencing token."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+from typing import Any
+
+import pytest
+
+from spoolcourse.control.http_client import Response
+from spoolcourse.control.workers import fencing_token_announcer
+from spoolcourse.control.workers.fencing_token_announcer import FencingTokenAnnouncer
+from tests.fakes.clock import play
+from tests.fakes.net import FakeWire
+from tests.fakes.registry import TERM, RegistryHarness
+
+
+@dataclass
+class Worker:
+    id: str
+    confirmed: bool = False
+
+    @property
+    def address(self) -> str:
+        return f"{self.id}:9"
+
+
+class Fleet:
+    """Workers that answer after a second; which were called, and how many at once."""
+
+    def __init__(self, count: int) -> None:
+        self.harness = RegistryHarness()
+        self.wire = FakeWire()
+        self.workers = [Worker(f"m-{number}") for number in range(count)]
+        self.called: list[str] = []
+        self.calls = 0
+        self.most_calls = 0
+        for worker in self.workers:
+            self.serve(worker.address, worker.id)
+
+    def serve(self, address: str, machine: str) -> None:
+        async def answer(method: str, path: str, body: Any) -> Response:
+            if method == "GET":
+                self.called.append(address)
+            self.calls += 1
+            self.most_calls = max(self.calls, self.most_calls)
+            await asyncio.sleep(0.5)
+            self.calls -= 1
+            return Response(200, heartbeat(machine, address))
+
+        self.wire.hosts[address] = answer
+
+    async def announce(self, sockets: int = 0) -> None:
+        net = self.wire.end_of("n0")
+        announcer = FencingTokenAnnouncer(net, self.harness.registry, sockets)
+        await announcer.announce(self.workers, fleet_size=len(self.workers))
+
+    def confirmed(self) -> list[str]:
+        machines = self.harness.registry.machines.values()
+        return [machine.id for machine in machines if machine.confirmed]
+
+
+def heartbeat(machine: str, address: str) -> dict[str, Any]:
+    data = {"spindle": machine, "address": address, "build": "c8", "yard": "a", "loaners": False}
+    return data | {"shift": 1, "tick": 1, "baton": TERM, "pieces": []}
+
+
+def test_all_workers_are_called_once_in_order_by_a_bounded_number_of_calls(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(fencing_token_announcer, "MIN_CONCURRENT_CALLS", 2)
+
+    async def story() -> None:
+        fleet = Fleet(24)  # a call for eight workers
+        await fleet.announce()
+        assert fleet.called == [worker.address for worker in fleet.workers]
+        assert fleet.most_calls == 3
+        assert fleet.confirmed() == [worker.id for worker in fleet.workers]
+
+    play(story())
+
+
+def test_a_worker_whose_heartbeat_arrives_while_it_waits_is_not_called(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(fencing_token_announcer, "MIN_CONCURRENT_CALLS", 1)
+
+    async def story() -> None:
+        fleet = Fleet(3)
+        announcing = asyncio.create_task(fleet.announce())
+        await asyncio.sleep(0.2)
+        fleet.workers[1].confirmed = True
+        await announcing
+        assert fleet.called == ["m-0:9", "m-2:9"]
+
+    play(story())
+
+
+def test_a_silent_worker_and_one_at_the_address_of_another_leave_the_rest_as_they_are() -> None:
+    async def story() -> None:
+        fleet = Fleet(3)
+        del fleet.wire.hosts["m-0:9"]
+        fleet.serve("m-1:9", machine="m-9")
+        await fleet.announce()
+        assert fleet.confirmed() == ["m-2"]
+
+    play(story())
