--- a/spoolcourse/control/leader/leader_term.py
+++ b/spoolcourse/control/leader/leader_term.py
@@ -90,8 +90,7 @@
 
     async def _run_failover(self) -> None:
         failover = await self._failover.run(self._term)
-        self.timeline.proof = failover.proof
-        self.timeline.record(FailoverPhase.PROVEN)
+        self.timeline.record_proof(failover.proof)
         # No waiting between the proof and this: no change is missed.
         self.active = ActiveLeader(
             failover, self._leadership, self._context, self._renewal_deadline, self.timeline
--- a/spoolcourse/control/leadership/candidate.py
+++ b/spoolcourse/control/leadership/candidate.py
@@ -8,9 +8,7 @@
 
 from spoolcourse.control.leadership.term import Term, known_term_number
 from spoolcourse.control.store.client import StoreClient
-from spoolcourse.control.store.errors import (
-    OutcomeUnknownError,
-)
+from spoolcourse.control.store.errors import OutcomeUnknownError
 from spoolcourse.control.store.keys import LEADER_KEY, TERM_KEY
 from spoolcourse.control.store.records import LeaderRecord, TermRecord
 from spoolcourse.control.store.watch_cache import WatchCache
@@ -22,7 +20,7 @@
     """A claim that was carried out."""
 
     term: Term
-    lease_requested_at: float  # steady clock: the lease ends no sooner than its TTL after this
+    lease_requested_at: float  # steady clock, seconds: the lease lasts its TTL from here at least
 
 
 class Candidate:
--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -73,7 +73,8 @@
         self._candidate = Candidate(client, watch_cache, label, run_id, lease_ttl_s)
         self.term: Term | None = None
         self.elections_won = 0
-        self.vacant_at: float | None = None  # when this controller saw that nobody leads
+        # When this controller saw that nobody leads, in seconds of the steady clock.
+        self.vacant_at: float | None = None
         self._lease_expires_at = float("-inf")
         self._candidacy_from = float("-inf")
         self._leader_changed = asyncio.Event()
@@ -84,7 +85,7 @@
 
     @property
     def leader_label(self) -> str | None:
-        """The label of the leader as far as this controller knows."""
+        """The label of the leader that the watch cache shows; None if there is none."""
         entry = self._watch_cache.get(LEADER_KEY)
         return LeaderRecord.label_of(entry.value) if entry else None
 
@@ -180,7 +181,7 @@
         delay_s = max(self._candidacy_delay_s(), release_delay_s)
         if delay_s <= 0:
             return False
-        log.info("others may stand for election for %.1f s", delay_s)
+        log.info("candidacy delayed, delay_s=%.1f", delay_s)
         return await wait_for_event(self._leader_changed, delay_s)
 
     async def _stand_for_election(self) -> None:
--- a/spoolcourse/control/leadership/failover_timeline.py
+++ b/spoolcourse/control/leadership/failover_timeline.py
@@ -1,4 +1,4 @@
-"""When a failover reached each of its phases, by this controller's steady clock."""
+"""When a failover reached each of its phases, in seconds of this controller's steady clock."""
 
 from __future__ import annotations
 
@@ -13,32 +13,32 @@
 
 
 class FailoverPhase(Enum):
-    """What a failover reaches, in this order."""
+    """The phases of a failover, in this order."""
 
     VACANT = "vacant"  # this controller saw that nobody leads
     ELECTED = "elected"  # its claim was carried out
-    PROVEN = "proven"  # every change up to the claim is taken in, and the job queue is there
+    PROVEN = "proven"  # every change up to the claim is applied, and the job queue is built
     FIRST_WORKER = "first_worker"  # a worker has reported the new fencing token
     FIRST_PASS = "first_pass"  # the first placement pass since
     FIRST_START = "first_start"  # the first start of a task was handed to the network
 
 
 @dataclass(frozen=True, slots=True)
-class Interval:
-    """From the phase before to this one."""
+class PhaseInterval:
+    """The time from the previous phase to this one."""
 
     phase: FailoverPhase
     began_at: float
     ended_at: float
 
     @property
-    def seconds(self) -> float:
-        """How long it took."""
+    def duration_s(self) -> float:
+        """How long the failover took from the previous phase to this one."""
         return self.ended_at - self.began_at
 
 
 class FailoverTimeline:
-    """The phases of one failover; each is noted once."""
+    """The phases of one failover; each is recorded once."""
 
     def __init__(
         self, clock: Callable[[], float], on_complete: Callable[[FailoverTimeline], None]
@@ -46,28 +46,31 @@
         """`on_complete` is called once, when the last phase is recorded."""
         self._clock = clock
         self._on_complete = on_complete
-        self._at: dict[FailoverPhase, float] = {}
+        self._reached_at: dict[FailoverPhase, float] = {}
         self.proof: FailoverProof | None = None
 
     def record(self, phase: FailoverPhase, at: float | None = None) -> None:
-        """Note a phase, now or at a moment before; only the first time counts."""
-        if phase in self._at:
+        """Record that a phase was reached, now or at an earlier time; the first call counts."""
+        if phase in self._reached_at:
             return
-        self._at[phase] = self._clock() if at is None else at
+        self._reached_at[phase] = self._clock() if at is None else at
         if phase is FailoverPhase.FIRST_START:
             self._complete()
 
-    def intervals(self) -> list[Interval]:
-        """The phases reached so far; the first one is where the others are counted from."""
-        reached = sorted(self._at.items(), key=lambda item: item[1])
+    def record_proof(self, proof: FailoverProof) -> None:
+        """Record that the failover is proven."""
+        self.proof = proof
+        self.record(FailoverPhase.PROVEN)
+
+    def intervals(self) -> list[PhaseInterval]:
+        """The phases reached so far, without the first: the others are counted from it."""
+        reached = sorted(self._reached_at.items(), key=lambda item: item[1])
         return [
-            Interval(phase, began_at, ended_at)
+            PhaseInterval(phase, began_at, ended_at)
             for (_, began_at), (phase, ended_at) in zip(reached, reached[1:], strict=False)
         ]
 
     def _complete(self) -> None:
-        log.info(
-            "failover by phase: %s",
-            ", ".join(f"{i.phase.value} {i.seconds:.3f} s" for i in self.intervals()),
-        )
+        phases = [f"{i.phase.value} {i.duration_s:.3f} s" for i in self.intervals()]
+        log.info("failover by phase: %s", ", ".join(phases))
         self._on_complete(self)
--- a/spoolcourse/control/status.py
+++ b/spoolcourse/control/status.py
@@ -106,7 +106,7 @@
         proof=proof.source.value if proof else None,
         claim_revision=proof.claim_revision if proof else None,
         applied_revision=proof.applied_revision if proof else None,
-        phases_s={i.phase.value: round(i.seconds, 4) for i in timeline.intervals()},
+        phases_s={i.phase.value: round(i.duration_s, 4) for i in timeline.intervals()},
     )
 
 
--- a/spoolcourse/wire/peers.py
+++ b/spoolcourse/wire/peers.py
@@ -59,17 +59,17 @@
 
 
 class HintPage(msgspec.Struct, frozen=True):
-    """Hints in the order of the machines' names, and where the leader stands."""
+    """Hints in the order of the machines' names, with the term and revision of the leader."""
 
     term: int
     leader: str
-    revision: int  # of the key-value store, that the leader has taken in
+    revision: int  # of the key-value store, up to which the leader has applied every change
     hints: list[Hint]
     has_next: bool = False
 
 
 class StandbyReply(msgspec.Struct, frozen=True):
-    """Whether a controller would take over without a restore, or why not."""
+    """Whether a controller could lead without a restore of the job queue, or why not."""
 
     caught_up: bool
     term: int
@@ -78,7 +78,7 @@
 
 
 class HandoverReply(msgspec.Struct, frozen=True):
-    """A leader has stepped down; any of these is caught up."""
+    """A leader has stepped down; `successors` are the controllers that were caught up."""
 
     term: int
     successors: list[str]
--- a/tests/fakes/proof.py
+++ b/tests/fakes/proof.py
@@ -14,7 +14,7 @@
 
 
 def cache_at(store_revision: int) -> WatchCache:
-    """A watch cache that has taken in every change up to a revision."""
+    """A watch cache that has applied every change up to a revision."""
     client = StoreClient(FakeWire().end_of("n0"), "state:1", LIMITS, controllers=1)
     watch_cache = WatchCache(client, PREFIX)
     watch_cache.store_revision = store_revision
