--- a/spoolcourse/control/failover/comparison.py
+++ b/spoolcourse/control/failover/comparison.py
@@ -4,8 +4,9 @@
 
 from spoolcourse.control.failover.restore import RestoredJobs
 from spoolcourse.control.jobs.model import Attempt, Chunk, JobState
+from spoolcourse.control.store.records import Assignment
 
-ChunkForm = tuple[int, dict[int, tuple[str, int]], int, int, int]
+ChunkForm = tuple[int, dict[int, Assignment], int, int, int]
 AttemptForm = tuple[int, int, str, int, str]
 
 
--- a/spoolcourse/control/failover/restore.py
+++ b/spoolcourse/control/failover/restore.py
@@ -39,7 +39,7 @@
     """Have every job wait since it was accepted, by the time of day in its record."""
     now, wall_now = context.clock(), context.wall_clock()
     for job_state in job_queue.jobs.values():
-        age_s = max(0.0, wall_now - job_state.record.at)
+        age_s = max(0.0, wall_now - job_state.record.accepted_at)
         job_state.waiting_since = now - age_s
 
 
--- a/spoolcourse/control/failover/shadow_queue.py
+++ b/spoolcourse/control/failover/shadow_queue.py
@@ -159,7 +159,11 @@
 
 
 def _check_same_job(known: JobRecord, found: JobRecord) -> None:
-    if (known.submission, known.at, known.chunk) != (found.submission, found.at, found.chunk):
+    if (known.submission, known.accepted_at, known.tasks_per_chunk) != (
+        found.submission,
+        found.accepted_at,
+        found.tasks_per_chunk,
+    ):
         raise MisfitError(f"{known.submission.id} is another job than before")
     if known.cancelled and not found.cancelled:
         raise MisfitError(f"{known.submission.id} was cancelled, and is not any more")
@@ -169,9 +173,9 @@
     """Results never vanish, and every task belongs to its chunk."""
     record = job_state.record
     name = progress_key(job_state.id, chunk.index)
-    first = chunk.index * record.chunk
-    tasks = min(record.chunk, record.submission.task_count - first)
-    if not 0 <= chunk.index < record.chunks or chunk.progress.done >> tasks:
+    first = chunk.index * record.tasks_per_chunk
+    tasks = min(record.tasks_per_chunk, record.submission.task_count - first)
+    if not 0 <= chunk.index < record.chunk_count or chunk.progress.done >> tasks:
         raise MisfitError(f"{name} is beyond the job's tasks")
     if any(not first <= task < first + tasks for task in chunk.progress.held):
         raise MisfitError(f"{name} holds a task of another chunk")
--- a/spoolcourse/control/jobs/job_queue.py
+++ b/spoolcourse/control/jobs/job_queue.py
@@ -15,7 +15,7 @@
     Chunk,
     JobState,
 )
-from spoolcourse.control.store.records import JobRecord, Progress
+from spoolcourse.control.store.records import Assignment, JobRecord, Progress
 from spoolcourse.wire.identities import ChunkId, TaskId
 
 
@@ -69,7 +69,7 @@
         job_state = self.jobs[record.submission.id] = JobState(
             record, waiting_since=now, cancelled_known_at=now
         )
-        if record.chunk > self._max_held_per_chunk:
+        if record.tasks_per_chunk > self._max_held_per_chunk:
             job_state.max_held_per_chunk = self._max_held_per_chunk
         return job_state
 
@@ -110,7 +110,7 @@
         if task in job_state.attempts or job_state.is_done(task) or job_state.record.cancelled:
             raise ValueError(f"{job_state.id}/{task} is not free to start")
         chunk = job_state.chunk(task)
-        chunk.progress.held[task] = (machine, number)
+        chunk.progress.held[task] = Assignment(machine, number)
         self.pending_start_writes[chunk.id] = chunk
         version = self._add_pending_write(chunk)
         attempt = Attempt(job_state, task, number, machine, version, now)
@@ -125,7 +125,7 @@
         chunk = job_state.chunk(task)
         version = chunk.version
         if chunk.progress.held.get(task) != (machine, number):
-            chunk.progress.held[task] = (machine, number)
+            chunk.progress.held[task] = Assignment(machine, number)
             version = self._add_pending_write(chunk)
         attempt = Attempt(job_state, task, number, machine, version, now, stage=AttemptStage.OPEN)
         job_state.attempts[task] = attempt
@@ -157,7 +157,7 @@
         if job_state.record.submission.is_service or job_state.is_done(task):
             return
         chunk = job_state.chunk(task)
-        chunk.progress.done |= 1 << (task % job_state.record.chunk)
+        chunk.progress.done |= 1 << (task % job_state.record.tasks_per_chunk)
         job_state.done += 1
         job_state.requeued.discard(task)
         self._add_pending_write(chunk)
--- a/spoolcourse/control/jobs/model.py
+++ b/spoolcourse/control/jobs/model.py
@@ -133,7 +133,7 @@
     @property
     def order(self) -> tuple[float, str]:
         """What jobs are ordered by: their arrival."""
-        return (self.record.at, self.id)
+        return (self.record.accepted_at, self.id)
 
     @property
     def pending(self) -> int:
@@ -150,11 +150,11 @@
     @property
     def assignable_count(self) -> int:
         """How many pending tasks may be assigned now: see `max_held_per_chunk`."""
-        if self.max_held_per_chunk >= self.record.chunk:
+        if self.max_held_per_chunk >= self.record.tasks_per_chunk:
             return self.pending
-        chunk_size, task_count = self.record.chunk, self.record.submission.task_count
+        chunk_size, task_count = self.record.tasks_per_chunk, self.record.submission.task_count
         total = 0
-        for index in range(self.record.chunks):
+        for index in range(self.record.chunk_count):
             pending = min(chunk_size, task_count - index * chunk_size)
             chunk = self.chunks.get(index)
             if chunk is not None:
@@ -176,7 +176,7 @@
 
     def chunk(self, task: int) -> Chunk:
         """The chunk that a task belongs to."""
-        index = task // self.record.chunk
+        index = task // self.record.tasks_per_chunk
         chunk = self.chunks.get(index)
         if chunk is None:
             chunk = self.chunks[index] = Chunk(ChunkId(self.id, index))
@@ -184,17 +184,19 @@
 
     def is_done(self, task: int) -> bool:
         """Whether the task has a result."""
-        chunk = self.chunks.get(task // self.record.chunk)
-        return chunk is not None and bool(chunk.progress.done >> (task % self.record.chunk) & 1)
+        chunk = self.chunks.get(task // self.record.tasks_per_chunk)
+        return chunk is not None and bool(
+            chunk.progress.done >> (task % self.record.tasks_per_chunk) & 1
+        )
 
     def assignable_tasks(self) -> Iterator[int]:
         """Pending tasks that may be assigned: those that lost an attempt first, then in order."""
-        if self.max_held_per_chunk >= self.record.chunk:
+        if self.max_held_per_chunk >= self.record.tasks_per_chunk:
             yield from self._pending_tasks()
             return
         held_by_chunk = {i: len(c.progress.held) for i, c in self.chunks.items()}
         for task in self._pending_tasks():
-            index = task // self.record.chunk
+            index = task // self.record.tasks_per_chunk
             if held_by_chunk.get(index, 0) < self.max_held_per_chunk:
                 held_by_chunk[index] = held_by_chunk.get(index, 0) + 1
                 yield task
--- a/spoolcourse/control/leader/initial_machines.py
+++ b/spoolcourse/control/leader/initial_machines.py
@@ -12,7 +12,11 @@
 from spoolcourse.control.leadership.fenced_write import write_fenced
 from spoolcourse.control.leadership.term import Term
 from spoolcourse.control.store.keys import INITIAL_MACHINES_KEY, initial_machines_part_key
-from spoolcourse.control.store.records import base_parts, base_values, initial_machines
+from spoolcourse.control.store.records import (
+    further_parts_of,
+    initial_machines_of,
+    initial_machines_values,
+)
 from spoolcourse.wire.messages import Host, HostStage
 
 FIRST_TERM = 1
@@ -32,11 +36,11 @@
         entry = self._watch_cache.get(INITIAL_MACHINES_KEY)
         if entry is None:
             return frozenset()
-        found = initial_machines(entry.value)
-        for part in range(1, base_parts(entry.value) + 1):
+        found = initial_machines_of(entry.value)
+        for part in range(1, further_parts_of(entry.value) + 1):
             further = self._watch_cache.get(initial_machines_part_key(part))
             if further is not None:
-                found |= initial_machines(further.value)
+                found |= initial_machines_of(further.value)
         return found
 
     async def note(self, hosts: list[Host]) -> None:
@@ -48,7 +52,7 @@
         """
         if self._watch_cache.get(INITIAL_MACHINES_KEY) is not None:
             return
-        first, *others = base_values(self._found(hosts), self._value_bytes)
+        first, *others = initial_machines_values(self._found(hosts), self._value_bytes)
         for part, value in enumerate(others, start=1):
             if not await self._put(initial_machines_part_key(part), value, {}):
                 return
--- a/spoolcourse/control/leadership/candidate.py
+++ b/spoolcourse/control/leadership/candidate.py
@@ -50,7 +50,7 @@
         if entry is None:
             return True
         same_label = LeaderRecord.label_of(entry.value) == self._label
-        return same_label and LeaderRecord.run_of(entry.value) != self._run_id
+        return same_label and LeaderRecord.run_id_of(entry.value) != self._run_id
 
     async def stand_for_election(self) -> WonElection | None:
         """Claim the next term; None if another controller leads or was faster.
--- a/spoolcourse/control/leadership/feature_level.py
+++ b/spoolcourse/control/leadership/feature_level.py
@@ -16,7 +16,7 @@
 from spoolcourse.control.leadership.term import Term
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.keys import FEATURE_LEVEL_KEY
-from spoolcourse.control.store.records import level_of, level_value
+from spoolcourse.control.store.records import feature_level_of, feature_level_value
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.settings import Seed
 
@@ -28,13 +28,13 @@
 
 def level_reply() -> dict[str, int]:
     """What this version answers to the query for its level."""
-    return level_value(SERVICES_LEVEL)
+    return feature_level_value(SERVICES_LEVEL)
 
 
 def all_support_services(watch_cache: WatchCache) -> bool:
     """Whether it is recorded that every controller can read the forms of services."""
     entry = watch_cache.get(FEATURE_LEVEL_KEY)
-    return entry is not None and level_of(entry.value) >= SERVICES_LEVEL
+    return entry is not None and feature_level_of(entry.value) >= SERVICES_LEVEL
 
 
 class FeatureLevel:
@@ -68,7 +68,7 @@
             self._watch_cache,
             self._term,
             FEATURE_LEVEL_KEY,
-            level_value(SERVICES_LEVEL),
+            feature_level_value(SERVICES_LEVEL),
             {FEATURE_LEVEL_KEY: self._watch_cache.revision(FEATURE_LEVEL_KEY)},
         ):
             log.info("all controllers support services, term=%d", self._term.number)
--- a/spoolcourse/control/store/records.py
+++ b/spoolcourse/control/store/records.py
@@ -1,27 +1,44 @@
-"""Everything that is kept in the key-value store, and its form there.
+"""The records in the key-value store, and their stored forms.
 
-The forms stay as they are: versions that run side by side read one another's records.
+The stored forms stay as they are: versions that run side by side read one another's records.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 import orjson
 
 from spoolcourse.wire.messages import Catalog, JobStage, MachineType, Submission
 
+INITIAL_MACHINES_FORM_BYTES = 40  # of the stored form around the names
+HELD_TASK_BYTES = 48  # of a held task in a progress value, at most
+MIN_CHUNK_TASKS = 16
+
+_new_tuple = tuple.__new__
+
 
 @dataclass(slots=True)
 class JobRecord:
-    """A live job: accepted, not final yet; an aborted one stays until its tasks are gone."""
+    """A live job: accepted, not final yet; a cancelled one stays until its tasks are gone.
+
+    Stored as `{"sub": submission, "at": accepted_at, "chunk": tasks_per_chunk, "aborted":
+    cancelled_at}`, the last one only if it was cancelled.
+
+    Attributes:
+        submission: What the user asked for.
+        accepted_at: Seconds since the epoch; jobs are in order of it.
+        tasks_per_chunk: Tasks whose progress shares one key.
+        cancelled_at: Seconds since the epoch; None if it was not cancelled.
+        revision: The revision of the record's last change.
+    """
 
     submission: Submission
-    at: float  # time of day of the acceptance: the order of arrival
-    chunk: int  # tasks per progress key
-    cancelled_at: float | None  # time of day of the cancellation
+    accepted_at: float
+    tasks_per_chunk: int
+    cancelled_at: float | None
     revision: int
 
     @property
@@ -30,13 +47,17 @@
         return self.cancelled_at is not None
 
     @property
-    def chunks(self) -> int:
+    def chunk_count(self) -> int:
         """How many progress keys the job has at most."""
-        return -(-self.submission.task_count // self.chunk)
+        return -(-self.submission.task_count // self.tasks_per_chunk)
 
     def value(self) -> dict[str, Any]:
         """The stored form."""
-        value = {"sub": msgspec.to_builtins(self.submission), "at": self.at, "chunk": self.chunk}
+        value = {
+            "sub": msgspec.to_builtins(self.submission),
+            "at": self.accepted_at,
+            "chunk": self.tasks_per_chunk,
+        }
         if self.cancelled_at is not None:
             value["aborted"] = self.cancelled_at
         return value
@@ -53,56 +74,79 @@
         )
 
 
+class Assignment(NamedTuple):
+    """Which attempt at a task may be on which machine."""
+
+    machine: str
+    attempt: int
+
+
 @dataclass(slots=True)
 class Progress:
-    """One progress key: done tasks as a bit set, and who holds which task.
+    """The progress of one chunk of a job's tasks.
 
-    `held` maps a task to (machine, attempt): the attempt may be on that machine.
+    Stored as `{"done": hexadecimal bit set, "held": {task: [machine, attempt]}}`.
+
+    Attributes:
+        done: A bit set of the tasks that have a result; bit 0 is the chunk's first task.
+        held: The assignments by task; the number of a task counts from the job's first one.
     """
 
     done: int = 0
-    held: dict[int, tuple[str, int]] = field(default_factory=dict)
+    held: dict[int, Assignment] = field(default_factory=dict)
 
     def value(self) -> dict[str, Any]:
         """The stored form."""
         return {
             "done": f"{self.done:x}",
-            "held": {str(p): [m, t] for p, (m, t) in self.held.items()},
+            "held": {str(task): [a.machine, a.attempt] for task, a in self.held.items()},
         }
 
     @staticmethod
     def from_value(value: dict[str, Any]) -> Progress:
         """The progress of a stored form."""
-        return Progress(
-            int(value["done"], 16), {int(p): (m, t) for p, (m, t) in value["held"].items()}
-        )
+        done = int(value["done"], 16)
+        # The tuples are made without the constructor, which takes longer than all the rest: a
+        # standby decodes every write of progress, and a failover all of them.
+        held = {
+            int(task): _new_tuple(Assignment, (machine, attempt))
+            for task, (machine, attempt) in value["held"].items()
+        }
+        return Progress(done, held)
 
     @staticmethod
     def counts_of(value: dict[str, Any]) -> tuple[int, int]:
         """How many tasks are done and how many are held.
 
-        The value is not unpacked: every controller sees every write of progress.
+        The value is not decoded: every controller sees every write of progress.
         """
         return int(value["done"], 16).bit_count(), len(value["held"])
 
 
-BASE_FORM_BYTES = 40  # of the machines found at the first start: the form around the names
-HELD_BYTES = 48  # of a held task in a progress value, at the most
-CHUNK_LEAST = 16  # tasks
-
-
 def chunk_tasks(value_kb: float) -> int:
-    """Tasks per key so that every task held at once still fits into one value."""
-    return max(CHUNK_LEAST, int(value_kb * 1024) // HELD_BYTES)
+    """Tasks per progress key so that all of them fit into one value while they are held.
+
+    Args:
+        value_kb: The largest value that the store accepts, in KiB.
+    """
+    return max(MIN_CHUNK_TASKS, int(value_kb * 1024) // HELD_TASK_BYTES)
 
 
 @dataclass(frozen=True, slots=True)
 class FinalState:
-    """How a job ended; kept for good."""
+    """How a job ended; kept forever.
+
+    Stored as `{"stage": stage, "done": done, "at": accepted_at}`.
+
+    Attributes:
+        stage: Done or cancelled.
+        done: Tasks with a result.
+        accepted_at: Seconds since the epoch.
+    """
 
     stage: JobStage
-    done: int  # tasks with a result
-    accepted_at: float = 0.0  # time of day
+    done: int
+    accepted_at: float = 0.0
 
     def value(self) -> dict[str, Any]:
         """The stored form."""
@@ -116,28 +160,40 @@
 
 @dataclass(frozen=True, slots=True)
 class TermRecord:
-    """The term, and which run of which process was elected for it.
+    """A term, and which run of which process was elected for it.
+
+    Stored as `{"term": number, "run": run_id, "hold": lease}`.
 
-    The store lease is part of it: two claims of one run for one term differ by their leases.
+    Attributes:
+        number: The term's number, which is its fencing token.
+        run_id: Names one run of a controller's process.
+        lease: The lease of the leader's key. Two claims of one run for one term differ by it.
     """
 
     number: int
-    run: str
+    run_id: str
     lease: int
 
     def value(self) -> dict[str, Any]:
         """The stored form."""
-        return {"term": self.number, "run": self.run, "hold": self.lease}
+        return {"term": self.number, "run": self.run_id, "hold": self.lease}
 
     @staticmethod
     def number_of(value: dict[str, Any] | None) -> int:
-        """The term's number; 0 before the first election."""
+        """The term's number in a stored form; 0 before the first election."""
         return int(value["term"]) if value is not None else 0
 
 
 @dataclass(frozen=True, slots=True)
 class LeaderRecord:
-    """Who leads; the key hangs on a store lease and goes with it."""
+    """Who leads; the key is attached to a lease and goes when that expires.
+
+    Stored as the term's form with `"label"` in addition.
+
+    Attributes:
+        term: The leader's term.
+        label: The leader's name among the controllers.
+    """
 
     term: TermRecord
     label: str
@@ -148,60 +204,64 @@
 
     @staticmethod
     def label_of(value: dict[str, Any]) -> str:
-        """The leader's label."""
+        """The leader's label in a stored form."""
         return str(value["label"])
 
     @staticmethod
-    def run_of(value: dict[str, Any]) -> str | None:
-        """The leader's run."""
+    def run_id_of(value: dict[str, Any]) -> str | None:
+        """The leader's run in a stored form, if that names one."""
         return value.get("run")
 
 
-def base_value(machines: list[str], parts: int = 0) -> dict[str, Any]:
-    """The machines that were found when the service first ran, or as many as a value holds.
+def initial_machines_value(names: list[str], further_parts: int = 0) -> dict[str, Any]:
+    """The stored form of the initial machines, or of as many as one value holds.
 
-    The others are in so many further parts, each a value of the same form.
+    Initial machines are those that were there when the service first ran. The others are in
+    further parts, each a value of the same form.
     """
-    return {"machines": machines} | ({"parts": parts} if parts else {})
+    return {"machines": names} | ({"parts": further_parts} if further_parts else {})
 
 
-def base_parts(value: dict[str, Any]) -> int:
-    """How many further parts belong to a stored form."""
+def further_parts_of(value: dict[str, Any]) -> int:
+    """How many further parts belong to the first part of the initial machines."""
     return int(value.get("parts", 0))
 
 
-def base_values(machines: list[str], value_bytes: float) -> list[dict[str, Any]]:
+def initial_machines_values(names: list[str], value_bytes: float) -> list[dict[str, Any]]:
     """Stored forms that hold all the names, none larger than a value may be."""
-    room = int(value_bytes) - BASE_FORM_BYTES
-    chunks: list[list[str]] = [[]]
-    used = 0
-    for name in machines:
-        size = len(orjson.dumps(name)) + 1  # its separator
-        if used + size > room and chunks[-1]:
-            chunks.append([])
-            used = 0
-        chunks[-1].append(name)
-        used += size
-    first, *others = chunks
-    return [base_value(first, len(others)), *(base_value(chunk) for chunk in others)]
-
-
-def initial_machines(value: dict[str, Any]) -> frozenset[str]:
-    """Their names."""
+    max_bytes = int(value_bytes) - INITIAL_MACHINES_FORM_BYTES
+    parts: list[list[str]] = [[]]
+    part_bytes = 0
+    for name in names:
+        name_bytes = len(orjson.dumps(name)) + 1  # its separator
+        if part_bytes + name_bytes > max_bytes and parts[-1]:
+            parts.append([])
+            part_bytes = 0
+        parts[-1].append(name)
+        part_bytes += name_bytes
+    first, *others = parts
+    return [
+        initial_machines_value(first, len(others)),
+        *(initial_machines_value(part) for part in others),
+    ]
+
+
+def initial_machines_of(value: dict[str, Any]) -> frozenset[str]:
+    """The names in one part of the initial machines."""
     return frozenset(value["machines"])
 
 
 def catalog_value(machine_types: list[MachineType]) -> dict[str, Any]:
-    """The machine types, kept so that a controller knows them while the cloud is out."""
-    found: dict[str, Any] = msgspec.to_builtins(Catalog(machine_types))
-    return found
+    """The stored form of the machine types, which a controller needs while the cloud is out."""
+    value: dict[str, Any] = msgspec.to_builtins(Catalog(machine_types))
+    return value
 
 
-def level_value(level: int) -> dict[str, Any]:
-    """The feature level that every controller has reached."""
+def feature_level_value(level: int) -> dict[str, Any]:
+    """The stored form of the feature level that every controller has reached."""
     return {"level": level}
 
 
-def level_of(value: dict[str, Any]) -> int:
-    """The level that was noted."""
+def feature_level_of(value: dict[str, Any]) -> int:
+    """The feature level in a stored form."""
     return int(value["level"])
--- a/tests/golden_records/adapter.py
+++ b/tests/golden_records/adapter.py
@@ -130,7 +130,7 @@
         zones=[],
     ),
 ]
-TERM = records.TermRecord(number=3, run="run9", lease=7)
+TERM = records.TermRecord(number=3, run_id="run9", lease=7)
 START = commands.Start(task="job-000001/3", attempt=ATTEMPT + 3)
 STOP = commands.Stop(task="job-000001/0", attempt=ATTEMPT, grace_s=2.5)
 ACKNOWLEDGE = commands.Acknowledge(task="job-000001/1", attempt=ATTEMPT + 1)
@@ -183,7 +183,11 @@
 def _job_record(submission: messages.Submission, cancelled_at: float | None = None) -> Form:
     return Form(
         records.JobRecord(
-            submission=submission, at=990.25, chunk=170, cancelled_at=cancelled_at, revision=12
+            submission=submission,
+            accepted_at=990.25,
+            tasks_per_chunk=170,
+            cancelled_at=cancelled_at,
+            revision=12,
         ),
         lambda record: record.value(),
         lambda value: records.JobRecord.from_value(value, 12),
@@ -205,10 +209,10 @@
 
 
 def _read_term(value: dict[str, Any]) -> records.TermRecord:
-    run = records.LeaderRecord.run_of(value)
+    run = records.LeaderRecord.run_id_of(value)
     assert run is not None
     return records.TermRecord(
-        number=records.TermRecord.number_of(value), run=run, lease=value["hold"]
+        number=records.TermRecord.number_of(value), run_id=run, lease=value["hold"]
     )
 
 
@@ -219,8 +223,8 @@
 def _base(names: list[str], parts: int) -> Form:
     return Form(
         (names, parts),
-        lambda base: records.base_value(base[0], base[1]),
-        lambda value: (sorted(records.initial_machines(value)), records.base_parts(value)),
+        lambda base: records.initial_machines_value(base[0], base[1]),
+        lambda value: (sorted(records.initial_machines_of(value)), records.further_parts_of(value)),
     )
 
 
@@ -232,7 +236,11 @@
     "job record, every field, cancelled": _job_record(ARRAY_WITH_ALL, 1000.5),
     "progress, empty": _progress(),
     "progress": _progress(
-        done=0x6F0, held={0: ("m-000000", ATTEMPT), 11: ("m-000001", ATTEMPT + 1)}
+        done=0x6F0,
+        held={
+            0: records.Assignment("m-000000", ATTEMPT),
+            11: records.Assignment("m-000001", ATTEMPT + 1),
+        },
     ),
     "final state, done": _final_state(messages.JobStage.DONE),
     "final state, aborted": _final_state(messages.JobStage.CANCELLED),
@@ -248,7 +256,7 @@
         records.catalog_value,
         lambda value: messages.parse(value, messages.Catalog).machine_types,
     ),
-    "feature level": Form(2, records.level_value, records.level_of),
+    "feature level": Form(2, records.feature_level_value, records.feature_level_of),
 }
 
 MESSAGES: dict[str, Form] = {
@@ -382,7 +390,7 @@
         "store: transaction without operations": key_value_store.transaction_body(
             {"spoolcourse/live/term": 4}, []
         ),
-        "base in parts": records.base_values([f"m-{n:06d}" for n in range(8)], 80.0),
+        "base in parts": records.initial_machines_values([f"m-{n:06d}" for n in range(8)], 80.0),
     }
     return {name: orjson.dumps(body).decode() for name, body in bodies.items()}
 
@@ -449,8 +457,8 @@
         "progress counts": list(records.Progress.counts_of(progress)),
         "progress chunk": [records.chunk_tasks(kb) for kb in (0.1, 8.0, 64.0)],
         "term before the first election": records.TermRecord.number_of(None),
-        "leader of a version without runs": records.LeaderRecord.run_of({"label": "n1"}),
-        "base of a version without parts": records.base_parts({"machines": []}),
+        "leader of a version without runs": records.LeaderRecord.run_id_of({"label": "n1"}),
+        "base of a version without parts": records.further_parts_of({"machines": []}),
         "final state of a peer's answer": orjson.loads(
             orjson.dumps(records.FinalState.from_value({"stage": "aborted"}).value())
         ),
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,7 +5,7 @@
 import pytest
 
 from spoolcourse.control.jobs.model import AttemptStage
-from spoolcourse.control.store.records import Progress
+from spoolcourse.control.store.records import Assignment, Progress
 from spoolcourse.wire.messages import MalformedError, parse_heartbeat
 from tests.fakes.registry import TERM, RegistryHarness, on
 
@@ -143,7 +143,7 @@
 
 
 def test_progress_survives_its_record() -> None:
-    progress = Progress(0b1011, {2: ("m-000001", 9)})
+    progress = Progress(0b1011, {2: Assignment("m-000001", 9)})
     assert Progress.from_value(progress.value()) == progress
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -14,7 +14,7 @@
 from spoolcourse.control.placement.backfill import place
 from spoolcourse.control.placement.model import Job, Node, RunningTask, Snapshot, Team
 from spoolcourse.control.scheduling.scheduling_loop import ATTEMPTS_MOST
-from spoolcourse.control.store.records import base_values, initial_machines
+from spoolcourse.control.store.records import initial_machines_of, initial_machines_values
 from spoolcourse.control.store.watch_cache import MAX_CHANGES_BEHIND
 from spoolcourse.control.workers.call_limit import concurrent_call_limit
 from spoolcourse.control.workers.heartbeat_relay import HeartbeatRelay
@@ -70,13 +70,13 @@
 
 def test_parts_of_the_base_fleet_hold_each_name_once_in_the_known_form() -> None:
     names = [f"m-{number:06d}" for number in range(FLEET)]
-    values = base_values(names, 2048)
+    values = initial_machines_values(names, 2048)
     assert all(len(orjson.dumps(value)) <= 2048 for value in values)
     assert [name for value in values for name in value["machines"]] == names
-    assert initial_machines(values[0]) == frozenset(values[0]["machines"]), (
+    assert initial_machines_of(values[0]) == frozenset(values[0]["machines"]), (
         "as versions before read"
     )
-    assert base_values([], 2048) == [{"machines": []}]
+    assert initial_machines_values([], 2048) == [{"machines": []}]
 
 
 def test_names_of_deleted_machines_are_kept_by_age_and_not_by_number() -> None:
--- a/tests/test_standby_properties.py
+++ b/tests/test_standby_properties.py
@@ -20,7 +20,7 @@
 from spoolcourse.control.failover.warm_standby import ShadowState, Standby
 from spoolcourse.control.jobs.job_index import JobIndex
 from spoolcourse.control.store.keys import TERM_KEY, job_key, progress_key
-from spoolcourse.control.store.records import JobRecord, Progress
+from spoolcourse.control.store.records import Assignment, JobRecord, Progress
 from spoolcourse.control.store.watch_cache import WatchGap
 from spoolcourse.wire.key_value_store import Change, Entry
 from spoolcourse.wire.messages import Submission, parse
@@ -100,7 +100,7 @@
         if record is not None and task < record.submission.task_count:
             key, progress = self.progress(number, task)
             self.attempts += 1
-            progress.held[task] = (machine, self.attempts)
+            progress.held[task] = Assignment(machine, self.attempts)
             self.write((key, progress.value()))
 
     @rule(number=JOBS, task=TASKS, done=st.booleans())
@@ -119,7 +119,7 @@
         record = self.record(number)
         if record is not None:
             job = record.submission.id
-            chunks = [progress_key(job, index) for index in range(record.chunks)]
+            chunks = [progress_key(job, index) for index in range(record.chunk_count)]
             self.write((job_key(job), None), *((key, None) for key in chunks[left:]))
 
     @rule(number=JOBS)
