--- a/spoolcourse/control/store/__init__.py
+++ b/spoolcourse/control/store/__init__.py
@@ -1,1 +1,1 @@
-"""The key-value store: client, budgets, watch cache, keys and records."""
+"""The key-value store: client, errors, budget, watch cache, keys and records."""
--- a/spoolcourse/control/store/client.py
+++ b/spoolcourse/control/store/client.py
@@ -19,6 +19,7 @@
     OutcomeUnknownError,
     RequestRefusedError,
     RevisionCompactedError,
+    StoreError,
     StoreUnavailableError,
     ValueTooLargeError,
 )
@@ -195,15 +196,20 @@
             return wire.read_success(reply.data)
         if reply.status == 409:
             return wire.read_conflict(reply.data)
-        answer = f"status {reply.status}: {reply.data}"
+        raise self._transaction_error(request, operations, reply)
+
+    def _transaction_error(
+        self, request: str, operations: Sequence[Operation], reply: Response
+    ) -> StoreError:
         if reply.status == 400 and reply.data and reply.data.get("error") == wire.NO_SUCH_LEASE:
-            raise LeaseExpiredError(request, _leases(operations))
+            return LeaseExpiredError(request, _leases(operations))
+        answer = f"status {reply.status}: {reply.data}"
         if reply.status == 400 and self.value_bytes > self.limits.value_kb * 1024:
             # What was written while the former limit held may be larger than the one to come.
             log.info("the key-value store's lower limits hold from now on")
             self.value_bytes = int(self.limits.value_kb * 1024)
-            raise ValueTooLargeError(request, answer, self.value_bytes)
-        raise RequestRefusedError(request, answer)
+            return ValueTooLargeError(request, answer, self.value_bytes)
+        return RequestRefusedError(request, answer)
 
     # -- leases ---------------------------------------------------------------------------
 
--- a/tests/fakes/isolated_leader.py
+++ b/tests/fakes/isolated_leader.py
@@ -61,7 +61,7 @@
         refusal = self.refuse_store_requests_of(self.leader)
         await asyncio.sleep(0.5)
         await self.confirm_cancellation(number, through)
-        self.world.state.out = True
+        self.world.state.in_outage = True
         self.world.wire.filters.remove(refusal)
 
     def end_outage(self) -> None:
--- a/tests/fakes/state.py
+++ b/tests/fakes/state.py
@@ -1,8 +1,9 @@
-"""The key-value store, from its protocol."""
+"""A key-value store in memory, written from its protocol."""
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 from typing import Any
 from urllib.parse import parse_qs, unquote, urlsplit
 
@@ -11,39 +12,39 @@
 from spoolcourse.control.http_client import Response
 
 
-class FakeState:
+class FakeKeyValueStore:
     def __init__(self) -> None:
         self.store_revision = 0
-        self.keys: dict[str, tuple[Any, int, int | None]] = {}
-        self.log: list[dict[str, Any]] = []
-        self.first = 0  # changes up to here are no longer kept
-        self.leases: dict[int, tuple[float, float]] = {}
-        self._news = asyncio.Event()
-        self.out = False
+        self.keys: dict[str, tuple[Any, int, int | None]] = {}  # value, revision, lease
+        self.log: list[dict[str, Any]] = []  # changes, as a watch spells them
+        self.compacted_to = 0  # revision; changes up to it are no longer kept
+        self.leases: dict[int, tuple[float, float]] = {}  # expiry, time to live
+        self._changed = asyncio.Event()
+        self.in_outage = False
         self.transactions: list[dict[str, Any]] = []
         self.value_bytes, self.txn_ops = 8 * 1024, 24  # they may drop
-        self.refused = 0  # for being larger
+        self.refused = 0  # transactions that were too large
 
     def value(self, key: str) -> Any:
         self._expire()
         return self.keys[key][0] if key in self.keys else None
 
     def forget_changes(self) -> None:
-        self.first = self.store_revision
+        self.compacted_to = self.store_revision
         self.log.clear()
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
 
     def _expire(self) -> None:
-        if self.out:
+        if self.in_outage:
             return
         for lease, (end, _) in list(self.leases.items()):
             if end <= self._now():
                 del self.leases[lease]
-                gone = [k for k, (_, _, held) in self.keys.items() if held == lease]
-                if gone:
-                    self._apply([{"delete": k} for k in gone])
+                attached = [k for k, (_, _, holder) in self.keys.items() if holder == lease]
+                if attached:
+                    self._apply([{"delete": k} for k in attached])
 
     def _apply(self, ops: list[dict[str, Any]]) -> None:
         self.store_revision += 1
@@ -53,15 +54,15 @@
                 self.log.append({"set": op["set"], "v": op["v"], "stamp": self.store_revision})
             elif self.keys.pop(op["delete"], None) is not None:
                 self.log.append({"delete": op["delete"], "stamp": self.store_revision})
-        self._news.set()
-        self._news = asyncio.Event()
+        self._changed.set()
+        self._changed = asyncio.Event()
 
     def end_outage(self) -> None:
-        self.out = False
+        self.in_outage = False
         self.leases = {n: (self._now() + ttl, ttl) for n, (_, ttl) in self.leases.items()}
 
     async def serve(self, method: str, path: str, body: Any) -> Response:
-        if self.out:
+        if self.in_outage:
             return Response(503, {"error": "outage"})
         self._expire()
         url = urlsplit(path)
@@ -96,23 +97,23 @@
         return Response(200, {})
 
     def _list(self, query: dict[str, str]) -> Response:
-        names = sorted(
+        keys = sorted(
             k for k in self.keys if k.startswith(query["prefix"]) and k > query.get("since", "")
         )
-        page = int(query.get("page", 200))
-        pairs = [{"k": k, "v": self.keys[k][0], "stamp": self.keys[k][1]} for k in names[:page]]
+        page_size = int(query.get("page", 200))
+        pairs = [{"k": k, "v": self.keys[k][0], "stamp": self.keys[k][1]} for k in keys[:page_size]]
         return Response(
-            200, {"pairs": pairs, "hasNext": len(names) > page, "ledger": self.store_revision}
+            200, {"pairs": pairs, "hasNext": len(keys) > page_size, "ledger": self.store_revision}
         )
 
     def _multi(self, body: dict[str, Any]) -> Response:
-        failed = [
+        conflicts = [
             c["k"]
             for c in body["if"]
             if (self.keys[c["k"]][1] if c["k"] in self.keys else 0) != c["stamp"]
         ]
-        if failed:
-            return Response(409, {"failed": failed, "ledger": self.store_revision})
+        if conflicts:
+            return Response(409, {"failed": conflicts, "ledger": self.store_revision})
         ops = body.get("apply", [])
         if any(op.get("hold") is not None and op["hold"] not in self.leases for op in ops):
             return Response(400, {"error": "no such lease"})
@@ -130,9 +131,9 @@
         since = int(query["since"])
         end = self._now() + int(query.get("blockMs", 0)) / 1000
         while True:
-            if since < self.first:
+            if since < self.compacted_to:
                 return Response(410, {})
-            if not self.out:
+            if not self.in_outage:
                 self._expire()
                 log = [
                     e
@@ -142,9 +143,7 @@
                 ]
                 if log or self._now() >= end:
                     return Response(200, {"ledger": self.store_revision, "log": log})
-            news = self._news
-            try:
+            changed = self._changed
+            with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(min(0.05, max(end - self._now(), 0.001))):
-                    await news.wait()
-            except TimeoutError:
-                pass
+                    await changed.wait()
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -16,7 +16,7 @@
 from spoolcourse.wire.standby_settings import OFF, StandbySettings
 from tests.fakes.cloud import FakeCloud, FakeWorker, Task
 from tests.fakes.net import FakeWire
-from tests.fakes.state import FakeState
+from tests.fakes.state import FakeKeyValueStore
 
 LABELS = ("n0", "n1", "n2")
 
@@ -83,7 +83,7 @@
         self.params = params or {}
         self.policy = check_policy(policy or {}, "test")
         self.wire = FakeWire()
-        self.state = FakeState()
+        self.state = FakeKeyValueStore()
         self.cloud = FakeCloud(self.wire, [(n, f"{n}:80") for n in LABELS])
         self.wire.hosts["state:1"] = self.state.serve
         self.wire.hosts["cloud:1"] = self.cloud.serve
--- a/tests/golden_records/interfaces.py
+++ b/tests/golden_records/interfaces.py
@@ -441,7 +441,7 @@
 
 async def _answers_while_the_store_is_out(table: _Table) -> None:
     world = table.world
-    world.state.out = True
+    world.state.in_outage = True
     await asyncio.sleep(6)
     for role in ("leader", "follower"):
         for name, method, path, raw in (
@@ -619,7 +619,7 @@
     assert (await world.submit(job(4), isolated.others[0])).status == 201
     world.wire.filters.remove(refusal)
     world.wire.filters.remove(away)
-    world.state.out = True
+    world.state.in_outage = True
     await asyncio.sleep(6)
     world.state.end_outage()
     await world.until(lambda: world.leader, 20)
--- a/tests/loopback/standins.py
+++ b/tests/loopback/standins.py
@@ -14,7 +14,7 @@
 from spoolcourse.control.store.keys import FINAL_PREFIX
 from tests.fakes.cloud import FakeCloud, FakeWorker, Task
 from tests.fakes.net import Endpoint, FakeWire
-from tests.fakes.state import FakeState
+from tests.fakes.state import FakeKeyValueStore
 from tests.loopback.history import FinalWritten, History, Run
 
 Hook = Callable[[str, Any], Awaitable[None]]  # path and body of a request
@@ -82,7 +82,7 @@
     def __init__(self, controllers: list[tuple[str, str]], machines: int) -> None:
         self.wire = LoopbackWire()
         self.history = History()
-        self.state = FakeState()
+        self.state = FakeKeyValueStore()
         self.state_address = self.wire.bind("state")
         self.wire.hosts[self.state_address] = self._serve_state
         self.cloud = FakeCloud(self.wire, controllers, self.wire.bind)
--- a/tests/test_isolated_leader.py
+++ b/tests/test_isolated_leader.py
@@ -148,7 +148,7 @@
 def test_running_work_survives_an_outage_longer_than_cancel_s() -> None:
     async def story() -> None:
         isolated = await IsolatedLeader.with_running_jobs()
-        isolated.world.state.out = True
+        isolated.world.state.in_outage = True
         await asyncio.sleep(3 * CANCEL_S)
         isolated.end_outage()
         await asyncio.sleep(5)
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -27,7 +27,7 @@
 from tests.fakes.meetings import ended, insist, shift_leader
 from tests.fakes.net import FakeWire
 from tests.fakes.registry import TERM, RegistryHarness, on
-from tests.fakes.state import FakeState
+from tests.fakes.state import FakeKeyValueStore
 from tests.fakes.world import LABELS, World, job
 
 
@@ -89,7 +89,7 @@
     # Both are of the same run and for the same term, but on leases of their own: the key hangs
     # on the first one's, which nobody renews.
     async def story() -> None:
-        state, wire = FakeState(), FakeWire()
+        state, wire = FakeKeyValueStore(), FakeWire()
         wire.hosts["state:1"] = state.serve
         limits = State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
         client = StoreClient(wire.end_of("n0"), "state:1", limits, controllers=2)
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -23,14 +23,14 @@
 from tests.fakes.clock import play
 from tests.fakes.net import FakeWire
 from tests.fakes.proof import LIMITS
-from tests.fakes.state import FakeState
+from tests.fakes.state import FakeKeyValueStore
 
 
 class Store:
     """A key-value store with one client of it."""
 
     def __init__(self) -> None:
-        self.state, self.wire = FakeState(), FakeWire()
+        self.state, self.wire = FakeKeyValueStore(), FakeWire()
         self.wire.hosts["state:1"] = self.state.serve
         self.client = StoreClient(self.wire.end_of("n0"), "state:1", LIMITS, controllers=1)
         self.watch_cache = WatchCache(self.client, PREFIX)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -23,7 +23,7 @@
         await asyncio.sleep(12)
         for turn in range(10):
             if out and turn in (3, 4, 5):
-                world.state.out = True
+                world.state.in_outage = True
             first = str(world.leader) if world.leader else LABELS[turn % 3]
             world.kill(first)
             await asyncio.sleep((0.3, 0.9, 6.0)[turn % 3])
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -171,7 +171,7 @@
         await world.up()
         await world.submit(job())
         await world.until(lambda: len(world.cloud.starts) == 4)
-        world.state.out = True
+        world.state.in_outage = True
         await asyncio.sleep(25)
         reply = await world.submit(job(2))
         assert reply.status == 503 and reply.headers["Retry-After"]
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -213,7 +213,7 @@
         world.kill(str(world.leader))
         await world.until(lambda: world.leader, 10)
         await asyncio.sleep(5)
-        world.state.out = True
+        world.state.in_outage = True
         await asyncio.sleep(25)
         world.state.end_outage()
         await asyncio.sleep(10)
--- a/tests/test_standby_takeover.py
+++ b/tests/test_standby_takeover.py
@@ -269,14 +269,14 @@
             return verdicts.pop() if verdicts and sets(TERM_KEY)(method, path, body or {}) else None
 
         async def go_out() -> None:
-            world.state.out = True
+            world.state.in_outage = True
 
         if claim == "outage":
             after_step(world, "state:1", sets(TERM_KEY), go_out)
         world.wire.filters.append(unclear)
         world.kill(former)
         if claim == "outage":
-            await world.until(lambda: world.state.out, 20)
+            await world.until(lambda: world.state.in_outage, 20)
             await asyncio.sleep(2)
             assert not any(is_active(world, n) for n in world.nodes), "nothing is proven yet"
             world.state.end_outage()
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -27,7 +27,7 @@
 from spoolcourse.wire.settings import NextLimits, State
 from tests.fakes.clock import play
 from tests.fakes.net import FakeWire
-from tests.fakes.state import FakeState
+from tests.fakes.state import FakeKeyValueStore
 
 LIMITS = State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
 Request = Callable[[StoreClient], Awaitable[Any]]
@@ -127,7 +127,7 @@
 
 def test_compare_and_swap_succeeds_or_names_the_keys_in_conflict() -> None:
     async def story() -> None:
-        state = FakeState()
+        state = FakeKeyValueStore()
         client = client_of(state.serve)
         first = await client.compare_and_swap({"a": 0}, [Put("a", {"n": 1})])
         assert first.succeeded and first.conflicting_keys == ()
@@ -144,7 +144,7 @@
 
 def test_a_used_up_budget_refuses_at_once_and_says_until_when() -> None:
     async def story() -> None:
-        state = FakeState()
+        state = FakeKeyValueStore()
         client = client_of(state.serve, State(200.0, 4.0, 8.0, 24))
         puts = [Put("a", {}), Put("b", {}), Put("c", {})]
         with pytest.raises(RequestRefusedError) as caught:
@@ -189,7 +189,7 @@
             self.seen.append("reload")
 
     async def story() -> None:
-        state = FakeState()
+        state = FakeKeyValueStore()
         client = client_of(state.serve)
         cache = WatchCache(client, PREFIX)
         first, second = Observer(), Observer()
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -259,7 +259,7 @@
         assert (await world.submit(job(4), isolated.others[0])).status == 201
         world.wire.filters.remove(refusal)
         world.wire.filters.remove(away)
-        world.state.out = True
+        world.state.in_outage = True
         await asyncio.sleep(6)
         world.state.end_outage()
         world.kill(str(world.leader))
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -15,7 +15,7 @@
 from spoolcourse.wire.settings import State
 from tests.fakes.clock import play
 from tests.fakes.net import FakeWire
-from tests.fakes.state import FakeState
+from tests.fakes.state import FakeKeyValueStore
 from tests.fakes.world import LABELS, World, job
 
 
@@ -222,7 +222,7 @@
     # Seen on a recorded day: two controllers that started together were both elected for
     # term 1, the second over the first.
     async def story() -> None:
-        state, wire = FakeState(), FakeWire()
+        state, wire = FakeKeyValueStore(), FakeWire()
         wire.hosts["state:1"] = state.serve
         limits = State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
         candidates = []
@@ -265,7 +265,7 @@
 
         users = [asyncio.create_task(user(n)) for n in range(1, 151)]
         await asyncio.sleep(1.0)
-        world.state.out = True
+        world.state.in_outage = True
         await asyncio.sleep(8)
         for label in LABELS:
             world.kill(label)
--- a/tests/test_unresponsive_machines.py
+++ b/tests/test_unresponsive_machines.py
@@ -195,11 +195,11 @@
         active = world.active(leader)
         assert world.cloud.hosts
         before = set(world.cloud.hosts)
-        world.state.out = True
+        world.state.in_outage = True
         await asyncio.sleep(300)  # idle for long, and above the peak recently
         assert not active.may_start()
         assert before and set(world.cloud.hosts) == before
-        world.state.out = False
+        world.state.in_outage = False
         await world.until(lambda: not world.cloud.hosts, 300)
 
     play(story())
--- a/tests/test_upgrade_troubles.py
+++ b/tests/test_upgrade_troubles.py
@@ -170,7 +170,7 @@
         await world.until(lambda: world.state.value(FEATURE_LEVEL_KEY), 20)
         assert (await world.submit(service(9, pieces=3))).status == 201
         if moment == "in an outage":
-            world.state.out = True
+            world.state.in_outage = True
             await asyncio.sleep(4)
             drop()
             await asyncio.sleep(4)
--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -18,13 +18,13 @@
 from spoolcourse.wire.settings import NextLimits, State
 from tests.fakes.clock import play
 from tests.fakes.net import FakeWire
-from tests.fakes.state import FakeState
+from tests.fakes.state import FakeKeyValueStore
 from tests.fakes.world import job
 
 
 def test_starts_are_written_by_rank_and_before_results() -> None:
     async def story() -> None:
-        state, wire, works = FakeState(), FakeWire(), JobQueue()
+        state, wire, works = FakeKeyValueStore(), FakeWire(), JobQueue()
         wire.hosts["state:1"] = state.serve
         limits = State(rps=200.0, write_rps=6.0, value_kb=8.0, txn_ops=12)
         client = StoreClient(wire.end_of("n0"), "state:1", limits, controllers=1)
@@ -68,7 +68,7 @@
 
 def test_a_value_that_fits_no_more_is_not_tried_again_and_again() -> None:
     async def story() -> None:
-        state, wire, works = FakeState(), FakeWire(), JobQueue()
+        state, wire, works = FakeKeyValueStore(), FakeWire(), JobQueue()
         wire.hosts["state:1"] = state.serve
         limits = State(200.0, 100.0, 8.0, 24, NextLimits(value_kb=1.0))
         client = StoreClient(wire.end_of("n0"), "state:1", limits, controllers=1)
