--- a/spoolcourse/control/failover/comparison.py
+++ b/spoolcourse/control/failover/comparison.py
@@ -6,13 +6,14 @@
 
 from spoolcourse.control.failover.restore import RestoredJobs
 from spoolcourse.control.jobs.model import Attempt, AttemptStage, Chunk, JobState
+from spoolcourse.control.store.records import Assignment
 
 
 class ComparedChunk(NamedTuple):
     """What must be equal of a chunk of tasks."""
 
     done: int  # bits
-    held: dict[int, tuple[str, int]]  # by task: machine and number of the attempt
+    held: dict[int, Assignment]  # by task
     revision: int
     version: int
     saved: int
--- a/spoolcourse/control/failover/shadow_job_queue.py
+++ b/spoolcourse/control/failover/shadow_job_queue.py
@@ -175,8 +175,8 @@
 def _check_same_job(known: JobRecord, changed: JobRecord) -> None:
     """A job's submission never changes, and a cancellation is final."""
     job = known.submission.id
-    known_identity = (known.submission, known.at, known.chunk)
-    if known_identity != (changed.submission, changed.at, changed.chunk):
+    known_identity = (known.submission, known.accepted_at, known.tasks_per_chunk)
+    if known_identity != (changed.submission, changed.accepted_at, changed.tasks_per_chunk):
         raise InconsistentChangeError(job, "is another job than before")
     if known.cancelled and not changed.cancelled:
         raise InconsistentChangeError(job, "was cancelled, and is not any more")
@@ -186,9 +186,9 @@
     """Every task belongs to its chunk, and results are never lost."""
     record = job_state.record
     key = progress_key(job_state.id, chunk.index)
-    first = chunk.index * record.chunk
-    tasks = min(record.chunk, record.submission.task_count - first)
-    if not 0 <= chunk.index < record.chunks or chunk.progress.done >> tasks:
+    first = chunk.index * record.tasks_per_chunk
+    tasks = min(record.tasks_per_chunk, record.submission.task_count - first)
+    if not 0 <= chunk.index < record.chunk_count or chunk.progress.done >> tasks:
         raise InconsistentChangeError(key, "is beyond the job's tasks")
     if any(not first <= task < first + tasks for task in chunk.progress.held):
         raise InconsistentChangeError(key, "holds a task of another chunk")
--- a/tests/test_standby_failover.py
+++ b/tests/test_standby_failover.py
@@ -164,14 +164,14 @@
             return verdicts.pop() if verdicts and is_claim else None
 
         async def go_out() -> None:
-            world.state.out = True
+            world.state.in_outage = True
 
         if claim == "outage":
             run_after_request(world, "state:1", sets_key_below(TERM_KEY), go_out)
         world.wire.filters.append(unclear)
         world.kill(former)
         if claim == "outage":
-            await world.until(lambda: world.state.out, 20)
+            await world.until(lambda: world.state.in_outage, 20)
             await asyncio.sleep(2)
             assert not any(is_active(world, n) for n in world.nodes), "nothing is proven yet"
             world.state.end_outage()
