--- a/spoolcourse/control/autoscaling/autoscaler.py
+++ b/spoolcourse/control/autoscaling/autoscaler.py
@@ -8,45 +8,28 @@
 
 import asyncio
 import logging
-from typing import Protocol
 
 from spoolcourse.control.autoscaling.early_deletion import EarlyDeletion
 from spoolcourse.control.autoscaling.excess_capacity import ExcessCapacity
 from spoolcourse.control.autoscaling.fleet_summary import log_fleet
 from spoolcourse.control.autoscaling.fleet_view import FleetView
 from spoolcourse.control.autoscaling.machine_list import MachineListLoop
+from spoolcourse.control.autoscaling.owner import AutoscalerOwner
 from spoolcourse.control.autoscaling.replica_places import ReplicaPlaces
 from spoolcourse.control.autoscaling.replica_probe import ReplicaProbe
-from spoolcourse.control.autoscaling.scale_in import ScaleIn, ScaleInOwner
+from spoolcourse.control.autoscaling.scale_in import ScaleIn
 from spoolcourse.control.autoscaling.scale_out import ScaleOut
 from spoolcourse.control.autoscaling.service_reserve import ServiceReserve
 from spoolcourse.control.cloud.client import CloudError, NoCapacityError, max_deletions
 from spoolcourse.control.leader_context import LeaderContext
 from spoolcourse.control.process_load import SUMMARY_S
 from spoolcourse.wire.cloud import DELETE_MAX
-from spoolcourse.wire.messages import Host
 
 log = logging.getLogger(__name__)
 
 SCALE_IN_PERIOD_S = 1.0
 
 
-class AutoscalerOwner(ScaleInOwner, Protocol):
-    """What the autoscaler asks of the leader, and tells it."""
-
-    def may_start(self) -> bool:
-        """Whether nobody else can lead by now."""
-        ...
-
-    async def on_list(self, hosts: list[Host]) -> None:
-        """The cloud has listed its machines."""
-        ...
-
-    def on_summary(self) -> None:
-        """Time for a summary in the log."""
-        ...
-
-
 class FleetAutoscaler:
     """The parts put together, and the loop that deletes machines."""
 
@@ -62,9 +45,9 @@
         self._registry = registry
         self._owner = owner
         self._view = FleetView(context.machine_types)
-        self.excess_capacity = ExcessCapacity(policy, registry, self._view, owner.is_rare)
+        self.excess_capacity = ExcessCapacity(policy, registry, self._view, owner.is_rare_type)
         self.scale_out = ScaleOut(leader, self._cloud, self._view, owner.may_start)
-        self.machine_list = MachineListLoop(leader, self._view, owner.on_list)
+        self.machine_list = MachineListLoop(leader, self._view, owner.on_machine_list)
         self.places = ReplicaPlaces(
             registry, context.params.workers, context.clock, context.machine_types
         )
@@ -94,7 +77,7 @@
             if log.isEnabledFor(logging.INFO) and self._clock() - logged_at > SUMMARY_S:
                 logged_at = self._clock()
                 log_fleet(self._registry, self._view)
-                self._owner.on_summary()
+                self._owner.on_fleet_summary()
             names = self._scale_in.machines(leads=self._owner.may_start())
             for start in range(0, min(len(names), self._max_deletions), DELETE_MAX):
                 await self._delete(names[start : start + DELETE_MAX])
--- a/spoolcourse/control/autoscaling/scale_in.py
+++ b/spoolcourse/control/autoscaling/scale_in.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 import logging
-from typing import Protocol
 
 from spoolcourse.control.autoscaling.cancelled_work import CancelledWork
 from spoolcourse.control.autoscaling.early_deletion import EarlyDeletion
 from spoolcourse.control.autoscaling.excess_capacity import ExcessCapacity
 from spoolcourse.control.autoscaling.fleet_view import FleetView
+from spoolcourse.control.autoscaling.owner import ScaleInOwner
 from spoolcourse.control.autoscaling.service_reserve import ServiceReserve
 from spoolcourse.control.leader_context import LeaderContext
 from spoolcourse.control.workers.machine import Machine
@@ -20,18 +20,6 @@
 FAULTY_JOBS = 2  # jobs whose tasks failed on a machine: then it is the machine
 
 
-class ScaleInOwner(Protocol):
-    """What is asked of the leader before a machine is returned."""
-
-    def base(self) -> frozenset[str]:
-        """Machines that are not returned for being idle."""
-        ...
-
-    def is_rare(self, machine_type: str) -> bool:
-        """Whether jobs depend on the type, so that it is kept, within reason."""
-        ...
-
-
 class ScaleIn:
     """Judges each machine again every time it is asked."""
 
@@ -77,7 +65,7 @@
         if blind:
             early = set()
         reserved = self._reserve.machines()
-        base = self._owner.base()
+        base = self._owner.initial_machine_names()
         spare_cpus = -self._excess_capacity.short_cpus(now)
         self._excess_capacity.mark(now, base, reserved)
         pressing: list[str] = []
@@ -179,7 +167,7 @@
         return now - machine.idle_since > self._idle_limit_s(machine)
 
     def _idle_limit_s(self, machine: Machine) -> float:
-        if self._owner.is_rare(machine.machine_type or ""):
+        if self._owner.is_rare_type(machine.machine_type or ""):
             return self._policy.rare_s
         if machine.scale_in_candidate:
             return self._policy.surplus_idle_s
--- a/spoolcourse/control/leader/active_leader.py
+++ b/spoolcourse/control/leader/active_leader.py
@@ -131,19 +131,19 @@
         """The failover has come to a phase; told again and again, and noted once."""
         self._timeline.record(phase)
 
-    def base(self) -> frozenset[str]:
+    def initial_machine_names(self) -> frozenset[str]:
         """The machines that are not returned for being idle."""
         return self.initial_machines.names()
 
-    def is_rare(self, machine_type: str) -> bool:
+    def is_rare_type(self, machine_type: str) -> bool:
         """Whether some job recently can use this type only, or few beside it."""
         return self.snapshot_builder.is_rare(machine_type, self._clock())
 
-    async def on_list(self, hosts: list[Host]) -> None:
+    async def on_machine_list(self, hosts: list[Host]) -> None:
         """The cloud has listed its machines."""
         await self.initial_machines.note(hosts)
 
-    def on_summary(self) -> None:
+    def on_fleet_summary(self) -> None:
         """Time for a summary in the log."""
         self.scheduling.log_waiting()
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -57,7 +57,7 @@
 
         def base() -> Any:
             term = world.nodes[str(world.leader)].leader_term if world.leader else None
-            return term.active.base() if term is not None and term.active else None
+            return term.active.initial_machine_names() if term is not None and term.active else None
 
         await world.until(lambda: base() == names, 30)
         world.kill(str(world.leader))
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -202,7 +202,7 @@
         assert len(world.cloud.starts) == 2, "two of four were done before"
         reply = await world.poll(2, "n1")
         assert (reply.data["stage"], reply.data["done"]) == ("done", 4)
-        assert world.active().base() == {"m-000000"}
+        assert world.active().initial_machine_names() == {"m-000000"}
         assert world.cloud.broken == []
 
     play(story())
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -329,6 +329,6 @@
         names = [world.cloud.add() for _ in range(300)]
         await world.up()
         await asyncio.sleep(5)
-        assert world.active().base() == frozenset(names)
+        assert world.active().initial_machine_names() == frozenset(names)
 
     play(story())
