--- a/spoolcourse/control/autoscaling/autoscaler.py
+++ b/spoolcourse/control/autoscaling/autoscaler.py
@@ -20,7 +20,8 @@
 from spoolcourse.control.autoscaling.scale_in import ScaleIn
 from spoolcourse.control.autoscaling.scale_out import ScaleOut
 from spoolcourse.control.autoscaling.service_reserve import ServiceReserve
-from spoolcourse.control.cloud.client import CloudError, NoCapacityError, max_deletions
+from spoolcourse.control.cloud.client import max_deletions
+from spoolcourse.control.cloud.errors import CloudError
 from spoolcourse.control.leader_context import LeaderContext
 from spoolcourse.control.process_load import SUMMARY_S
 from spoolcourse.wire.cloud import DELETE_MAX
@@ -39,7 +40,7 @@
         owner: AutoscalerOwner,
     ) -> None:
         context, policy, registry = leader.controller, leader.policy, leader.registry
-        self._cloud = context.cloud.writer(leader.proof)
+        self._cloud = context.cloud.provisioning(leader.proof)
         self._max_deletions = max_deletions(context.params.cloud.rps)
         self._clock = context.clock
         self._registry = registry
@@ -87,8 +88,8 @@
             self._registry.machines[name].deletion_requested = True
         try:
             await self._cloud.delete(names)
-        except (CloudError, NoCapacityError) as exc:
-            log.info("deletion: %s", exc)
+        except CloudError as exc:
+            log.info("machine deletion failed: %s", exc)
             return
         for name in names:
             self._registry.forget_deleted_machine(name)
--- a/spoolcourse/control/autoscaling/machine_list.py
+++ b/spoolcourse/control/autoscaling/machine_list.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable
 
 from spoolcourse.control.autoscaling.fleet_view import FleetView
-from spoolcourse.control.cloud.client import CloudError
+from spoolcourse.control.cloud.errors import CloudRequestFailedError
 from spoolcourse.control.http_client import NoResponseError
 from spoolcourse.control.leader_context import LeaderContext
 from spoolcourse.control.workers.call_limit import concurrent_call_limit
@@ -47,11 +47,11 @@
         while True:
             try:
                 asked_at = self._clock()
-                hosts = await self._cloud.hosts()
+                hosts = await self._cloud.list_machines()
                 self._take(hosts, asked_at)
                 await self._on_list(hosts)
                 await self._raise_tokens(hosts)
-            except CloudError as exc:
+            except CloudRequestFailedError as exc:
                 log.info("machine list: %s", exc)
             await asyncio.sleep(self._period_s)
 
--- a/spoolcourse/control/autoscaling/scale_out.py
+++ b/spoolcourse/control/autoscaling/scale_out.py
@@ -8,7 +8,8 @@
 from dataclasses import dataclass
 
 from spoolcourse.control.autoscaling.fleet_view import FleetView
-from spoolcourse.control.cloud.client import CloudError, CloudWriter, NoCapacityError
+from spoolcourse.control.cloud.client import ProvisioningClient
+from spoolcourse.control.cloud.errors import CloudRequestFailedError, NoCapacityError
 from spoolcourse.control.leader_context import LeaderContext
 from spoolcourse.wire.cloud import PROVISION_MAX, MachineKind
 
@@ -40,7 +41,7 @@
     def __init__(
         self,
         leader: LeaderContext,
-        cloud: CloudWriter,
+        cloud: ProvisioningClient,
         view: FleetView,
         may_rent: Callable[[], bool],
     ) -> None:
@@ -84,7 +85,7 @@
             self._asking = False
 
     async def _rent(self, kind: MachineKind, count: int) -> None:
-        name = self._cloud.request_name()
+        name = self._cloud.next_request_name()
         for _ in range(TRIES):
             asked_at = self._clock()
             try:
@@ -92,7 +93,7 @@
             except NoCapacityError:
                 self._note_refusal(kind)
                 return
-            except CloudError as exc:
+            except CloudRequestFailedError as exc:
                 log.info("hire %s: %s", name, exc)
                 await asyncio.sleep(RETRY_S)
                 continue
--- a/spoolcourse/control/cloud/catalog.py
+++ b/spoolcourse/control/cloud/catalog.py
@@ -1,7 +1,7 @@
-"""The machine types and their prices, read from the cloud now and then.
+"""The machine types and their prices, read from the cloud periodically.
 
-The types are kept in the key-value store as well, so that a controller that starts while the cloud
-is out can take submissions.
+While the cloud is out, a controller that starts takes submissions by the stored copy of the types
+(`stored_catalog`).
 """
 
 from __future__ import annotations
@@ -11,79 +11,70 @@
 import random
 from typing import Any
 
-from spoolcourse.control.cloud.client import Cloud, CloudError, NoCapacityError
+from spoolcourse.control.cloud.client import CloudClient
+from spoolcourse.control.cloud.errors import CloudError
+from spoolcourse.control.cloud.stored_catalog import StoredCatalog
 from spoolcourse.control.leadership.election import Leadership
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.errors import StoreUnavailableError
 from spoolcourse.control.store.keys import CATALOG_KEY
-from spoolcourse.control.store.records import catalog_value
 from spoolcourse.control.store.watch_cache import WatchCache
-from spoolcourse.wire.key_value_store import Put
 from spoolcourse.wire.messages import Catalog, MachineType, MalformedError, parse
 
 log = logging.getLogger(__name__)
 
 # Between reads: prices move, and only the leader rents by them.
-LEADING_S = 20.0
-FOLLOWING_S = 60.0
-RETRY_S = 1.0  # without it nothing can be accepted
-STORE_RETRY_S = 5.0  # the stored one is for starts during an outage of the cloud
-JITTER = (0.8, 1.2)  # so that the controllers don't ask in step
+LEADER_PERIOD_S = 20.0
+FOLLOWER_PERIOD_S = 60.0
+RETRY_S = 1.0  # after a failed read: without the types no submission can be accepted
+STORE_RETRY_S = 5.0  # after a failed write of the stored copy
+JITTER = (0.8, 1.2)  # times the pause, so that the controllers don't read at the same time
 
 
 class CatalogLoop:
-    """Reads the catalog, and as the leader writes what has changed of its types."""
+    """Keeps the machine types current, and as the leader the stored copy of them."""
 
     def __init__(
-        self, cloud: Cloud, client: StoreClient, watch_cache: WatchCache, leadership: Leadership
+        self,
+        cloud: CloudClient,
+        client: StoreClient,
+        watch_cache: WatchCache,
+        leadership: Leadership,
     ) -> None:
         self._cloud = cloud
-        self._client = client
-        self._watch_cache = watch_cache
         self._leadership = leadership
-        self.machine_types: dict[str, MachineType] = {}
+        self._stored = StoredCatalog(client, watch_cache, leadership)
+        self.machine_types: dict[str, MachineType] = {}  # by name; empty until the first read
         watch_cache.add_listener(self._on_change)
 
     async def run(self) -> None:
         """Run until cancelled."""
         while True:
-            try:
-                catalog = await self._cloud.catalog()
-                self._take(catalog)
-                await self._store(catalog)
-                pause = LEADING_S if self._leadership.term else FOLLOWING_S
-            except (CloudError, NoCapacityError) as exc:
-                log.info("catalog: %s", exc)
-                pause = RETRY_S
-            except StoreUnavailableError as exc:
-                log.debug("catalog not stored: %s", exc)
-                pause = STORE_RETRY_S
-            await asyncio.sleep(pause * random.uniform(*JITTER))
+            pause_s = await self._refresh()
+            await asyncio.sleep(pause_s * random.uniform(*JITTER))
+
+    async def _refresh(self) -> float:
+        """Read the catalog and store what has changed; returns the pause until the next read."""
+        try:
+            catalog = await self._cloud.fetch_catalog()
+            self._set_machine_types(catalog)
+            await self._stored.update(catalog)
+        except CloudError as exc:
+            log.info("catalog not read: %s", exc)
+            return RETRY_S
+        except StoreUnavailableError as exc:
+            log.debug("catalog not stored: %s", exc)
+            return STORE_RETRY_S
+        return LEADER_PERIOD_S if self._leadership.term else FOLLOWER_PERIOD_S
 
     def _on_change(self, key: str, value: Any, revision: int) -> None:
+        """A key has changed: the stored copy counts until the cloud's catalog was read."""
         if key != CATALOG_KEY or value is None or self.machine_types:
             return
         try:
-            self._take(parse(value, Catalog))
+            self._set_machine_types(parse(value, Catalog))
         except MalformedError as exc:
-            log.error("stored catalog: %s", exc)
+            log.error("stored catalog malformed: %s", exc)
 
-    def _take(self, catalog: Catalog) -> None:
+    def _set_machine_types(self, catalog: Catalog) -> None:
         self.machine_types = {kind.name: kind for kind in catalog.machine_types}
-
-    async def _store(self, catalog: Catalog) -> None:
-        if not self._leadership.holds_lease():
-            return
-        machine_types = sorted(catalog.machine_types, key=lambda kind: kind.name)
-        entry = self._watch_cache.get(CATALOG_KEY)
-        if entry is not None:
-            stored = parse(entry.value, Catalog).machine_types
-            if {kind.name for kind in stored} == {kind.name for kind in machine_types}:
-                return
-        value = catalog_value(machine_types)
-        revision = self._watch_cache.revision(CATALOG_KEY)
-        outcome = await self._client.compare_and_swap(
-            {CATALOG_KEY: revision}, [Put(CATALOG_KEY, value)]
-        )
-        if outcome.succeeded:
-            self._watch_cache.apply(CATALOG_KEY, value, outcome.store_revision)
--- /dev/null
+++ b/spoolcourse/control/cloud/stored_catalog.py
@@ -0,0 +1,53 @@
+"""The machine types in the key-value store: a copy for starts during an outage of the cloud."""
+
+from __future__ import annotations
+
+from spoolcourse.control.leadership.election import Leadership
+from spoolcourse.control.store.client import StoreClient
+from spoolcourse.control.store.keys import CATALOG_KEY
+from spoolcourse.control.store.records import catalog_value
+from spoolcourse.control.store.watch_cache import WatchCache
+from spoolcourse.wire.key_value_store import Put
+from spoolcourse.wire.messages import Catalog, MachineType, parse
+
+
+class StoredCatalog:
+    """Writes the copy as the leader. It holds the machine types; prices are not kept current."""
+
+    def __init__(
+        self, client: StoreClient, watch_cache: WatchCache, leadership: Leadership
+    ) -> None:
+        self._client = client
+        self._watch_cache = watch_cache
+        self._leadership = leadership
+
+    async def update(self, catalog: Catalog) -> None:
+        """Store the machine types, if this controller leads and their names have changed.
+
+        Raises:
+            StoreUnavailableError: the write was refused, or its outcome is unknown.
+        """
+        if not self._leadership.holds_lease():
+            return
+        machine_types = sorted(catalog.machine_types, key=_name)
+        if self._has_stored(machine_types):
+            return
+        value = catalog_value(machine_types)
+        revision = self._watch_cache.revision(CATALOG_KEY)
+        outcome = await self._client.compare_and_swap(
+            {CATALOG_KEY: revision}, [Put(CATALOG_KEY, value)]
+        )
+        if outcome.succeeded:
+            self._watch_cache.apply(CATALOG_KEY, value, outcome.store_revision)
+
+    def _has_stored(self, machine_types: list[MachineType]) -> bool:
+        """Whether the copy names the same types."""
+        entry = self._watch_cache.get(CATALOG_KEY)
+        if entry is None:
+            return False
+        stored = parse(entry.value, Catalog).machine_types
+        return {_name(kind) for kind in stored} == {_name(kind) for kind in machine_types}
+
+
+def _name(machine_type: MachineType) -> str:
+    return machine_type.name
--- a/spoolcourse/control/context.py
+++ b/spoolcourse/control/context.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from spoolcourse.control.cloud.client import Cloud
+from spoolcourse.control.cloud.client import CloudClient
 from spoolcourse.control.http_client import HttpClient
 from spoolcourse.control.jobs.job_index import JobIndex
 from spoolcourse.control.process_load import Load
@@ -24,7 +24,7 @@
     client: StoreClient
     watch_cache: WatchCache
     job_index: JobIndex
-    cloud: Cloud
+    cloud: CloudClient
     peers: list[Seed]
     params: Params
     policy_source: PolicySource
--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from spoolcourse.control.cloud.catalog import CatalogLoop
-from spoolcourse.control.cloud.client import Cloud
+from spoolcourse.control.cloud.client import CloudClient
 from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.failover.hints import HintLoop
 from spoolcourse.control.failover.strategies import (
@@ -73,7 +73,7 @@
         self.client = StoreClient(net, settings.outside.state, params.state, nodes)
         self.watch_cache = WatchCache(self.client, PREFIX)
         self.job_index = JobIndex(self.watch_cache)
-        self.cloud = Cloud(net, settings.outside.cloud, params.cloud.rps)
+        self.cloud = CloudClient(net, settings.outside.cloud, params.cloud.rps)
         run = run_id or f"{random.getrandbits(64):016x}"
         self.leadership = Leadership(
             self.client,
