--- a/spoolcourse/control/autoscaling/autoscaler.py
+++ b/spoolcourse/control/autoscaling/autoscaler.py
@@ -1,7 +1,7 @@
-"""The fleet as wanted and as it is: the loops that list, rent and return machines.
+"""Autoscaling of the fleet: the loops that list, rent and delete machines.
 
-The wanted state is what the last pass found missing and what stands idle; the loops
-here work out the difference and ask the cloud for it.
+The wanted state is what the last placement pass found missing and what is idle; the loops here
+work out the difference and ask the cloud for it.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 
 from spoolcourse.control.autoscaling.early_deletion import EarlyDeletion
 from spoolcourse.control.autoscaling.excess_capacity import ExcessCapacity
-from spoolcourse.control.autoscaling.fleet_summary import log_fleet
-from spoolcourse.control.autoscaling.fleet_view import FleetView
+from spoolcourse.control.autoscaling.fleet_summary import log_fleet_summary
 from spoolcourse.control.autoscaling.machine_list import MachineListLoop
+from spoolcourse.control.autoscaling.machine_type_lookup import MachineTypeLookup
 from spoolcourse.control.autoscaling.owner import AutoscalerOwner
 from spoolcourse.control.autoscaling.replica_places import ReplicaPlaces
 from spoolcourse.control.autoscaling.replica_probe import ReplicaProbe
@@ -32,7 +32,11 @@
 
 
 class FleetAutoscaler:
-    """The parts put together, and the loop that deletes machines."""
+    """The parts of the autoscaler, and the loop that deletes machines.
+
+    `excess_capacity` is given the demand of each placement pass, `scale_out` what to rent;
+    `machine_list`, `scale_out` and `replica_probe` have loops of their own.
+    """
 
     def __init__(
         self,
@@ -45,24 +49,24 @@
         self._clock = context.clock
         self._registry = registry
         self._owner = owner
-        self._view = FleetView(context.machine_types)
-        self.excess_capacity = ExcessCapacity(policy, registry, self._view, owner.is_rare_type)
-        self.scale_out = ScaleOut(leader, self._cloud, self._view, owner.may_start)
-        self.machine_list = MachineListLoop(leader, self._view, owner.on_machine_list)
-        self.places = ReplicaPlaces(
+        self._types = MachineTypeLookup(context.machine_types)
+        self.excess_capacity = ExcessCapacity(policy, registry, self._types, owner.is_rare_type)
+        self.scale_out = ScaleOut(leader, self._cloud, self._types, owner.may_start)
+        self.machine_list = MachineListLoop(leader, self._types, owner.on_machine_list)
+        self.replica_places = ReplicaPlaces(
             registry, context.params.workers, context.clock, context.machine_types
         )
-        self.replica_probe = ReplicaProbe(context.net, registry, self.places, context.clock)
-        self.reserve = ServiceReserve(registry, policy, self._view)
+        self.replica_probe = ReplicaProbe(context.net, registry, self.replica_places, context.clock)
+        self.service_reserve = ServiceReserve(registry, policy, self._types)
         self._scale_in = ScaleIn(
             leader,
             owner,
-            self._view,
+            self._types,
             self.excess_capacity,
-            self.reserve,
+            self.service_reserve,
             EarlyDeletion(
                 registry,
-                self.places,
+                self.replica_places,
                 self.replica_probe,
                 context.clock,
                 context.params.workers.lease_s,
@@ -70,16 +74,19 @@
         )
 
     async def scale_in_loop(self) -> None:
-        """Delete what is to be returned, until cancelled."""
+        """Delete the machines that scale-in chooses, until cancelled.
+
+        A failed deletion is requested again in the next round: `deletion_requested` stays set.
+        """
         logged_at = float("-inf")
         while True:
             await asyncio.sleep(SCALE_IN_PERIOD_S)
             self._registry.expire_leases()
             if log.isEnabledFor(logging.INFO) and self._clock() - logged_at > SUMMARY_S:
                 logged_at = self._clock()
-                log_fleet(self._registry, self._view)
+                log_fleet_summary(self._registry, self._types)
                 self._owner.on_fleet_summary()
-            names = self._scale_in.machines(leads=self._owner.may_start())
+            names = self._scale_in.machines_to_delete(may_lead=self._owner.may_start())
             for start in range(0, min(len(names), self._max_deletions), DELETE_MAX):
                 await self._delete(names[start : start + DELETE_MAX])
 
@@ -89,7 +96,7 @@
         try:
             await self._cloud.delete(names)
         except CloudError as exc:
-            log.info("machine deletion failed: %s", exc)
+            log.info("machine deletion failed: machines=%d reason=%s", len(names), exc)
             return
         for name in names:
             self._registry.forget_deleted_machine(name)
--- a/spoolcourse/control/autoscaling/cancelled_work.py
+++ b/spoolcourse/control/autoscaling/cancelled_work.py
@@ -1,6 +1,7 @@
-"""Cancelled work on machines that can't be told: the machine goes before `cancel_s` is over.
+"""Cancelled work on machines that can't be reached: the machine is deleted within `cancel_s`.
 
 The time left is counted from the cancellation itself, not from when this leader heard of it.
+Nothing of a cancelled job may run after `cancel_s` (PROTOCOL, `POST /submissions/{id}/withdraw`).
 """
 
 from __future__ import annotations
@@ -11,13 +12,16 @@
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.wire.settings import Workers
 
-SHARE = 0.4  # of `cancel_s`: its tasks should have ended by then, and a deletion may need retries
+# Of `cancel_s`: tasks should have ended by then, and a deletion may need retries.
+OVERDUE_SHARE = 0.4
 TRANSIT_S = 0.5  # of a heartbeat
-LAST_CALL_S = 5.0  # for the deletion itself
+DELETION_S = 5.0  # kept for the deletion itself
+
+OverdueJobs = dict[str, float]  # job: seconds that a machine is given after its cancellation
 
 
 class CancelledWork:
-    """Finds machines that may hold cancelled work and can't be told."""
+    """Finds machines that may hold cancelled work and can't be reached."""
 
     def __init__(
         self,
@@ -33,45 +37,45 @@
         self._clock = clock
         self._wall_clock = wall_clock
 
-    def _patience(self, age_when_learned: float) -> float:
-        """How long machines are given to be told.
-
-        A leader that took over, or learned late, has less left; but each is given its next
-        heartbeat, or a fleet that is about to be told would be deleted (and leases end what no
-        leader that knows less may keep alive).
-        """
-        next_report = self._workers.heartbeat_gap_s + TRANSIT_S
-        left = self._workers.cancel_s - LAST_CALL_S - age_when_learned
-        return min(self._workers.quiet_s, max(left, next_report))
-
-    def overdue(self) -> dict[str, float]:
+    def overdue_jobs(self) -> OverdueJobs:
         """Cancelled jobs whose tasks should have ended by now.
 
-        With each, the time that a machine is given after this leader first heard of it.
+        With each, the seconds that a machine is given after this leader first heard of it.
         """
         now, wall_clock = self._clock(), self._wall_clock()
-        found = {}
+        overdue: OverdueJobs = {}
         for job_state in self._job_queue.jobs.values():
-            at = job_state.record.cancelled_at
-            if at is None:
+            cancelled_at = job_state.record.cancelled_at
+            if cancelled_at is None:
                 continue
-            age = wall_clock - at + self._skew_s
-            known = now - job_state.cancelled_known_at
-            patience = self._patience(age - known)
-            if age > SHARE * self._workers.cancel_s and known > patience:
-                found[job_state.id] = patience
-        return found
+            age_s = wall_clock - cancelled_at + self._skew_s
+            known_for_s = now - job_state.cancelled_known_at
+            patience_s = self._patience_s(age_s - known_for_s)
+            if age_s > OVERDUE_SHARE * self._workers.cancel_s and known_for_s > patience_s:
+                overdue[job_state.id] = patience_s
+        return overdue
 
-    def may_be_on(self, machine: Machine, overdue: dict[str, float]) -> bool:
-        """Whether a task of these jobs may be there.
+    def may_be_on(self, machine: Machine, overdue: OverdueJobs) -> bool:
+        """Whether a task of the overdue jobs may be on the machine.
 
-        Whether the machine is silent or only our answers don't reach it: it can't be told, so it
-        goes itself.
+        Whether the machine is silent or only our answers don't reach it: no stop reaches its tasks,
+        so the machine is deleted.
         """
         if not overdue:
             return False
-        known = self._clock() - machine.first_seen_at
+        known_for_s = self._clock() - machine.first_seen_at
         jobs = {job for job, _ in machine.attempts} | {
-            unexpected[0] for unexpected in machine.unexpected_attempts
+            attempt_id.job for attempt_id in machine.unexpected_attempts
         }
-        return any(known > overdue[job] for job in jobs if job in overdue)
+        return any(known_for_s > overdue[job] for job in jobs if job in overdue)
+
+    def _patience_s(self, age_when_learned_s: float) -> float:
+        """How long a machine is given to stop the tasks.
+
+        A leader that took over, or learned late, has less left; but each machine is given its next
+        heartbeat, or a fleet that is about to get the stop would be deleted (and leases end what no
+        leader that knows less may keep alive).
+        """
+        next_heartbeat_s = self._workers.heartbeat_gap_s + TRANSIT_S
+        left_s = self._workers.cancel_s - DELETION_S - age_when_learned_s
+        return min(self._workers.quiet_s, max(left_s, next_heartbeat_s))
--- a/spoolcourse/control/autoscaling/excess_capacity.py
+++ b/spoolcourse/control/autoscaling/excess_capacity.py
@@ -1,11 +1,11 @@
-"""How much capacity there is beside what was wanted recently, and which machines are too many."""
+"""Excess capacity: how the fleet compares with recent demand, and which machines are too many."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Set
 
-from spoolcourse.control.autoscaling.demand import Demand
-from spoolcourse.control.autoscaling.fleet_view import FleetView
+from spoolcourse.control.autoscaling.demand import DemandHistory
+from spoolcourse.control.autoscaling.machine_type_lookup import MachineTypeLookup
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.policy.keys import KEYS, Policy
@@ -13,57 +13,65 @@
 
 
 class ExcessCapacity:
-    """Compares the fleet with the peaks of demand."""
+    """Compares the capacity of the fleet with the peaks of demand.
+
+    On-demand machines are those that are not spot ones; the policy's keys call them ordinary.
+    """
 
     def __init__(
         self,
         policy: Policy,
         registry: WorkerRegistry,
-        view: FleetView,
-        is_rare: Callable[[str], bool],
+        types: MachineTypeLookup,
+        is_rare_type: Callable[[str], bool],
     ) -> None:
         self._policy = policy
         self._registry = registry
-        self._view = view
-        self._is_rare = is_rare
-        self.demand = Demand(KEYS["keep_s"].high)
+        self._types = types
+        self._is_rare_type = is_rare_type
+        self.demand = DemandHistory(KEYS["keep_s"].high)
 
-    def short_cpus(self, now: float) -> float:
-        """CPUs missing for what may be wanted next; negative: CPUs to spare."""
-        wanted = self._policy.headroom * self.demand.peak(now, self._policy.keep_s)
-        return wanted - self._capacity()
+    def missing_cpus(self, now: float) -> float:
+        """CPUs missing for the recent peak of demand with headroom; negative: CPUs to spare."""
+        peak_cpus = self.demand.peak_cpus(now, self._policy.keep_s)
+        return self._policy.headroom * peak_cpus - self._capacity_cpus()
 
-    def mark(self, now: float, base: frozenset[str], reserved: set[str]) -> None:
-        """Mark ordinary machines above what was wanted recently, the emptiest first.
+    def mark_scale_in_candidates(
+        self, now: float, initial_machines: Set[str], reserved: Set[str]
+    ) -> None:
+        """Mark on-demand machines above recent demand as scale-in candidates, the emptiest first.
 
-        They cost a multiple of spot ones; marked, they run empty and go. Types that some jobs
-        depend on stay, and so do those reserved for services.
+        They cost a multiple of spot ones; marked, they run empty and are deleted. Types that some
+        jobs depend on stay, and so do the initial machines and those reserved for services.
         """
-        peak = self.demand.peak(now, self._policy.ordinary_keep_s)
-        spare = self._capacity() - self._policy.ordinary_headroom * peak
-        ordinary = [
+        peak_cpus = self.demand.peak_cpus(now, self._policy.ordinary_keep_s)
+        excess_cpus = self._capacity_cpus() - self._policy.ordinary_headroom * peak_cpus
+        on_demand = [
             machine
             for machine in self._registry.machines.values()
-            if machine.spot is False and machine.is_schedulable and machine.id not in base
+            if machine.spot is False
+            and machine.is_schedulable
+            and machine.id not in initial_machines
         ]
         # Those already marked stay marked if possible: they have run emptier since.
-        for machine in sorted(ordinary, key=lambda m: (not m.scale_in_candidate, len(m.attempts))):
-            cpus = self._view.cpus(machine)
-            needed = machine.id in reserved or self._is_rare(machine.machine_type or "")
-            machine.scale_in_candidate = cpus <= spare and not needed
+        for machine in sorted(on_demand, key=lambda m: (not m.scale_in_candidate, len(m.attempts))):
+            cpus = self._types.cpus(machine)
+            needed = machine.id in reserved or self._is_rare_type(machine.machine_type or "")
+            machine.scale_in_candidate = cpus <= excess_cpus and not needed
             if machine.scale_in_candidate:
-                spare -= cpus
+                excess_cpus -= cpus
 
-    def _capacity(self) -> float:
-        sizes = {name: kind.cpus for name, kind in self._view.machine_types().items()}
+    def _capacity_cpus(self) -> float:
+        """CPUs of machines that may be given work, and of those that boot."""
+        sizes = {name: kind.cpus for name, kind in self._types.machine_types().items()}
         return sum(
             sizes.get(machine.machine_type or "", 0.0)
             for machine in self._registry.machines.values()
-            if machine.is_schedulable or _is_coming(machine)
+            if machine.is_schedulable or _is_booting(machine)
         )
 
 
-def _is_coming(machine: Machine) -> bool:
+def _is_booting(machine: Machine) -> bool:
     return (
         machine.last_heartbeat_at is None
         and not machine.deletion_requested
--- a/spoolcourse/control/autoscaling/fleet_summary.py
+++ b/spoolcourse/control/autoscaling/fleet_summary.py
@@ -1,53 +1,63 @@
-"""What machines there are and what they do, in the log for the operators."""
+"""The fleet in the log: what machines there are, and how many CPUs of them are in use."""
 
 from __future__ import annotations
 
 import logging
 from dataclasses import dataclass
+from typing import NamedTuple
 
-from spoolcourse.control.autoscaling.fleet_view import FleetView
+from spoolcourse.control.autoscaling.machine_type_lookup import MachineTypeLookup
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.control.workers.worker_registry import WorkerRegistry
 
 log = logging.getLogger(__name__)
 
+UNKNOWN_TYPE = "?"
+
+
+class _FleetKey(NamedTuple):
+    machine_type: str
+    spot: bool
+
 
 @dataclass(slots=True)
-class _KindSummary:
+class _FleetPart:
+    """The machines of one type, spot or on-demand, added up."""
+
     machines: int = 0
-    booting: int = 0
-    scale_in_candidate: int = 0
-    empty: int = 0
+    booting: int = 0  # not heard of yet
+    scale_in_candidates: int = 0
+    empty: int = 0  # up, without an attempt
     cpus: float = 0.0
-    taken_cpus: float = 0.0
+    used_cpus: float = 0.0
 
     def add(self, machine: Machine, cpus: float) -> None:
         self.machines += 1
         self.booting += machine.last_heartbeat_at is None
-        self.scale_in_candidate += machine.scale_in_candidate
+        self.scale_in_candidates += machine.scale_in_candidate
         self.empty += machine.last_heartbeat_at is not None and not machine.attempts
         self.cpus += cpus
-        self.taken_cpus += sum(
-            a.job_state.record.submission.cpus for a in machine.attempts.values()
+        self.used_cpus += sum(
+            attempt.job_state.record.submission.cpus for attempt in machine.attempts.values()
         )
 
 
-def log_fleet(registry: WorkerRegistry, view: FleetView) -> None:
-    """A line for each machine type, spot and ordinary apart."""
-    kinds: dict[tuple[str, bool], _KindSummary] = {}
+def log_fleet_summary(registry: WorkerRegistry, types: MachineTypeLookup) -> None:
+    """Log a line for each machine type, spot and on-demand apart."""
+    parts: dict[_FleetKey, _FleetPart] = {}
     for machine in registry.machines.values():
-        kind = (machine.machine_type or "?", bool(machine.spot))
-        kinds.setdefault(kind, _KindSummary()).add(machine, view.cpus(machine))
-    for (machine_type, spot), summary in sorted(kinds.items()):
+        key = _FleetKey(machine.machine_type or UNKNOWN_TYPE, bool(machine.spot))
+        parts.setdefault(key, _FleetPart()).add(machine, types.cpus(machine))
+    for key, part in sorted(parts.items()):
         log.info(
-            "fleet: %s, spot %s: %d machines, %d booting, %d surplus, %d empty; "
-            "%.0f CPUs, %.0f taken",
-            machine_type,
-            "yes" if spot else "no",
-            summary.machines,
-            summary.booting,
-            summary.scale_in_candidate,
-            summary.empty,
-            summary.cpus,
-            summary.taken_cpus,
+            "fleet: machine_type=%s spot=%s machines=%d booting=%d scale_in_candidates=%d "
+            "empty=%d cpus=%.0f used_cpus=%.0f",
+            key.machine_type,
+            "yes" if key.spot else "no",
+            part.machines,
+            part.booting,
+            part.scale_in_candidates,
+            part.empty,
+            part.cpus,
+            part.used_cpus,
         )
--- a/spoolcourse/control/autoscaling/machine_list.py
+++ b/spoolcourse/control/autoscaling/machine_list.py
@@ -6,7 +6,7 @@
 import logging
 from collections.abc import Awaitable, Callable
 
-from spoolcourse.control.autoscaling.fleet_view import FleetView
+from spoolcourse.control.autoscaling.machine_type_lookup import MachineTypeLookup
 from spoolcourse.control.cloud.errors import CloudRequestFailedError
 from spoolcourse.control.http_client import NoResponseError
 from spoolcourse.control.leader_context import LeaderContext
@@ -29,7 +29,7 @@
     def __init__(
         self,
         leader: LeaderContext,
-        view: FleetView,
+        types: MachineTypeLookup,
         on_list: Callable[[list[Host]], Awaitable[None]],
     ) -> None:
         context = leader.controller
@@ -39,7 +39,7 @@
         self._sockets = context.params.machine_limits.sockets
         self._period_s = max(LIST_PERIOD_S, context.params.cloud.list_lag_s / 2)
         self._registry = leader.registry
-        self._view = view
+        self._types = types
         self._on_list = on_list
 
     async def run(self) -> None:
@@ -73,7 +73,7 @@
         if machine.rented_at is None:
             machine.rented_at = now - host.age_s
         if machine.last_heartbeat_at is None and machine.expected_ready_at is None:
-            machine.expected_ready_at = machine.rented_at + self._view.boot_s(machine)
+            machine.expected_ready_at = machine.rented_at + self._types.boot_s(machine)
 
     async def _raise_tokens(self, hosts: list[Host]) -> None:
         """Raise the fencing token on machines that have not spoken under it yet.
--- a/spoolcourse/control/autoscaling/fleet_view.py
+++ b/spoolcourse/control/autoscaling/machine_type_lookup.py
@@ -1,4 +1,4 @@
-"""Sizes and boot times of machines by their types, as several parts here need them."""
+"""Sizes and boot times of machines by their types, in the catalog as it is now."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 UNKNOWN_BOOT_S = 60.0  # for a type that the catalog does not name
 
 
-class FleetView:
-    """Looks machines' types up in the catalog as it is now."""
+class MachineTypeLookup:
+    """Looks up the types of machines; `machine_types` returns the current ones by name."""
 
     def __init__(self, machine_types: Callable[[], dict[str, MachineType]]) -> None:
         self.machine_types = machine_types
@@ -26,6 +26,6 @@
         return machine_type.cpus if machine_type else 0.0
 
     def boot_s(self, machine: Machine) -> float:
-        """How long a machine of the type usually boots."""
+        """How many seconds a machine of the type usually boots."""
         machine_type = self.type_of(machine)
         return machine_type.boot_s if machine_type else UNKNOWN_BOOT_S
--- a/spoolcourse/control/autoscaling/replica_places.py
+++ b/spoolcourse/control/autoscaling/replica_places.py
@@ -1,7 +1,7 @@
 """Whether another machine can take a replica of a service, once the replica here is gone.
 
 Asked before something is done that costs a replica its machine: an early deletion, or a move on
-a termination notice.
+a preemption notice of the cloud.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from spoolcourse.wire.messages import MachineType, fits
 from spoolcourse.wire.settings import Workers
 
-LATE_S = 1.0  # for a heartbeat on its way, and for this process to get round to it
+TRANSIT_S = 1.0  # of a heartbeat, with the wait until this process handles it
 
 
 class ReplicaPlaces:
-    """Looks for machines that are up, were heard of lately and have room for a replica."""
+    """Looks for machines that are up, have reported recently and have room for a replica."""
 
     def __init__(
         self,
@@ -31,12 +31,13 @@
         self._registry = registry
         self._clock = clock
         self._machine_types = machine_types
-        self.late_s = workers.heartbeat_gap_s + LATE_S
+        # A machine whose last heartbeat is older is late.
+        self.late_after_s = workers.heartbeat_gap_s + TRANSIT_S
 
     def has_place_elsewhere(self, replica: Attempt) -> bool:
         """Whether some other machine takes the replica under the rules of any start.
 
-        Work of lower rank does not count: it is stopped for a replica.
+        Work of lower priority does not count: it is preempted for a replica.
         """
         now = self._clock()
         types = self._machine_types()
@@ -44,16 +45,16 @@
             if machine.id == replica.machine or not machine.is_schedulable:
                 continue
             machine_type = types.get(machine.machine_type or "")
-            if machine_type is None or now - machine.last_own_heartbeat_at > self.late_s:
+            if machine_type is None or machine.is_overdue(now, self.late_after_s):
                 continue
-            if _takes(machine, machine_type, replica.job_state) and self._zone_takes(
-                replica, machine
-            ):
+            if not _has_room_for(replica.job_state, machine, machine_type):
+                continue
+            if self._is_zone_allowed(replica, machine):
                 return True
         return False
 
-    def _zone_takes(self, replica: Attempt, machine: Machine) -> bool:
-        """Zone rules, with all attempts but the replica's own counted."""
+    def _is_zone_allowed(self, replica: Attempt, machine: Machine) -> bool:
+        """Whether the zone rules allow it, with all attempts but the replica's own counted."""
         submission = replica.job_state.record.submission
         zones = Counter(
             host.zone
@@ -63,8 +64,8 @@
         )
         if submission.one_zone and any(zone != machine.zone for zone in zones):
             return False
-        most_in_a_zone = -(-submission.task_count // 2)
-        return not submission.spread_over_zones or zones[machine.zone] < most_in_a_zone
+        max_in_a_zone = -(-submission.task_count // 2)
+        return not submission.spread_over_zones or zones[machine.zone] < max_in_a_zone
 
 
 def replicas_on(machine: Machine) -> list[Attempt]:
@@ -78,8 +79,8 @@
     ]
 
 
-def _takes(machine: Machine, machine_type: MachineType, job_state: JobState) -> bool:
-    """Whether the job may run there, and what stays leaves room for one task of it."""
+def _has_room_for(job_state: JobState, machine: Machine, machine_type: MachineType) -> bool:
+    """Whether the job may run there, and the work that stays leaves room for one task of it."""
     submission = job_state.record.submission
     if not fits(submission, machine_type) or (machine.spot and not submission.spot_allowed):
         return False
--- a/spoolcourse/control/autoscaling/replica_probe.py
+++ b/spoolcourse/control/autoscaling/replica_probe.py
@@ -1,7 +1,7 @@
-"""Asks machines that hold replicas, and whose heartbeats are late, whether they are there.
+"""Calls machines that hold replicas and whose heartbeats are late, to see whether they answer.
 
-A late heartbeat alone says little: it may hang somewhere, or its worker may be between two
-controllers. A machine that answers no call either is dead, hangs, or is cut off.
+A late heartbeat alone says little: it may be delayed, or its worker may be changing from one
+controller to another. A machine that answers no call either is dead, hangs, or is cut off.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 
 PERIOD_S = 0.5
 FAILURES_NEEDED = 2  # in a row; one call may be lost like one heartbeat
-PROBES_MAX = 64  # at once; calls behind a cut hang until they time out
+PROBES_MAX = 64  # in flight at once; calls to machines that are cut off last until they time out
 
 
 @dataclass(slots=True)
 class _Failures:
-    """Failed calls since a machine's last report."""
+    """Failed calls since the heartbeat that a machine sent at `reported_at`."""
 
     reported_at: float
     count: int = 0
@@ -45,10 +45,10 @@
     ) -> None:
         self._net = net
         self._registry = registry
-        self._late_s = places.late_s
+        self._late_after_s = places.late_after_s
         self._clock = clock
         self._failures: dict[str, _Failures] = {}
-        self._under_way: dict[str, asyncio.Task[None]] = {}
+        self._in_flight: dict[str, asyncio.Task[None]] = {}
 
     def is_unreachable(self, machine: Machine) -> bool:
         """Whether it has answered none of the last calls and sent no heartbeat since."""
@@ -66,27 +66,29 @@
                 await asyncio.sleep(PERIOD_S)
                 self._start_probes()
         finally:
-            for task in self._under_way.values():
+            for task in self._in_flight.values():
                 task.cancel()
 
     def _start_probes(self) -> None:
-        late = [m for m in self._registry.machines.values() if self._is_late(m)]
+        late = [machine for machine in self._registry.machines.values() if self._is_late(machine)]
         names = {machine.id for machine in late}
-        self._failures = {name: f for name, f in self._failures.items() if name in names}
+        self._failures = {
+            name: failures for name, failures in self._failures.items() if name in names
+        }
         for machine in late:
-            if len(self._under_way) >= PROBES_MAX:
+            if len(self._in_flight) >= PROBES_MAX:
                 return
-            if machine.id in self._under_way or self.is_unreachable(machine):
+            if machine.id in self._in_flight or self.is_unreachable(machine):
                 continue
             task = asyncio.get_running_loop().create_task(self._probe(machine))
-            self._under_way[machine.id] = task
+            self._in_flight[machine.id] = task
 
     def _is_late(self, machine: Machine) -> bool:
         return (
             machine.confirmed
             and not machine.lease_expired
             and not machine.deletion_requested
-            and self._clock() - machine.last_own_heartbeat_at > self._late_s
+            and machine.is_overdue(self._clock(), self._late_after_s)
             and bool(machine.address)
             and bool(replicas_on(machine))
         )
@@ -97,12 +99,12 @@
             self._registry.observe_heartbeat(await fetch_heartbeat(self._net, machine.address))
             self._failures.pop(machine.id, None)
         except (NoResponseError, MalformedError) as exc:
-            log.debug("%s: late, and does not answer: %s", machine.id, exc)
-            self._note_failure(machine, reported_at)
+            log.debug("heartbeat late and probe failed: machine=%s reason=%s", machine.id, exc)
+            self._record_failure(machine, reported_at)
         finally:
-            self._under_way.pop(machine.id, None)
+            self._in_flight.pop(machine.id, None)
 
-    def _note_failure(self, machine: Machine, reported_at: float) -> None:
+    def _record_failure(self, machine: Machine, reported_at: float) -> None:
         failures = self._failures.get(machine.id)
         if failures is None or failures.reported_at != reported_at:
             failures = self._failures[machine.id] = _Failures(reported_at)
--- a/spoolcourse/control/autoscaling/scale_in.py
+++ b/spoolcourse/control/autoscaling/scale_in.py
@@ -1,13 +1,16 @@
-"""Which machines are returned to the cloud, and why."""
+"""Scale in: which machines are deleted now, and why."""
 
 from __future__ import annotations
 
 import logging
+from dataclasses import dataclass
 
-from spoolcourse.control.autoscaling.cancelled_work import CancelledWork
+from spoolcourse.control.autoscaling.cancelled_work import CancelledWork, OverdueJobs
+from spoolcourse.control.autoscaling.deletion_reason import DeletionReason
 from spoolcourse.control.autoscaling.early_deletion import EarlyDeletion
 from spoolcourse.control.autoscaling.excess_capacity import ExcessCapacity
-from spoolcourse.control.autoscaling.fleet_view import FleetView
+from spoolcourse.control.autoscaling.machine_faults import MachineFaults
+from spoolcourse.control.autoscaling.machine_type_lookup import MachineTypeLookup
 from spoolcourse.control.autoscaling.owner import ScaleInOwner
 from spoolcourse.control.autoscaling.service_reserve import ServiceReserve
 from spoolcourse.control.leader_context import LeaderContext
@@ -16,8 +19,18 @@
 
 log = logging.getLogger(__name__)
 
-ISOLATED_LEAST = 3  # machines that must be known before their silence says anything of us
-FAULTY_JOBS = 2  # jobs whose tasks failed on a machine: then it is the machine
+
+@dataclass(slots=True)
+class _Situation:
+    """What holds for all machines in one round of decisions."""
+
+    now: float
+    may_lead: bool
+    may_judge_silence: bool
+    overdue_jobs: OverdueJobs
+    early: set[str]  # deleted early, for the replicas on them
+    kept: set[str]  # not deleted for being idle
+    spare_cpus: float  # above the peak of demand with headroom; shrinks with each idle machine
 
 
 class ScaleIn:
@@ -27,23 +40,22 @@
         self,
         leader: LeaderContext,
         owner: ScaleInOwner,
-        view: FleetView,
+        types: MachineTypeLookup,
         excess_capacity: ExcessCapacity,
         reserve: ServiceReserve,
         early_deletion: EarlyDeletion,
     ) -> None:
         context = leader.controller
         self._clock = context.clock
-        self._workers = context.params.workers
-        self._list_lag_s = context.params.cloud.list_lag_s
         self._policy = leader.policy
         self._registry = leader.registry
         self._owner = owner
-        self._view = view
+        self._types = types
         self._excess_capacity = excess_capacity
         self._reserve = reserve
         self._early_deletion = early_deletion
-        self._cancelled = CancelledWork(
+        self._faults = MachineFaults(leader, types)
+        self._cancelled_work = CancelledWork(
             leader.job_queue,
             context.params.workers,
             context.params.skew_ms / 1000,
@@ -51,115 +63,72 @@
             context.wall_clock,
         )
 
-    def machines(self, leads: bool) -> list[str]:
-        """The names of the machines to be deleted now, the most pressing ones first.
+    def machines_to_delete(self, may_lead: bool) -> list[str]:
+        """The names of the machines to be deleted now, the most urgent ones first.
 
         After a standstill, or cut off from the key-value store, this controller may lead no more
-        (`leads`): what looks idle or silent here may be at work for another. What a cancelled
-        job may hold goes nevertheless; nobody else may be there to see to it.
+        (`may_lead` is false): what looks idle or silent here may be at work for another. What a
+        cancelled job may hold is deleted nevertheless; there may be no other leader to do it.
         """
-        now = self._clock()
-        blind = self._isolated() or not leads
-        overdue = self._cancelled.overdue()
-        early = self._early_deletion.due()
-        if blind:
-            early = set()
-        reserved = self._reserve.machines()
-        base = self._owner.initial_machine_names()
-        spare_cpus = -self._excess_capacity.short_cpus(now)
-        self._excess_capacity.mark(now, base, reserved)
-        pressing: list[str] = []
-        names: list[str] = []
+        situation = self._assess(may_lead)
+        urgent: list[str] = []
+        others: list[str] = []
         for machine in self._registry.machines.values():
-            reason = self._reason(machine, now, blind, overdue)
-            if reason is None and machine.id in early:
-                reason = "it is silent, and replicas wait for a proof that they are gone"
-            kept = machine.id in reserved or machine.id in base
-            if reason is None and leads and not kept and self._is_idle(machine, now):
-                cpus = self._view.cpus(machine)
-                if machine.scale_in_candidate or cpus <= spare_cpus:
-                    reason = "it is idle"
-                    spare_cpus -= cpus
+            reason = self._reason(machine, situation)
             if reason is None:
                 continue
             if not machine.deletion_requested:
-                log.info("%s: returned: %s", machine.id, reason)
+                log.info("machine deletion: machine=%s reason=%s", machine.id, reason)
             # One round deletes a bounded number: what must be gone in time does not wait in line.
-            held_too_long = self._cancelled.may_be_on(machine, overdue)
-            (pressing if held_too_long else names).append(machine.id)
-        return pressing + names
-
-    def _isolated(self) -> bool:
-        """Most machines silent at once: more likely we are cut off than they are dead."""
-        known = [m for m in self._registry.machines.values() if m.last_heartbeat_at is not None]
-        quiet = sum(1 for machine in known if self._is_out_of_touch(machine))
-        return len(known) >= ISOLATED_LEAST and quiet * 2 > len(known)
-
-    def _is_out_of_touch(self, machine: Machine) -> bool:
-        return (
-            not machine.confirmed
-            or machine.unresponsive_since is not None
-            or self._registry.is_suspect(machine)
+            is_urgent = self._cancelled_work.may_be_on(machine, situation.overdue_jobs)
+            (urgent if is_urgent else others).append(machine.id)
+        return urgent + others
+
+    def _assess(self, may_lead: bool) -> _Situation:
+        now = self._clock()
+        may_judge_silence = may_lead and not self._faults.is_controller_isolated()
+        overdue_jobs = self._cancelled_work.overdue_jobs()
+        early = self._early_deletion.machines_to_delete()  # called all the time: see there
+        reserved = self._reserve.reserved_machines()
+        initial_machines = self._owner.initial_machine_names()
+        spare_cpus = -self._excess_capacity.missing_cpus(now)
+        self._excess_capacity.mark_scale_in_candidates(now, initial_machines, reserved)
+        return _Situation(
+            now,
+            may_lead,
+            may_judge_silence,
+            overdue_jobs,
+            early if may_judge_silence else set(),
+            reserved | initial_machines,
+            spare_cpus,
         )
 
-    def _reason(
-        self, machine: Machine, now: float, blind: bool, overdue: dict[str, float]
-    ) -> str | None:
+    def _reason(self, machine: Machine, situation: _Situation) -> DeletionReason | None:
+        """Why the machine is deleted, if it is: the first reason of `DeletionReason` that holds."""
         if machine.deletion_requested:
-            return "asked for before"
+            return DeletionReason.REQUESTED_BEFORE
         if machine.listed_stage is HostStage.FAILED:
-            return "it failed"
-        if self._cancelled.may_be_on(machine, overdue):
-            return "a cancelled job may be on it, and it can't be told"
-        if self._is_booting(machine):
-            late = not blind and self._is_overdue(machine, now)
-            return "it does not come up" if late else None
-        if not blind:
-            reason = self._silence(machine, now)
-            if reason is not None:
-                return reason
-        if len(machine.failed_jobs) >= FAULTY_JOBS and not machine.attempts:
-            return "tasks of several jobs fail on it"
+            return DeletionReason.FAILED
+        if self._cancelled_work.may_be_on(machine, situation.overdue_jobs):
+            return DeletionReason.CANCELLED_WORK
+        fault = self._faults.find(machine, situation.now, situation.may_judge_silence)
+        if fault is not None:
+            return fault
+        if machine.id in situation.early:
+            return DeletionReason.REPLICAS_UNPROVEN
+        if situation.may_lead and self._is_excess(machine, situation):
+            situation.spare_cpus -= self._types.cpus(machine)
+            return DeletionReason.IDLE
         return None
 
-    @staticmethod
-    def _is_booting(machine: Machine) -> bool:
-        return (
-            machine.last_heartbeat_at is None
-            and machine.expected_ready_at is not None
-            and machine.listed_stage is not HostStage.RUNNING
-            and not machine.attempts
-        )
-
-    def _is_overdue(self, machine: Machine, now: float) -> bool:
-        if machine.expected_ready_at is None:
+    def _is_excess(self, machine: Machine, situation: _Situation) -> bool:
+        """Whether it is idle, and neither kept nor needed for the peak of demand."""
+        if machine.id in situation.kept or not self._is_idle(machine, situation.now):
             return False
-        boot_s = self._view.boot_s(machine)
-        boots_for_s = now - (machine.expected_ready_at - boot_s)
-        # A leader that was just elected has heard nobody yet, and its list may be old.
-        # Measured: 100 to 150 idle machines returned a second after each change.
-        known_for_s = now - machine.first_seen_at
-        return (
-            boots_for_s > self._policy.boot_patience * boot_s
-            and known_for_s > self._workers.quiet_s + 2 * self._list_lag_s
-        )
-
-    def _silence(self, machine: Machine, now: float) -> str | None:
-        patience_s = self._policy.silent_leases * self._workers.lease_s
-        last_sign = machine.last_heartbeat_at
-        if last_sign is None:
-            last_sign = machine.listed_running_since or machine.first_seen_at
-        if now - last_sign > patience_s:
-            return "it is silent"
-        unresponsive_since = machine.unresponsive_since
-        if unresponsive_since is not None and now - unresponsive_since > patience_s:
-            return "it takes no answers"
-        if now - machine.fencing_token_seen_at > patience_s:
-            # What it holds would stay open forever.
-            return "our fencing token does not reach it"
-        return None
+        return machine.scale_in_candidate or self._types.cpus(machine) <= situation.spare_cpus
 
     def _is_idle(self, machine: Machine, now: float) -> bool:
+        """Whether nothing has been on it for so long that it may be deleted."""
         if not machine.confirmed or machine.idle_since is None:
             return False
         if machine.attempts or machine.unexpected_attempts:
@@ -167,9 +136,10 @@
         return now - machine.idle_since > self._idle_limit_s(machine)
 
     def _idle_limit_s(self, machine: Machine) -> float:
+        """Seconds that an idle machine is kept: by its type, its mark, or its boot time."""
         if self._owner.is_rare_type(machine.machine_type or ""):
             return self._policy.rare_s
         if machine.scale_in_candidate:
             return self._policy.surplus_idle_s
-        boots_s = self._policy.idle_boots * self._view.boot_s(machine)
+        boots_s = self._policy.idle_boots * self._types.boot_s(machine)
         return max(self._policy.idle_min_s, boots_s)
--- a/spoolcourse/control/autoscaling/scale_out.py
+++ b/spoolcourse/control/autoscaling/scale_out.py
@@ -1,4 +1,4 @@
-"""Renting machines, and pauses after kinds that the cloud has refused."""
+"""Scale out: renting machines, with backoff for kinds that the cloud has refused."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from spoolcourse.control.autoscaling.fleet_view import FleetView
+from spoolcourse.control.autoscaling.machine_type_lookup import MachineTypeLookup
 from spoolcourse.control.cloud.client import ProvisioningClient
 from spoolcourse.control.cloud.errors import CloudRequestFailedError, NoCapacityError
 from spoolcourse.control.leader_context import LeaderContext
@@ -17,57 +17,62 @@
 
 TRIES = 3  # of one request, which the cloud carries out once however often it comes
 RETRY_S = 0.5
-PAUSE_GROWTH = 1.5
-PAUSE_MOST = 4.0  # times the policy's `refused_s`
+BACKOFF_GROWTH = 1.5
+BACKOFF_MAX = 4.0  # times the policy's `refused_s`
+
+
+@dataclass(frozen=True, slots=True)
+class ScaleOutRequest:
+    """So many machines of a kind to be rented."""
+
+    kind: MachineKind
+    count: int
 
 
 @dataclass(slots=True)
 class _Refusal:
-    until: float
-    pause_s: float
-
+    """A kind that the cloud has refused: not asked for until then."""
 
-def _requests(count: int) -> Iterator[int]:
-    """The sizes of the requests that ask for so many machines."""
-    while count > 0:
-        asked = min(count, PROVISION_MAX)
-        yield asked
-        count -= asked
+    until: float
+    backoff_s: float
 
 
 class ScaleOut:
-    """Asks for what the last pass wanted."""
+    """Rents what the last placement pass asked for; kinds that were refused wait for a backoff.
+
+    `may_start` says whether no other controller can lead by now: only then machines are rented.
+    """
 
     def __init__(
         self,
         leader: LeaderContext,
         cloud: ProvisioningClient,
-        view: FleetView,
-        may_rent: Callable[[], bool],
+        types: MachineTypeLookup,
+        may_start: Callable[[], bool],
     ) -> None:
         self._cloud = cloud
         self._clock = leader.controller.clock
         self._policy = leader.policy
         self._registry = leader.registry
-        self._view = view
-        self._may_rent = may_rent
+        self._types = types
+        self._may_start = may_start
         self._refusals: dict[MachineKind, _Refusal] = {}
-        self._wanted: list[tuple[MachineKind, int]] = []
+        self._pending: list[ScaleOutRequest] = []
         self._wake = asyncio.Event()
-        self._asking = False
+        self._requesting = False
 
     @property
-    def busy(self) -> bool:
-        """Whether what is being asked for is not known as machines yet."""
-        return bool(self._wanted) or self._asking
+    def is_in_progress(self) -> bool:
+        """Whether something that was asked for is not known as machines yet."""
+        return bool(self._pending) or self._requesting
 
-    def want(self, machines: list[tuple[MachineKind, int]]) -> None:
-        """Rent so many of these kinds."""
-        self._wanted = machines
+    def request(self, requests: list[ScaleOutRequest]) -> None:
+        """Rent these machines, in order, in place of what is pending."""
+        self._pending = requests
         self._wake.set()
 
-    def may_ask_for(self, kind: MachineKind) -> bool:
-        """Whether the cloud has not refused the kind a short while ago."""
+    def may_request(self, kind: MachineKind) -> bool:
+        """Whether the kind is not waiting for its backoff after a refusal."""
         refusal = self._refusals.get(kind)
         return refusal is None or refusal.until <= self._clock()
 
@@ -76,57 +81,79 @@
         while True:
             await self._wake.wait()
             self._wake.clear()
-            wanted, self._wanted = self._wanted, []
-            self._asking = True
-            for kind, count in wanted:
-                for asked in _requests(count):
-                    if self._may_rent() and self.may_ask_for(kind):
-                        await self._rent(kind, asked)
-            self._asking = False
-
-    async def _rent(self, kind: MachineKind, count: int) -> None:
-        name = self._cloud.next_request_name()
+            requests, self._pending = self._pending, []
+            self._requesting = True
+            for request in requests:
+                for part in _parts(request):
+                    if self._may_start() and self.may_request(part.kind):
+                        await self._rent(part)
+            self._requesting = False
+
+    async def _rent(self, request: ScaleOutRequest) -> None:
+        request_name = self._cloud.next_request_name()
         for _ in range(TRIES):
-            asked_at = self._clock()
+            requested_at = self._clock()
             try:
-                names = await self._cloud.provision(name, kind, count)
+                names = await self._cloud.provision(request_name, request.kind, request.count)
             except NoCapacityError:
-                self._note_refusal(kind)
+                self._record_refusal(request.kind)
                 return
             except CloudRequestFailedError as exc:
-                log.info("hire %s: %s", name, exc)
+                log.info("scale out failed: request=%s reason=%s", request_name, exc)
                 await asyncio.sleep(RETRY_S)
                 continue
-            self._take(names, kind, count, asked_at)
+            self._register(names, request, requested_at)
             return
 
-    def _take(self, names: list[str], kind: MachineKind, count: int, asked_at: float) -> None:
+    def _register(self, names: list[str], request: ScaleOutRequest, requested_at: float) -> None:
+        """Take the rented machines into the registry; fewer than requested count as a refusal."""
+        kind, count = request.kind, request.count
         for name in names:
-            if name in self._registry.deleted_names:
-                continue
-            machine = self._registry.ensure_machine(name)
-            machine.machine_type, machine.zone, machine.spot = (
-                kind.machine_type,
-                kind.zone,
-                kind.spot,
-            )
-            machine.rented_at = asked_at
-            if machine.last_heartbeat_at is None:
-                machine.expected_ready_at = asked_at + self._view.boot_s(machine)
-        log.info("hired %d of %d %s: %s", len(names), count, _words(kind), " ".join(names))
+            if name not in self._registry.deleted_names:
+                self._register_machine(name, kind, requested_at)
+        log.info(
+            "scale out: rented=%d of %d %s machines=%s",
+            len(names),
+            count,
+            _kind_fields(kind),
+            " ".join(names),
+        )
         if len(names) < count:
-            self._note_refusal(kind)
+            self._record_refusal(kind)
         else:
             self._refusals.pop(kind, None)
 
-    def _note_refusal(self, kind: MachineKind) -> None:
-        before = self._refusals.get(kind)
-        pause_s = self._policy.refused_s
-        if before is not None:
-            pause_s = min(before.pause_s * PAUSE_GROWTH, PAUSE_MOST * self._policy.refused_s)
-        self._refusals[kind] = _Refusal(self._clock() + pause_s, pause_s)
-        log.info("no more %s, for now", _words(kind))
-
-
-def _words(kind: MachineKind) -> str:
-    return f"{kind.machine_type} in {kind.zone}, spot {'yes' if kind.spot else 'no'}"
+    def _register_machine(self, name: str, kind: MachineKind, requested_at: float) -> None:
+        machine = self._registry.ensure_machine(name)
+        machine.machine_type, machine.zone, machine.spot = (
+            kind.machine_type,
+            kind.zone,
+            kind.spot,
+        )
+        machine.rented_at = requested_at
+        if machine.last_heartbeat_at is None:
+            machine.expected_ready_at = requested_at + self._types.boot_s(machine)
+
+    def _record_refusal(self, kind: MachineKind) -> None:
+        """Start the backoff of a kind, or lengthen it."""
+        previous = self._refusals.get(kind)
+        backoff_s = self._policy.refused_s
+        if previous is not None:
+            backoff_max_s = BACKOFF_MAX * self._policy.refused_s
+            backoff_s = min(previous.backoff_s * BACKOFF_GROWTH, backoff_max_s)
+        self._refusals[kind] = _Refusal(self._clock() + backoff_s, backoff_s)
+        log.info("scale out refused: %s backoff_s=%.1f", _kind_fields(kind), backoff_s)
+
+
+def _parts(request: ScaleOutRequest) -> Iterator[ScaleOutRequest]:
+    """The same machines in requests that the cloud takes, `PROVISION_MAX` at most in each."""
+    left = request.count
+    while left > 0:
+        part = ScaleOutRequest(request.kind, min(left, PROVISION_MAX))
+        yield part
+        left -= part.count
+
+
+def _kind_fields(kind: MachineKind) -> str:
+    spot = "yes" if kind.spot else "no"
+    return f"machine_type={kind.machine_type} zone={kind.zone} spot={spot}"
--- a/spoolcourse/control/leader/active_leader.py
+++ b/spoolcourse/control/leader/active_leader.py
@@ -66,7 +66,9 @@
         self.scheduling = SchedulingLoop(
             leader, self.command_dispatcher, self.autoscaler, self.snapshot_builder
         )
-        self.termination = TerminationLoop(leader, self.snapshot_builder, self.autoscaler.places)
+        self.termination = TerminationLoop(
+            leader, self.snapshot_builder, self.autoscaler.replica_places
+        )
         self.admission = HeartbeatHandler(context, leadership, self.registry, renewal_deadline)
         self.hinted_workers = HintedWorkers(leader, failover.hints)
         self.writer = ProgressWriter(
--- a/spoolcourse/control/scheduling/scheduling_loop.py
+++ b/spoolcourse/control/scheduling/scheduling_loop.py
@@ -15,6 +15,7 @@
     plan_provisioning,
     top_up,
 )
+from spoolcourse.control.autoscaling.scale_out import ScaleOutRequest
 from spoolcourse.control.cloud.client import max_provisions
 from spoolcourse.control.jobs.model import JobState
 from spoolcourse.control.leader_context import LeaderContext
@@ -113,7 +114,7 @@
         job_states = self._snapshot_builder.job_states
         self._reasons = {job_states[i].id: reason for i, reason in plan.why.items()}
         wanted_cpus = held_cpus + _planned_cpus(snapshot, plan)
-        self._autoscaler.excess_capacity.demand.note(now, wanted_cpus)
+        self._autoscaler.excess_capacity.demand.record(now, wanted_cpus)
         self._refresh_policy(snapshot, wanted_cpus)
         for decision in plan.decisions:
             self._assign(decision, now)
@@ -174,9 +175,9 @@
     def _plan_machines(
         self, snapshot: Snapshot, plan: Plan, team_room: list[float], now: float
     ) -> None:
-        if self._autoscaler.scale_out.busy:
+        if self._autoscaler.scale_out.is_in_progress:
             return
-        short_cpus = self._autoscaler.excess_capacity.short_cpus(now)
+        short_cpus = self._autoscaler.excess_capacity.missing_cpus(now)
         if not plan.unplaced and short_cpus <= 0:
             return
         offers = self._offers()
@@ -186,8 +187,11 @@
         short_cpus -= sum(provision.count * provision.offer.cpus for provision in provisions)
         provisions += top_up(short_cpus, offers, len(snapshot.nodes))
         if provisions:
-            self._autoscaler.scale_out.want(
-                [(self._kind(provision), provision.count) for provision in provisions]
+            self._autoscaler.scale_out.request(
+                [
+                    ScaleOutRequest(self._kind(provision), provision.count)
+                    for provision in provisions
+                ]
             )
 
     def _offers(self) -> list[Offer]:
@@ -198,7 +202,7 @@
             for zone in machine_type.zones
             if zone in self._params.zones
             for spot in (True, False)
-            if self._autoscaler.scale_out.may_ask_for(MachineKind(machine_type.name, zone, spot))
+            if self._autoscaler.scale_out.may_request(MachineKind(machine_type.name, zone, spot))
         ]
 
     def _offer(self, machine_type: MachineType, zone: str, spot: bool) -> Offer:
--- a/tests/golden/adapter.py
+++ b/tests/golden/adapter.py
@@ -5,9 +5,9 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
-from spoolcourse.control.autoscaling.demand import Demand
+from spoolcourse.control.autoscaling.demand import DemandHistory
 from spoolcourse.control.autoscaling.excess_capacity import ExcessCapacity
-from spoolcourse.control.autoscaling.fleet_view import FleetView
+from spoolcourse.control.autoscaling.machine_type_lookup import MachineTypeLookup
 from spoolcourse.control.autoscaling.planner import (
     Offer,
     ProvisionRequest,
@@ -216,12 +216,13 @@
 
 
 def demand_peaks(history: Fields) -> Fields:
-    demand = Demand(memory_s=history["memory_s"])
+    demand = DemandHistory(memory_s=history["memory_s"])
     for moment, cpus in history["samples"]:
-        demand.note(now=moment, cpus=cpus)
+        demand.record(now=moment, cpus=cpus)
     return {
         "peaks": [
-            demand.peak(now=history["asked_at"], window_s=window) for window in history["windows_s"]
+            demand.peak_cpus(now=history["asked_at"], window_s=window)
+            for window in history["windows_s"]
         ]
     }
 
@@ -233,13 +234,15 @@
     excess_capacity = ExcessCapacity(
         policy=policy,
         registry=cast(Any, SimpleNamespace(machines=machines)),
-        view=FleetView(machine_types=_catalog),
-        is_rare=rare.__contains__,
+        types=MachineTypeLookup(machine_types=_catalog),
+        is_rare_type=rare.__contains__,
+    )
+    excess_capacity.demand.record(now=NOW - 90.0, cpus=1.5 * fleet["wanted_cpus"])
+    excess_capacity.demand.record(now=NOW, cpus=fleet["wanted_cpus"])
+    excess_capacity.mark_scale_in_candidates(
+        now=NOW, initial_machines=frozenset(fleet["base"]), reserved=set(fleet["reserved"])
     )
-    excess_capacity.demand.note(now=NOW - 90.0, cpus=1.5 * fleet["wanted_cpus"])
-    excess_capacity.demand.note(now=NOW, cpus=fleet["wanted_cpus"])
-    excess_capacity.mark(now=NOW, base=frozenset(fleet["base"]), reserved=set(fleet["reserved"]))
     return {
-        "missing_cpus": excess_capacity.short_cpus(now=NOW),
+        "missing_cpus": excess_capacity.missing_cpus(now=NOW),
         "surplus": [name for name, machine in machines.items() if machine.scale_in_candidate],
     }
--- a/tests/test_service_reserve.py
+++ b/tests/test_service_reserve.py
@@ -70,6 +70,6 @@
         body: dict[str, Any] = service(loaners=True)
         assert (await world.submit(body)).status == 201
         await served(world)
-        assert world.active().autoscaler.reserve.machines() == set()
+        assert world.active().autoscaler.service_reserve.reserved_machines() == set()
 
     play(story())
