--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud and its workers, from their protocols. Broken rules are noted."""
+"""The cloud and its workers, by their protocols. Broken rules are recorded in `broken`."""
 
 from __future__ import annotations
 
@@ -80,27 +80,27 @@
             "pieces": [t.wire() for t in self.tasks.values()],
         }
 
-    def execute(self, orders: list[dict[str, Any]]) -> None:
-        for order in orders:
-            key = (order["piece"], order["try"])
+    def execute(self, commands: list[dict[str, Any]]) -> None:
+        for command in commands:
+            key = (command["piece"], command["try"])
             task = self.tasks.get(key)
-            if order["verb"] == "start" and task is None:
+            if command["verb"] == "start" and task is None:
                 self.tasks[key] = Task(*key)
                 asyncio.create_task(self._run(self.tasks[key], self.incarnation))
-            elif order["verb"] == "halt" and task is not None and task.stage != "ended":
+            elif command["verb"] == "halt" and task is not None and task.stage != "ended":
                 self._end(task, "halted")
-            elif order["verb"] == "reap" and task is not None and task.stage == "ended":
+            elif command["verb"] == "reap" and task is not None and task.stage == "ended":
                 del self.tasks[key]
         self._changed.set()
 
-    async def _run(self, task: Task, shift: int) -> None:
+    async def _run(self, task: Task, incarnation: int) -> None:
         await asyncio.sleep(self.cloud.pull_s)
-        if self._mine(task, shift) and task.stage == "pulling":
+        if self._mine(task, incarnation) and task.stage == "pulling":
             task.stage = "running"
             self.cloud.started(self, task)
             self._changed.set()
             await asyncio.sleep(self.cloud.run_s(task.name))
-            if self._mine(task, shift) and task.stage == "running":
+            if self._mine(task, incarnation) and task.stage == "running":
                 self._end(task, self.cloud.cause(self, task))
                 self._changed.set()
 
@@ -113,8 +113,8 @@
             self.cloud.on_end(self, task)
         self.tasks.clear()
 
-    def _mine(self, task: Task, shift: int) -> bool:
-        return self.alive and shift == self.incarnation and task in self.tasks.values()
+    def _mine(self, task: Task, incarnation: int) -> bool:
+        return self.alive and incarnation == self.incarnation and task in self.tasks.values()
 
     async def _tick(self) -> None:
         while True:
@@ -128,7 +128,7 @@
     async def _heartbeat(self) -> None:
         nodes = self.cloud.nodes
         while True:
-            sent, shift = asyncio.get_running_loop().time(), self.incarnation
+            sent_at, incarnation = asyncio.get_running_loop().time(), self.incarnation
             self._changed.clear()
             try:
                 reply = await self.net.call(
@@ -137,17 +137,17 @@
             except NoResponseError:
                 reply = Response(0)
             if reply.status == 200:
-                baton = (reply.data or {}).get("baton", 0)
-                if shift == self.incarnation and baton >= self.fencing_token:
-                    if baton > self.fencing_token:
+                fencing_token = (reply.data or {}).get("baton", 0)
+                if incarnation == self.incarnation and fencing_token >= self.fencing_token:
+                    if fencing_token > self.fencing_token:
                         self._changed.set()
-                    self.fencing_token, self.renewed = baton, sent
+                    self.fencing_token, self.renewed = fencing_token, sent_at
                     self.execute(reply.data["orders"])
             else:
                 labels = [label for label, _ in nodes]
-                foreman = (reply.data or {}).get("foreman")
-                if reply.status == 421 and foreman in labels and foreman != labels[self.node]:
-                    self.node = labels.index(foreman)
+                leader = (reply.data or {}).get("foreman")
+                if reply.status == 421 and leader in labels and leader != labels[self.node]:
+                    self.node = labels.index(leader)
                 else:
                     self.node = (self.node + 1) % len(nodes)
                     await asyncio.sleep(1.0)
@@ -201,8 +201,8 @@
     def started(self, worker: FakeWorker, task: Task) -> None:
         self.starts.append((asyncio.get_running_loop().time(), task.name, worker.name))
         for other in self.workers.values():
-            for found in other.tasks.values():
-                if found is not task and found.name == task.name and found.on:
+            for duplicate in other.tasks.values():
+                if duplicate is not task and duplicate.name == task.name and duplicate.on:
                     self.broken.append(f"{task.name} ran twice: {worker.name}, {other.name}")
         self.on_start(worker, task)
 
@@ -214,14 +214,14 @@
             if t.on and t.name.startswith(job + "/")
         ]
 
-    def add(self, yard: str = "a", loaner: bool = False, boot_s: float = 0.0) -> str:
+    def add(self, zone: str = "a", loaner: bool = False, boot_s: float = 0.0) -> str:
         name = f"m-{self._made:06d}"  # never reused
         self._made += 1
         host = {
             "id": name,
             "address": self.address_of(name),
             "build": "c8",
-            "yard": yard,
+            "yard": zone,
             "loaners": loaner,
             "stage": "starting",
         }
@@ -267,7 +267,7 @@
         query = parse_qs(url.query)
         since, page = query.get("since", [""])[0], int(query["page"][0])
         now = asyncio.get_running_loop().time()
-        found = [
+        listed = [
             h | {"ageS": now - self.rented[n]} for n, h in sorted(self.hosts.items()) if n > since
         ]
-        return Response(200, {"spindles": found[:page], "hasNext": len(found) > page})
+        return Response(200, {"spindles": listed[:page], "hasNext": len(listed) > page})
--- a/tests/test_early_deletion.py
+++ b/tests/test_early_deletion.py
@@ -12,7 +12,7 @@
 LEASE_PROOF_S = 11.0  # the lease of 10 s, and what must be added to be certain
 
 
-async def begin(machines: str = "aabb", **fields: Any) -> World:
+async def running_service(machines: str = "aabb", **fields: Any) -> World:
     """A service whose replicas run, on machines in the zones that `machines` spells."""
     world = World()
     world.cloud.run_s = lambda task: 10_000.0
@@ -29,7 +29,7 @@
     return world
 
 
-def home(world: World, replica: int = 0) -> str:
+def machine_of(world: World, replica: int = 0) -> str:
     """The machine that a replica runs on."""
     name = f"job-000001/{replica}"
     return next(
@@ -39,19 +39,19 @@
     )
 
 
-def deletions(world: World) -> list[str]:
+def requested_deletions(world: World) -> list[str]:
     """Names that the cloud has been asked to delete, in order."""
-    asked: list[str] = []
+    requested: list[str] = []
 
     def note(src: str, dst: str, method: str, path: str, body: Any) -> None:
         if path == "/hosts/delete":
-            asked.extend(body["spindles"])
+            requested.extend(body["spindles"])
 
     world.wire.filters.insert(0, note)
-    return asked
+    return requested
 
 
-def unreachable(world: World, name: str) -> Any:
+def make_unreachable(world: World, name: str) -> Any:
     """No call reaches the machine, and no controller takes its heartbeats; it tries again each
     second, so that it is back soon after the end, within its lease."""
 
@@ -64,7 +64,7 @@
     return check
 
 
-async def restarted_after(world: World, replica: int = 0) -> float:
+async def restart_time_s(world: World, replica: int = 0) -> float:
     """How long it takes until the replica has been started once more."""
     before = len(world.cloud.starts)
     return await world.until(
@@ -74,19 +74,19 @@
 
 def test_the_replica_of_a_machine_that_died_runs_again_before_its_lease_is_over() -> None:
     async def story() -> None:
-        world = await begin()
-        asked, lost = deletions(world), home(world)
+        world = await running_service()
+        requested, lost = requested_deletions(world), machine_of(world)
         world.cloud.workers[lost].die()  # the cloud goes on listing it
-        assert await restarted_after(world) < 7.5 < LEASE_PROOF_S
-        assert asked[0] == lost and world.cloud.broken == []
+        assert await restart_time_s(world) < 7.5 < LEASE_PROOF_S
+        assert requested[0] == lost and world.cloud.broken == []
 
     play(story())
 
 
-def test_no_machine_is_deleted_for_one_lost_report() -> None:
+def test_no_machine_is_deleted_for_one_lost_heartbeat() -> None:
     async def story() -> None:
-        world = await begin()
-        asked, name = deletions(world), home(world)
+        world = await running_service()
+        requested, name = requested_deletions(world), machine_of(world)
 
         def lose_reports(src: str, dst: str, *rest: Any) -> str | None:
             return "cut" if src == name else None
@@ -96,28 +96,33 @@
             await asyncio.sleep(1.9)  # one heartbeat falls into it
             world.wire.filters.remove(lose_reports)
             await asyncio.sleep(12)
-        assert asked == [] and len(world.cloud.starts) == 2
+        assert requested == [] and len(world.cloud.starts) == 2
 
     play(story())
 
 
-def test_no_machine_is_deleted_that_answers_calls_while_no_controller_takes_its_reports() -> None:
+def test_no_machine_that_answers_calls_is_deleted_while_no_controller_takes_its_heartbeats() -> (
+    None
+):
     async def story() -> None:
-        world = await begin()
-        asked, name = deletions(world), home(world)
+        world = await running_service()
+        requested, name = requested_deletions(world), machine_of(world)
         world.wire.filters.append(lambda src, dst, *rest: "503" if src == name else None)
         await asyncio.sleep(8.5)
         world.wire.filters.pop()
         await asyncio.sleep(12)
-        assert asked == [] and len(world.cloud.starts) == 2, "it came back within its lease"
+        assert requested == [] and len(world.cloud.starts) == 2, "it came back within its lease"
 
     play(story())
 
 
 def test_no_machine_is_deleted_while_its_zone_is_cut_off() -> None:
     async def story() -> None:
-        world = await begin("aabb", scatter=False)
-        asked, zone = deletions(world), world.cloud.workers[home(world)].host["yard"]
+        world = await running_service("aabb", scatter=False)
+        requested, zone = (
+            requested_deletions(world),
+            world.cloud.workers[machine_of(world)].host["yard"],
+        )
         for name, worker in world.cloud.workers.items():
             if worker.host["yard"] == zone:
                 world.cut_off(name)
@@ -126,16 +131,16 @@
         for cut in cuts:
             world.wire.filters.remove(cut)
         await asyncio.sleep(10)
-        # Whoever lost two heartbeats in a row has lost its lease as well; but nothing is deleted.
-        assert asked == [] and world.cloud.broken == []
+        # A worker that lost two heartbeats in a row has lost its lease as well; nothing is deleted.
+        assert requested == [] and world.cloud.broken == []
 
     play(story())
 
 
-def test_a_leader_that_hears_nobody_deletes_nobody() -> None:
+def test_a_leader_that_gets_no_heartbeats_deletes_no_machine() -> None:
     async def story() -> None:
-        world = await begin()
-        asked, leader = deletions(world), str(world.leader)
+        world = await running_service()
+        requested, leader = requested_deletions(world), str(world.leader)
         world.wire.filters.append(
             lambda src, dst, *rest: (
                 "cut" if dst == f"{leader}:80" or (src == leader and dst.startswith("m-")) else None
@@ -144,25 +149,25 @@
         await asyncio.sleep(9)
         world.wire.filters.pop()
         await asyncio.sleep(10)
-        assert asked == [] and len(world.cloud.starts) == 2
+        assert requested == [] and len(world.cloud.starts) == 2
 
     play(story())
 
 
-def test_who_is_back_last_after_a_trouble_of_many_is_not_taken_for_dead() -> None:
+def test_a_machine_that_is_back_last_after_a_disruption_is_not_deleted() -> None:
     async def story() -> None:
-        world = await begin("aaaabbbb")
-        asked, leader, name = deletions(world), str(world.leader), home(world)
+        world = await running_service("aaaabbbb")
+        requested, leader, name = requested_deletions(world), str(world.leader), machine_of(world)
 
-        def apart(src: str, dst: str, *rest: Any) -> str | None:
+        def cut_leader_off(src: str, dst: str, *rest: Any) -> str | None:
             return "cut" if dst == f"{leader}:80" or src == leader and dst[:2] == "m-" else None
 
-        world.wire.filters.append(apart)
+        world.wire.filters.append(cut_leader_off)
         await asyncio.sleep(4)
-        world.wire.filters.remove(apart)
-        cut = unreachable(world, name)
+        world.wire.filters.remove(cut_leader_off)
+        cut = make_unreachable(world, name)
         await asyncio.sleep(6)
-        assert asked == []
+        assert requested == []
         world.wire.filters.remove(cut)
         await asyncio.sleep(10)
         assert world.cloud.broken == []
@@ -170,28 +175,28 @@
     play(story())
 
 
-def test_no_machine_is_deleted_early_whose_replicas_have_no_other_place() -> None:
+def test_no_machine_is_deleted_early_whose_replicas_have_no_place_elsewhere() -> None:
     async def story() -> None:
-        world = await begin("ab", yard=None)
-        asked, lost = deletions(world), home(world)
+        world = await running_service("ab", yard=None)
+        requested, lost = requested_deletions(world), machine_of(world)
         world.cloud.workers[lost].die()
         await asyncio.sleep(9.5)
-        assert asked == []
+        assert requested == []
         assert await served(world, 1, 2, 90) and world.cloud.broken == []
 
     play(story())
 
 
-def test_only_so_many_deletions_are_under_way_at_once() -> None:
+def test_the_number_of_early_deletions_in_progress_is_bounded() -> None:
     async def story() -> None:
-        world = await begin("aaaaaaaabbbbbbbb", pieces=8, vcpus=4.0)
+        world = await running_service("aaaaaaaabbbbbbbb", pieces=8, vcpus=4.0)
         world.wire.filters.append(
             lambda src, dst, method, path, body: "hold" if path == "/hosts/delete" else None
         )
-        asked = deletions(world)
-        homes = {home(world, replica) for replica in range(8)}
+        requested = requested_deletions(world)
+        service_machines = {machine_of(world, replica) for replica in range(8)}
         by_zone = [
-            sorted(n for n in homes if world.cloud.workers[n].host["yard"] == zone)[:2]
+            sorted(n for n in service_machines if world.cloud.workers[n].host["yard"] == zone)[:2]
             for zone in ("a", "b")
         ]
         lost = [name for names in by_zone for name in names]
@@ -199,7 +204,7 @@
         for name in lost:
             world.cloud.workers[name].die()
         await asyncio.sleep(LEASE_PROOF_S - 1.0)
-        assert len(set(asked)) == 2
+        assert len(set(requested)) == 2
         world.wire.filters.clear()
         await served(world, 1, 8, 60)
         assert world.cloud.broken == []
@@ -207,17 +212,17 @@
     play(story())
 
 
-def test_a_cut_ends_in_the_moment_of_the_deletion() -> None:
+def test_a_machine_that_reports_again_during_its_deletion_gets_no_new_work() -> None:
     # The machine is heard again while its deletion is on its way: it gets no new work, and its
     # replica starts elsewhere only once the deletion is confirmed.
     async def story() -> None:
-        world = await begin()
-        asked, name = deletions(world), home(world)
-        cut = unreachable(world, name)
+        world = await running_service()
+        requested, name = requested_deletions(world), machine_of(world)
+        cut = make_unreachable(world, name)
         world.wire.filters.append(
             lambda src, dst, method, path, body: "hold" if path == "/hosts/delete" else None
         )
-        await world.until(lambda: asked, 12)
+        await world.until(lambda: requested, 12)
         world.wire.filters.remove(cut)
         await world.submit(job(2, pieces=12))  # more than the other machines take
         await asyncio.sleep(6)
@@ -231,18 +236,18 @@
     play(story())
 
 
-def test_a_deletion_is_carried_out_late_under_a_leader_that_does_not_know_of_it() -> None:
+def test_a_deletion_that_takes_effect_late_under_the_next_leader_breaks_no_rule() -> None:
     async def story() -> None:
-        world = await begin()
-        asked, name = deletions(world), home(world)
+        world = await running_service()
+        requested, name = requested_deletions(world), machine_of(world)
         world.cloud.run_s = lambda task: 10_000.0 if "job-000001" in task else 10.0
-        cut = unreachable(world, name)
+        cut = make_unreachable(world, name)
 
         def hold(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
             return "hold" if path == "/hosts/delete" else None
 
         world.wire.filters.append(hold)
-        await world.until(lambda: asked, 12)
+        await world.until(lambda: requested, 12)
         world.kill(str(world.leader))
         world.wire.filters.remove(cut)
         world.wire.filters.remove(hold)
@@ -259,9 +264,9 @@
     play(story())
 
 
-def test_two_zones_are_in_trouble_one_after_the_other() -> None:
+def test_services_survive_zones_cut_off_one_after_the_other() -> None:
     async def story() -> None:
-        world = await begin("aaaabbbb", pieces=4)
+        world = await running_service("aaaabbbb", pieces=4)
         for zone in ("a", "b", "a"):
             names = [n for n, w in world.cloud.workers.items() if w.host["yard"] == zone]
             for name in names:
--- a/tests/test_service_reserve.py
+++ b/tests/test_service_reserve.py
@@ -1,4 +1,4 @@
-"""Ordinary machines kept for services."""
+"""Capacity reserve: on-demand machines kept for services."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 from tests.fakes.world import World, job
 
 
-async def shrunk(policy: dict[str, object]) -> tuple[World, str]:
-    """Eight ordinary machines with two replicas, long after the other work has ended. The world,
-    and a machine that a replica is on."""
+async def after_scale_in(policy: dict[str, object]) -> tuple[World, str]:
+    """Eight on-demand machines with two replicas, long after the other work has ended.
+
+    Returns the world, and a machine that a replica is on."""
     world = World(policy=policy)
     world.cloud.run_s = lambda task: 10_000.0 if "job-000001" in task else 20.0
     world.cloud.boot_s = 30.0
@@ -35,20 +36,20 @@
 @pytest.mark.parametrize("spares", [0, 1])
 def test_a_spare_machine_in_each_zone_takes_the_replicas_of_a_lost_one(spares: int) -> None:
     async def story() -> None:
-        world, lost = await shrunk({"service_spares": spares, "headroom": 0.1})
+        world, lost = await after_scale_in({"service_spares": spares, "headroom": 0.1})
         zones = [w.host["yard"] for w in world.cloud.workers.values()]
         assert sorted(zones) == ["a"] * (1 + spares) + ["b"] * (1 + spares)
         world.cloud.take(lost)
-        took = await served(world, 1, 2, 90)
-        assert took < 15 if spares else took > 30, "a boot"
+        restart_s = await served(world, 1, 2, 90)
+        assert restart_s < 15 if spares else restart_s > 30, "a boot"
         assert world.cloud.broken == []
 
     play(story())
 
 
-def test_the_reserve_works_for_others_until_a_replica_needs_it() -> None:
+def test_other_work_runs_on_the_reserve_until_a_replica_needs_it() -> None:
     async def story() -> None:
-        world, lost = await shrunk({"service_spares": 1, "headroom": 0.1})
+        world, lost = await after_scale_in({"service_spares": 1, "headroom": 0.1})
         world.cloud.run_s = lambda task: 10_000.0
         await world.submit(job(3, pieces=8, loaners=False))
         await world.until(lambda: len(world.cloud.on_machines("job-000003")) == 8, 60)
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -16,13 +16,13 @@
 from tests.fakes.world import LABELS, World, job
 
 
-async def begin(**fields: Any) -> World:
+async def running_service(**fields: Any) -> World:
     world = World()
     world.cloud.run_s = lambda task: 10_000.0
     world.cloud.capacity = 20
     await world.up()
-    for yard in ("a", "b"):
-        world.cloud.add(yard)
+    for zone in ("a", "b"):
+        world.cloud.add(zone)
     await asyncio.sleep(5)
     assert (await world.submit(service(**fields))).status == 201
     await served(world, 1, fields.get("pieces", 2))
@@ -31,7 +31,7 @@
 
 def test_a_service_runs_until_it_is_cancelled_and_costs_no_writes() -> None:
     async def story() -> None:
-        world = await begin(scatter=True)
+        world = await running_service(scatter=True)
         await asyncio.sleep(3)
         written = len(world.state.transactions)
         await asyncio.sleep(100)
@@ -53,7 +53,7 @@
     play(story())
 
 
-def test_what_can_never_be_a_service_is_refused() -> None:
+def test_a_service_that_can_never_run_is_refused() -> None:
     async def story() -> None:
         world = World()
         await world.up()
@@ -76,10 +76,10 @@
 
 
 @pytest.mark.parametrize("cause", ["done", "error", "halted"])
-def test_a_replica_that_ends_runs_again_with_a_bounded_pause(cause: str) -> None:
+def test_a_replica_that_ends_runs_again_after_a_bounded_backoff(cause: str) -> None:
     harness = RegistryHarness(shape="standing", rank="prod", pieces=2)
     harness.heartbeat()
-    pauses = []
+    backoffs_s = []
     for number in range(1, 12):
         harness.assign(0, number)
         harness.heartbeat()
@@ -90,13 +90,13 @@
             and harness.job_state.pending == 2
             and not harness.job_state.finished
         )
-        pauses.append(harness.job_state.retry_at - harness.now)
+        backoffs_s.append(harness.job_state.retry_at - harness.now)
         harness.save()
         harness.heartbeat()
         harness.now += 30.0
-    assert pauses[0] <= 0, "the first one runs again at once"
+    assert backoffs_s[0] <= 0, "the first one runs again at once"
     if cause != "halted":
-        assert pauses[3] > 0 and max(pauses) <= 10.0
+        assert backoffs_s[3] > 0 and max(backoffs_s) <= 10.0
         harness.assign(0, 20)
         harness.heartbeat()
         harness.heartbeat(on(0, 20))
@@ -105,7 +105,7 @@
         assert harness.job_state.failures == 0, "a replica that runs well clears it"
 
 
-def test_an_ended_replica_is_forgotten_by_its_worker() -> None:
+def test_an_ended_replica_is_acknowledged_to_its_worker() -> None:
     harness = RegistryHarness(shape="standing")
     harness.heartbeat()
     harness.assign()
@@ -135,7 +135,7 @@
 
 def test_a_lost_replica_runs_elsewhere_and_its_zones_hold() -> None:
     async def story() -> None:
-        world = await begin(pieces=4, scatter=True)
+        world = await running_service(pieces=4, scatter=True)
         for _ in range(3):
             world.cloud.take(world.cloud.starts[-1][2])
             assert await served(world, 1, 4, 60) < 25
@@ -144,44 +144,44 @@
     play(story())
 
 
-def test_on_a_notice_one_replica_moves_at_a_time() -> None:
+def test_on_a_preemption_notice_one_replica_moves_at_a_time() -> None:
     async def story() -> None:
         world = World()
         world.cloud.run_s = lambda task: 10_000.0
         world.cloud.capacity = 6
         await world.up()
-        for yard in ("a", "a", "b", "b"):
-            world.cloud.add(yard, loaner=True)
+        for zone in ("a", "a", "b", "b"):
+            world.cloud.add(zone, loaner=True)
         await asyncio.sleep(5)
         assert (await world.submit(service(pieces=4, loaners=True, vcpus=4.0))).status == 201
         await served(world, 1, 4)
         await asyncio.sleep(3)
-        taken = sorted({m for _, n, m in world.cloud.starts})
-        fewest = 4
-        for name in taken:
+        noticed = sorted({machine for _, _, machine in world.cloud.starts})
+        fewest_running = 4
+        for name in noticed:
             world.cloud.workers[name].recall = 25.0
             world.cloud.workers[name]._changed.set()
         for _ in range(250):
             await asyncio.sleep(0.1)
-            for name in taken:
+            for name in noticed:
                 if name in world.cloud.workers:
                     world.cloud.workers[name].recall = 24.0
-            fewest = min(fewest, len(world.cloud.on_machines("job-000001")))
+            fewest_running = min(fewest_running, len(world.cloud.on_machines("job-000001")))
             if {m for _, n, m in world.cloud.starts[4:]} and len(world.cloud.starts) >= 8:
                 break
-        assert fewest >= 3, "never more than one of them is missing"
+        assert fewest_running >= 3, "never more than one of them is missing"
         assert len(world.cloud.starts) >= 6 and world.cloud.broken == []
 
     play(story())
 
 
-def test_on_a_notice_a_replica_stays_until_it_has_somewhere_to_go() -> None:
+def test_on_a_preemption_notice_a_replica_stays_until_it_has_somewhere_to_go() -> None:
     async def story() -> None:
         world = World()
         world.cloud.run_s = lambda task: 10_000.0
         world.cloud.capacity = 2
-        for yard in ("a", "b"):
-            world.cloud.add(yard)
+        for zone in ("a", "b"):
+            world.cloud.add(zone)
         await asyncio.sleep(1)
         await world.up()
         await asyncio.sleep(5)
@@ -191,12 +191,12 @@
         worker = world.cloud.workers[world.cloud.starts[0][2]]
         began = world.now()
 
-        def notice(left: float) -> None:
-            worker.recall = left
+        def give_notice(left_s: float) -> None:
+            worker.recall = left_s
             worker._changed.set()
 
         while world.now() - began < 20.0:
-            notice(25.0 - (world.now() - began))
+            give_notice(25.0 - (world.now() - began))
             await asyncio.sleep(0.5)
             assert len(world.cloud.on_machines("job-000001")) == 2
         world.cloud.capacity = 3
@@ -207,9 +207,9 @@
     play(story())
 
 
-def test_a_service_lives_through_a_change_of_leader_and_an_outage() -> None:
+def test_a_service_survives_a_failover_and_a_store_outage() -> None:
     async def story() -> None:
-        world = await begin()
+        world = await running_service()
         world.kill(str(world.leader))
         await world.until(lambda: world.leader, 10)
         await asyncio.sleep(5)
@@ -222,9 +222,9 @@
     play(story())
 
 
-def test_a_zone_of_a_service_is_cut_off() -> None:
+def test_a_service_survives_a_zone_that_is_cut_off() -> None:
     async def story() -> None:
-        world = await begin(pieces=4, scatter=True)
+        world = await running_service(pieces=4, scatter=True)
         names = [n for n, w in world.cloud.workers.items() if w.host["yard"] == "b"]
         for name in names:
             world.cut_off(name)
@@ -238,9 +238,9 @@
 
 
 @pytest.mark.parametrize("wait", [0.0, 0.3, 0.8, 1.5, 3.0])
-def test_a_cancellation_meets_the_end_or_the_move_of_a_replica(wait: float) -> None:
+def test_a_cancellation_wins_over_the_end_or_the_move_of_a_replica(wait: float) -> None:
     async def story() -> None:
-        world = await begin()
+        world = await running_service()
         world.cloud.run_s = lambda task: 0.5
         name = world.cloud.starts[0][2]
         world.cloud.workers[name].recall = 25.0
