--- a/spoolcourse/control/autoscaling/autoscaler.py
+++ b/spoolcourse/control/autoscaling/autoscaler.py
@@ -86,7 +86,7 @@
                 logged_at = self._clock()
                 log_fleet_summary(self._registry, self._types)
                 self._owner.on_fleet_summary()
-            names = self._scale_in.machines_to_delete(may_lead=self._owner.may_start())
+            names = self._scale_in.machines_to_delete(holds_lease=self._owner.may_start())
             for start in range(0, min(len(names), self._max_deletions), DELETE_MAX):
                 await self._delete(names[start : start + DELETE_MAX])
 
--- a/spoolcourse/control/autoscaling/scale_in.py
+++ b/spoolcourse/control/autoscaling/scale_in.py
@@ -25,10 +25,10 @@
     """What holds for all machines in one round of decisions."""
 
     now: float
-    may_lead: bool
+    holds_lease: bool
     may_judge_silence: bool
     overdue_jobs: OverdueJobs
-    early: set[str]  # deleted early, for the replicas on them
+    early_deletions: set[str]  # for the replicas on them
     kept: set[str]  # not deleted for being idle
     spare_cpus: float  # above the peak of demand with headroom; shrinks with each idle machine
 
@@ -63,14 +63,14 @@
             context.wall_clock,
         )
 
-    def machines_to_delete(self, may_lead: bool) -> list[str]:
+    def machines_to_delete(self, holds_lease: bool) -> list[str]:
         """The names of the machines to be deleted now, the most urgent ones first.
 
-        After a standstill, or cut off from the key-value store, this controller may lead no more
-        (`may_lead` is false): what looks idle or silent here may be at work for another. What a
+        After a standstill, or cut off from the key-value store, this controller may no longer lead
+        (`holds_lease` is false): what looks idle or silent here may be at work for another. What a
         cancelled job may hold is deleted nevertheless; there may be no other leader to do it.
         """
-        situation = self._assess(may_lead)
+        situation = self._assess(holds_lease)
         urgent: list[str] = []
         others: list[str] = []
         for machine in self._registry.machines.values():
@@ -84,9 +84,9 @@
             (urgent if is_urgent else others).append(machine.id)
         return urgent + others
 
-    def _assess(self, may_lead: bool) -> _Situation:
+    def _assess(self, holds_lease: bool) -> _Situation:
         now = self._clock()
-        may_judge_silence = may_lead and not self._faults.is_controller_isolated()
+        may_judge_silence = holds_lease and not self._faults.is_controller_isolated()
         overdue_jobs = self._cancelled_work.overdue_jobs()
         early = self._early_deletion.machines_to_delete()  # called all the time: see there
         reserved = self._reserve.reserved_machines()
@@ -95,7 +95,7 @@
         self._excess_capacity.mark_scale_in_candidates(now, initial_machines, reserved)
         return _Situation(
             now,
-            may_lead,
+            holds_lease,
             may_judge_silence,
             overdue_jobs,
             early if may_judge_silence else set(),
@@ -114,9 +114,9 @@
         fault = self._faults.find(machine, situation.now, situation.may_judge_silence)
         if fault is not None:
             return fault
-        if machine.id in situation.early:
+        if machine.id in situation.early_deletions:
             return DeletionReason.REPLICAS_UNPROVEN
-        if situation.may_lead and self._is_excess(machine, situation):
+        if situation.holds_lease and self._is_excess(machine, situation):
             situation.spare_cpus -= self._types.cpus(machine)
             return DeletionReason.IDLE
         return None
--- a/spoolcourse/control/autoscaling/scale_out.py
+++ b/spoolcourse/control/autoscaling/scale_out.py
@@ -112,7 +112,7 @@
             if name not in self._registry.deleted_names:
                 self._register_machine(name, kind, requested_at)
         log.info(
-            "scale out: rented=%d of %d %s machines=%s",
+            "scale out: rented=%d requested=%d %s machines=%s",
             len(names),
             count,
             _kind_fields(kind),
