--- a/spoolcourse/control/autoscaling/autoscaler.py
+++ b/spoolcourse/control/autoscaling/autoscaler.py
@@ -1,54 +1,42 @@
-"""The fleet as wanted and as it is: the loops that list, rent and return machines.
+"""Autoscaling of the fleet: the loops that list, rent and delete machines.
 
-The wanted state is what the last pass found missing and what stands idle; the loops
-here work out the difference and ask the cloud for it.
+The wanted state is what the last placement pass found missing and what is idle; the loops here
+work out the difference and ask the cloud for it.
 """
 
 from __future__ import annotations
 
 import asyncio
 import logging
-from typing import Protocol
 
 from spoolcourse.control.autoscaling.early_deletion import EarlyDeletion
 from spoolcourse.control.autoscaling.excess_capacity import ExcessCapacity
-from spoolcourse.control.autoscaling.fleet_summary import log_fleet
-from spoolcourse.control.autoscaling.fleet_view import FleetView
+from spoolcourse.control.autoscaling.fleet_summary import log_fleet_summary
 from spoolcourse.control.autoscaling.machine_list import MachineListLoop
+from spoolcourse.control.autoscaling.machine_type_lookup import MachineTypeLookup
+from spoolcourse.control.autoscaling.owner import AutoscalerOwner
 from spoolcourse.control.autoscaling.replica_places import ReplicaPlaces
 from spoolcourse.control.autoscaling.replica_probe import ReplicaProbe
-from spoolcourse.control.autoscaling.scale_in import ScaleIn, ScaleInOwner
+from spoolcourse.control.autoscaling.scale_in import ScaleIn
 from spoolcourse.control.autoscaling.scale_out import ScaleOut
 from spoolcourse.control.autoscaling.service_reserve import ServiceReserve
-from spoolcourse.control.cloud.client import CloudError, NoCapacityError, max_deletions
+from spoolcourse.control.cloud.client import max_deletions
+from spoolcourse.control.cloud.errors import CloudError
 from spoolcourse.control.leader_context import LeaderContext
 from spoolcourse.control.process_load import SUMMARY_S
 from spoolcourse.wire.cloud import DELETE_MAX
-from spoolcourse.wire.messages import Host
 
 log = logging.getLogger(__name__)
 
 SCALE_IN_PERIOD_S = 1.0
 
 
-class AutoscalerOwner(ScaleInOwner, Protocol):
-    """What the autoscaler asks of the leader, and tells it."""
-
-    def may_start(self) -> bool:
-        """Whether nobody else can lead by now."""
-        ...
-
-    async def on_list(self, hosts: list[Host]) -> None:
-        """The cloud has listed its machines."""
-        ...
-
-    def on_summary(self) -> None:
-        """Time for a summary in the log."""
-        ...
-
-
 class FleetAutoscaler:
-    """The parts put together, and the loop that deletes machines."""
+    """The parts of the autoscaler, and the loop that deletes machines.
+
+    `excess_capacity` is given the demand of each placement pass, `scale_out` what to rent;
+    `machine_list`, `scale_out` and `replica_probe` have loops of their own.
+    """
 
     def __init__(
         self,
@@ -56,29 +44,29 @@
         owner: AutoscalerOwner,
     ) -> None:
         context, policy, registry = leader.controller, leader.policy, leader.registry
-        self._cloud = context.cloud.writer(leader.proof)
+        self._cloud = context.cloud.provisioning(leader.proof)
         self._max_deletions = max_deletions(context.params.cloud.rps)
         self._clock = context.clock
         self._registry = registry
         self._owner = owner
-        self._view = FleetView(context.machine_types)
-        self.excess_capacity = ExcessCapacity(policy, registry, self._view, owner.is_rare)
-        self.scale_out = ScaleOut(leader, self._cloud, self._view, owner.may_start)
-        self.machine_list = MachineListLoop(leader, self._view, owner.on_list)
-        self.places = ReplicaPlaces(
+        self._types = MachineTypeLookup(context.machine_types)
+        self.excess_capacity = ExcessCapacity(policy, registry, self._types, owner.is_rare_type)
+        self.scale_out = ScaleOut(leader, self._cloud, self._types, owner.may_start)
+        self.machine_list = MachineListLoop(leader, self._types, owner.on_machine_list)
+        self.replica_places = ReplicaPlaces(
             registry, context.params.workers, context.clock, context.machine_types
         )
-        self.replica_probe = ReplicaProbe(context.net, registry, self.places, context.clock)
-        self.reserve = ServiceReserve(registry, policy, self._view)
+        self.replica_probe = ReplicaProbe(context.net, registry, self.replica_places, context.clock)
+        self.service_reserve = ServiceReserve(registry, policy, self._types)
         self._scale_in = ScaleIn(
             leader,
             owner,
-            self._view,
+            self._types,
             self.excess_capacity,
-            self.reserve,
+            self.service_reserve,
             EarlyDeletion(
                 registry,
-                self.places,
+                self.replica_places,
                 self.replica_probe,
                 context.clock,
                 context.params.workers.lease_s,
@@ -86,16 +74,19 @@
         )
 
     async def scale_in_loop(self) -> None:
-        """Delete what is to be returned, until cancelled."""
+        """Delete the machines that scale-in chooses, until cancelled.
+
+        A failed deletion is requested again in the next round: `deletion_requested` stays set.
+        """
         logged_at = float("-inf")
         while True:
             await asyncio.sleep(SCALE_IN_PERIOD_S)
             self._registry.expire_leases()
             if log.isEnabledFor(logging.INFO) and self._clock() - logged_at > SUMMARY_S:
                 logged_at = self._clock()
-                log_fleet(self._registry, self._view)
-                self._owner.on_summary()
-            names = self._scale_in.machines(leads=self._owner.may_start())
+                log_fleet_summary(self._registry, self._types)
+                self._owner.on_fleet_summary()
+            names = self._scale_in.machines_to_delete(holds_lease=self._owner.may_start())
             for start in range(0, min(len(names), self._max_deletions), DELETE_MAX):
                 await self._delete(names[start : start + DELETE_MAX])
 
@@ -104,8 +95,8 @@
             self._registry.machines[name].deletion_requested = True
         try:
             await self._cloud.delete(names)
-        except (CloudError, NoCapacityError) as exc:
-            log.info("deletion: %s", exc)
+        except CloudError as exc:
+            log.info("machine deletion failed: machines=%d reason=%s", len(names), exc)
             return
         for name in names:
             self._registry.forget_deleted_machine(name)
--- a/spoolcourse/control/autoscaling/machine_list.py
+++ b/spoolcourse/control/autoscaling/machine_list.py
@@ -6,8 +6,8 @@
 import logging
 from collections.abc import Awaitable, Callable
 
-from spoolcourse.control.autoscaling.fleet_view import FleetView
-from spoolcourse.control.cloud.client import CloudError
+from spoolcourse.control.autoscaling.machine_type_lookup import MachineTypeLookup
+from spoolcourse.control.cloud.errors import CloudRequestFailedError
 from spoolcourse.control.leader_context import LeaderContext
 from spoolcourse.control.workers.fencing_token_announcer import FencingTokenAnnouncer
 from spoolcourse.control.workers.machine import Machine
@@ -24,7 +24,7 @@
     def __init__(
         self,
         leader: LeaderContext,
-        view: FleetView,
+        types: MachineTypeLookup,
         on_list: Callable[[list[Host]], Awaitable[None]],
     ) -> None:
         context = leader.controller
@@ -35,7 +35,7 @@
         self._announcer = FencingTokenAnnouncer(
             context.net, leader.registry, context.params.machine_limits.sockets
         )
-        self._view = view
+        self._types = types
         self._on_list = on_list
 
     async def run(self) -> None:
@@ -43,13 +43,13 @@
         while True:
             try:
                 requested_at = self._clock()
-                hosts = await self._cloud.hosts()
+                hosts = await self._cloud.list_machines()
                 self._update_machines(hosts, requested_at)
                 await self._on_list(hosts)
                 await self._announcer.announce(
                     self._unconfirmed(hosts), fleet_size=len(self._registry.machines)
                 )
-            except CloudError as exc:
+            except CloudRequestFailedError as exc:
                 log.info("machine list: %s", exc)
             await asyncio.sleep(self._period_s)
 
@@ -71,7 +71,7 @@
         if machine.rented_at is None:
             machine.rented_at = requested_at - host.age_s
         if machine.last_heartbeat_at is None and machine.expected_ready_at is None:
-            machine.expected_ready_at = machine.rented_at + self._view.boot_s(machine)
+            machine.expected_ready_at = machine.rented_at + self._types.boot_s(machine)
 
     def _unconfirmed(self, hosts: list[Host]) -> list[Machine]:
         """Running machines that have sent no heartbeat under the leader's fencing token."""
