--- a/spoolcourse/control/workers/call_limit.py
+++ b/spoolcourse/control/workers/call_limit.py
@@ -3,16 +3,21 @@
 from __future__ import annotations
 
 MACHINES_PER_CALL = 8
-SOCKETS_SHARE = 0.2  # of a controller's, for calls to machines
+CALL_SOCKETS_SHARE = 0.2  # of a controller's sockets, for calls to machines
 
 
-def concurrent_call_limit(least: int, machines: int, sockets: int) -> int:
-    """The bound for a fleet of that size; `sockets` of the controller, 0 if not known.
+def concurrent_call_limit(minimum: int, machines: int, sockets: int) -> int:
+    """The limit for so many machines, at least `minimum`.
 
-    Calls to machines behind a cut hang until they time out. With a fixed bound, those to a third
-    of a large fleet kept the calls to the rest waiting for many seconds.
+    Calls to machines behind a cut hang until they time out. With a fixed limit, those to a third
+    of many machines kept the calls to the rest waiting for many seconds.
+
+    Args:
+        minimum: the limit for few machines.
+        machines: how many machines there are.
+        sockets: how many the controller may open; 0 if that is not known.
     """
-    wanted = max(least, machines // MACHINES_PER_CALL)
+    limit = max(minimum, machines // MACHINES_PER_CALL)
     if sockets:
-        wanted = min(wanted, int(sockets * SOCKETS_SHARE))
-    return max(least, wanted)
+        limit = min(limit, int(sockets * CALL_SOCKETS_SHARE))
+    return max(minimum, limit)
--- a/spoolcourse/control/workers/command_dispatcher.py
+++ b/spoolcourse/control/workers/command_dispatcher.py
@@ -1,9 +1,9 @@
-"""Takes starts and stops to workers at once instead of waiting for their next heartbeats.
+"""Sends starts and stops to workers at once instead of waiting for their next heartbeats.
 
 A command sent to a machine's address may be executed minutes late, so a start that got no answer
 stays possible on that machine until its incarnation or our term ends
-(`Attempt.in_flight_incarnation`). Every attempt is sent this way once; what goes wrong is left to
-the heartbeat responses.
+(`Attempt.in_flight_incarnation`). Every attempt is sent this way once; if that fails, its commands
+are left to the heartbeat responses.
 """
 
 from __future__ import annotations
@@ -21,20 +21,21 @@
 
 log = logging.getLogger(__name__)
 
-PAUSE_S = 10.0
-CALLS_LEAST = 192  # calls that may be under way at once in a small fleet
-SPARE = 0.15  # of the sockets, for users, peers and what is under way
+UNREACHABLE_PAUSE_S = 10.0  # a machine whose address did not answer is not called before
+MIN_CALL_LIMIT = 192  # calls that may be under way at once with few machines
+RESERVED_SOCKETS_SHARE = 0.15  # of the sockets, for users, peers and what is under way
 
 
 class CommandDispatcher:
-    """Sends what is due to machines' addresses, to each one request at a time."""
+    """Sends pending commands to machines' addresses, to each one request at a time."""
 
     def __init__(self, net: HttpClient, registry: WorkerRegistry, sockets: int = 0) -> None:
+        """`sockets`: how many the controller may open; 0 if that is not known."""
         self._net = net
         self._registry = registry
         self._sockets = sockets
         self.wake = asyncio.Event()
-        self._busy: dict[str, asyncio.Task[None]] = {}
+        self._calls: dict[str, asyncio.Task[None]] = {}  # under way, by machine
 
     async def run(self) -> None:
         """Run until cancelled."""
@@ -42,51 +43,59 @@
             while True:
                 await self.wake.wait()
                 self.wake.clear()
-                for machine in self._registry.commands.machines_to_call(self._busy):
-                    if self._is_full():
-                        break  # whoever comes back sees to the rest
-                    task = asyncio.get_running_loop().create_task(self._send(machine))
-                    self._busy[machine.id] = task
+                for machine in self._registry.commands.machines_to_call(self._calls):
+                    if self._is_at_limit():
+                        break  # the next call that ends wakes this loop for the rest
+                    call = asyncio.get_running_loop().create_task(self._send(machine))
+                    self._calls[machine.id] = call
         finally:
-            for task in self._busy.values():
-                task.cancel()
+            for call in self._calls.values():
+                call.cancel()
 
-    def _is_full(self) -> bool:
-        most = concurrent_call_limit(CALLS_LEAST, len(self._registry.machines), self._sockets)
-        return len(self._busy) >= most
+    def _is_at_limit(self) -> bool:
+        machines = len(self._registry.machines)
+        return len(self._calls) >= concurrent_call_limit(MIN_CALL_LIMIT, machines, self._sockets)
 
-    def may_keep(self) -> bool:
+    def may_keep_connections(self) -> bool:
         """Whether connections to machines may stay open beside those of their heartbeats.
 
-        With two for each machine a fleet would use up the controller's sockets, and workers' and
-        users' new connections would fail.
+        With two for each machine, many machines would use up the controller's sockets, and new
+        connections of workers and users would fail.
         """
         if not self._sockets:
             return True
-        return 2 * len(self._registry.machines) < self._sockets * (1 - SPARE)
+        return 2 * len(self._registry.machines) < self._sockets * (1 - RESERVED_SOCKETS_SHARE)
 
     async def _send(self, machine: Machine) -> None:
         try:
-            attempts = self._registry.commands.claim_starts(machine)
-            incarnation = WorkerIncarnation(machine.address, machine.incarnation)
-            commands = self._registry.commands.claim_stops(machine) + [
-                Start(a.name, a.number) for a in attempts
-            ]
-            try:
-                heartbeat = await send_commands(
-                    self._net, self._registry.proof, incarnation, commands, self.may_keep()
-                )
-            except (NoResponseError, MalformedError) as exc:
-                # Until it can be reached, the heartbeat responses have to do.
-                machine.unreachable_until = asyncio.get_running_loop().time() + PAUSE_S
-                log.debug("%s: %d commands without an answer: %s", machine.id, len(commands), exc)
-                return
-            if heartbeat.machine == machine.id:
-                for attempt in attempts:
-                    attempt.in_flight_incarnation = None
-                self._registry.observe_heartbeat(heartbeat)
+            await self._send_commands(machine)
         finally:
-            held_back = self._is_full()
-            self._busy.pop(machine.id, None)
-            if held_back or machine.id in self._registry.pending_commands:
+            was_at_limit = self._is_at_limit()
+            self._calls.pop(machine.id, None)
+            if was_at_limit or machine.id in self._registry.pending_commands:
                 self.wake.set()
+
+    async def _send_commands(self, machine: Machine) -> None:
+        attempts = self._registry.commands.claim_starts(machine)
+        incarnation = WorkerIncarnation(machine.address, machine.incarnation)
+        commands = self._registry.commands.claim_stops(machine) + [
+            Start(attempt.name, attempt.number) for attempt in attempts
+        ]
+        try:
+            heartbeat = await send_commands(
+                self._net, self._registry.proof, incarnation, commands, self.may_keep_connections()
+            )
+        except (NoResponseError, MalformedError) as exc:
+            # Until it can be reached, its commands go with the heartbeat responses.
+            machine.unreachable_until = asyncio.get_running_loop().time() + UNREACHABLE_PAUSE_S
+            log.debug(
+                "commands not answered: machine=%s commands=%d cause=%s",
+                machine.id,
+                len(commands),
+                exc,
+            )
+            return
+        if heartbeat.machine == machine.id:
+            for attempt in attempts:
+                attempt.in_flight_incarnation = None
+            self._registry.observe_heartbeat(heartbeat)
--- a/spoolcourse/control/workers/worker_client.py
+++ b/spoolcourse/control/workers/worker_client.py
@@ -1,4 +1,7 @@
-"""Calls to workers' own addresses. Every answer is the worker's heartbeat."""
+"""Calls to workers' own addresses (PROTOCOL, Controller nodes -> workers).
+
+Every response is the worker's heartbeat. It renews no lease.
+"""
 
 from __future__ import annotations
 
@@ -15,12 +18,6 @@
 REFUSED = 409  # for its fencing token or its incarnation; nothing was executed
 
 
-async def fetch_heartbeat(net: HttpClient, address: str) -> Heartbeat:
-    """What the worker heartbeats now; raises `NetError` or `MalformedError`."""
-    reply = await net.call(address, "GET", paths.SHOW, timeout=TIMEOUT_S, keep=False)
-    return parse(reply.data, Heartbeat)
-
-
 @dataclass(frozen=True, slots=True)
 class WorkerIncarnation:
     """A worker in one of its incarnations, at its address."""
@@ -29,10 +26,24 @@
     number: int
 
 
+async def fetch_heartbeat(net: HttpClient, address: str) -> Heartbeat:
+    """The worker's current heartbeat.
+
+    Raises:
+        NoResponseError: the worker did not answer.
+        MalformedError: its answer is no heartbeat.
+    """
+    response = await net.call(address, "GET", paths.SHOW, timeout=TIMEOUT_S, keep=False)
+    return parse(response.data, Heartbeat)
+
+
 async def raise_fencing_token(net: HttpClient, proof: FailoverProof, address: str) -> Heartbeat:
-    """Tell a worker of the term, without commands; the worker's heartbeat."""
-    found = await fetch_heartbeat(net, address)
-    return await send_commands(net, proof, WorkerIncarnation(address, found.incarnation), [])
+    """Make the term's fencing token known to a worker, without commands; its heartbeat.
+
+    Raises `NoResponseError` or `MalformedError`; the token may then be raised late.
+    """
+    heartbeat = await fetch_heartbeat(net, address)
+    return await send_commands(net, proof, WorkerIncarnation(address, heartbeat.incarnation), [])
 
 
 async def send_commands(
@@ -42,17 +53,17 @@
     commands: list[Command],
     keep: bool = False,
 ) -> Heartbeat:
-    """The worker's heartbeat after the commands, executed or refused.
+    """The worker's heartbeat after the commands, whether they were executed or refused.
 
-    Raises `NetError` or `MalformedError`; the commands may then be executed late. `keep`: the
-    connection may stay open.
+    `keep`: the connection may stay open. Raises `NoResponseError` or `MalformedError`; the commands
+    may then be executed late (PROTOCOL, Delayed messages).
     """
     request = CommandRequest(proof.fencing_token, incarnation.number, commands)
     body = to_json_object(request)
-    reply = await net.call(
+    response = await net.call(
         incarnation.address, "POST", paths.COMMANDS, body, timeout=TIMEOUT_S, keep=keep
     )
-    heartbeat = parse(reply.data, Heartbeat)
-    if reply.status not in (EXECUTED, REFUSED):
-        raise NoResponseError(f"{paths.COMMANDS}: status {reply.status}")
+    heartbeat = parse(response.data, Heartbeat)
+    if response.status not in (EXECUTED, REFUSED):
+        raise NoResponseError(f"POST {paths.COMMANDS}: status {response.status}")
     return heartbeat
--- a/spoolcourse/wire/commands.py
+++ b/spoolcourse/wire/commands.py
@@ -1,4 +1,9 @@
-"""Commands to workers, and the answers to their heartbeats."""
+"""Commands to workers, and the responses to their heartbeats.
+
+The protocol's spellings stand in the fields' names only. A worker executes commands in order, and
+every command can be repeated, but a start after an acknowledgement starts the attempt again
+(PROTOCOL, POST /v1/report).
+"""
 
 from __future__ import annotations
 
@@ -8,14 +13,18 @@
 
 
 class Start(msgspec.Struct, frozen=True, tag_field="verb", tag="start"):
-    """Start an attempt at a task. Without effect if the worker knows the attempt."""
+    """Start an attempt at a task. Without effect while the worker knows the attempt."""
 
     task: str = msgspec.field(name="piece")
     attempt: int = msgspec.field(name="try")
 
 
 class Stop(msgspec.Struct, frozen=True, tag_field="verb", tag="halt"):
-    """Stop an attempt; with enough of a grace period it saves its progress first."""
+    """Stop an attempt.
+
+    With a grace period of at least the job's checkpoint cost, a running task with checkpoints saves
+    its progress first. A grace period of 0 also ends a task that is saving.
+    """
 
     task: str = msgspec.field(name="piece")
     attempt: int = msgspec.field(name="try")
@@ -23,7 +32,7 @@
 
 
 class Acknowledge(msgspec.Struct, frozen=True, tag_field="verb", tag="reap"):
-    """Forget an attempt that has ended: its end is known."""
+    """Let the worker forget an ended attempt: it is listed no longer."""
 
     task: str = msgspec.field(name="piece")
     attempt: int = msgspec.field(name="try")
@@ -33,10 +42,10 @@
 
 
 class CommandRequest(msgspec.Struct, frozen=True):
-    """Commands sent to a worker's address.
+    """Commands sent to a worker's address (PROTOCOL, POST /orders).
 
     A worker in another incarnation refuses them, and so does one that has seen a higher fencing
-    token.
+    token. They renew no lease.
     """
 
     fencing_token: int = msgspec.field(name="baton")
@@ -45,10 +54,10 @@
 
 
 class HeartbeatResponse(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The answer to a heartbeat. Without a fencing token it renews no lease.
+    """The response to a heartbeat. Without a fencing token it renews no lease (PROTOCOL, Tokens).
 
-    `hears_no_worker` is for a follower that passed the heartbeat on: whether the leader gets no
-    reports itself, so that the worker should stay with the follower.
+    `hears_no_worker` is for a follower that forwarded the heartbeat: whether the leader gets no
+    heartbeats itself, so that the worker should stay with the follower.
     """
 
     commands: list[Command] = msgspec.field(name="orders")
@@ -57,12 +66,12 @@
 
 
 class Redirect(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Sends a worker to the leader, or, without a name, to the next controller."""
+    """Sends a worker to the leader, or, without a label, to the next controller (status 421)."""
 
     leader: str | None = msgspec.field(name="foreman", default=None)
 
 
 def to_json_object(message: msgspec.Struct) -> dict[str, Any]:
     """A message as a JSON object in the protocol's spelling."""
-    found: dict[str, Any] = msgspec.to_builtins(message)
-    return found
+    json_object: dict[str, Any] = msgspec.to_builtins(message)
+    return json_object
--- a/spoolcourse/wire/messages.py
+++ b/spoolcourse/wire/messages.py
@@ -1,4 +1,8 @@
-"""Messages of users, workers and cloud, with the protocol's spellings."""
+"""Messages of users, workers and cloud.
+
+The protocol's spellings stand in the fields' names and the enums' values only. Sources: PROTOCOL,
+Users -> controller nodes; Workers -> controller nodes; Controller nodes -> cloud.
+"""
 
 from __future__ import annotations
 
@@ -21,12 +25,12 @@
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 Amount = Annotated[float, msgspec.Meta(ge=0)]
-Token = Annotated[int, msgspec.Meta(ge=0)]
+Count = Annotated[int, msgspec.Meta(ge=0)]
 Seconds = Annotated[float, msgspec.Meta(ge=0)]
 
 
 class TaskStage(StrEnum):
-    """What a worker reports of a task."""
+    """The state of a task in a worker's heartbeat."""
 
     FETCHING = "pulling"
     RUNNING = "running"
@@ -35,7 +39,7 @@
 
 
 class EndCause(StrEnum):
-    """Why a task has ended; a worker may name causes that are not listed here."""
+    """Why an attempt has ended; a worker may name causes that are not listed here."""
 
     DONE = "done"
     STOPPED = "halted"
@@ -54,7 +58,7 @@
 
 
 class JobStage(Enum):
-    """What users are told of a job. The last two are final."""
+    """The state of a job for its user. The last two are final."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -63,7 +67,7 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether the job is over for good."""
+        """Whether the job is over."""
         return self in (JobStage.DONE, JobStage.CANCELLED)
 
 
@@ -72,7 +76,7 @@
 
 
 class Submission(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a user submits. Unknown fields are ignored."""
+    """A job as its user submits it. Unknown fields are ignored."""
 
     id: str
     job_class: Name = msgspec.field(name="lane")
@@ -138,23 +142,27 @@
     """One task in a worker's heartbeat."""
 
     task: str = msgspec.field(name="piece")
-    attempt: Token = msgspec.field(name="try")
+    attempt: Count = msgspec.field(name="try")
     stage: TaskStage
     cause: str | None = None
     stored: bool = False
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """What a worker reports of its machine: the answer to a call too."""
+    """The state of a worker and its machine: what it reports, and its response to any call.
+
+    The one with the larger (incarnation, sequence) is the newer one. `tasks` lists all attempts
+    there, ended ones too until they are acknowledged.
+    """
 
     machine: Name = msgspec.field(name="spindle")
     address: str
     machine_type: Name = msgspec.field(name="build")
     zone: Name = msgspec.field(name="yard")
     spot: bool = msgspec.field(name="loaners")
-    incarnation: Token = msgspec.field(name="shift")
-    sequence: Token = msgspec.field(name="tick")
-    fencing_token: Token = msgspec.field(name="baton")
+    incarnation: Count = msgspec.field(name="shift")
+    sequence: Count = msgspec.field(name="tick")
+    fencing_token: Count = msgspec.field(name="baton")
     tasks: list[TaskStatus] = msgspec.field(name="pieces")
     terminates_in_s: float | None = msgspec.field(name="recallS", default=None)
 
@@ -200,22 +208,22 @@
 
 
 class ProvisionedMachines(msgspec.Struct, frozen=True):
-    """The names of the machines that a rental request has brought."""
+    """The names of the machines that a rental request has provisioned."""
 
     machines: list[str] = msgspec.field(name="spindles")
 
 
-def _finite(value: Any) -> bool:
+def _is_finite(value: Any) -> bool:
     if isinstance(value, float):
         return math.isfinite(value)
     if isinstance(value, dict):
-        return all(_finite(v) for v in value.values())
+        return all(_is_finite(v) for v in value.values())
     if isinstance(value, list):
-        return all(_finite(v) for v in value)
+        return all(_is_finite(v) for v in value)
     return True
 
 
-def _load(raw: bytes) -> Any:
+def _decode_any(raw: bytes) -> Any:
     try:
         return orjson.loads(raw)
     except orjson.JSONDecodeError as exc:
@@ -223,15 +231,15 @@
 
 
 def decode(raw: bytes) -> Any:
-    """JSON with finite numbers only."""
-    data = _load(raw)
-    if not _finite(data):
+    """Decode JSON with finite numbers only; raises `MalformedError`."""
+    data = _decode_any(raw)
+    if not _is_finite(data):
         raise MalformedError("a number is not finite")
     return data
 
 
 def parse(data: Any, kind: type[T]) -> T:
-    """Check decoded JSON against a message type."""
+    """Check decoded JSON against a message type; raises `MalformedError`."""
     try:
         return msgspec.convert(data, kind)
     except msgspec.ValidationError as exc:
@@ -264,12 +272,12 @@
 
 
 def parse_heartbeat(raw: bytes) -> Heartbeat:
-    """Check a worker's heartbeat. Heartbeats are by far the most frequent message."""
-    heartbeat = parse(_load(raw), Heartbeat)
+    """Check a worker's heartbeat, by far the most frequent message; raises `MalformedError`."""
+    heartbeat = parse(_decode_any(raw), Heartbeat)
     if heartbeat.terminates_in_s is not None and not math.isfinite(heartbeat.terminates_in_s):
         raise MalformedError("recallS: a number is not finite")
-    for item in heartbeat.tasks:
-        parse_task_name(item.task)
-        if item.stage is TaskStage.ENDED and not item.cause:
-            raise MalformedError(f"pieces: {item.task}: ended without a cause")
+    for status in heartbeat.tasks:
+        parse_task_name(status.task)
+        if status.stage is TaskStage.ENDED and not status.cause:
+            raise MalformedError(f"pieces: {status.task}: ended without a cause")
     return heartbeat
--- a/tests/test_unresponsive_machines.py
+++ b/tests/test_unresponsive_machines.py
@@ -150,7 +150,7 @@
     # A zone cut off: every call there hangs until it times out. Guards against a call for
     # each machine at once, and against connections to a whole fleet kept open beside those
     # that the heartbeats come on.
-    monkeypatch.setattr(command_dispatcher, "CALLS_LEAST", 6)
+    monkeypatch.setattr(command_dispatcher, "MIN_CALL_LIMIT", 6)
 
     async def story() -> None:
         world = World()
@@ -165,7 +165,7 @@
         def cut(src: str, dst: str, *rest: Any) -> str | None:
             if src != leader or not dst.endswith(":9000"):
                 return None
-            seen.append(len(active.command_dispatcher._busy))
+            seen.append(len(active.command_dispatcher._calls))
             return "cut"
 
         world.wire.filters.append(cut)
@@ -175,10 +175,10 @@
         machines = len(active.registry.machines)
         assert command_dispatcher.CommandDispatcher(
             active.command_dispatcher._net, active.registry, 4 * machines
-        ).may_keep()
+        ).may_keep_connections()
         assert not command_dispatcher.CommandDispatcher(
             active.command_dispatcher._net, active.registry, 2 * machines
-        ).may_keep()
+        ).may_keep_connections()
 
     play(story())
 
