--- a/spoolcourse/control/autoscaling/cancelled_work.py
+++ b/spoolcourse/control/autoscaling/cancelled_work.py
@@ -72,6 +72,6 @@
             return False
         known = self._clock() - machine.first_seen_at
         jobs = {job for job, _ in machine.attempts} | {
-            unexpected[0] for unexpected in machine.unexpected_attempts
+            attempt_id.job for attempt_id in machine.unexpected_attempts
         }
         return any(known > overdue[job] for job in jobs if job in overdue)
--- a/spoolcourse/control/autoscaling/early_deletion.py
+++ b/spoolcourse/control/autoscaling/early_deletion.py
@@ -111,7 +111,7 @@
                 continue
             zone = machine.zone or ""
             zones.heard[zone] += 1
-            if now - machine.last_own_heartbeat_at > self._places.late_s:
+            if machine.is_overdue(now, self._places.late_s):
                 zones.late[zone] += 1
         return zones
 
--- a/spoolcourse/control/autoscaling/replica_places.py
+++ b/spoolcourse/control/autoscaling/replica_places.py
@@ -44,7 +44,7 @@
             if machine.id == replica.machine or not machine.is_schedulable:
                 continue
             machine_type = types.get(machine.machine_type or "")
-            if machine_type is None or now - machine.last_own_heartbeat_at > self.late_s:
+            if machine_type is None or machine.is_overdue(now, self.late_s):
                 continue
             if _takes(machine, machine_type, replica.job_state) and self._zone_takes(
                 replica, machine
--- a/spoolcourse/control/autoscaling/replica_probe.py
+++ b/spoolcourse/control/autoscaling/replica_probe.py
@@ -86,7 +86,7 @@
             machine.confirmed
             and not machine.lease_expired
             and not machine.deletion_requested
-            and self._clock() - machine.last_own_heartbeat_at > self._late_s
+            and machine.is_overdue(self._clock(), self._late_s)
             and bool(machine.address)
             and bool(replicas_on(machine))
         )
--- a/spoolcourse/control/autoscaling/scale_in.py
+++ b/spoolcourse/control/autoscaling/scale_in.py
@@ -110,7 +110,7 @@
     def _is_out_of_touch(self, machine: Machine) -> bool:
         return (
             not machine.confirmed
-            or machine.unresponsive_since is not None
+            or machine.is_unresponsive
             or self._registry.is_suspect(machine)
         )
 
--- a/spoolcourse/control/scheduling/snapshot_builder.py
+++ b/spoolcourse/control/scheduling/snapshot_builder.py
@@ -225,8 +225,8 @@
         return [
             job_state
             for machine in self._registry.machines.values()
-            for unexpected in machine.unexpected_attempts
-            if (job_state := self._job_queue.jobs.get(unexpected[0])) is not None
+            for attempt_id in machine.unexpected_attempts
+            if (job_state := self._job_queue.jobs.get(attempt_id.job)) is not None
         ]
 
     def _safe_job(self, job_state: JobState, now: float, number_of: dict[str, int]) -> Job:
@@ -300,8 +300,8 @@
             else:
                 _note_held(job, self.zones.of(machine.zone))
         for machine in self._registry.machines.values():
-            for unexpected in machine.unexpected_attempts:
-                if unexpected[0] == state.id:
+            for attempt_id in machine.unexpected_attempts:
+                if attempt_id.job == state.id:
                     _note_held(job, self.zones.of(machine.zone or ""))
 
 
