--- a/spoolcourse/control/autoscaling/scale_in.py
+++ b/spoolcourse/control/autoscaling/scale_in.py
@@ -109,9 +109,7 @@
 
     def _is_out_of_touch(self, machine: Machine) -> bool:
         return (
-            not machine.confirmed
-            or machine.is_unresponsive
-            or self._registry.is_suspect(machine)
+            not machine.confirmed or machine.is_unresponsive or self._registry.is_suspect(machine)
         )
 
     def _reason(
--- a/tests/fakes/registry.py
+++ b/tests/fakes/registry.py
@@ -54,18 +54,20 @@
         pass
 
     def heartbeat(self, *pieces: dict[str, Any], **fields: Any) -> list[dict[str, Any]] | None:
-        outcome = self.registry.process_heartbeat(self._made(pieces, fields))
+        outcome = self.registry.process_heartbeat(self._heartbeat_of(pieces, fields))
         if not isinstance(outcome, AcceptedHeartbeat):
             return None
         return [to_json_object(command) for command in outcome.commands]
 
-    def observed(self, *pieces: dict[str, Any], **fields: Any) -> Heartbeat:
-        """A heartbeat that comes as the answer to a call."""
-        heartbeat = self._made(pieces, fields)
+    def observe(self, *pieces: dict[str, Any], **fields: Any) -> Heartbeat:
+        """A heartbeat that comes as the response to a call."""
+        heartbeat = self._heartbeat_of(pieces, fields)
         self.registry.observe_heartbeat(heartbeat)
         return heartbeat
 
-    def _made(self, pieces: tuple[dict[str, Any], ...], fields: dict[str, Any]) -> Heartbeat:
+    def _heartbeat_of(
+        self, pieces: tuple[dict[str, Any], ...], fields: dict[str, Any]
+    ) -> Heartbeat:
         self.sequence += 1
         data = {
             "spindle": "m-1",
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -40,10 +40,10 @@
     harness.heartbeat(on())
     machine = harness.registry.machines["m-1"]
     harness.now += 10.2  # its lease has run out, which is not certain here yet
-    shown = harness.observed(shift=2, tick=1)
+    shown = harness.observe(shift=2, tick=1)
     assert not harness.job_state.attempts and machine.confirmed, shown
     attempt = harness.assign(0, 2)
-    harness.observed(on(0, 2), shift=2)
+    harness.observe(on(0, 2), shift=2)
     harness.now += 2.0
     harness.registry.expire_leases()
     assert harness.job_state.attempts == {0: attempt}
@@ -59,12 +59,12 @@
     harness.heartbeat()
     machine = harness.registry.machines["m-1"]
     harness.now += 4.0
-    harness.observed()
+    harness.observe()
     assert not harness.registry.is_suspect(machine)
     harness.assign()
     assert harness.registry.commands.machines_to_call(()) == [machine]
     harness.now += 1.5
-    harness.observed()
+    harness.observe()
     assert machine.last_heartbeat_at == harness.now and harness.registry.is_suspect(machine)
     assert harness.registry.commands.machines_to_call(()) == [], "nor are starts sent"
     harness.heartbeat()
--- a/tests/test_unresponsive_machines.py
+++ b/tests/test_unresponsive_machines.py
@@ -33,8 +33,8 @@
     play(story())
 
 
-def test_a_machine_that_gets_commands_but_no_answers_is_not_tried_for_ever() -> None:
-    # What is started there by `/orders` dies with each lease, for that renews nothing.
+def test_a_machine_that_gets_commands_but_no_answers_is_not_tried_forever() -> None:
+    # What is started there by direct commands dies with each lease, for that renews nothing.
     async def story() -> None:
         world = World({"silent_leases": 100})
         world.cloud.run_s = lambda task: 15.0
@@ -78,7 +78,7 @@
         await world.until(lambda: len(world.cloud.starts) == 4)
         world.wire.filters.append(half_open(name))
         world.kill(str(world.leader))
-        # The new leader's baton never reaches it: nothing it heartbeats is proof of anything.
+        # The new leader's fencing token never reaches it: its heartbeats prove nothing.
         await world.finish(1, 120)
         assert world.cloud.broken == []
 
@@ -102,7 +102,7 @@
 
 def test_a_machine_that_boots_for_long_is_given_the_time_to_see_our_fencing_token() -> None:
     # Measured: with the time since the rental counted, 88 machines that took longer to boot
-    # than the patience with unproven ones went back at their first report.
+    # than the patience with unproven ones went back at their first heartbeat.
     async def story() -> None:
         world = World()
         world.cloud.boot_s = 36.0
@@ -130,8 +130,8 @@
         await world.submit(job(pieces=24))
         await world.finish()
         await asyncio.sleep(60)  # far longer than any boot takes
-        fleet = set(world.cloud.hosts)
-        assert len(fleet) > 3
+        machines = set(world.cloud.hosts)
+        assert len(machines) > 3
         # For a while the workers' heartbeats don't get through to the new leader.
         world.wire.filters.append(
             lambda src, dst, *rest: "cut" if "m-" in src or dst.startswith("m-") else None
@@ -141,14 +141,14 @@
         await asyncio.sleep(5)
         world.wire.filters.clear()
         await asyncio.sleep(20)
-        assert set(world.cloud.hosts) >= fleet
+        assert set(world.cloud.hosts) >= machines
 
     play(story())
 
 
 def test_many_silent_machines_are_called_a_few_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
     # A zone cut off: every call there hangs until it times out. Guards against a call for
-    # each machine at once, and against connections to a whole fleet kept open beside those
+    # each machine at once, and against connections to all machines kept open beside those
     # that the heartbeats come on.
     monkeypatch.setattr(command_dispatcher, "MIN_CALL_LIMIT", 6)
 
@@ -185,7 +185,8 @@
 
 def test_a_leader_that_may_have_been_replaced_returns_nothing_for_being_idle() -> None:
     # A leader that stood still, or lost the key-value store alone, sees machines idle or silent
-    # that its successor has put to work. A deletion asks for no baton: it would end that work.
+    # that its successor has put to work. A deletion asks for no fencing token: it would end
+    # that work.
     async def story() -> None:
         world = World()
         await world.up()
@@ -205,7 +206,7 @@
     play(story())
 
 
-def test_a_machine_that_missed_its_reports_gets_no_new_work_while_its_lease_runs() -> None:
+def test_a_machine_that_missed_its_heartbeats_gets_no_new_work_while_its_lease_runs() -> None:
     # A zone cut off: the machines there look free until their leases have run out. Work put
     # there would be bound so long, and calls there would keep those to the rest waiting.
     async def story() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_worker_registry.py
@@ -1,4 +1,4 @@
-"""What heartbeats prove, and what workers are told."""
+"""What heartbeats prove, and which commands workers get."""
 
 from __future__ import annotations
 
@@ -10,12 +10,10 @@
 from tests.fakes.registry import TERM, RegistryHarness, on
 
 START = {"verb": "start", "piece": "job-000001/0", "try": 1}
-
-
 REAP = {"verb": "reap", "piece": "job-000001/0", "try": 1}
 
 
-def test_a_start_follows_its_write_and_needs_the_office() -> None:
+def test_a_start_follows_its_write_and_needs_a_valid_term() -> None:
     harness = RegistryHarness()
     harness.heartbeat()
     harness.assign(saved=False)
@@ -27,7 +25,7 @@
     assert harness.heartbeat() == [START]
 
 
-def test_a_start_is_repeated_until_seen_and_a_late_report_proves_nothing() -> None:
+def test_a_start_is_repeated_until_seen_and_a_late_heartbeat_proves_nothing() -> None:
     harness = RegistryHarness()
     harness.heartbeat()
     attempt = harness.assign()
@@ -35,12 +33,12 @@
     assert harness.heartbeat(tick=1) is None, "a late copy"
     harness.sequence -= 1
     assert attempt.start_sent_with == (1, 2)
-    assert harness.heartbeat() == [START], "a newer report without it: it never arrived"
+    assert harness.heartbeat() == [START], "a newer heartbeat without it: it never arrived"
     assert harness.heartbeat(on()) == []
     assert attempt.stage is AttemptStage.RUNNING
 
 
-def test_a_report_under_an_older_fencing_token_confirms_nothing() -> None:
+def test_a_heartbeat_under_an_older_fencing_token_confirms_nothing() -> None:
     harness = RegistryHarness()
     attempt = harness.job_queue.adopt(harness.job_state, 0, "m-1", 1, harness.now)
     harness.registry.track_attempt(attempt)
@@ -67,13 +65,13 @@
     harness.heartbeat()
     harness.assign()
     harness.heartbeat()
-    orders = harness.heartbeat(on(stage="ended", cause=cause))
-    assert orders == [REAP]
+    commands = harness.heartbeat(on(stage="ended", cause=cause))
+    assert commands == [REAP]
     assert harness.job_state.pending == 4 and next(harness.job_state.assignable_tasks()) == 0
     assert ("m-1" in harness.job_state.bad_machines) == (cause == "error")
 
 
-def test_a_new_session_means_the_old_tasks_are_gone() -> None:
+def test_a_new_incarnation_means_the_old_tasks_are_gone() -> None:
     harness = RegistryHarness()
     harness.heartbeat()
     harness.assign()
@@ -94,7 +92,7 @@
     harness.now += 1.0
     harness.registry.expire_leases()
     assert not harness.job_state.attempts
-    # A machine that has not reported our baton may be kept alive by somebody else.
+    # A machine that has not reported our fencing token may be kept alive by somebody else.
     other = RegistryHarness()
     other.heartbeat(baton=TERM - 1)
     other.registry.track_attempt(other.job_queue.adopt(other.job_state, 0, "m-1", 1, other.now))
@@ -103,7 +101,7 @@
     assert other.job_state.attempts
 
 
-def test_a_withdrawn_job_is_halted_and_never_started() -> None:
+def test_a_cancelled_job_is_stopped_and_never_started() -> None:
     harness = RegistryHarness()
     harness.heartbeat()
     harness.assign(0)
@@ -117,7 +115,7 @@
     assert harness.heartbeat(on(stage="ended", cause="halted")) == [REAP]
 
 
-def test_what_no_job_knows_is_halted_and_what_nobody_else_runs_is_kept() -> None:
+def test_an_attempt_of_an_unknown_job_is_stopped_and_one_of_a_free_task_is_adopted() -> None:
     harness = RegistryHarness()
     stray = {"piece": "job-000009/0", "try": 3, "stage": "running"}
     assert harness.heartbeat(stray) == [
@@ -127,7 +125,7 @@
     assert harness.job_state.attempts[2].number == 44
 
 
-def test_a_report_held_while_its_machine_was_deleted_changes_nothing() -> None:
+def test_a_heartbeat_held_while_its_machine_was_deleted_changes_nothing() -> None:
     harness = RegistryHarness()
     harness.heartbeat()
     harness.assign()
@@ -136,7 +134,7 @@
     assert harness.heartbeat(on()) is None and not harness.job_state.attempts
 
 
-def test_malformed_reports_are_refused() -> None:
+def test_malformed_heartbeats_are_refused() -> None:
     for raw in (b"", b"[]", b'{"spindle":"m-1"}', b"\xff"):
         with pytest.raises(MalformedError):
             parse_heartbeat(raw)
@@ -147,7 +145,7 @@
     assert Progress.from_value(progress.value()) == progress
 
 
-def test_a_start_sent_to_orders_is_possible_until_the_session_ends() -> None:
+def test_a_start_sent_to_the_address_is_possible_until_the_incarnation_ends() -> None:
     harness = RegistryHarness()
     harness.heartbeat()
     attempt = harness.assign()
@@ -157,7 +155,7 @@
     harness.job_state.record.cancelled_at = 100.0
     harness.heartbeat()
     harness.heartbeat()
-    assert harness.job_state.attempts, "no answer: it may still arrive, whatever reports say"
+    assert harness.job_state.attempts, "no answer: it may still arrive, whatever heartbeats say"
     harness.heartbeat(shift=2, tick=1)
     assert not harness.job_state.attempts
 
