--- a/spoolcourse/control/context.py
+++ b/spoolcourse/control/context.py
@@ -8,7 +8,7 @@
 from spoolcourse.control.cloud.client import CloudClient
 from spoolcourse.control.http_client import HttpClient
 from spoolcourse.control.jobs.job_index import JobIndex
-from spoolcourse.control.process_load import Load
+from spoolcourse.control.process_load import ProcessLoad
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.policy.keys import PolicySource
@@ -31,4 +31,4 @@
     machine_types: Callable[[], dict[str, MachineType]]
     clock: Callable[[], float]  # steady, in seconds
     wall_clock: Callable[[], float]  # time of day, in seconds
-    load: Load
+    load: ProcessLoad
--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -33,7 +33,7 @@
 from spoolcourse.control.leadership.failover_timeline import FailoverTimeline
 from spoolcourse.control.leadership.term import Term
 from spoolcourse.control.peer_api import PeerApi
-from spoolcourse.control.process_load import Load
+from spoolcourse.control.process_load import ProcessLoad
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.keys import PREFIX
 from spoolcourse.control.store.watch_cache import (
@@ -84,7 +84,7 @@
             candidacy_delay_s=self._candidacy_delay_s,
         )
         self._catalog = CatalogLoop(self.cloud, self.client, self.watch_cache, self.leadership)
-        self.load = Load()
+        self.load = ProcessLoad()
         self.context = ControllerContext(
             net,
             self.client,
@@ -268,7 +268,7 @@
         `from_peer`: a follower passes it on, and it goes no further.
         """
         try:
-            with self.load.spent("parse"):
+            with self.load.time_block("parse"):
                 heartbeat = parse_heartbeat(raw)
         except MalformedError as exc:
             return error_response(400, str(exc))
--- a/spoolcourse/control/http_client.py
+++ b/spoolcourse/control/http_client.py
@@ -1,6 +1,7 @@
-"""Calls to other hosts: a thin layer over aiohttp. The server side is in `server`.
+"""Calls to other hosts: a thin layer over aiohttp. The server side is in `http_server`.
 
-The slices see only `Net`, `Request` and `Reply`, so tests put in-memory fakes in place.
+The rest of the package sees only `HttpClient`, `Request` and `Response`, so tests put an
+in-memory network in place.
 """
 
 from __future__ import annotations
@@ -34,16 +35,20 @@
 
 CONNECTIONS_PER_HOST = 24
 KEEPALIVE_S = 20.0
+DEFAULT_TIMEOUT_S = 1.0
 RETRY_AFTER_MAX_S = 30  # users wait no longer than that
 
 
 class NoResponseError(Exception):
-    """No answer. The request may have been carried out, or may still be."""
+    """No response. The request may have been carried out, or may still be.
+
+    The message names the request and the reason.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """An answer; `data` is decoded JSON or, on the server side, what is to be encoded."""
+    """A response; `data` is decoded JSON or, on the server side, what is to be encoded."""
 
     status: int
     data: Any = None
@@ -55,22 +60,19 @@
     """A request as it came, with its body undecoded."""
 
     method: str
-    path: str
+    path: str  # with the query
     body: bytes = b""
 
 
-def error_response(status: int, why: str) -> Response:
-    """An answer that says why a request is not carried out."""
-    return Response(status, {"error": why})
+def error_response(status: int, reason: str) -> Response:
+    """A response that says why a request is not carried out."""
+    return Response(status, {"error": reason})
 
 
-def retry_later(why: str, after: float = 1.0) -> Response:
-    """An answer that says when to come back.
-
-    30 s is the longest that counts.
-    """
-    seconds = max(1, min(RETRY_AFTER_MAX_S, math.ceil(after)))
-    return Response(503, {"error": why}, {"Retry-After": str(seconds)})
+def retry_later(reason: str, retry_after_s: float = 1.0) -> Response:
+    """A 503 response that says when to try again, after 1 to 30 s."""
+    seconds = max(1, min(RETRY_AFTER_MAX_S, math.ceil(retry_after_s)))
+    return Response(503, {"error": reason}, {"Retry-After": str(seconds)})
 
 
 class HttpClient(Protocol):
@@ -82,26 +84,33 @@
         method: str,
         path: str,
         body: Any = None,
-        timeout: float = 1.0,
+        timeout: float = DEFAULT_TIMEOUT_S,
         keep: bool = True,
     ) -> Response:
-        """`keep`: the connection may stay open for the next call to this address."""
+        """Call a host, and wait at most `timeout` seconds for its response.
+
+        `keep`: the connection may stay open for the next call to this address.
+
+        Raises:
+            NoResponseError: There is no response in time, or the connection failed.
+        """
         ...
 
 
+# By whether there is a body, and whether the connection may stay open.
 _HEADERS = {
-    (body, keep): ({"Content-Type": "application/json"} if body else {})
+    (has_body, keep): ({"Content-Type": "application/json"} if has_body else {})
     | ({} if keep else {"Connection": "close"})
-    for body in (False, True)
+    for has_body in (False, True)
     for keep in (False, True)
 }
 
 
-def _reason(exc: Exception, timeout: float) -> str:
+def _failure_reason(exc: Exception, timeout_s: float) -> str:
     if isinstance(exc, aiohttp.ClientConnectorError):
         return f"cannot connect: {exc.os_error.strerror}"
     if isinstance(exc, TimeoutError):
-        return f"no answer within {timeout:g} s"
+        return f"no answer within {timeout_s:g} s"
     return f"{type(exc).__name__}: {exc}"
 
 
@@ -111,17 +120,25 @@
     return orjson.dumps(body)
 
 
+def _decode(text: bytes) -> Any:
+    """The JSON value; None for an empty body or one that is not JSON."""
+    try:
+        return orjson.loads(text) if text else None
+    except orjson.JSONDecodeError:
+        return None
+
+
 class AiohttpClient:
-    """The network as it is: one pooled client session."""
+    """An `HttpClient` with one pooled aiohttp session, opened at the first call."""
 
     def __init__(self) -> None:
         self._session: aiohttp.ClientSession | None = None
 
-    def _client(self) -> aiohttp.ClientSession:
+    def _open_session(self) -> aiohttp.ClientSession:
         if self._session is None:
             # No limit for all hosts together: calls to machines behind a cut hang until they
-            # time out, and a renewal of the leader's lease must never queue behind them. Who
-            # calls many hosts at once bounds that itself (`command_dispatcher`, `machine_list`).
+            # time out, and a renewal of the leader's lease must never queue behind them. Callers
+            # with many hosts limit that themselves (`command_dispatcher`, `machine_list`).
             connector = aiohttp.TCPConnector(
                 limit=0,
                 limit_per_host=CONNECTIONS_PER_HOST,
@@ -139,28 +156,25 @@
         method: str,
         path: str,
         body: Any = None,
-        timeout: float = 1.0,
+        timeout: float = DEFAULT_TIMEOUT_S,
         keep: bool = True,
     ) -> Response:
-        """Call a host; raises `NetError` if it does not answer in time."""
+        """See `HttpClient.call`."""
         raw = _encode(body)
         try:
             async with asyncio.timeout(timeout):
-                async with self._client().request(
+                async with self._open_session().request(
                     method,
                     f"http://{addr}{path}",
                     data=raw,
                     allow_redirects=False,
                     headers=_HEADERS[raw is not None, keep],
-                ) as resp:
-                    text = await resp.read()
-                    try:
-                        data = orjson.loads(text) if text else None
-                    except orjson.JSONDecodeError:
-                        data = None
-                    return Response(resp.status, data, dict(resp.headers))
+                ) as response:
+                    text = await response.read()
+                    return Response(response.status, _decode(text), dict(response.headers))
         except (TimeoutError, aiohttp.ClientError, OSError, ValueError) as exc:
-            raise NoResponseError(f"{method} {addr}{path}: {_reason(exc, timeout)}") from exc
+            reason = _failure_reason(exc, timeout)
+            raise NoResponseError(f"{method} {addr}{path}: {reason}") from exc
 
     async def close(self) -> None:
         """Close all connections."""
--- a/spoolcourse/control/leader/heartbeat_handler.py
+++ b/spoolcourse/control/leader/heartbeat_handler.py
@@ -59,7 +59,7 @@
             # can't learn of it: from here on the leases run out.
             self._registry.observe_unanswered_heartbeat(heartbeat)
             return retry_later("may not know of cancellations")
-        with self._load.spent("report"):
+        with self._load.time_block("report"):
             outcome = self._registry.process_heartbeat(heartbeat)
         response = self._respond(outcome, relayed)
         return Response(200, to_json_object(response))
--- a/spoolcourse/control/process_load.py
+++ b/spoolcourse/control/process_load.py
@@ -1,7 +1,7 @@
 """Where a controller's processor time goes, and how long its event loop was held up.
 
-A loop that is held for long loses the leader's lease and the workers' patience, so what
-holds it must be seen by the operators before it does.
+A loop that is held for long loses the leader's lease and the workers' patience, so operators
+must see what holds it before that happens.
 """
 
 from __future__ import annotations
@@ -20,53 +20,63 @@
 
 
 @dataclass(slots=True)
-class TimeSpent:
-    """How often something was done in the period, and how long it took."""
+class BlockTime:
+    """How often a named block was run in the period, and how long it took."""
 
     calls: int = 0
     seconds: float = 0.0
 
 
-class Load:
-    """Measures this process, period by period."""
+class ProcessLoad:
+    """Measures this process, in periods of `SUMMARY_S`."""
 
     def __init__(self) -> None:
-        self.parts: dict[str, TimeSpent] = {}
-        self.lag_s = 0.0  # the longest of the last period
-        self.share = 0.0  # of a core, in the last period
+        self.blocks: dict[str, BlockTime] = {}
+        self.loop_lag_s = 0.0  # the longest of the last period
+        self.processor_share = 0.0  # of a core, in the last period
 
     @contextmanager
-    def spent(self, name: str) -> Iterator[None]:
-        """Count the time that the body takes as spent on something."""
+    def time_block(self, name: str) -> Iterator[None]:
+        """Add the time that the body takes to the block of that name."""
         began = time.perf_counter()  # costs no call into the kernel
         try:
             yield
         finally:
-            part = self.parts.get(name)
-            if part is None:
-                part = self.parts[name] = TimeSpent()
-            part.calls += 1
-            part.seconds += time.perf_counter() - began
+            block = self.blocks.get(name)
+            if block is None:
+                block = self.blocks[name] = BlockTime()
+            block.calls += 1
+            block.seconds += time.perf_counter() - began
 
     async def run(self) -> None:
-        """Sum up each period, until cancelled."""
-        loop = asyncio.get_running_loop()
+        """Measure period after period, until cancelled."""
         while True:
-            began, used, longest = loop.time(), time.process_time(), 0.0
-            while loop.time() - began < SUMMARY_S:
-                asked = loop.time()
-                await asyncio.sleep(TICK_S)
-                longest = max(longest, loop.time() - asked - TICK_S)
-            self.lag_s = longest
-            self.share = (time.process_time() - used) / (loop.time() - began)
-            parts, self.parts = self.parts, {}
+            await self._measure_period()
+            blocks, self.blocks = self.blocks, {}
             log.info(
                 "load: %.2f of a core; held up for %.2f s at most; %s",
-                self.share,
-                longest,
-                ", ".join(
-                    f"{name} {part.calls} in {part.seconds:.2f} s"
-                    for name, part in sorted(parts.items(), key=lambda p: -p[1].seconds)
-                )
-                or "nothing done",
+                self.processor_share,
+                self.loop_lag_s,
+                _describe(blocks),
             )
+
+    async def _measure_period(self) -> None:
+        loop = asyncio.get_running_loop()
+        began, process_began, longest_s = loop.time(), time.process_time(), 0.0
+        while loop.time() - began < SUMMARY_S:
+            tick_began = loop.time()
+            await asyncio.sleep(TICK_S)
+            longest_s = max(longest_s, loop.time() - tick_began - TICK_S)
+        self.loop_lag_s = longest_s
+        self.processor_share = (time.process_time() - process_began) / (loop.time() - began)
+
+
+def _describe(blocks: dict[str, BlockTime]) -> str:
+    """The blocks, the longest one first."""
+    return (
+        ", ".join(
+            f"{name} {block.calls} in {block.seconds:.2f} s"
+            for name, block in sorted(blocks.items(), key=lambda item: -item[1].seconds)
+        )
+        or "nothing done"
+    )
--- a/spoolcourse/control/scheduling/scheduling_loop.py
+++ b/spoolcourse/control/scheduling/scheduling_loop.py
@@ -89,7 +89,7 @@
             self.wake.clear()
             if self._registry.leader.may_start():
                 began = time.process_time()
-                with self._load.spent("pass"):
+                with self._load.time_block("pass"):
                     self._run_pass()
                 self.pass_cost_s = time.process_time() - began
             # Rounds widen with the load, by the policy: what changes meanwhile is decided
@@ -103,11 +103,11 @@
         machine_types = self._machine_types()
         if not machine_types:
             return
-        with self._load.spent("snapshot"):
+        with self._load.time_block("snapshot"):
             snapshot = self._snapshot_builder.take(now, machine_types)
         team_room = [team.cpus for team in snapshot.teams]
         held_cpus = self._held_cpus()
-        with self._load.spent("place"):
+        with self._load.time_block("place"):
             plan = place(snapshot)
         self.passes += 1
         self._registry.leader.record_phase(FailoverPhase.FIRST_PASS)
@@ -118,7 +118,7 @@
         self._refresh_policy(snapshot, wanted_cpus)
         for decision in plan.decisions:
             self._assign(decision, now)
-        with self._load.spent("stop"):
+        with self._load.time_block("stop"):
             self._stop_for_claims(snapshot, plan)
         self._plan_machines(snapshot, plan, team_room, now)
 
--- a/spoolcourse/control/status.py
+++ b/spoolcourse/control/status.py
@@ -184,8 +184,8 @@
         store_requests=node.client.requests_sent,
         store_failures=node.client.requests_failed,
         store_writes=node.client.operations_sent,
-        loop_lag_s=round(node.load.lag_s, 3),
-        processor_share=round(node.load.share, 3),
+        loop_lag_s=round(node.load.loop_lag_s, 3),
+        processor_share=round(node.load.processor_share, 3),
         term=term,
         lease=lease,
     )
--- a/tests/golden_records/interfaces.py
+++ b/tests/golden_records/interfaces.py
@@ -19,7 +19,7 @@
 
 from spoolcourse import cli
 from spoolcourse.control.http_client import Request, Response
-from spoolcourse.control.http_server import Connection, encode
+from spoolcourse.control.http_connection import Connection, encode_response
 from spoolcourse.errors import UserError
 from spoolcourse.policy import keys as policy_keys
 from spoolcourse.wire.messages import BODY_LIMIT
@@ -341,7 +341,7 @@
         node = self.world.nodes[_roles(self.world)[role]]
         reply = await _asked(node.peers if peers else node.public, method, path, raw)
         assert name not in self.found, name
-        self.found[name] = normalised(encode(reply).decode())
+        self.found[name] = normalised(encode_response(reply).decode())
 
 
 async def _answers_while_all_is_well(table: _Table) -> None:
@@ -479,7 +479,9 @@
             raw = orjson.dumps(job())
             for method, path in (("POST", "/submissions"), ("GET", "/healthz")):
                 reply = await _asked(world.nodes["n0"].public, method, path, raw)
-                starting.found[f"starting: {method} {path}"] = normalised(encode(reply).decode())
+                starting.found[f"starting: {method} {path}"] = normalised(
+                    encode_response(reply).decode()
+                )
             for label in LABELS:
                 world.kill(label)
             await world.up()
--- a/tests/loopback/standins.py
+++ b/tests/loopback/standins.py
@@ -10,7 +10,7 @@
 import orjson
 
 from spoolcourse.control.http_client import AiohttpClient, Request, Response
-from spoolcourse.control.http_server import Connection
+from spoolcourse.control.http_connection import Connection
 from spoolcourse.control.store.keys import FINAL_PREFIX
 from tests.fakes.cloud import FakeCloud, FakeWorker, Task
 from tests.fakes.net import Endpoint, FakeWire
