--- a/spoolcourse/control/context.py
+++ b/spoolcourse/control/context.py
@@ -16,9 +16,13 @@
 from spoolcourse.wire.settings import Params, Seed
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class ControllerContext:
-    """Made once for a controller, and handed to each leader term of it."""
+    """Made once for a controller, and shared by all of its leader terms.
+
+    `policy_source` gives the operators' policy; `machine_types` the types that the cloud rents by
+    their names, and none before its catalog was read once.
+    """
 
     net: HttpClient
     client: StoreClient
--- /dev/null
+++ b/spoolcourse/control/health.py
@@ -0,0 +1,79 @@
+"""Whether this controller can answer users' requests, itself or by a peer."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from spoolcourse.control.http_client import HttpClient, NoResponseError, Request, Response
+from spoolcourse.control.store.watch_cache import WatchCache
+from spoolcourse.wire import paths
+from spoolcourse.wire.messages import MachineType
+from spoolcourse.wire.settings import Seed
+
+PERIOD_S = 1.0
+SYNCED_S = 2.0  # a watch that has synced so recently needs no read barrier
+READ_BARRIER_S = 1.0
+PEER_TIMEOUT_S = 1.0
+
+
+class HealthCheck:
+    """Checks the key-value store, and the peers if it does not answer.
+
+    `ready`: the keys have been read and the machine types are known; never taken back.
+    `healthy`: requests can be answered. When no controller reaches the key-value store all of
+    them stay healthy: removing them would only lengthen the outage for the users.
+    """
+
+    def __init__(
+        self,
+        net: HttpClient,
+        peers: list[Seed],
+        watch_cache: WatchCache,
+        machine_types: Callable[[], dict[str, MachineType]],
+        clock: Callable[[], float],
+    ) -> None:
+        self._net = net
+        self._peers = peers
+        self._watch_cache = watch_cache
+        self._machine_types = machine_types
+        self._clock = clock
+        self.ready = False
+        self.healthy = True
+
+    async def run(self) -> None:
+        """Check every `PERIOD_S`, until cancelled."""
+        while True:
+            await asyncio.sleep(PERIOD_S)
+            if self._watch_cache.loaded.is_set() and self._machine_types():
+                self.ready = True
+            if self.ready:
+                self.healthy = await self._can_answer()
+
+    async def _can_answer(self) -> bool:
+        if self._clock() - self._watch_cache.synced_at < SYNCED_S:
+            return True
+        if await self._watch_cache.read_barrier(READ_BARRIER_S):
+            return True
+        peers_ready = await asyncio.gather(*(self._is_ready(peer) for peer in self._peers))
+        return not self._peers or any(peers_ready)
+
+    async def _is_ready(self, peer: Seed) -> bool:
+        try:
+            response = await self._net.call(
+                peer.endpoint, "GET", paths.HEALTH, timeout=PEER_TIMEOUT_S
+            )
+        except NoResponseError:
+            return False
+        return response.status == 200
+
+    # -- answers --------------------------------------------------------------------------
+
+    def answer_public(self, request: Request) -> Response:
+        """200 while requests can be answered, else 503."""
+        ok = self.ready and self.healthy
+        return Response(200 if ok else 503, {"ok": ok})
+
+    def answer_peer(self, request: Request) -> Response:
+        """200 if this controller is ready: whether it is healthy may depend on the peer."""
+        return Response(200 if self.ready else 503, {})
--- a/spoolcourse/control/leader/active_leader.py
+++ b/spoolcourse/control/leader/active_leader.py
@@ -3,17 +3,17 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable, Coroutine
-from typing import Any
+from collections.abc import Callable
 
 from spoolcourse.control.autoscaling.autoscaler import FleetAutoscaler
 from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.failover.strategies import FailoverResult
-from spoolcourse.control.jobs.model import JobState
+from spoolcourse.control.jobs.job_queue import JobQueue
 from spoolcourse.control.jobs.progress_writer import ProgressWriter
 from spoolcourse.control.leader.heartbeat_handler import HeartbeatHandler
 from spoolcourse.control.leader.hinted_workers import HintedWorkers
 from spoolcourse.control.leader.initial_machines import InitialMachines
+from spoolcourse.control.leader.job_changes import JobChanges
 from spoolcourse.control.leader_context import LeaderContext
 from spoolcourse.control.leadership.election import Leadership
 from spoolcourse.control.leadership.failover_timeline import FailoverPhase, FailoverTimeline
@@ -22,19 +22,19 @@
 from spoolcourse.control.scheduling.snapshot_builder import SnapshotBuilder
 from spoolcourse.control.scheduling.termination_notices import TerminationLoop
 from spoolcourse.control.store.errors import StoreUnavailableError
-from spoolcourse.control.store.keys import JOB_PREFIX
-from spoolcourse.control.store.records import JobRecord
+from spoolcourse.control.supervisor import LoopFunction
 from spoolcourse.control.workers.command_dispatcher import CommandDispatcher
 from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.wire.messages import Host
 
 log = logging.getLogger(__name__)
 
-Loop = Coroutine[Any, Any, None]
-
 
 class ActiveLeader:
-    """The job queue, the registry and the loops that work on them."""
+    """The job queue, the registry and the loops that work on them; each has one job.
+
+    The parts ask this object about one another (`worker_registry.Leader`, `AutoscalerOwner`).
+    """
 
     def __init__(
         self,
@@ -52,16 +52,16 @@
         self.proof = failover.proof
         self.job_queue = failover.restored.job_queue
         params = context.params
-        policy = context.policy_source.initial()
         self.registry = WorkerRegistry(
             self.job_queue, self.proof, params.workers, self._clock, self
         )
-        leader = LeaderContext(context, self.proof, policy, self.job_queue, self.registry)
-        self.command_dispatcher = CommandDispatcher(
-            context.net, self.registry, params.machine_limits.sockets
-        )
+        leader = self._build_context()
+        sockets = params.machine_limits.sockets
+        self.command_dispatcher = CommandDispatcher(context.net, self.registry, sockets)
         self.initial_machines = InitialMachines(context, self.proof.term)
-        self.snapshot_builder = SnapshotBuilder(self.job_queue, self.registry, params, policy)
+        self.snapshot_builder = SnapshotBuilder(
+            self.job_queue, self.registry, params, leader.policy
+        )
         self.autoscaler = FleetAutoscaler(leader, self)
         self.scheduling = SchedulingLoop(
             leader, self.command_dispatcher, self.autoscaler, self.snapshot_builder
@@ -69,38 +69,65 @@
         self.termination = TerminationLoop(
             leader, self.snapshot_builder, self.autoscaler.replica_places
         )
-        self.admission = HeartbeatHandler(context, leadership, self.registry, renewal_deadline)
+        self.heartbeat_handler = HeartbeatHandler(
+            context, leadership, self.registry, renewal_deadline
+        )
         self.hinted_workers = HintedWorkers(leader, failover.hints)
-        self.writer = ProgressWriter(
-            context.client,
-            context.watch_cache,
+        self.writer = self._build_writer()
+        self._job_changes = self._build_job_changes()
+        _link_attempts(self.job_queue, self.registry)
+
+    # -- composition ----------------------------------------------------------------------
+
+    def _build_context(self) -> LeaderContext:
+        return LeaderContext(
+            controller=self._context,
+            proof=self.proof,
+            policy=self._context.policy_source.initial(),
+            job_queue=self.job_queue,
+            registry=self.registry,
+        )
+
+    def _build_writer(self) -> ProgressWriter:
+        return ProgressWriter(
+            self._context.client,
+            self._context.watch_cache,
             self.job_queue,
             self.proof,
-            leadership.step_down,
+            self._leadership.step_down,
             self._on_saved,
         )
-        for job_state in self.job_queue.jobs.values():
-            for attempt in job_state.attempts.values():
-                self.registry.track_attempt(attempt)
 
-    def start(self, spawn: Callable[[Loop], None]) -> None:
+    def _build_job_changes(self) -> JobChanges:
+        return JobChanges(
+            job_index=self._context.job_index,
+            job_queue=self.job_queue,
+            registry=self.registry,
+            scheduling=self.scheduling,
+            command_dispatcher=self.command_dispatcher,
+            clock=self._clock,
+        )
+
+    # -- life -----------------------------------------------------------------------------
+
+    def start(self, spawn: Callable[[LoopFunction], None]) -> None:
         """Begin all loops."""
         for loop in (
-            self.writer.run(),
-            self.command_dispatcher.run(),
-            self.autoscaler.machine_list.run(),
-            self.autoscaler.scale_out.run(),
-            self.autoscaler.scale_in_loop(),
-            self.autoscaler.replica_probe.run(),
-            self.scheduling.run(),
-            self.termination.run(),
-            self.hinted_workers.run(),
+            self.writer.run,
+            self.command_dispatcher.run,
+            self.autoscaler.machine_list.run,
+            self.autoscaler.scale_out.run,
+            self.autoscaler.scale_in_loop,
+            self.autoscaler.replica_probe.run,
+            self.scheduling.run,
+            self.termination.run,
+            self.hinted_workers.run,
         ):
             spawn(loop)
         if self._leftover_keys:
-            spawn(self._sweep())
+            spawn(self._sweep_leftover_keys)
 
-    async def _sweep(self) -> None:
+    async def _sweep_leftover_keys(self) -> None:
         try:
             await self.writer.delete_progress(self._leftover_keys)
         except StoreUnavailableError as exc:
@@ -130,11 +157,11 @@
         self.scheduling.wake.set()
 
     def record_phase(self, phase: FailoverPhase) -> None:
-        """The failover has come to a phase; told again and again, and noted once."""
+        """The failover has reached a phase; only the first call for it counts."""
         self._timeline.record(phase)
 
     def initial_machine_names(self) -> frozenset[str]:
-        """The machines that are not returned for being idle."""
+        """The machines that are never deleted for being idle."""
         return self.initial_machines.names()
 
     def is_rare_type(self, machine_type: str) -> bool:
@@ -143,7 +170,7 @@
 
     async def on_machine_list(self, hosts: list[Host]) -> None:
         """The cloud has listed its machines."""
-        await self.initial_machines.note(hosts)
+        await self.initial_machines.record_once(hosts)
 
     def on_fleet_summary(self) -> None:
         """Time for a summary in the log."""
@@ -152,30 +179,12 @@
     # -- what comes from outside ----------------------------------------------------------
 
     def on_change(self, key: str) -> None:
-        """A key has changed in the key-value store: perhaps a job was accepted or cancelled."""
-        if not key.startswith(JOB_PREFIX):
-            return
-        job = key[len(JOB_PREFIX) :]
-        record = self._context.job_index.live.get(job)
-        if record is None:
-            return
-        job_state = self.job_queue.jobs.get(job)
-        if job_state is None:
-            self.job_queue.add(record, self._clock())
-        else:
-            self._update(job_state, record)
-        self.scheduling.wake.set()
+        """A key has changed in the key-value store."""
+        self._job_changes.on_change(key)
 
-    def _update(self, job_state: JobState, record: JobRecord) -> None:
-        was_cancelled = job_state.record.cancelled
-        job_state.record = record
-        if not record.cancelled or was_cancelled:
-            return
-        job_state.cancelled_known_at = self._clock()
-        for attempt in list(job_state.attempts.values()):
-            if attempt.never_sent:
-                self.registry.release_attempt(attempt)  # never sent, and won't be
-            else:
-                self.registry.request_stop(attempt)
-        self.command_dispatcher.wake.set()
-        self.job_queue.queue_final_state_if_finished(job_state)
+
+def _link_attempts(job_queue: JobQueue, registry: WorkerRegistry) -> None:
+    """Make the restored attempts known on their machines."""
+    for job_state in job_queue.jobs.values():
+        for attempt in job_state.attempts.values():
+            registry.track_attempt(attempt)
--- a/spoolcourse/control/leader/leader_term.py
+++ b/spoolcourse/control/leader/leader_term.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
 import logging
 from collections.abc import Callable
 
@@ -10,7 +9,7 @@
 from spoolcourse.control.failover.strategies import FailoverStrategy
 from spoolcourse.control.http_client import Response, retry_later
 from spoolcourse.control.jobs.cancellation_query import CancellationQuery
-from spoolcourse.control.leader.active_leader import ActiveLeader, Loop
+from spoolcourse.control.leader.active_leader import ActiveLeader
 from spoolcourse.control.leader.heartbeat_handler import step_down_for_higher_token
 from spoolcourse.control.leadership.election import Leadership
 from spoolcourse.control.leadership.failover_proof import TermSupersededError
@@ -18,10 +17,14 @@
 from spoolcourse.control.leadership.feature_level import FeatureLevel
 from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
 from spoolcourse.control.leadership.term import Term
+from spoolcourse.control.supervisor import LoopSupervisor, SupervisionPolicy
 from spoolcourse.wire.messages import Heartbeat
 
 log = logging.getLogger(__name__)
 
+# A leader without one of its loops would be worse than no leader: the term ends with it.
+END_TERM = SupervisionPolicy(restart_after_s=None, expected=(TermSupersededError,))
+
 
 class LeaderTerm:
     """From the election to the end of the term; decides once the failover is proven."""
@@ -39,7 +42,7 @@
         self._context = context
         self._failover = failover
         self._renewal_deadline = RenewalDeadline(context.params.workers)
-        self._tasks: list[asyncio.Task[None]] = []
+        self._supervisor = LoopSupervisor(leadership.step_down, END_TERM)
         self.timeline = FailoverTimeline(context.clock, on_failover_complete)
         if leadership.vacant_at is not None:
             self.timeline.record(FailoverPhase.VACANT, leadership.vacant_at)
@@ -49,7 +52,7 @@
     # -- life -------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Begin to take over; the other loops follow once that is done."""
+        """Begin the failover; the leader's other loops follow once it is proven."""
         step_down = self._leadership.step_down
         context = self._context
         query = CancellationQuery(
@@ -65,28 +68,13 @@
         level = FeatureLevel(
             context.net, context.client, context.watch_cache, context.peers, self._term
         )
-        self._spawn(self._run_failover())
-        self._spawn(query.run())
-        self._spawn(level.run())
+        self._supervisor.spawn(self._run_failover)
+        self._supervisor.spawn(query.run)
+        self._supervisor.spawn(level.run)
 
     def stop(self) -> None:
         """End all loops."""
-        for task in self._tasks:
-            task.cancel()
-        self._tasks.clear()
-
-    def _spawn(self, loop: Loop) -> None:
-        self._tasks.append(asyncio.get_running_loop().create_task(self._guarded(loop)))
-
-    async def _guarded(self, loop: Loop) -> None:
-        try:
-            await loop
-        except TermSupersededError as exc:
-            self._leadership.step_down(str(exc))
-        except Exception:
-            # A leader without one of its loops would be worse than no leader.
-            log.exception("a loop of the leader failed")
-            self._leadership.step_down("a loop failed")
+        self._supervisor.cancel()
 
     async def _run_failover(self) -> None:
         failover = await self._failover.run(self._term)
@@ -97,21 +85,21 @@
         )
         jobs = self.active.job_queue.jobs.values()
         log.info(
-            "term %d: took over %d jobs, %d attempts to find; proven by %s at revision %d",
+            "failover proven: term=%d jobs=%d attempts=%d proof=%s revision=%d",
             self._term.number,
             len(jobs),
             sum(len(job_state.attempts) for job_state in jobs),
             failover.proof.source.value,
             failover.proof.applied_revision,
         )
-        self.active.start(self._spawn)
+        self.active.start(self._supervisor.spawn)
 
     # -- what comes from outside ----------------------------------------------------------
 
-    def heartbeat(self, heartbeat: Heartbeat, relayed: bool = False) -> Response:
-        """Answer a worker's heartbeat; `relayed`: a follower has passed it on."""
+    def answer_heartbeat(self, heartbeat: Heartbeat, relayed: bool = False) -> Response:
+        """Answer a worker's heartbeat; `relayed`: it came by a follower."""
         if self.active is not None:
-            return self.active.admission.handle(heartbeat, relayed)
+            return self.active.heartbeat_handler.handle(heartbeat, relayed)
         if heartbeat.fencing_token > self._term.number:
             return step_down_for_higher_token(heartbeat, self._leadership)
         return retry_later("taking over")
--- /dev/null
+++ b/spoolcourse/control/leader/term_lifecycle.py
@@ -0,0 +1,63 @@
+"""The term that a controller leads for, from its election until it steps down."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from spoolcourse.control.leader.active_leader import ActiveLeader
+from spoolcourse.control.leader.leader_term import LeaderTerm
+from spoolcourse.control.leadership.failover_timeline import FailoverTimeline
+from spoolcourse.control.leadership.term import Term
+from spoolcourse.control.store.watch_cache import (
+    FOLLOWER_WATCH_PAUSE_S,
+    LEADER_WATCH_PAUSE_S,
+    WatchCache,
+)
+
+
+class TermLifecycle:
+    """Starts a `LeaderTerm` at each election, and stops it when the term is over."""
+
+    def __init__(
+        self,
+        watch_cache: WatchCache,
+        build_term: Callable[[Term], LeaderTerm],
+        on_ended: Callable[[], None],
+    ) -> None:
+        """`on_ended` is called when this controller follows again."""
+        self._watch_cache = watch_cache
+        self._build_term = build_term
+        self._on_ended = on_ended
+        self.current: LeaderTerm | None = None
+        self.last_failover_timeline: FailoverTimeline | None = None
+
+    @property
+    def active(self) -> ActiveLeader | None:
+        """What decides in the current term, once its failover is proven."""
+        return self.current.active if self.current is not None else None
+
+    def on_elected(self, term: Term) -> None:
+        """Begin the term at once."""
+        self._watch_cache.watch_pause_s = LEADER_WATCH_PAUSE_S
+        self.current = self._build_term(term)
+        self.last_failover_timeline = self.current.timeline
+        self.current.start()
+
+    def on_stepped_down(self) -> None:
+        """End the term at once."""
+        self._watch_cache.watch_pause_s = FOLLOWER_WATCH_PAUSE_S
+        if self.current is not None:
+            self.current.stop()
+            self.current = None
+        self._on_ended()
+
+    def on_change(self, key: str, value: Any, revision: int) -> None:
+        """A key has changed in the key-value store."""
+        if self.current is not None:
+            self.current.on_change(key)
+
+    def stop(self) -> None:
+        """End all loops of the term: the controller is stopped."""
+        if self.current is not None:
+            self.current.stop()
--- a/spoolcourse/control/leader_context.py
+++ b/spoolcourse/control/leader_context.py
@@ -11,7 +11,7 @@
 from spoolcourse.policy.keys import Policy
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class LeaderContext:
     """Made once the failover is proven, for the rest of the term."""
 
--- /dev/null
+++ b/spoolcourse/control/routes.py
@@ -0,0 +1,76 @@
+"""The route tables of a controller's two addresses: the public one, and the peers' one."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable
+from typing import NamedTuple
+
+from spoolcourse.control.health import HealthCheck
+from spoolcourse.control.http_client import Request, Response, error_response
+from spoolcourse.control.http_connection import Handler
+from spoolcourse.control.peer_api import PeerApi
+from spoolcourse.control.user_api.api import UserApi
+from spoolcourse.control.worker_api import WorkerApi
+from spoolcourse.wire import paths
+
+ANY_METHOD = "*"
+NOT_FOUND = error_response(404, "no such resource")
+
+
+class Route(NamedTuple):
+    """A request's handler by its method and path; `subtree`: with all paths below that."""
+
+    method: str
+    path: str
+    handler: Handler
+    subtree: bool = False
+
+
+class Router:
+    """Finds the handler of a request; the query is no part of the path."""
+
+    def __init__(self, routes: list[Route]) -> None:
+        self._exact = {(route.method, route.path): route.handler for route in routes}
+        self._subtrees = [route for route in routes if route.subtree]
+
+    def handle(self, request: Request) -> Response | Awaitable[Response]:
+        """Answer a request; 404 if there is no route for it."""
+        path = request.path.partition("?")[0]
+        handler = self._exact.get((request.method, path)) or self._fallback(request.method, path)
+        return NOT_FOUND if handler is None else handler(request)
+
+    def _fallback(self, method: str, path: str) -> Handler | None:
+        handler = self._exact.get((ANY_METHOD, path))
+        if handler is not None:
+            return handler
+        for route in self._subtrees:
+            if route.method in (ANY_METHOD, method) and path.startswith(route.path + "/"):
+                return route.handler
+        return None
+
+
+def public_routes(workers: WorkerApi, users: UserApi, health: HealthCheck) -> list[Route]:
+    """What users, workers and health checks ask."""
+    return [
+        Route("POST", paths.HEARTBEAT, workers.answer_worker),
+        Route(ANY_METHOD, paths.HEALTH, health.answer_public),
+        Route(ANY_METHOD, paths.SUBMISSIONS, users.answer_user, subtree=True),
+    ]
+
+
+def peer_routes(
+    peers: PeerApi, workers: WorkerApi, users: UserApi, health: HealthCheck
+) -> list[Route]:
+    """What operators and other controllers ask; requests from a peer go no further."""
+    return [
+        Route("POST", paths.HANDOVER, peers.transfer_leadership),
+        Route("GET", paths.CANCELLATIONS, peers.get_cancellations),
+        Route("GET", paths.LEVEL, peers.get_feature_level),
+        Route("GET", paths.STATUS, peers.get_status),
+        Route("GET", paths.METRICS, peers.get_metrics),
+        Route("GET", paths.STANDBY, peers.get_standby),
+        Route("GET", paths.HINTS, peers.get_hints),
+        Route(ANY_METHOD, paths.HEALTH, health.answer_peer),
+        Route("POST", paths.HEARTBEAT, workers.answer_peer),
+        Route(ANY_METHOD, paths.SUBMISSIONS, users.answer_peer, subtree=True),
+    ]
--- a/spoolcourse/control/status.py
+++ b/spoolcourse/control/status.py
@@ -1,22 +1,23 @@
-"""The status of a controller, for operators; `metrics` has the same as numbers."""
+"""The status of a controller, for operators; `metrics` has the same as numbers.
+
+Durations are in seconds. Operators' tools know the fields by their names on the wire.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import msgspec
 from msgspec import UNSET, UnsetType
 
+from spoolcourse.control.controller_parts import ControllerParts
 from spoolcourse.control.failover.shadow_status import ShadowState
+from spoolcourse.control.failover.warm_standby import WarmStandby
 from spoolcourse.control.jobs.model import AttemptStage
-
-if TYPE_CHECKING:
-    from spoolcourse.control.controller import Controller
-    from spoolcourse.control.failover.warm_standby import WarmStandby
-    from spoolcourse.control.leader.active_leader import ActiveLeader
-    from spoolcourse.control.leadership.failover_timeline import FailoverTimeline
-    from spoolcourse.control.scheduling.scheduling_loop import WaitingJob
+from spoolcourse.control.leader.active_leader import ActiveLeader
+from spoolcourse.control.leadership.failover_timeline import FailoverTimeline
+from spoolcourse.control.scheduling.scheduling_loop import WaitingJob
 
 JOBS_SHOWN = 200
 SILENCE_SHOWN_S = 86_400.0  # of a controller that has never read the key-value store
@@ -55,7 +56,7 @@
 class ControllerStatus(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
     """What every controller knows of itself."""
 
-    node: str
+    label: str = msgspec.field(name="node")
     role: str
     leader: str | None
     ready: bool
@@ -88,7 +89,7 @@
     unfit_reason: str
     caught_up: bool
     revision: int
-    revisions_behind: int  # of the leader, as its last hints told
+    revisions_behind: int  # behind the leader, by its last hints
     silence_s: float
     rebuilds: int
     jobs: int
@@ -110,25 +111,23 @@
     )
 
 
-def _standby_status(node: Controller, standby: WarmStandby) -> StandbyStatus:
-    shadow, revision = standby.shadow, node.watch_cache.store_revision
+def _standby_status(standby: WarmStandby, revision: int) -> StandbyStatus:
+    shadow, status = standby.shadow, standby.status
     usage = shadow.team_usage if shadow else {}
     return StandbyStatus(
-        state=standby.status.state.value,
-        unfit_reason=standby.status.stale_reason
-        if standby.status.state is ShadowState.STALE
-        else "",
+        state=status.state.value,
+        unfit_reason=status.stale_reason if status.state is ShadowState.STALE else "",
         caught_up=standby.readiness.caught_up,
         revision=revision,
         revisions_behind=max(0, standby.hints.leader_revision - revision),
         silence_s=round(min(standby.readiness.silence_s, SILENCE_SHOWN_S), 3),
-        rebuilds=standby.status.rebuilds,
+        rebuilds=status.rebuilds,
         jobs=shadow.job_count if shadow else 0,
         attempts=shadow.attempt_count if shadow else 0,
         team_cpus={team: used.cpus for team, used in usage.items()},
         hints=len(standby.hints),
-        hints_refused={why.value: count for why, count in standby.hints.rejections.items()},
-        mismatches=standby.status.mismatches,
+        hints_refused={refusal.value: count for refusal, count in standby.hints.rejections.items()},
+        mismatches=status.mismatches,
     )
 
 
@@ -166,60 +165,61 @@
     )
 
 
-def _controller_status(node: Controller) -> ControllerStatus:
-    leadership = node.leadership
+def _controller_status(parts: ControllerParts) -> ControllerStatus:
+    context, leadership, health = parts.context, parts.leadership, parts.health
+    leads = parts.lifecycle.current is not None
     term: int | UnsetType = UNSET
     lease: str | UnsetType = UNSET
-    if node.leader_term is not None and leadership.term is not None:
+    if leads and leadership.term is not None:
         term = leadership.term.number
         lease = "valid" if leadership.holds_lease() else "uncertain"
     return ControllerStatus(
-        node=node.label,
-        role="leader" if node.leader_term is not None else "follower",
+        label=parts.label,
+        role="leader" if leads else "follower",
         leader=leadership.leader_label,
-        ready=node.ready,
-        healthy=node.healthy,
-        live_jobs=len(node.job_index.live),
+        ready=health.ready,
+        healthy=health.healthy,
+        live_jobs=len(context.job_index.live),
         terms=leadership.elections_won,
-        store_requests=node.client.requests_sent,
-        store_failures=node.client.requests_failed,
-        store_writes=node.client.operations_sent,
-        loop_lag_s=round(node.load.loop_lag_s, 3),
-        processor_share=round(node.load.processor_share, 3),
+        store_requests=context.client.requests_sent,
+        store_failures=context.client.requests_failed,
+        store_writes=context.client.operations_sent,
+        loop_lag_s=round(context.load.loop_lag_s, 3),
+        processor_share=round(context.load.processor_share, 3),
         term=term,
         lease=lease,
     )
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class Status:
-    """What a controller knows, in parts; those that it has nothing to say of are None."""
+    """What a controller knows, in parts; a part is None where there is nothing to report."""
 
-    node: ControllerStatus
+    controller: ControllerStatus
     leader: LeaderStatus | None
     standby: StandbyStatus | None
     last_failover: FailoverStatus | None
 
     def to_json_object(self) -> dict[str, Any]:
         """The status as operators' tools know it: the first two parts in one object."""
-        found: dict[str, Any] = msgspec.to_builtins(self.node)
+        fields: dict[str, Any] = msgspec.to_builtins(self.controller)
         if self.last_failover is not None:
-            found["lastTakeover"] = msgspec.to_builtins(self.last_failover)
+            fields["lastTakeover"] = msgspec.to_builtins(self.last_failover)
         if self.standby is not None:
-            found["standby"] = msgspec.to_builtins(self.standby)
+            fields["standby"] = msgspec.to_builtins(self.standby)
         if self.leader is not None:
-            found |= msgspec.to_builtins(self.leader)
-        return found
+            fields |= msgspec.to_builtins(self.leader)
+        return fields
 
 
-def collect_status(node: Controller) -> Status:
-    """What this controller knows; a leader also says what waits, and why."""
-    active = node.leader_term.active if node.leader_term is not None else None
+def collect_status(parts: ControllerParts) -> Status:
+    """What a controller knows now; a leader also says what waits, and why."""
+    active, standby = parts.lifecycle.active, parts.standby
+    timeline = parts.lifecycle.last_failover_timeline
+    revision = parts.context.watch_cache.store_revision
     return Status(
-        node=_controller_status(node),
+        controller=_controller_status(parts),
         leader=_leader_status(active) if active is not None else None,
-        standby=_standby_status(node, node.standby) if node.standby is not None else None,
-        last_failover=_failover_status(node.last_failover_timeline)
-        if node.last_failover_timeline
-        else None,
+        standby=_standby_status(standby, revision) if standby is not None else None,
+        last_failover=_failover_status(timeline) if timeline is not None else None,
     )
--- a/spoolcourse/control/user_api/api.py
+++ b/spoolcourse/control/user_api/api.py
@@ -9,13 +9,13 @@
 
 import asyncio
 import logging
-from collections.abc import Callable
 from typing import Any
 from urllib.parse import unquote, urlsplit
 
 import msgspec
 
 from spoolcourse.control.context import ControllerContext
+from spoolcourse.control.health import HealthCheck
 from spoolcourse.control.http_client import (
     NoResponseError,
     Request,
@@ -24,6 +24,7 @@
     retry_later,
 )
 from spoolcourse.control.jobs.job_records import JobRecords, RecordTooLargeError
+from spoolcourse.control.leadership.election import Leadership
 from spoolcourse.control.leadership.feature_level import all_support_services
 from spoolcourse.control.store.errors import RequestRefusedError, StoreUnavailableError
 from spoolcourse.control.store.records import FinalState
@@ -63,7 +64,9 @@
 class UserApi:
     """Answers users' requests, by itself or with a peer's help."""
 
-    def __init__(self, context: ControllerContext, leader_label: Callable[[], str | None]) -> None:
+    def __init__(
+        self, context: ControllerContext, leadership: Leadership, health: HealthCheck
+    ) -> None:
         self._job_index = context.job_index
         self._job_records = JobRecords(context.client, context.watch_cache, context.job_index)
         self._watch_cache = context.watch_cache
@@ -73,7 +76,21 @@
         self._params = context.params
         self._machine_types = context.machine_types
         self._wall_clock = context.wall_clock
-        self._leader_label = leader_label
+        self._leadership = leadership
+        self._health = health
+
+    async def answer_user(self, request: Request) -> Response:
+        """Answer a user's request, with a peer's help if need be."""
+        return await self._answer_when_ready(request, from_peer=False)
+
+    async def answer_peer(self, request: Request) -> Response:
+        """Answer a user's request that a peer has passed on; it goes no further."""
+        return await self._answer_when_ready(request, from_peer=True)
+
+    async def _answer_when_ready(self, request: Request, from_peer: bool) -> Response:
+        if not self._health.ready:
+            return retry_later("starting")
+        return await self.handle(request, from_peer)
 
     async def handle(self, request: Request, from_peer: bool = False) -> Response:
         """`from_peer`: the request comes from a peer and goes no further."""
@@ -109,7 +126,7 @@
 
         Peers that hang, as behind a cut, must not use up the time that the user waits.
         """
-        leader_label = self._leader_label()
+        leader_label = self._leadership.leader_label
         clock = asyncio.get_running_loop().time
         until = clock() + (ASK_PEERS_POLL_S if request.method == "GET" else ASK_PEERS_S)
         for seed in sorted(self._peers, key=lambda s: s.label != leader_label):
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -215,7 +215,9 @@
         self.start()
         if self._watcher is None:
             self._watcher = asyncio.create_task(self._watch_cancelled())
-        await self.until(lambda: self.leader and all(c.ready for c in self.nodes.values()), 20)
+        await self.until(
+            lambda: self.leader and all(c.health.ready for c in self.nodes.values()), 20
+        )
 
     async def up_with_machine(self) -> str:
         """The controllers, and one machine that nobody has asked for, known to them."""
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -193,7 +193,7 @@
         apart = ""
         cache = world.nodes[away].watch_cache
         await world.until(lambda: cache.store_revision >= 3 * FLEET, 30)
-        await world.until(lambda: world.nodes[away].healthy, 30)
+        await world.until(lambda: world.nodes[away].health.healthy, 30)
         assert largest <= MAX_CHANGES_BEHIND
         assert (await world.poll(1, away)).data["stage"] == "done"
         assert (await world.poll(2, away)).status == 200
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -209,7 +209,7 @@
         world.wire.filters.clear()
         await world.finish(2)
         await asyncio.sleep(40)
-        assert not world.active(leader).admission.hears_no_worker(), "they are back"
+        assert not world.active(leader).heartbeat_handler.hears_no_worker(), "they are back"
         assert world.now() > cut and world.cloud.broken == []
 
     play(story())
