--- a/spoolcourse/control/user_api/checks.py
+++ b/spoolcourse/control/user_api/checks.py
@@ -18,7 +18,7 @@
     ]
 
 
-def refusal(
+def rejection_reason(
     submission: Submission, machine_types: dict[str, MachineType], params: Params
 ) -> str | None:
     """Why the job can never run; None if it can."""
@@ -30,21 +30,17 @@
     usable = usable_machine_types(submission, machine_types, params.zones)
     if not usable:
         return "a task fits no allowed machine type"
-    return (
-        _standing_refusal(submission, team, usable, machine_types, params.zones)
-        if submission.is_service
-        else None
-    )
-
-
-def _standing_refusal(
-    submission: Submission,
-    team: Team,
-    usable: list[str],
-    machine_types: dict[str, MachineType],
-    zones: list[str],
-) -> str | None:
-    """The replicas of a service run all at once; an array may take one task after another."""
+    if not submission.is_service:
+        return None
+    zones = {z for name in usable for z in machine_types[name].zones if z in params.zones}
+    return _service_rejection_reason(submission, team, zones)
+
+
+def _service_rejection_reason(submission: Submission, team: Team, zones: set[str]) -> str | None:
+    """The replicas of a service run all at once; an array may run one task after another.
+
+    `zones`: those that have usable machines.
+    """
     if (
         submission.task_count * submission.cpus > team.cpu_limit
         or submission.task_count * submission.gpus > team.gpu_limit
@@ -52,7 +48,6 @@
         return "all replicas together need more than the team's limit"
     if not submission.spread_over_zones or submission.task_count < 2:
         return None
-    where = {z for name in usable for z in machine_types[name].zones if z in zones}
-    if submission.one_zone or submission.zone is not None or len(where) < 2:
+    if submission.one_zone or submission.zone is not None or len(zones) < 2:
         return "the replicas can't be spread over zones"
     return None
