--- a/spoolcourse/cli.py
+++ b/spoolcourse/cli.py
@@ -1,4 +1,7 @@
-"""The command line."""
+"""The command line: a controller, and the commands of its users and operators.
+
+The modules that a command needs are imported by it: the time to start counts.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 import os
 import sys
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING
 
 from spoolcourse import __version__
 from spoolcourse.errors import UserError
@@ -17,6 +20,10 @@
 from spoolcourse.wire.settings import Settings, load_settings, split_address
 from spoolcourse.wire.standby_settings import StandbySettings, load_standby
 
+if TYPE_CHECKING:
+    _Commands = argparse._SubParsersAction[argparse.ArgumentParser]
+
+DEFAULT_TIMEOUT_S = 5.0
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
@@ -34,17 +41,26 @@
     )
     parser.add_argument("--version", action="version", version=f"spoolcourse {__version__}")
     commands = parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
+    _add_local_commands(commands)
+    _add_remote_commands(commands)
+    return parser
 
-    serve = commands.add_parser("serve", help="run one controller until it is ended")
-    serve.add_argument("--config", required=True, metavar="FILE", help="settings file (JSON)")
-
-    check = commands.add_parser("check", help="check a settings file without running")
-    check.add_argument("--config", required=True, metavar="FILE", help="settings file (JSON)")
 
-    for command in (serve, check):
+def _add_local_commands(commands: _Commands) -> None:
+    """The commands that read a settings file."""
+    for name, run, help_text in (
+        ("serve", _run_serve, "run one controller until it is ended"),
+        ("check", _run_check, "check a settings file without running"),
+    ):
+        command = commands.add_parser(name, help=help_text)
+        command.set_defaults(run=run)
+        command.add_argument("--config", required=True, metavar="FILE", help="settings file (JSON)")
         command.add_argument("--policy", metavar="FILE", help="operators' policy (TOML)")
         command.add_argument("--standby", metavar="FILE", help="warm standby (TOML)")
 
+
+def _add_remote_commands(commands: _Commands) -> None:
+    """The commands that ask a controller."""
     submit = commands.add_parser("submit", help="submit a job")
     submit.add_argument("file", metavar="FILE", help="the job as JSON; - for standard input")
     status = commands.add_parser("status", help="show a job's state")
@@ -55,15 +71,27 @@
     handover = commands.add_parser(
         "handover", help="have the leader step down to a standby that is caught up"
     )
-    for command in (submit, status, cancel, view, handover):
-        where = "its own address" if command in (view, handover) else "its users' address"
+    for command, run, address in (
+        (submit, _run_submit, "its users' address"),
+        (status, _run_status, "its users' address"),
+        (cancel, _run_cancel, "its users' address"),
+        (view, _run_view, "its own address"),
+        (handover, _run_handover, "its own address"),
+    ):
+        command.set_defaults(run=run)
         command.add_argument(
-            "--node", required=True, metavar="HOST:PORT", help=f"a controller, {where}"
+            "--node",
+            required=True,
+            metavar="HOST:PORT",
+            help=f"a controller, {address}",
         )
         command.add_argument(
-            "--timeout", type=_seconds, default=5.0, metavar="S", help="wait so long for the answer"
+            "--timeout",
+            type=_seconds,
+            default=DEFAULT_TIMEOUT_S,
+            metavar="S",
+            help="wait so long for the answer",
         )
-    return parser
 
 
 def _log_setup() -> None:
@@ -100,24 +128,35 @@
 
 
 async def _call(
-    node: str, method: str, path: str, body: Any, timeout: float, indent: bool = False
+    args: argparse.Namespace, method: str, path: str, body: bytes | None, indent: bool
 ) -> int:
     from spoolcourse.control.http_client import AiohttpClient, NoResponseError
 
     net = AiohttpClient()
     try:
-        reply = await net.call(node, method, path, body, timeout=timeout)
+        response = await net.call(args.node, method, path, body, timeout=args.timeout)
     except NoResponseError as exc:
         raise UserError(str(exc)) from exc
     finally:
         await net.close()
-    if reply.status in (200, 201):
+    if response.status in (200, 201):
         import orjson
 
-        print(orjson.dumps(reply.data, option=orjson.OPT_INDENT_2 if indent else 0).decode())
+        print(orjson.dumps(response.data, option=orjson.OPT_INDENT_2 if indent else 0).decode())
         return 0
-    error = reply.data.get("error") if isinstance(reply.data, dict) else None
-    raise UserError(f"{node} answered {reply.status}: {error or 'no reason given'}")
+    error = response.data.get("error") if isinstance(response.data, dict) else None
+    raise UserError(f"{args.node} answered {response.status}: {error or 'no reason given'}")
+
+
+def _ask(
+    args: argparse.Namespace,
+    method: str,
+    path: str,
+    body: bytes | None = None,
+    indent: bool = False,
+) -> int:
+    """Ask the controller, and print its answer; the exit code."""
+    return asyncio.run(_call(args, method, path, body, indent))
 
 
 def _read_job(path: str) -> bytes:
@@ -127,44 +166,63 @@
         raise UserError(f"{path}: cannot be read: {exc.strerror}") from exc
 
 
-def _run(args: argparse.Namespace) -> int:
-    if args.command == "check":
-        settings = load_settings(args.config)
-        load_policy(args.policy)
-        load_standby(args.standby)
-        print(f"{args.config}: ok: {settings.label}, {len(settings.seeds)} peers")
-        return 0
-    if args.command == "serve":
-        _log_setup()
-        settings, policy = load_settings(args.config), load_policy(args.policy)
-        asyncio.run(_serve(settings, policy, load_standby(args.standby)))
-        return 0
-    split_address(args.node, "--node")
-    if args.command == "submit":
-        raw = _read_job(args.file)
-        return asyncio.run(_call(args.node, "POST", paths.SUBMISSIONS, raw, args.timeout))
-    if args.command == "view":
-        return asyncio.run(_call(args.node, "GET", paths.STATUS, None, args.timeout, indent=True))
-    if args.command == "handover":
-        return asyncio.run(_call(args.node, "POST", paths.HANDOVER, None, args.timeout))
+def _job_path(args: argparse.Namespace) -> str:
     from spoolcourse.wire.messages import JOB_ID
 
     if not JOB_ID.fullmatch(args.job):
         raise UserError(f"{args.job!r} is not a job id like job-000412")
-    path = f"{paths.SUBMISSIONS}/{args.job}"
-    if args.command == "status":
-        return asyncio.run(_call(args.node, "GET", path, None, args.timeout))
-    return asyncio.run(_call(args.node, "POST", f"{path}/{paths.CANCEL}", None, args.timeout))
+    return f"{paths.SUBMISSIONS}/{args.job}"
+
+
+# -- commands: each returns the exit code -------------------------------------------------
+
+
+def _run_check(args: argparse.Namespace) -> int:
+    settings = load_settings(args.config)
+    load_policy(args.policy)
+    load_standby(args.standby)
+    print(f"{args.config}: ok: {settings.label}, {len(settings.seeds)} peers")
+    return 0
+
+
+def _run_serve(args: argparse.Namespace) -> int:
+    _log_setup()
+    settings, policy = load_settings(args.config), load_policy(args.policy)
+    asyncio.run(_serve(settings, policy, load_standby(args.standby)))
+    return 0
+
+
+def _run_submit(args: argparse.Namespace) -> int:
+    return _ask(args, "POST", paths.SUBMISSIONS, _read_job(args.file))
+
+
+def _run_status(args: argparse.Namespace) -> int:
+    return _ask(args, "GET", _job_path(args))
+
+
+def _run_cancel(args: argparse.Namespace) -> int:
+    return _ask(args, "POST", f"{_job_path(args)}/{paths.CANCEL}")
+
+
+def _run_view(args: argparse.Namespace) -> int:
+    return _ask(args, "GET", paths.STATUS, indent=True)
+
+
+def _run_handover(args: argparse.Namespace) -> int:
+    return _ask(args, "POST", paths.HANDOVER)
 
 
 def main(argv: list[str] | None = None) -> int:
     """Run a command; the exit code."""
     args = _parser().parse_args(argv)
     try:
-        return _run(args)
+        if "node" in args:
+            split_address(args.node, "--node")
+        exit_code: int = args.run(args)
     except UserError as exc:
         for line in str(exc).splitlines():
             print(f"spoolcourse: {line}", file=sys.stderr)
         return 1
     except KeyboardInterrupt:
         return 130
+    return exit_code
