--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -14,7 +14,7 @@
 from tests.fakes.world import settings
 
 
-def written(path: Path, change: Any = None) -> str:
+def write_settings(path: Path, change: Any = None) -> str:
     data = json.loads(msgspec.json.encode(settings()))
     if change:
         change(data)
@@ -25,7 +25,7 @@
 def test_check_accepts_good_settings_and_ignores_unknown_fields(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    path = written(tmp_path / "s.json", lambda d: d.update(novelty={"x": 1}))
+    path = write_settings(tmp_path / "s.json", lambda d: d.update(novelty={"x": 1}))
     assert main(["check", "--config", path]) == 0
     assert "ok" in capsys.readouterr().out
 
@@ -49,13 +49,13 @@
     named: str,
     command: str,
 ) -> None:
-    path = written(tmp_path / "s.json", change)
+    path = write_settings(tmp_path / "s.json", change)
     assert main([command, "--config", path]) == 1
     error = capsys.readouterr().err
     assert named in error and error.count("\n") == 1
 
 
-def test_unreadable_files_bad_nodes_and_bad_ids(
+def test_unreadable_files_bad_addresses_and_bad_ids_end_with_one_line(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     broken = tmp_path / "x.json"
@@ -73,7 +73,7 @@
         assert error.startswith("spoolcourse: ") and error.count("\n") == 1
 
 
-def test_version(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_version_is_printed(capsys: pytest.CaptureFixture[str]) -> None:
     with pytest.raises(SystemExit) as end:
         main(["--version"])
     assert end.value.code == 0
--- a/tests/test_ordinary_machines.py
+++ b/tests/test_ordinary_machines.py
@@ -28,12 +28,12 @@
     return builder.take(world.now, CATALOG).jobs[0].ordinary_at - world.now
 
 
-def test_a_job_without_a_deadline_is_expected_by_the_strictest_objective_of_its_class() -> None:
+def test_without_a_deadline_the_strictest_objective_of_the_class_counts() -> None:
     # After 15 s ordinary machines were rented for work that may take minutes.
     assert waits_s(("batch", 300.0), ("batch", 180.0)) == 180.0 - NEEDED_S
     assert waits_s(("batch", 20.0)) == 15.0, "spot machines are given their time all the same"
     assert waits_s(("other", 180.0)) == 15.0, "nobody says when it is expected"
 
 
-def test_a_deadline_of_its_own_counts_before_the_objectives() -> None:
+def test_a_deadline_of_the_job_counts_before_the_objectives() -> None:
     assert waits_s(("batch", 300.0), dueS=90.0) == 90.0 - NEEDED_S
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -11,7 +11,7 @@
 from spoolcourse.errors import UserError
 from spoolcourse.policy.keys import INPUTS, KEYS, check_policy, load_policy
 from spoolcourse.policy.lang import Expression, Range, compile_expression
-from tests.test_cli import written
+from tests.test_cli import write_settings
 
 WIDE = Range(-1e12, 1e12)
 
@@ -116,7 +116,7 @@
     source.refresh(policy, {name: 100.0 for name in INPUTS})
     assert policy.zone_fetches == 14 and policy.headroom == 2
     assert policy.pass_gap_s == 2, "rounds widen with the load, up to a bound"
-    config = written(tmp_path / "s.json")
+    config = write_settings(tmp_path / "s.json")
     for text in ("[policy]\nheadroom = 99\n", "x", "[other]\n", "policy = 3\n"):
         bad = tmp_path / "bad.toml"
         bad.write_text(text)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""The server side of HTTP on loopback: what comes in pieces, too long, or not as it should."""
+"""The HTTP server on loopback: requests in pieces, too long or malformed, and many of them."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
-async def retry_later(request: Request) -> Response:
+async def answer_later(request: Request) -> Response:
     await asyncio.sleep(0)
     return Response(201, {"path": request.path})
 
 
-async def never(request: Request) -> Response:
+async def answer_never(request: Request) -> Response:
     await asyncio.Event().wait()
     return Response(200)
 
@@ -27,13 +27,13 @@
     if request.path == "/broken":
         raise RuntimeError("as planned")
     if request.path == "/never":
-        return never(request)
+        return answer_never(request)
     if request.path == "/later":
-        return retry_later(request)
+        return answer_later(request)
     return Response(200, {"len": len(request.body)}, {"Retry-After": "2"})
 
 
-def served(story: Any, **options: Any) -> None:
+def serve(story: Any, **options: Any) -> None:
     async def main() -> None:
         server = await listen(("127.0.0.1", 0), handler, **options)
         try:
@@ -50,7 +50,7 @@
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-async def answer(reader: asyncio.StreamReader) -> tuple[int, bytes]:
+async def read_answer(reader: asyncio.StreamReader) -> tuple[int, bytes]:
     status = int((await reader.readline()).split()[1])
     length = 0
     while (line := await reader.readline()).strip():
@@ -65,57 +65,57 @@
         for byte in post("/a", b"{}"):
             writer.write(bytes([byte]))  # one by one
             await writer.drain()
-        assert await answer(reader) == (200, b'{"len":2}')
+        assert await read_answer(reader) == (200, b'{"len":2}')
         # Several at once: the one that has to wait is not overtaken.
         writer.write(post("/later", b"") + post("/a", b"xyz") + post("/broken", b""))
-        assert await answer(reader) == (201, b'{"path":"/later"}')
-        assert await answer(reader) == (200, b'{"len":3}')
-        assert (await answer(reader))[0] == 503  # and the connection goes on
+        assert await read_answer(reader) == (201, b'{"path":"/later"}')
+        assert await read_answer(reader) == (200, b'{"len":3}')
+        assert (await read_answer(reader))[0] == 503  # and the connection goes on
 
-    served(story)
+    serve(story)
 
 
 def test_a_body_above_the_limit_is_refused_before_it_is_read() -> None:
     async def declared(streams: Streams) -> None:
         reader, writer = streams
         writer.write(post("/a", b"x" * BODY_LIMIT))
-        assert (await answer(reader))[0] == 200
+        assert (await read_answer(reader))[0] == 200
         head = f"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: {BODY_LIMIT + 1}\r\n\r\n"
         writer.write(head.encode())
-        assert (await answer(reader))[0] == 413
+        assert (await read_answer(reader))[0] == 413
 
     async def in_chunks(streams: Streams) -> None:
         reader, writer = streams
         writer.write(b"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n")
-        part = b"x" * 8192
-        for _ in range(BODY_LIMIT // len(part) + 1):
-            writer.write(b"%x\r\n%s\r\n" % (len(part), part))
-        assert (await answer(reader))[0] == 413
+        chunk = b"x" * 8192
+        for _ in range(BODY_LIMIT // len(chunk) + 1):
+            writer.write(b"%x\r\n%s\r\n" % (len(chunk), chunk))
+        assert (await read_answer(reader))[0] == 413
 
-    served(declared)
-    served(in_chunks)
+    serve(declared)
+    serve(in_chunks)
 
 
-def test_what_is_not_http_gets_400_and_the_end() -> None:
+def test_what_is_not_http_is_answered_400_and_the_connection_closed() -> None:
     async def story(streams: Streams) -> None:
         reader, writer = streams
         writer.write(b"what is this?\r\n\r\n")
-        assert (await answer(reader))[0] == 400
+        assert (await read_answer(reader))[0] == 400
         assert await reader.read() == b""
 
-    served(story)
+    serve(story)
 
 
-def test_connections_that_say_nothing_more_are_closed() -> None:
-    # Whoever sits behind a cut never says that it is gone, and sockets are counted: after a
-    # cut of a zone, hundreds of workers would hold one here and another elsewhere.
+def test_idle_connections_are_closed() -> None:
+    # A client behind a cut never says that it is gone, and sockets are counted: after a cut of
+    # a zone, hundreds of workers would hold one here and another elsewhere.
     async def story(streams: Streams) -> None:
         reader, writer = streams
         writer.write(post("/a", b""))
-        assert (await answer(reader))[0] == 200
+        assert (await read_answer(reader))[0] == 200
         assert await reader.read() == b""
 
-    served(story, idle_s=0.05, sweep_s=0.02)
+    serve(story, idle_s=0.05, sweep_s=0.02)
 
 
 def test_a_call_does_not_wait_behind_hundreds_that_hang() -> None:
@@ -143,7 +143,7 @@
     asyncio.run(main())
 
 
-def test_with_few_sockets_left_connections_end_with_their_answers() -> None:
+def test_connections_beyond_the_share_of_sockets_end_with_their_answers() -> None:
     # A connection kept for each worker uses up the sockets of a controller with fewer than
     # workers: the others got no connection, and their leases ran out.
     async def story(first: Streams) -> None:
@@ -151,16 +151,16 @@
         clients = [first, *[await asyncio.open_connection(*address) for _ in range(9)]]
         for _, writer in clients:
             writer.write(post("/report", b"{}"))
-        assert [(await answer(reader))[0] for reader, _ in clients] == [200] * 10
-        ended = [await _ends(reader) for reader, _ in clients]
+        assert [(await read_answer(reader))[0] for reader, _ in clients] == [200] * 10
+        ended = [await _is_ended(reader) for reader, _ in clients]
         assert ended.count(False) == 6, "as many are kept as leave room for others"
         for _, writer in clients:
             writer.close()
 
-    served(story, sockets=10)
+    serve(story, sockets=10)
 
 
-async def _ends(reader: asyncio.StreamReader) -> bool:
+async def _is_ended(reader: asyncio.StreamReader) -> bool:
     try:
         async with asyncio.timeout(0.05):
             return await reader.read() == b""
--- a/tests/test_user_api.py
+++ b/tests/test_user_api.py
@@ -10,7 +10,7 @@
 from tests.fakes.world import LABELS, World, job
 
 
-def test_a_job_runs_and_every_node_says_so() -> None:
+def test_a_job_runs_and_every_controller_says_so() -> None:
     async def story() -> None:
         world = World()
         await world.up()
@@ -32,7 +32,7 @@
     play(story())
 
 
-def test_bad_submissions_get_their_status() -> None:
+def test_malformed_submissions_get_400_and_impossible_ones_422() -> None:
     async def story() -> None:
         world = World()
         await world.up()
@@ -66,7 +66,7 @@
     play(story())
 
 
-def test_an_unclear_answer_is_read_back() -> None:
+def test_a_write_whose_answer_is_lost_is_read_back() -> None:
     async def story() -> None:
         world = World()
         await world.up()
@@ -84,7 +84,7 @@
     play(story())
 
 
-def test_a_node_that_alone_lost_the_state_service_asks_a_peer() -> None:
+def test_a_controller_that_alone_lost_the_key_value_store_asks_a_peer() -> None:
     async def story() -> None:
         world = World()
         await world.up()
@@ -123,30 +123,30 @@
     play(story())
 
 
-def test_a_node_whose_state_service_hangs_asks_a_peer_before_waiting_again() -> None:
+def test_a_controller_whose_key_value_store_hangs_asks_a_peer_before_waiting_again() -> None:
     async def story() -> None:
         world = World()
         await world.up()
-        node = next(n for n in LABELS if n != world.leader)
+        follower = next(n for n in LABELS if n != world.leader)
         world.wire.filters.append(
-            lambda src, dst, *rest: "cut" if (src, dst) == (node, "state:1") else None
+            lambda src, dst, *rest: "cut" if (src, dst) == (follower, "state:1") else None
         )
         await asyncio.sleep(14)
         began = world.now()
-        assert (await world.submit(job(), node)).status == 201
+        assert (await world.submit(job(), follower)).status == 201
         assert world.now() - began < 0.2
 
     play(story())
 
 
-def test_a_burst_beyond_the_budget_is_told_when_to_come_back_and_leaves_no_debt() -> None:
+def test_a_burst_beyond_the_budget_gets_retry_after_and_leaves_no_debt() -> None:
     async def story() -> None:
         world = World()
         await world.up()
         replies = await asyncio.gather(*(world.submit(job(n), "n1") for n in range(1, 600)))
-        taken = [r for r in replies if r.status == 201]
+        accepted = [r for r in replies if r.status == 201]
         refused = [r for r in replies if r.status == 503]
-        assert len(taken) > 20 and len(refused) > 20 and len(taken) + len(refused) == 599
+        assert len(accepted) > 20 and len(refused) > 20 and len(accepted) + len(refused) == 599
         assert all(1 <= int(r.headers["Retry-After"]) <= 30 for r in refused)
         await asyncio.sleep(3)
         began = world.now()
@@ -156,7 +156,7 @@
     play(story())
 
 
-def test_a_node_that_cannot_know_says_so_within_the_time_that_users_wait() -> None:
+def test_a_controller_without_a_certain_answer_says_so_within_the_time_that_users_wait() -> None:
     # Its peers hang, as behind a cut: each of them was given a second, and users had left.
     async def story() -> None:
         world = World()
@@ -183,13 +183,13 @@
         await world.submit(job(2, pieces=20, crew="blue", vcpus=8.0))
         await asyncio.sleep(12)
         leader = str(world.leader)
-        seen = await world.wire.call("op", f"{leader}:81", "GET", "/status", None, 2.0)
-        assert seen.data["role"] == "leader" and seen.data["lease"] == "valid"
-        assert [e["id"] for e in seen.data["waiting"]] == ["job-000001", "job-000002"]
-        assert {e["why"] for e in seen.data["waiting"]} == {"machines"}
+        status = await world.wire.call("op", f"{leader}:81", "GET", "/status", None, 2.0)
+        assert status.data["role"] == "leader" and status.data["lease"] == "valid"
+        assert [e["id"] for e in status.data["waiting"]] == ["job-000001", "job-000002"]
+        assert {e["why"] for e in status.data["waiting"]} == {"machines"}
         other = next(n for n in LABELS if n != leader)
-        seen = await world.wire.call("op", f"{other}:81", "GET", "/status", None, 2.0)
-        assert (seen.data["role"], seen.data["leader"]) == ("follower", leader)
+        status = await world.wire.call("op", f"{other}:81", "GET", "/status", None, 2.0)
+        assert (status.data["role"], status.data["leader"]) == ("follower", leader)
         reply = world.nodes[leader].peers(Request("GET", "/metrics"))
         assert isinstance(reply, Response)
         text = reply.data.decode()
