--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -56,6 +56,17 @@
     on_complete: Callable[[FailoverTimeline], None] = lambda timeline: None
 
 
+@dataclass(frozen=True, slots=True, kw_only=True)
+class Services:
+    """What this controller asks other hosts with, and what it knows of the key-value store."""
+
+    net: HttpClient
+    client: StoreClient
+    watch_cache: WatchCache
+    job_index: JobIndex
+    cloud: CloudClient
+
+
 class Controller:
     """A controller: its parts, its loops, and the handlers of its two addresses.
 
@@ -72,35 +83,23 @@
         standby: StandbySettings = OFF,
     ) -> None:
         """`run_id` tells this process from earlier ones under the same label."""
-        params = settings.settings
-        client = StoreClient(net, settings.outside.state, params.state, len(settings.seeds) + 1)
-        self.watch_cache = WatchCache(client, PREFIX)
-        self.job_index = JobIndex(self.watch_cache)
+        services = _connect(settings, net)
+        self.watch_cache = services.watch_cache
+        self.job_index = services.job_index
         self._lifecycle = TermLifecycle(self.watch_cache, self._build_term, self._resume_shadowing)
         self.leadership = Leadership(
-            client,
+            services.client,
             self.watch_cache,
             settings.label,
             run_id or _random_run_id(),
             listener=self._lifecycle,
             candidacy_delay_s=self._candidacy_delay_s,
         )
-        cloud = CloudClient(net, settings.outside.cloud, params.cloud.rps)
-        self._catalog = CatalogLoop(cloud, client, self.watch_cache, self.leadership)
-        self._context = ControllerContext(
-            net=net,
-            client=client,
-            watch_cache=self.watch_cache,
-            job_index=self.job_index,
-            cloud=cloud,
-            peers=settings.seeds,
-            params=params,
-            policy_source=policy or check_policy({}, "defaults"),
-            machine_types=lambda: self._catalog.machine_types,
-            clock=asyncio.get_running_loop().time,
-            wall_clock=wall_clock,
-            load=ProcessLoad(),
+        self._catalog = CatalogLoop(
+            services.cloud, services.client, self.watch_cache, self.leadership
         )
+        policy = policy or check_policy({}, "defaults")
+        self._context = _build_context(settings, services, self._catalog, policy, wall_clock)
         self._failover_parts = _build_failover(
             self._context, self.leadership, settings.label, standby
         )
@@ -180,6 +179,42 @@
         await self._supervisor.wait()
 
 
+def _connect(settings: Settings, net: HttpClient) -> Services:
+    params, outside = settings.settings, settings.outside
+    client = StoreClient(net, outside.state, params.state, len(settings.seeds) + 1)
+    watch_cache = WatchCache(client, PREFIX)
+    return Services(
+        net=net,
+        client=client,
+        watch_cache=watch_cache,
+        job_index=JobIndex(watch_cache),
+        cloud=CloudClient(net, outside.cloud, params.cloud.rps),
+    )
+
+
+def _build_context(
+    settings: Settings,
+    services: Services,
+    catalog: CatalogLoop,
+    policy: PolicySource,
+    wall_clock: Callable[[], float],
+) -> ControllerContext:
+    return ControllerContext(
+        net=services.net,
+        client=services.client,
+        watch_cache=services.watch_cache,
+        job_index=services.job_index,
+        cloud=services.cloud,
+        peers=settings.seeds,
+        params=settings.settings,
+        policy_source=policy,
+        machine_types=lambda: catalog.machine_types,
+        clock=asyncio.get_running_loop().time,
+        wall_clock=wall_clock,
+        load=ProcessLoad(),
+    )
+
+
 def _random_run_id() -> str:
     return f"{random.getrandbits(64):016x}"
 
