--- a/spoolcourse/cli.py
+++ b/spoolcourse/cli.py
@@ -134,7 +134,7 @@
 
     net = AiohttpClient()
     try:
-        response = await net.call(args.node, method, path, body, timeout=args.timeout)
+        response = await net.call(args.node, method, path, body, timeout_s=args.timeout)
     except NoResponseError as exc:
         raise UserError(str(exc)) from exc
     finally:
--- a/spoolcourse/control/cloud/client.py
+++ b/spoolcourse/control/cloud/client.py
@@ -84,7 +84,7 @@
         except RateLimitExceededError as exc:
             raise CloudRequestFailedError(method, path, None, f"not sent, {exc}") from exc
         try:
-            reply = await self._net.call(self._addr, method, path, body, timeout=self._timeout_s)
+            reply = await self._net.call(self._addr, method, path, body, timeout_s=self._timeout_s)
         except NoResponseError as exc:
             raise CloudRequestFailedError(method, path, None, str(exc)) from exc
         if reply.status == TOO_MANY_REQUESTS:
--- a/spoolcourse/control/failover/hint_loop.py
+++ b/spoolcourse/control/failover/hint_loop.py
@@ -65,7 +65,7 @@
         self._next_page_after = ""
         try:
             reply = await self._net.call(
-                leader.endpoint, "GET", query.path, timeout=REQUEST_TIMEOUT_S
+                leader.endpoint, "GET", query.path, timeout_s=REQUEST_TIMEOUT_S
             )
             if reply.status != 200:
                 return UNSUPPORTED_DELAY_S if reply.status == 404 else self._settings.hint_period_s
--- a/spoolcourse/control/health.py
+++ b/spoolcourse/control/health.py
@@ -61,7 +61,7 @@
     async def _is_ready(self, peer: Seed) -> bool:
         try:
             response = await self._net.call(
-                peer.endpoint, "GET", paths.HEALTH, timeout=PEER_TIMEOUT_S
+                peer.endpoint, "GET", paths.HEALTH, timeout_s=PEER_TIMEOUT_S
             )
         except NoResponseError:
             return False
--- a/spoolcourse/control/http_client.py
+++ b/spoolcourse/control/http_client.py
@@ -80,16 +80,16 @@
 
     async def call(
         self,
-        addr: str,
+        address: str,
         method: str,
         path: str,
         body: Any = None,
-        timeout: float = DEFAULT_TIMEOUT_S,
-        keep: bool = True,
+        timeout_s: float = DEFAULT_TIMEOUT_S,
+        keep_alive: bool = True,
     ) -> Response:
-        """Call a host, and wait at most `timeout` seconds for its response.
+        """Call a host, and wait at most `timeout_s` seconds for its response.
 
-        `keep`: the connection may stay open for the next call to this address.
+        `keep_alive`: the connection may stay open for the next call to this address.
 
         Raises:
             NoResponseError: There is no response in time, or the connection failed.
@@ -152,29 +152,29 @@
 
     async def call(
         self,
-        addr: str,
+        address: str,
         method: str,
         path: str,
         body: Any = None,
-        timeout: float = DEFAULT_TIMEOUT_S,
-        keep: bool = True,
+        timeout_s: float = DEFAULT_TIMEOUT_S,
+        keep_alive: bool = True,
     ) -> Response:
         """See `HttpClient.call`."""
         raw = _encode(body)
         try:
-            async with asyncio.timeout(timeout):
+            async with asyncio.timeout(timeout_s):
                 async with self._open_session().request(
                     method,
-                    f"http://{addr}{path}",
+                    f"http://{address}{path}",
                     data=raw,
                     allow_redirects=False,
-                    headers=_HEADERS[raw is not None, keep],
+                    headers=_HEADERS[raw is not None, keep_alive],
                 ) as response:
                     text = await response.read()
                     return Response(response.status, _decode(text), dict(response.headers))
         except (TimeoutError, aiohttp.ClientError, OSError, ValueError) as exc:
-            reason = _failure_reason(exc, timeout)
-            raise NoResponseError(f"{method} {addr}{path}: {reason}") from exc
+            reason = _failure_reason(exc, timeout_s)
+            raise NoResponseError(f"{method} {address}{path}: {reason}") from exc
 
     async def close(self) -> None:
         """Close all connections."""
--- a/spoolcourse/control/leadership/peers.py
+++ b/spoolcourse/control/leadership/peers.py
@@ -54,7 +54,7 @@
 
 async def _query_peer(net: HttpClient, peer: Seed, query: PeerQuery[Reply]) -> Reply | None:
     try:
-        response = await net.call(peer.endpoint, "GET", query.path, timeout=TIMEOUT_S)
+        response = await net.call(peer.endpoint, "GET", query.path, timeout_s=TIMEOUT_S)
         return parse(response.data, query.reply_type) if response.status == 200 else None
     except (NoResponseError, MalformedError) as exc:
         log.debug("query failed, controller=%s path=%s: %s", peer.label, query.path, exc)
--- a/spoolcourse/control/store/client.py
+++ b/spoolcourse/control/store/client.py
@@ -262,7 +262,7 @@
     async def _send(self, method: str, path: str, body: Any, timeout_s: float) -> Response:
         request = f"{method} {path}"
         try:
-            reply = await self._net.call(self._addr, method, path, body, timeout=timeout_s)
+            reply = await self._net.call(self._addr, method, path, body, timeout_s=timeout_s)
         except NoResponseError as exc:
             raise OutcomeUnknownError(request, str(exc)) from exc
         if reply.status == 429:
--- a/spoolcourse/control/user_api/peer_fallback.py
+++ b/spoolcourse/control/user_api/peer_fallback.py
@@ -67,7 +67,7 @@
                 request.method,
                 request.path,
                 request.body or None,
-                timeout=timeout_s,
+                timeout_s=timeout_s,
             )
         except NoResponseError as exc:
             log.debug("a peer does not help: peer=%s reason=%s", peer.label, exc)
--- a/spoolcourse/control/workers/heartbeat_relay.py
+++ b/spoolcourse/control/workers/heartbeat_relay.py
@@ -108,7 +108,7 @@
     ) -> HeartbeatResponse | None:
         """The leader's answer, or None if it refuses; raises `NoResponseError`."""
         response = await self._net.call(
-            self._peers[leader_label], "POST", paths.HEARTBEAT, raw, timeout=TIMEOUT_S
+            self._peers[leader_label], "POST", paths.HEARTBEAT, raw, timeout_s=TIMEOUT_S
         )
         if response.status != 200:
             return None
--- a/spoolcourse/control/workers/worker_client.py
+++ b/spoolcourse/control/workers/worker_client.py
@@ -33,7 +33,7 @@
         NoResponseError: the worker did not answer.
         MalformedError: its answer is no heartbeat.
     """
-    response = await net.call(address, "GET", paths.SHOW, timeout=TIMEOUT_S, keep=False)
+    response = await net.call(address, "GET", paths.SHOW, timeout_s=TIMEOUT_S, keep_alive=False)
     return parse(response.data, Heartbeat)
 
 
@@ -61,7 +61,7 @@
     request = CommandRequest(proof.fencing_token, incarnation.number, commands)
     body = to_json_object(request)
     response = await net.call(
-        incarnation.address, "POST", paths.COMMANDS, body, timeout=TIMEOUT_S, keep=keep
+        incarnation.address, "POST", paths.COMMANDS, body, timeout_s=TIMEOUT_S, keep_alive=keep
     )
     heartbeat = parse(response.data, Heartbeat)
     if response.status not in (EXECUTED, REFUSED):
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -132,7 +132,7 @@
             self._changed.clear()
             try:
                 reply = await self.net.call(
-                    nodes[self.node][1], "POST", "/v1/report", self.heartbeat(), timeout=4.0
+                    nodes[self.node][1], "POST", "/v1/report", self.heartbeat(), timeout_s=4.0
                 )
             except NoResponseError:
                 reply = Response(0)
--- a/tests/fakes/net.py
+++ b/tests/fakes/net.py
@@ -91,14 +91,14 @@
 
     async def call(
         self,
-        addr: str,
+        address: str,
         method: str,
         path: str,
         body: Any = None,
-        timeout: float = 1.0,
-        keep: bool = True,
+        timeout_s: float = 1.0,
+        keep_alive: bool = True,
     ) -> Response:
         raw = body if isinstance(body, bytes) else orjson.dumps(body)
         data = None if body is None else orjson.loads(raw)
-        reply = await self._wire.call(self._src, addr, method, path, data, timeout)
+        reply = await self._wire.call(self._src, address, method, path, data, timeout_s)
         return Response(reply.status, orjson.loads(orjson.dumps(reply.data)), reply.headers)
--- a/tests/loopback/standins.py
+++ b/tests/loopback/standins.py
@@ -69,7 +69,7 @@
     async def call(
         self, src: str, dst: str, method: str, path: str, body: Any, timeout: float
     ) -> Response:
-        return await self._net.call(dst, method, path, body, timeout=timeout)
+        return await self._net.call(dst, method, path, body, timeout_s=timeout)
 
     async def close(self) -> None:
         """End all calls."""
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -127,12 +127,12 @@
         net = AiohttpClient()
 
         tasks = [
-            asyncio.create_task(net.call(f"127.0.1.{number}:{port}", "GET", "/never", timeout=30))
+            asyncio.create_task(net.call(f"127.0.1.{number}:{port}", "GET", "/never", timeout_s=30))
             for number in range(1, 13)
             for _ in range(20)
         ]
         await asyncio.sleep(0)
-        reply = await net.call(f"127.0.0.1:{port}", "GET", "/a", timeout=5.0)
+        reply = await net.call(f"127.0.0.1:{port}", "GET", "/a", timeout_s=5.0)
         assert reply.status == 200
         for task in tasks:
             task.cancel()
