--- a/spoolcourse/control/context.py
+++ b/spoolcourse/control/context.py
@@ -8,7 +8,7 @@
 from spoolcourse.control.cloud.client import CloudClient
 from spoolcourse.control.http_client import HttpClient
 from spoolcourse.control.jobs.job_index import JobIndex
-from spoolcourse.control.process_load import Load
+from spoolcourse.control.process_load import ProcessLoad
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.policy.keys import PolicySource
@@ -16,9 +16,13 @@
 from spoolcourse.wire.settings import Params, Seed
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class ControllerContext:
-    """Made once for a controller, and handed to each leader term of it."""
+    """Made once for a controller, and shared by all of its leader terms.
+
+    `policy_source` gives the operators' policy; `machine_types` the types that the cloud rents by
+    their names, and none before its catalog was read once.
+    """
 
     net: HttpClient
     client: StoreClient
@@ -31,4 +35,4 @@
     machine_types: Callable[[], dict[str, MachineType]]
     clock: Callable[[], float]  # steady, in seconds
     wall_clock: Callable[[], float]  # time of day, in seconds
-    load: Load
+    load: ProcessLoad
