--- a/spoolcourse/control/jobs/progress_writer.py
+++ b/spoolcourse/control/jobs/progress_writer.py
@@ -12,6 +12,7 @@
 import logging
 from collections.abc import Callable
 
+from spoolcourse.control.async_utils import wait_for_event
 from spoolcourse.control.jobs.chunk_batch import BatchLimits, ChunkBatch, select_batch
 from spoolcourse.control.jobs.final_state import FinalStateWrite, prepare_final_state
 from spoolcourse.control.jobs.job_queue import JobQueue
@@ -19,9 +20,7 @@
 from spoolcourse.control.jobs.term_transactions import TermTransactions
 from spoolcourse.control.leadership.failover_proof import FailoverProof
 from spoolcourse.control.store.client import StoreClient
-from spoolcourse.control.store.errors import (
-    StoreUnavailableError,
-)
+from spoolcourse.control.store.errors import StoreUnavailableError
 from spoolcourse.control.store.retry import RetryDelay
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.identities import ChunkId
@@ -95,11 +94,7 @@
             if self._others_wait():
                 return
             self._wake.clear()
-            try:
-                async with asyncio.timeout(BUDGET_POLL_S):
-                    await self._wake.wait()
-            except TimeoutError:
-                pass
+            await wait_for_event(self._wake, BUDGET_POLL_S)
         await self._write_chunks(list(self._job_queue.pending_writes))
 
     async def _write_chunks(self, chunk_ids: list[ChunkId]) -> None:
--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -1,17 +1,20 @@
-"""What is written first when more waits than the budget allows."""
+"""What is written first, what is not written, and what a failed write leaves pending."""
 
 from __future__ import annotations
 
 import asyncio
+from typing import Any
 
+from spoolcourse.control.jobs.chunk_batch import BatchLimits, select_batch
+from spoolcourse.control.jobs.final_state import prepare_final_state
 from spoolcourse.control.jobs.job_queue import JobQueue
 from spoolcourse.control.jobs.model import JobState
 from spoolcourse.control.jobs.progress_writer import ProgressWriter
 from spoolcourse.control.leadership.failover_proof import FailoverProof, ProofSource
 from spoolcourse.control.leadership.term import Term
 from spoolcourse.control.store.client import StoreClient
-from spoolcourse.control.store.keys import PREFIX, TERM_KEY, job_key
-from spoolcourse.control.store.records import JobRecord
+from spoolcourse.control.store.keys import PREFIX, TERM_KEY, final_key, job_key, progress_key
+from spoolcourse.control.store.records import JobRecord, Progress
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.key_value_store import Put
 from spoolcourse.wire.messages import Submission, parse
@@ -22,44 +25,70 @@
 from tests.fakes.world import job
 
 
+class WriterHarness:
+    """A writer of a term, its job queue and its key-value store; made within `play`."""
+
+    def __init__(self, limits: State) -> None:
+        self.store, wire = FakeKeyValueStore(), FakeWire()
+        wire.hosts["state:1"] = self.store.serve
+        self.client = StoreClient(wire.end_of("n0"), "state:1", limits, controllers=1)
+        self.client.set_leader(True)
+        self.watch_cache = WatchCache(self.client, PREFIX)
+        self.job_queue = JobQueue()
+        self.step_downs: list[str] = []
+
+    async def write(self, key: str, value: dict[str, Any]) -> int:
+        await self.client.compare_and_swap({}, [Put(key, value)], urgent=True)
+        return self.store.store_revision
+
+    async def add_job(self, number: int = 1, **fields: Any) -> JobState:
+        record = JobRecord(parse(job(number, **fields), Submission), 1.0, 170, None, 0)
+        record.revision = await self.write(job_key(record.submission.id), record.value())
+        return self.job_queue.add(record, 0.0)
+
+    async def start(self, term_revision: int) -> asyncio.Task[None]:
+        await self.watch_cache.reload()
+        proof = FailoverProof(Term(1, term_revision, 0), self.watch_cache, ProofSource.RECORDS)
+        writer = ProgressWriter(
+            self.client,
+            self.watch_cache,
+            self.job_queue,
+            proof,
+            self.step_downs.append,
+            lambda: None,
+        )
+        return asyncio.create_task(writer.run())
+
+    def now(self) -> float:
+        return asyncio.get_running_loop().time()
+
+
 def test_starts_are_written_by_rank_and_before_results() -> None:
     async def story() -> None:
-        state, wire, works = FakeKeyValueStore(), FakeWire(), JobQueue()
-        wire.hosts["state:1"] = state.serve
-        limits = State(rps=200.0, write_rps=6.0, value_kb=8.0, txn_ops=12)
-        client = StoreClient(wire.end_of("n0"), "state:1", limits, controllers=1)
-        client.set_leader(True)
-        watch_cache = WatchCache(client, PREFIX)
-        await client.compare_and_swap({}, [Put(TERM_KEY, {"term": 1})], urgent=True)
-        term = Term(1, state.store_revision, 0)
-        jobs: list[JobState] = []
-        for number, rank in enumerate(["standard"] * 20 + ["best_effort", "high"], 1):
-            body = job(number, rank=rank)
-            await client.compare_and_swap({}, [Put(job_key(body["id"]), body)], urgent=True)
-            record = JobRecord(parse(body, Submission), 1.0, 170, None, state.store_revision)
-            jobs.append(works.add(record, 0.0))
+        harness = WriterHarness(State(rps=200.0, write_rps=6.0, value_kb=8.0, txn_ops=12))
+        queue = harness.job_queue
+        term_revision = await harness.write(TERM_KEY, {"term": 1})
+        ranks = ["standard"] * 20 + ["best_effort", "high"]
+        jobs = [await harness.add_job(number, rank=rank) for number, rank in enumerate(ranks, 1)]
         await asyncio.sleep(10)
-        await watch_cache.reload()
-        proof = FailoverProof(term, watch_cache, ProofSource.RECORDS)
-        writer = ProgressWriter(client, watch_cache, works, proof, lambda why: None, lambda: None)
-        running = asyncio.create_task(writer.run())
-        for work in jobs[:20]:
-            works.complete(work, 0)
-        low = works.assign(jobs[20], 0, "m-1", 1, 0.0)
-        high = works.assign(jobs[21], 0, "m-1", 2, 0.0)
-        began = asyncio.get_running_loop().time()
+        running = await harness.start(term_revision)
+        for job_state in jobs[:20]:
+            queue.complete(job_state, 0)
+        low = queue.assign(jobs[20], 0, "m-1", 1, 0.0)
+        high = queue.assign(jobs[21], 0, "m-1", 2, 0.0)
+        began = harness.now()
         while not (low.is_persisted and high.is_persisted):
             await asyncio.sleep(0.02)
-        assert asyncio.get_running_loop().time() - began < 1.0
-        written = [op["set"] for t in state.transactions[-1:] for op in t["apply"]]
+        assert harness.now() - began < 1.0
+        written = [op["set"] for t in harness.store.transactions[-1:] for op in t["apply"]]
         assert [key.split("/")[3] for key in written[:2]] == [jobs[21].id, jobs[20].id]
         # One that comes while results wait for the budget does not wait for them.
-        began = asyncio.get_running_loop().time()
-        late = works.assign(jobs[21], 1, "m-1", 3, 0.0)
+        began = harness.now()
+        late = queue.assign(jobs[21], 1, "m-1", 3, 0.0)
         while not late.is_persisted:
             await asyncio.sleep(0.02)
-        assert asyncio.get_running_loop().time() - began < 1.0
-        while works.pending_writes:  # the results follow
+        assert harness.now() - began < 1.0
+        while queue.pending_writes:  # the results follow
             await asyncio.sleep(0.1)
         running.cancel()
 
@@ -68,35 +97,115 @@
 
 def test_a_value_that_fits_no_more_is_not_tried_again_and_again() -> None:
     async def story() -> None:
-        state, wire, works = FakeKeyValueStore(), FakeWire(), JobQueue()
-        wire.hosts["state:1"] = state.serve
-        limits = State(200.0, 100.0, 8.0, 24, NextLimits(value_kb=1.0))
-        client = StoreClient(wire.end_of("n0"), "state:1", limits, controllers=1)
-        client.set_leader(True)
-        watch_cache = WatchCache(client, PREFIX)
-        await client.compare_and_swap({}, [Put(TERM_KEY, {"term": 1})], urgent=True)
-        term = Term(1, state.store_revision, 0)
-        record = JobRecord(parse(job(pieces=170), Submission), 1.0, 170, None, 0)
-        key = job_key(record.submission.id)
-        await client.compare_and_swap({}, [Put(key, record.value())], urgent=True)
-        record.revision = state.store_revision
-        work = works.add(record, 0.0)
-        await watch_cache.reload()
-        proof = FailoverProof(term, watch_cache, ProofSource.RECORDS)
-        running = asyncio.create_task(
-            ProgressWriter(client, watch_cache, works, proof, lambda why: None, lambda: None).run()
-        )
-        attempts = [works.assign(work, piece, "m-000001", piece, 0.0) for piece in range(100)]
+        harness = WriterHarness(State(200.0, 100.0, 8.0, 24, NextLimits(value_kb=1.0)))
+        store, queue = harness.store, harness.job_queue
+        term_revision = await harness.write(TERM_KEY, {"term": 1})
+        job_state = await harness.add_job(pieces=170)
+        running = await harness.start(term_revision)
+        attempts = [queue.assign(job_state, task, "m-000001", task, 0.0) for task in range(100)]
         await asyncio.sleep(2)
         assert attempts[0].is_persisted, "the former limit still holds"
-        state.value_bytes = 1024
-        works.complete(work, 150)
+        store.value_bytes = 1024
+        queue.complete(job_state, 150)
         await asyncio.sleep(10)
-        assert state.refused == 1 and not running.done()
+        assert store.refused == 1 and not running.done()
         for attempt in attempts[:80]:
-            works.drop(attempt)  # they end gradually
+            queue.drop(attempt)  # they end gradually
         await asyncio.sleep(2)
-        assert state.refused == 1 and work.chunk(0).is_persisted
+        assert store.refused == 1 and job_state.chunk(0).is_persisted
+        running.cancel()
+
+    play(story())
+
+
+def test_a_start_held_back_by_a_conflict_waits_first_in_line_again() -> None:
+    async def story() -> None:
+        harness = WriterHarness(State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24))
+        queue = harness.job_queue
+        term_revision = await harness.write(TERM_KEY, {"term": 1})
+        job_state = await harness.add_job(pieces=2)
+        running = await harness.start(term_revision)
+        # A cancellation that the leader has not heard of: the start must not become durable.
+        await harness.write(job_key(job_state.id), job_state.record.value() | {"aborted": 2.0})
+        attempt = queue.assign(job_state, 0, "m-1", 1, 0.0)
+        await asyncio.sleep(5)
+        assert not attempt.is_persisted and not running.done() and not harness.step_downs
+        assert harness.store.value(progress_key(job_state.id, 0)) is None
+        chunk = job_state.chunk(0)
+        assert queue.pending_writes == queue.pending_start_writes == {chunk.id: chunk}
+        # Its word comes: what was never sent is dropped, and the job ends.
+        job_state.record.cancelled_at = 2.0
+        job_state.record.revision = harness.watch_cache.revision(job_key(job_state.id))
+        queue.drop(attempt)
+        await asyncio.sleep(5)
+        assert harness.store.value(final_key(job_state.id))["stage"] == "aborted"
+        assert not queue.jobs and not queue.pending_writes and not queue.pending_start_writes
         running.cancel()
 
     play(story())
+
+
+def test_a_writer_whose_term_has_passed_changes_nothing_and_steps_down() -> None:
+    async def story() -> None:
+        harness = WriterHarness(State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24))
+        term_revision = await harness.write(TERM_KEY, {"term": 1})
+        job_state = await harness.add_job(pieces=2)
+        running = await harness.start(term_revision)
+        await harness.write(TERM_KEY, {"term": 2})
+        attempt = harness.job_queue.assign(job_state, 0, "m-1", 1, 0.0)
+        await asyncio.sleep(5)
+        assert harness.step_downs and not attempt.is_persisted
+        assert harness.store.value(progress_key(job_state.id, 0)) is None
+        running.cancel()
+
+    play(story())
+
+
+def test_a_batch_holds_what_one_transaction_takes_and_its_conditions() -> None:
+    queue = JobQueue()
+    job_states = [
+        queue.add(JobRecord(parse(job(number), Submission), 1.0, 170, None, 40 + number), 0.0)
+        for number in range(1, 5)
+    ]
+    for job_state in job_states:
+        queue.assign(job_state, 0, "m-1", 1, 0.0)
+    over, *others = job_states
+    queue.remove(over)
+    chunk_ids = [job_state.chunk(0).id for job_state in job_states]
+    batch = select_batch(queue, chunk_ids, BatchLimits(8192, operations=2), {TERM_KEY: 7})
+    assert [write.chunk.id for write in batch.writes] == chunk_ids[1:3]
+    assert batch.expected_revisions == {TERM_KEY: 7} | {
+        key: revision
+        for job_state in others[:2]
+        for key, revision in (
+            (progress_key(job_state.id, 0), 0),
+            (job_key(job_state.id), job_state.record.revision),
+        )
+    }
+    # The others stay pending; one whose value is too large comes back with its next change.
+    assert list(queue.pending_writes) == chunk_ids[1:]
+    assert not select_batch(queue, chunk_ids, BatchLimits(8, operations=2), {}).writes
+    assert not queue.pending_writes and not queue.pending_start_writes
+
+
+def test_a_job_of_many_chunks_ends_by_one_transaction_that_leaves_some_progress() -> None:
+    queue = JobQueue()
+    record = JobRecord(parse(job(pieces=64), Submission), 1.0, 16, None, 5)
+    job_state = queue.restore(
+        record, 0.0, {index: (Progress(done=0xFFFF), 10 + index) for index in range(4)}
+    )
+    write = prepare_final_state(job_state, 4, {TERM_KEY: 7})
+    keys = [progress_key(job_state.id, index) for index in range(4)]
+    assert job_state.finished and write.final_state.key == final_key(job_state.id)
+    assert write.final_state.value["stage"] == "done" and write.final_state.value["done"] == 64
+    assert [op.key for op in write.operations] == [
+        final_key(job_state.id),
+        job_key(job_state.id),
+        *keys[:2],
+    ]
+    assert write.leftover_keys == keys[2:]
+    assert write.expected_revisions == {
+        TERM_KEY: 7,
+        job_key(job_state.id): 5,
+        final_key(job_state.id): 0,
+    }
