--- a/spoolcourse/control/leader/initial_machines.py
+++ b/spoolcourse/control/leader/initial_machines.py
@@ -58,10 +58,12 @@
                 return
         await self._put(INITIAL_MACHINES_KEY, first, {INITIAL_MACHINES_KEY: 0})
 
-    async def _put(self, key: str, value: dict[str, Any], conditions: dict[str, int]) -> bool:
+    async def _put(
+        self, key: str, value: dict[str, Any], expected_revisions: dict[str, int]
+    ) -> bool:
         """Write one value if this term goes on; whether it is written."""
         client, watch_cache = self._context.client, self._watch_cache
-        return await write_fenced(client, watch_cache, self._term, key, value, conditions)
+        return await write_fenced(client, watch_cache, self._term, key, value, expected_revisions)
 
     def _found(self, hosts: list[Host]) -> list[str]:
         if self._term.number != FIRST_TERM:
