--- a/spoolcourse/control/autoscaling/planner.py
+++ b/spoolcourse/control/autoscaling/planner.py
@@ -1,32 +1,52 @@
-"""What to rent for work that no machine takes soon. Pure, like the placement pass."""
+"""Scale-out planning: what to rent for work that no machine takes soon.
+
+Pure, like the placement pass: no I/O, no clock.
+"""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass, replace
-
-from spoolcourse.control.placement.model import EPSILON, Job, Node, fit, share_out
+from typing import NamedTuple
+
+from spoolcourse.control.placement.model import (
+    EPSILON,
+    PlacementJob,
+    PlacementMachine,
+    tasks_that_fit,
+    tasks_within_limit,
+)
 from spoolcourse.wire.cloud import PROVISION_MAX
 
-LONGEST_S = 3600.0  # that a task is taken to run at most, for its price
-TOP_UP_LEAST = 10  # machines asked for by one pass for headroom
-TOP_UP_SHARE = 0.02  # of the fleet, the same in a large one
+PRICED_RUN_MAX_S = 3600.0  # the longest run of a task that its price is computed for
+TOP_UP_MIN = 10  # machines that one pass may ask for as headroom, in a small fleet
+TOP_UP_SHARE = 0.02  # of the fleet: the same in a large one
+
+# Machine type, zone, whether spot, and CPUs in all. A plain tuple: it is built for each machine.
+_MachineKey = tuple[int, int, bool, float]
 
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """A kind of machine that can be asked for now."""
+    """A kind of machine that can be rented now."""
 
     machine_type: int
     zone: int
     spot: bool
     cpus: float
     gpus: float
-    memory: float
-    price: float  # per hour
+    memory_gb: float
+    price_per_hour: float
     boot_s: float
 
 
+class JobDemand(NamedTuple):
+    """Tasks of a job that found no machine in the pass."""
+
+    job: PlacementJob
+    tasks: int
+
+
 @dataclass(slots=True)
 class ProvisionRequest:
     """So many machines of a kind to be asked for."""
@@ -35,36 +55,22 @@
     count: int
 
 
-class _Zones:
-    """How many more of a job's tasks each zone takes, with those that are planned for it."""
+class _ZoneAllowance:
+    """How many more of a job's tasks each zone takes, beside those that are planned for it."""
 
-    def __init__(self, job: Job) -> None:
+    def __init__(self, job: PlacementJob) -> None:
         self._job = job
         self._planned: dict[int, int] = {}
 
-    def room(self, zone: int) -> int:
-        if self._job.one_zone and any(z != zone for z in self._planned):
+    def tasks_left(self, zone: int) -> int:
+        if self._job.one_zone and any(planned != zone for planned in self._planned):
             return 0
-        return max(0, self._job.zone_room(zone) - self._planned.get(zone, 0))
+        return max(0, self._job.tasks_allowed_in_zone(zone) - self._planned.get(zone, 0))
 
     def plan(self, zone: int, count: int) -> None:
         self._planned[zone] = self._planned.get(zone, 0) + count
 
 
-def _fill(job: Job, zones: _Zones, count: int, nodes: list[Node]) -> int:
-    """Put tasks into machines that are on their way; what is left over."""
-    for node in nodes:
-        if count <= 0:
-            break
-        if node.cpus + EPSILON >= job.cpus and job.takes(node.machine_type, node.spot):
-            taken = min(count, node.fit(job), zones.room(node.zone))
-            if taken > 0:
-                node.use(job, taken)
-                zones.plan(node.zone, taken)
-                count -= taken
-    return count
-
-
 class _FreedSoon:
     """CPUs that running tasks free within a boot time, by the kind of machine and its zone.
 
@@ -72,124 +78,149 @@
     run on spot machines waited for minutes, because tasks kept ending there.
     """
 
-    def __init__(self, nodes: list[Node], now: float, boot_s: float) -> None:
-        self._cpus: dict[tuple[int, int, bool, float], float] = {}
-        for node in nodes:
-            if node.ready_at > now:
+    def __init__(self, machines: list[PlacementMachine], now: float, boot_s: float) -> None:
+        self._cpus: dict[_MachineKey, float] = {}
+        for machine in machines:
+            if machine.ready_at > now:
                 continue
-            kind = (node.machine_type, node.zone, node.spot, node.size)
-            freed = sum(task.cpus for task in node.tasks if task.end <= now + boot_s)
-            self._cpus[kind] = self._cpus.get(kind, 0.0) + freed
-
-    def take(self, job: Job, zones: _Zones, wanted: int) -> int:
-        """Book room for up to so many tasks of the job; for how many there is some."""
-        served = 0
-        for kind, cpus in self._cpus.items():
-            machine_type, zone, spot, size = kind
-            if size + EPSILON < job.cpus or not job.takes(machine_type, spot):
+            key = (machine.machine_type, machine.zone, machine.spot, machine.total_cpus)
+            freed = sum(task.cpus for task in machine.tasks if task.expected_end <= now + boot_s)
+            self._cpus[key] = self._cpus.get(key, 0.0) + freed
+
+    def book(self, job: PlacementJob, allowance: _ZoneAllowance, wanted: int) -> int:
+        """Book room for up to so many tasks of the job; returns for how many."""
+        booked = 0
+        for key, cpus in self._cpus.items():
+            machine_type, zone, spot, total_cpus = key
+            if total_cpus + EPSILON < job.cpus or not job.runs_on(machine_type, spot):
                 continue
-            count = min(wanted - served, math.floor(cpus / job.cpus), zones.room(zone))
+            fitting = math.floor(cpus / job.cpus)
+            count = min(wanted - booked, fitting, allowance.tasks_left(zone))
             if count > 0:
-                self._cpus[kind] -= count * job.cpus
-                zones.plan(zone, count)
-                served += count
-        return served
-
-
-def _best_offer(
-    job: Job, zones: _Zones, count: int, offers: list[Offer], now: float
-) -> Offer | None:
-    """The cheapest for a task of the job, by price, boot and slots."""
-    best: tuple[float, Offer] | None = None
-    for offer in offers:
-        if not job.takes(offer.machine_type, offer.spot) or zones.room(offer.zone) < 1:
-            continue
-        if not offer.spot and job.spot_allowed and now < job.ordinary_at:
-            continue
-        slots = min(count, fit(offer.cpus, offer.gpus, offer.memory, job), zones.room(offer.zone))
-        if slots < 1:
-            continue
-        # A service runs for no known time: by price alone, nearly.
-        runs = min(job.estimate, LONGEST_S)
-        cost = offer.price * (offer.boot_s + runs) / slots
-        if best is None or cost < best[0]:
-            best = (cost, offer)
-    return best[1] if best is not None else None
+                self._cpus[key] -= count * job.cpus
+                allowance.plan(zone, count)
+                booked += count
+        return booked
 
 
 def plan_provisioning(
-    demand: list[tuple[Job, int]],
-    nodes: list[Node],
+    demand: list[JobDemand],
+    machines: list[PlacementMachine],
     offers: list[Offer],
     now: float,
-    team_room: list[float],
-    most: int = PROVISION_MAX,
+    team_cpus: list[float],
+    max_machines: int = PROVISION_MAX,
 ) -> list[ProvisionRequest]:
-    """What to ask for, `most` machines in all.
+    """What to rent for the demand, `max_machines` in all.
 
-    `demand` is in order: jobs with tasks that found no machine in the pass.
+    `demand` is in the order of service; `team_cpus` are the CPUs that each team may still use.
     """
-    boot = min((o.boot_s for o in offers), default=0.0)
-    freed_soon = _FreedSoon(nodes, now, boot)
-    coming = [replace(n) for n in nodes if n.ready_at > now]
-    provisions: dict[Offer, int] = {}
-    room = list(team_room)
+    boot_s = min((offer.boot_s for offer in offers), default=0.0)
+    freed_soon = _FreedSoon(machines, now, boot_s)
+    booting = [replace(machine) for machine in machines if machine.ready_at > now]
+    requested: dict[Offer, int] = {}
+    left_cpus = list(team_cpus)
     for job, wanted in demand:
-        count = wanted
-        count = min(count, share_out(room[job.team], job.cpus))
-        room[job.team] -= count * job.cpus
+        count = min(wanted, tasks_within_limit(left_cpus[job.team], job.cpus))
+        left_cpus[job.team] -= count * job.cpus
         # Machines in a zone that takes no more of the job would be rented again and again,
         # while its tasks wait forever: of one that is spread over zones, and lost machines
         # in one of them.
-        zones = _Zones(job)
+        allowance = _ZoneAllowance(job)
         if job.cpus > 0:
-            count -= freed_soon.take(job, zones, count)
-        count = _fill(job, zones, count, coming)
-        while count > 0 and most > 0:
-            offer = _best_offer(job, zones, count, offers, now)
+            count -= freed_soon.book(job, allowance, count)
+        count = _pack(job, allowance, count, booting)
+        while count > 0 and max_machines > 0:
+            offer = _cheapest_offer(job, allowance, count, offers, now)
             if offer is None:
                 break
-            machines = min(most, _alike(job, zones, count, offer))
-            most -= machines
-            provisions[offer] = provisions.get(offer, 0) + machines
-            fresh = [_fresh_node(offer) for _ in range(machines)]
-            coming += fresh
-            count = _fill(job, zones, count, fresh)
-    return [ProvisionRequest(offer, count) for offer, count in provisions.items()]
+            new_count = min(max_machines, _filled_machines(job, allowance, count, offer))
+            max_machines -= new_count
+            requested[offer] = requested.get(offer, 0) + new_count
+            new_machines = [_new_machine(offer) for _ in range(new_count)]
+            booting += new_machines
+            count = _pack(job, allowance, count, new_machines)
+    return [ProvisionRequest(offer, count) for offer, count in requested.items()]
+
+
+def _pack(
+    job: PlacementJob, allowance: _ZoneAllowance, count: int, machines: list[PlacementMachine]
+) -> int:
+    """Put tasks on machines that boot, or will be rented; returns how many are left over."""
+    for machine in machines:
+        if count <= 0:
+            break
+        if machine.cpus + EPSILON >= job.cpus and job.runs_on(machine.machine_type, machine.spot):
+            packed = min(count, machine.tasks_that_fit(job), allowance.tasks_left(machine.zone))
+            if packed > 0:
+                machine.book(job, packed)
+                allowance.plan(machine.zone, packed)
+                count -= packed
+    return count
 
 
-def _alike(job: Job, zones: _Zones, count: int, offer: Offer) -> int:
+def _cheapest_offer(
+    job: PlacementJob, allowance: _ZoneAllowance, count: int, offers: list[Offer], now: float
+) -> Offer | None:
+    """The cheapest offer for a task of the job, by price, boot time and tasks a machine takes."""
+    cheapest: Offer | None = None
+    lowest_cost = math.inf
+    for offer in offers:
+        zone_left = allowance.tasks_left(offer.zone)
+        if not job.runs_on(offer.machine_type, offer.spot) or zone_left < 1:
+            continue
+        if not offer.spot and job.spot_allowed and now < job.ordinary_machines_from:
+            continue
+        slots = min(count, _slots(job, offer), zone_left)
+        if slots < 1:
+            continue
+        # A service runs for no known time: by price alone, nearly.
+        run_s = min(job.estimate_s, PRICED_RUN_MAX_S)
+        cost = offer.price_per_hour * (offer.boot_s + run_s) / slots
+        if cheapest is None or cost < lowest_cost:
+            cheapest, lowest_cost = offer, cost
+    return cheapest
+
+
+def _slots(job: PlacementJob, offer: Offer) -> int:
+    """How many tasks of the job an empty machine of the offer takes."""
+    return tasks_that_fit(offer.cpus, offer.gpus, offer.memory_gb, job)
+
+
+def _filled_machines(job: PlacementJob, allowance: _ZoneAllowance, count: int, offer: Offer) -> int:
     """How many machines of the offer stay the best one for so many tasks: each full of them."""
-    slots = fit(offer.cpus, offer.gpus, offer.memory, job)
-    return max(1, min(count, zones.room(offer.zone)) // slots)
-
-
-def _fresh_node(offer: Offer) -> Node:
-    return Node(
-        offer.machine_type,
-        offer.zone,
-        offer.spot,
-        offer.cpus,
-        offer.gpus,
-        offer.memory,
-        size=offer.cpus,
-        fetch_rate=0.0,
+    return max(1, min(count, allowance.tasks_left(offer.zone)) // _slots(job, offer))
+
+
+def _new_machine(offer: Offer) -> PlacementMachine:
+    return PlacementMachine(
+        machine_type=offer.machine_type,
+        zone=offer.zone,
+        spot=offer.spot,
+        cpus=offer.cpus,
+        gpus=offer.gpus,
+        memory_gb=offer.memory_gb,
+        total_cpus=offer.cpus,
+        fetch_gb_per_s=0.0,
     )
 
 
-def top_up(short: float, offers: list[Offer], machines: int = 0) -> list[ProvisionRequest]:
-    """Spot machines, the cheapest by CPU, to have `short` CPUs more at hand.
+def top_up(missing_cpus: float, offers: list[Offer], fleet_size: int = 0) -> list[ProvisionRequest]:
+    """Spot machines, the cheapest by CPU first, for `missing_cpus` more CPUs of headroom.
 
-    Whatever is started on them later does not wait for a machine to boot. `machines`: those that
-    there are.
+    Whatever is started on them later does not wait for a machine to boot. `fleet_size`: the
+    machines that there are.
     """
-    most = max(TOP_UP_LEAST, int(machines * TOP_UP_SHARE))
-    provisions = []
-    cheap = sorted((o for o in offers if o.spot and o.cpus > 0), key=lambda o: o.price / o.cpus)
-    for offer in cheap:
-        count = min(int(short // offer.cpus), most)
+    max_machines = max(TOP_UP_MIN, int(fleet_size * TOP_UP_SHARE))
+    requests = []
+    spot_offers = sorted(
+        (offer for offer in offers if offer.spot and offer.cpus > 0),
+        key=lambda offer: offer.price_per_hour / offer.cpus,
+    )
+    for offer in spot_offers:
+        count = min(int(missing_cpus // offer.cpus), max_machines)
         if count > 0:
-            provisions.append(ProvisionRequest(offer, count))
-            short -= count * offer.cpus
-            most -= count
-    return provisions
+            requests.append(ProvisionRequest(offer, count))
+            missing_cpus -= count * offer.cpus
+            max_machines -= count
+    return requests
--- /dev/null
+++ b/spoolcourse/control/placement/image_fetches.py
@@ -0,0 +1,68 @@
+"""Image fetches of a pass: how long they take, and how many run at once."""
+
+from __future__ import annotations
+
+from spoolcourse.control.placement.model import (
+    MIN_FETCH_GB_PER_S,
+    PlacementJob,
+    PlacementMachine,
+    Snapshot,
+)
+
+
+def needs_fetch(job: PlacementJob, machine: PlacementMachine) -> bool:
+    """Whether a start of the job there begins a fetch: the image is neither there nor coming."""
+    return (
+        job.image_gb > 0
+        and job.image not in machine.cached_images
+        and job.image not in machine.fetch_left_gb
+    )
+
+
+def fetch_delay_s(job: PlacementJob, machine: PlacementMachine) -> float:
+    """How long a task that is placed there now waits for its image. Fetches run in sequence."""
+    if job.image_gb <= 0 or job.image in machine.cached_images:
+        return 0.0
+    gb_per_s = max(machine.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
+    queued_gb = sum(machine.fetch_left_gb.values())
+    if job.image in machine.fetch_left_gb:
+        return queued_gb / gb_per_s
+    return (queued_gb + job.image_gb) / gb_per_s
+
+
+class FetchLimits:
+    """Books fetches against the limits of each machine and each zone."""
+
+    def __init__(self, snapshot: Snapshot) -> None:
+        self._per_machine = max(snapshot.fetches_per_machine, 1)
+        self._per_zone = snapshot.fetches_per_zone
+        self._running_by_zone = [0] * snapshot.zone_count
+        self._closed_zones: set[int] = set()
+        for machine in snapshot.machines:
+            self._running_by_zone[machine.zone] += len(machine.fetch_left_gb)
+
+    @property
+    def need_quiet_zone(self) -> bool:
+        """Whether one fetch exceeds a zone's limit: it then starts only where no other runs."""
+        return self._per_zone < 1
+
+    def allow(self, job: PlacementJob, machine: PlacementMachine) -> bool:
+        """Whether the job needs no new fetch there, or one more may start."""
+        if not needs_fetch(job, machine):
+            return True
+        if machine.zone in self._closed_zones or len(machine.fetch_left_gb) >= self._per_machine:
+            return False
+        running = self._running_by_zone[machine.zone]
+        if self.need_quiet_zone:
+            return running == 0
+        return running < self._per_zone
+
+    def book(self, job: PlacementJob, machine: PlacementMachine) -> None:
+        """Start the fetch that a start of the job there needs, if any."""
+        if needs_fetch(job, machine):
+            machine.fetch_left_gb[job.image] = job.image_gb
+            self._running_by_zone[machine.zone] += 1
+
+    def close_zones(self, zones: set[int]) -> None:
+        """Allow no further fetch of this pass in these zones."""
+        self._closed_zones |= zones
--- a/spoolcourse/control/placement/model.py
+++ b/spoolcourse/control/placement/model.py
@@ -1,196 +1,219 @@
-"""What the placement pass sees, and what it decides. Names are dense indices here."""
+"""The placement model: what a pass reads (the snapshot) and what it returns (the plan).
+
+Machines, jobs, teams, zones, machine types and images are dense indices here. Times are seconds
+on the leader's clock, durations are seconds, memory and images are GB, CPUs may be fractions.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from math import inf
+from typing import NamedTuple
+
+EPSILON = 1e-6  # absolute tolerance for resources and times, which are sums of floats
+MIN_FETCH_GB_PER_S = 1e-3  # a machine type whose rate is given as 0 still fetches
+UNBOUNDED_TASKS = 100_000  # stands for "no limit": no job has more tasks
+
+
+class Resources(NamedTuple):
+    """An amount of each resource."""
+
+    cpus: float
+    gpus: float
+    memory_gb: float
+
 
-EPSILON = 1e-6
-LEAST_RATE = 1e-3  # GB a second: a type whose rate is given as 0 still fetches
-UNBOUNDED = 100_000  # tasks: no job has more
+NO_RESOURCES = Resources(0.0, 0.0, 0.0)
 
 
-def fit(cpus: float, gpus: float, memory: float, job: Job) -> int:
-    """How many tasks of the job go into these resources."""
-    count: float = UNBOUNDED
+def tasks_that_fit(cpus: float, gpus: float, memory_gb: float, job: PlacementJob) -> int:
+    """How many tasks of the job fit into these free resources."""
+    count: float = UNBOUNDED_TASKS
     if job.cpus > 0:
         count = min(count, (cpus + EPSILON) // job.cpus)
-    if job.memory > 0:
-        count = min(count, (memory + EPSILON) // job.memory)
+    if job.memory_gb > 0:
+        count = min(count, (memory_gb + EPSILON) // job.memory_gb)
     if job.gpus > 0:
         count = min(count, (gpus + EPSILON) // job.gpus)
     return int(count) if count > 0 else 0
 
 
-def share_out(amount: float, each: float) -> int:
-    """How many times `each` goes into an amount, which is infinite where there is no limit."""
-    if each <= 0 or amount == inf:
-        return UNBOUNDED
-    return max(0, int((amount + EPSILON) // each))
+def tasks_within_limit(free: float, per_task: float) -> int:
+    """How many tasks a limit allows, of which so much is free: infinite means no limit."""
+    if per_task <= 0 or free == inf:
+        return UNBOUNDED_TASKS
+    return max(0, int((free + EPSILON) // per_task))
 
 
 @dataclass(slots=True)
 class RunningTask:
-    """Holds resources until about `end`."""
+    """An attempt that holds resources of a machine until about `expected_end`."""
 
-    end: float
+    expected_end: float  # infinite for a service
     cpus: float
     gpus: float
-    memory: float
-    ref: int = -1
+    memory_gb: float
+    attempt_number: int = -1
     rank: int = 0  # 0 is the highest
     team: int = 0
-    lost: float = 0.0  # CPU seconds of work that stopping it would lose, if that stays so
+    checkpoint_loss_cpu_s: float = 0.0  # what stopping it loses if `unsaved_since` is None
     stopping: bool = False
-    safe: bool = False  # its job is within its team's guarantee
-    since: float | None = None  # it loses all that it did since then, instead of `lost`
+    within_guarantee: bool = False  # its job is within its team's guarantee: not preempted for one
+    unsaved_since: float | None = None  # all its work since then is lost when it is stopped
 
-    def loss(self, now: float) -> float:
+    def loss_cpu_s(self, now: float) -> float:
         """CPU seconds of work that stopping it loses."""
-        return self.lost if self.since is None else self.cpus * (now - self.since)
+        if self.unsaved_since is None:
+            return self.checkpoint_loss_cpu_s
+        return self.cpus * (now - self.unsaved_since)
 
 
-class Room:
-    """Resources that a job's tasks can be put into."""
+class FreeResources:
+    """Free resources that tasks can be packed into."""
 
-    __slots__ = ("cpus", "gpus", "memory")
+    __slots__ = ("cpus", "gpus", "memory_gb")
     cpus: float
     gpus: float
-    memory: float
+    memory_gb: float
 
-    def fit(self, job: Job) -> int:
+    def tasks_that_fit(self, job: PlacementJob) -> int:
         """How many tasks of the job fit."""
-        return fit(self.cpus, self.gpus, self.memory, job)
+        return tasks_that_fit(self.cpus, self.gpus, self.memory_gb, job)
 
-    def add(self, task: RunningTask) -> None:
-        """Count the resources of a task that has ended."""
+    def release(self, task: RunningTask) -> None:
+        """Add the resources of a task that has ended."""
         self.cpus += task.cpus
         self.gpus += task.gpus
-        self.memory += task.memory
+        self.memory_gb += task.memory_gb
 
-    def use(self, job: Job, count: int) -> None:
-        """Book so many tasks of the job."""
+    def book(self, job: PlacementJob, count: int) -> None:
+        """Subtract the resources of so many tasks of the job."""
         self.cpus -= count * job.cpus
         self.gpus -= count * job.gpus
-        self.memory -= count * job.memory
+        self.memory_gb -= count * job.memory_gb
 
 
 @dataclass(slots=True)
-class Node(Room):
-    """A machine. `ready_at` is in the future while it boots."""
+class PlacementMachine(FreeResources):
+    """A machine as a pass sees it. `ready_at` is in the future while it boots."""
 
     machine_type: int
     zone: int
     spot: bool
-    cpus: float  # free now
+    cpus: float  # free now, as are the next two
     gpus: float
-    memory: float
-    size: float  # CPUs in all
-    fetch_rate: float
-    images: set[int] = field(default_factory=set)
-    fetching: dict[int, float] = field(default_factory=dict)  # image: GB still to come, about
-    tasks: list[RunningTask] = field(default_factory=list)  # by their ends
+    memory_gb: float
+    total_cpus: float
+    fetch_gb_per_s: float
+    cached_images: set[int] = field(default_factory=set)
+    fetch_left_gb: dict[int, float] = field(default_factory=dict)  # by image, estimated
+    tasks: list[RunningTask] = field(default_factory=list)  # by expected end
     ready_at: float = 0.0
-    scale_in_candidate: bool = False  # should run empty to be returned
-    rare: bool = False  # some waiting job fits nowhere else
-    freed: tuple[float, float, float] = (0.0, 0.0, 0.0)  # by tasks that are being stopped
+    scale_in_candidate: bool = False  # should run empty so that it can be returned
+    has_scarce_type: bool = False  # some job can use this machine type only, or few beside it
+    being_freed: Resources = NO_RESOURCES  # by tasks that are being stopped
 
-    def free(self, task: RunningTask) -> None:
-        """Count on a task that is being stopped to free its resources soon."""
-        cpus, gpus, memory = self.freed
-        self.freed = (cpus + task.cpus, gpus + task.gpus, memory + task.memory)
+    def expect_release(self, task: RunningTask) -> None:
+        """Count a task that is being stopped in `being_freed`."""
+        cpus, gpus, memory_gb = self.being_freed
+        self.being_freed = Resources(cpus + task.cpus, gpus + task.gpus, memory_gb + task.memory_gb)
 
 
 @dataclass(slots=True)
-class Job:
-    """A job with tasks to place. `UNBOUNDED` of them means: no bound."""
+class PlacementJob:
+    """A job as a pass sees it, with its tasks that wait for a machine."""
 
-    pending: int
-    cpus: float
+    pending_tasks: int
+    cpus: float  # of one task, as are the next two
     gpus: float
-    memory: float
+    memory_gb: float
     image: int
     image_gb: float
     team: int
-    estimate: float
+    estimate_s: float  # how long a task runs; infinite for a service
     machine_types: frozenset[int] | None = None  # None: any
     zone: int | None = None
     spot_allowed: bool = True
     one_zone: bool = False
-    spread: int | None = None  # at most so many tasks in one zone
-    held: dict[int, int] = field(default_factory=dict)  # zone: tasks that may be there
-    lost: int = 0  # tasks whose machine's zone is not known
-    avoid: frozenset[int] = frozenset()  # nodes where it failed
-    rank: int = 2
-    claim: bool = False  # tasks may be stopped for it
-    guaranteed: bool = False  # it fits into its team's guarantee
-    replicas_on: dict[int, int] = field(default_factory=dict)  # of a service: node, how many
-    service: bool = False
-    ordinary_at: float = 0.0  # from then on ordinary machines may be rented for it
-
-    def takes(self, machine_type: int, spot: bool) -> bool:
+    max_tasks_per_zone: int | None = None
+    tasks_by_zone: dict[int, int] = field(default_factory=dict)  # that may run in the zone
+    tasks_in_unknown_zones: int = 0
+    avoided_machines: frozenset[int] = frozenset()  # it failed there recently
+    rank: int = 2  # 0 is the highest
+    may_preempt: bool = False  # running tasks may be stopped for it
+    within_guarantee: bool = False  # it fits into its team's guarantee
+    replicas_by_machine: dict[int, int] = field(default_factory=dict)  # of a service
+    is_service: bool = False
+    ordinary_machines_from: float = 0.0  # the time from which they may be rented for it
+
+    def runs_on(self, machine_type: int, spot: bool) -> bool:
         """Whether it may run on this kind of machine."""
         return (self.machine_types is None or machine_type in self.machine_types) and (
             self.spot_allowed or not spot
         )
 
-    def elsewhere(self, zone: int) -> bool:
-        """It must stay in one zone, and that is another."""
-        return self.one_zone and any(n for z, n in self.held.items() if z != zone)
+    def is_bound_to_another_zone(self, zone: int) -> bool:
+        """Whether it must stay in one zone and already has tasks in another."""
+        return self.one_zone and any(
+            count for other, count in self.tasks_by_zone.items() if other != zone
+        )
 
-    def zone_room(self, zone: int) -> int:
-        """How many more of its tasks may start in the zone at this moment.
+    def tasks_allowed_in_zone(self, zone: int) -> int:
+        """How many more of its tasks may start in the zone now.
 
-        Those on machines whose zone isn't known may be anywhere: they count against every zone.
+        Tasks on machines whose zone isn't known may be anywhere: they count against every zone.
         """
-        if self.zone not in (None, zone) or self.elsewhere(zone) or (self.one_zone and self.lost):
+        if self.zone not in (None, zone) or self.is_bound_to_another_zone(zone):
+            return 0
+        if self.one_zone and self.tasks_in_unknown_zones:
             return 0
-        if self.spread is not None:
-            return max(0, self.spread - self.held.get(zone, 0) - self.lost)
-        return UNBOUNDED
+        if self.max_tasks_per_zone is not None:
+            in_zone = self.tasks_by_zone.get(zone, 0)
+            return max(0, self.max_tasks_per_zone - in_zone - self.tasks_in_unknown_zones)
+        return UNBOUNDED_TASKS
 
 
 @dataclass(slots=True)
-class Team:
-    """What a team may still use."""
+class TeamBudget:
+    """What a team may still use below its limits; infinite where it has none."""
 
-    cpus: float  # still free below its limit; infinite without one
+    cpus: float
     gpus: float
-    over: float = 0.0  # CPUs that it uses beyond its guarantee
+    cpus_over_guarantee: float = 0.0  # negative while it uses less than its guarantee
 
-    def fit(self, job: Job) -> int:
+    def tasks_that_fit(self, job: PlacementJob) -> int:
         """How many more tasks of the job its limits allow."""
-        return min(share_out(self.cpus, job.cpus), share_out(self.gpus, job.gpus))
+        return min(tasks_within_limit(self.cpus, job.cpus), tasks_within_limit(self.gpus, job.gpus))
 
 
 @dataclass(slots=True)
 class Snapshot:
-    """Everything that a pass looks at."""
+    """Everything that a pass reads. A pass uses it up: it books what it places."""
 
     now: float
-    jobs: list[Job]  # in the order to be served
-    nodes: list[Node]
-    teams: list[Team]
-    zones: int
-    node_fetches: int
-    zone_fetches: int
+    jobs: list[PlacementJob]  # in the order of service
+    machines: list[PlacementMachine]
+    teams: list[TeamBudget]
+    zone_count: int
+    fetches_per_machine: int  # image fetches at once, as is the next one
+    fetches_per_zone: int
 
 
 @dataclass(slots=True)
-class Decision:
-    """So many tasks of a job on a node."""
+class Placement:
+    """So many tasks of a job on a machine."""
 
     job: int
-    node: int
-    count: int
+    machine: int
+    task_count: int
 
 
 @dataclass(slots=True)
 class Plan:
-    """What a pass has decided."""
+    """What a pass has decided. Jobs are indices into the snapshot's."""
 
-    decisions: list[Decision] = field(default_factory=list)
-    head: int | None = None
-    head_start: float | None = None
-    unplaced: dict[int, int] = field(default_factory=dict)  # job: tasks that need machines
-    why: dict[int, str] = field(default_factory=dict)  # job: what it waits for
+    placements: list[Placement] = field(default_factory=list)
+    head: int | None = None  # the first job that did not fit as a whole
+    shadow_time: float | None = None  # when the head's first reserved task can start
+    unplaced_tasks: dict[int, int] = field(default_factory=dict)  # by job: they need machines
+    wait_reasons: dict[int, str] = field(default_factory=dict)  # by job: shown in /status
--- a/spoolcourse/control/scheduling/scheduling_loop.py
+++ b/spoolcourse/control/scheduling/scheduling_loop.py
@@ -10,6 +10,7 @@
 
 from spoolcourse.control.autoscaling.autoscaler import FleetAutoscaler
 from spoolcourse.control.autoscaling.planner import (
+    JobDemand,
     Offer,
     ProvisionRequest,
     plan_provisioning,
@@ -21,7 +22,7 @@
 from spoolcourse.control.leader_context import LeaderContext
 from spoolcourse.control.leadership.failover_timeline import FailoverPhase
 from spoolcourse.control.placement.backfill import place
-from spoolcourse.control.placement.model import Decision, Plan, Snapshot
+from spoolcourse.control.placement.model import Placement, Plan, Snapshot
 from spoolcourse.control.placement.preempt import choose_victims
 from spoolcourse.control.scheduling.snapshot_builder import SnapshotBuilder
 from spoolcourse.control.workers.command_dispatcher import CommandDispatcher
@@ -112,12 +113,12 @@
         self.passes += 1
         self._registry.leader.record_phase(FailoverPhase.FIRST_PASS)
         job_states = self._snapshot_builder.job_states
-        self._reasons = {job_states[i].id: reason for i, reason in plan.why.items()}
+        self._reasons = {job_states[i].id: reason for i, reason in plan.wait_reasons.items()}
         wanted_cpus = held_cpus + _planned_cpus(snapshot, plan)
         self._autoscaler.excess_capacity.demand.record(now, wanted_cpus)
         self._refresh_policy(snapshot, wanted_cpus)
-        for decision in plan.decisions:
-            self._assign(decision, now)
+        for placement in plan.placements:
+            self._assign(placement, now)
         with self._load.time_block("stop"):
             self._stop_for_claims(snapshot, plan)
         self._plan_machines(snapshot, plan, team_room, now)
@@ -129,13 +130,13 @@
         )
 
     def _refresh_policy(self, snapshot: Snapshot, wanted_cpus: float) -> None:
-        at_hand = sum(node.size for node in snapshot.nodes)
+        at_hand = sum(machine.total_cpus for machine in snapshot.machines)
         boots_s = [machine_type.boot_s for machine_type in self._machine_types().values()]
         self._policy_source.refresh(
             self._policy,
             {
-                "waiting_jobs": float(sum(1 for job in snapshot.jobs if job.pending > 0)),
-                "machines": float(len(snapshot.nodes)),
+                "waiting_jobs": float(sum(1 for job in snapshot.jobs if job.pending_tasks > 0)),
+                "machines": float(len(snapshot.machines)),
                 "load": wanted_cpus / at_hand if at_hand > 0 else 0.0,
                 "pass_cost_s": self.pass_cost_s,
                 "boot_s": max(boots_s, default=1.0),
@@ -144,10 +145,10 @@
             },
         )
 
-    def _assign(self, decision: Decision, now: float) -> None:
-        job_state = self._snapshot_builder.job_states[decision.job]
-        machine = self._snapshot_builder.machines[decision.node]
-        chosen = list(islice(job_state.assignable_tasks(), decision.count))
+    def _assign(self, placement: Placement, now: float) -> None:
+        job_state = self._snapshot_builder.job_states[placement.job]
+        machine = self._snapshot_builder.machines[placement.machine]
+        chosen = list(islice(job_state.assignable_tasks(), placement.task_count))
         for task in chosen:
             if self._attempts >= ATTEMPTS_MOST:
                 raise AttemptNumbersSpentError
@@ -178,14 +179,14 @@
         if self._autoscaler.scale_out.is_in_progress:
             return
         short_cpus = self._autoscaler.excess_capacity.missing_cpus(now)
-        if not plan.unplaced and short_cpus <= 0:
+        if not plan.unplaced_tasks and short_cpus <= 0:
             return
         offers = self._offers()
-        demand = [(snapshot.jobs[i], count) for i, count in plan.unplaced.items()]
+        demand = [JobDemand(snapshot.jobs[i], count) for i, count in plan.unplaced_tasks.items()]
         most = max_provisions(self._params.cloud.rps)
-        provisions = plan_provisioning(demand, snapshot.nodes, offers, now, team_room, most)
+        provisions = plan_provisioning(demand, snapshot.machines, offers, now, team_room, most)
         short_cpus -= sum(provision.count * provision.offer.cpus for provision in provisions)
-        provisions += top_up(short_cpus, offers, len(snapshot.nodes))
+        provisions += top_up(short_cpus, offers, len(snapshot.machines))
         if provisions:
             self._autoscaler.scale_out.request(
                 [
@@ -259,6 +260,6 @@
 
 def _planned_cpus(snapshot: Snapshot, plan: Plan) -> float:
     """CPUs of what a plan starts, and of what it finds no machine for."""
-    placed = sum(snapshot.jobs[d.job].cpus * d.count for d in plan.decisions)
-    missing = sum(snapshot.jobs[i].cpus * count for i, count in plan.unplaced.items())
+    placed = sum(snapshot.jobs[d.job].cpus * d.task_count for d in plan.placements)
+    missing = sum(snapshot.jobs[i].cpus * count for i, count in plan.unplaced_tasks.items())
     return placed + missing
--- a/spoolcourse/control/scheduling/snapshot_builder.py
+++ b/spoolcourse/control/scheduling/snapshot_builder.py
@@ -7,7 +7,7 @@
 
 from spoolcourse.control.jobs.job_queue import JobQueue
 from spoolcourse.control.jobs.model import Attempt, JobState
-from spoolcourse.control.placement.model import Job, Node, Snapshot, Team
+from spoolcourse.control.placement.model import PlacementJob, PlacementMachine, Snapshot, TeamBudget
 from spoolcourse.control.scheduling.snapshot_cache import Index, SnapshotCache
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.control.workers.worker_registry import WorkerRegistry
@@ -93,11 +93,11 @@
         return Snapshot(
             now=now,
             jobs=[self._safe_job(state, now, number_of) for state in self.job_states],
-            nodes=nodes,
+            machines=nodes,
             teams=self._teams(),
-            zones=len(self.zones),
-            node_fetches=int(self._policy.node_fetches),
-            zone_fetches=int(self._policy.zone_fetches),
+            zone_count=len(self.zones),
+            fetches_per_machine=int(self._policy.node_fetches),
+            fetches_per_zone=int(self._policy.zone_fetches),
         )
 
     def _order_jobs(self, now: float) -> None:
@@ -122,13 +122,13 @@
             )
         )
 
-    def _teams(self) -> list[Team]:
+    def _teams(self) -> list[TeamBudget]:
         """What each team may still use.
 
         All that may be running counts, also what outlives its job, or what is on a machine
         without being the attempt that counts there.
         """
-        teams = [Team(t.cpu_limit, t.gpu_limit, -t.cpus) for t in self._team_settings]
+        teams = [TeamBudget(t.cpu_limit, t.gpu_limit, -t.cpus) for t in self._team_settings]
         for state in self._job_queue.jobs.values():
             self._charge(teams, state, len(state.attempts))
         for attempt in self._job_queue.attempts_of_finished_jobs():
@@ -138,7 +138,7 @@
         return teams
 
     def _charge(
-        self, teams: list[Team], state: JobState, tasks: int, stoppable: bool = True
+        self, teams: list[TeamBudget], state: JobState, tasks: int, stoppable: bool = True
     ) -> None:
         """Count tasks against their team; only what can be stopped counts beyond its guarantee."""
         submission = state.record.submission
@@ -147,13 +147,15 @@
         team.cpus -= cpus
         team.gpus -= submission.gpus * tasks
         if stoppable:
-            team.over += cpus
+            team.cpus_over_guarantee += cpus
 
-    def _take_nodes(self, now: float, machine_types: dict[str, MachineType]) -> list[Node]:
+    def _take_nodes(
+        self, now: float, machine_types: dict[str, MachineType]
+    ) -> list[PlacementMachine]:
         rare_types = {name for name in machine_types if self.is_rare(name, now)}
         self._snapshot_cache.keep(self._registry.machines)
         self.machines = []
-        nodes: list[Node] = []
+        nodes: list[PlacementMachine] = []
         for machine in self._registry.machines.values():
             machine_type = machine_types.get(machine.machine_type or "")
             if machine_type is None or not self._counts(machine, now):
@@ -229,7 +231,7 @@
             if (job_state := self._job_queue.jobs.get(attempt_id.job)) is not None
         ]
 
-    def _safe_job(self, job_state: JobState, now: float, number_of: dict[str, int]) -> Job:
+    def _safe_job(self, job_state: JobState, now: float, number_of: dict[str, int]) -> PlacementJob:
         """The job as the pass sees it; one that can't be judged is left out alone.
 
         A rule that failed for jobs without a deadline once stopped every pass of every leader.
@@ -238,40 +240,44 @@
             return self._job(job_state, now, number_of)
         except Exception:
             log.exception("%s is left out of this pass", job_state.id)
-            return Job(
+            return PlacementJob(
                 0, 0.0, 0.0, 0.0, 0, 0.0, self.teams.of(job_state.record.submission.team), 0.0
             )
 
-    def _job(self, state: JobState, now: float, number_of: dict[str, int]) -> Job:
+    def _job(self, state: JobState, now: float, number_of: dict[str, int]) -> PlacementJob:
         submission = state.record.submission
         types = submission.machine_types
-        job = Job(
-            pending=self._pending(state, now),
+        job = PlacementJob(
+            pending_tasks=self._pending(state, now),
             cpus=submission.cpus,
             gpus=submission.gpus,
-            memory=submission.memory_gb,
+            memory_gb=submission.memory_gb,
             image=self._images.of(submission.image),
             image_gb=submission.image_gb,
             team=self.teams.of(submission.team),
-            estimate=self.estimate(state),
+            estimate_s=self.estimate(state),
             machine_types=None if types is None else frozenset(map(self.machine_types.of, types)),
             zone=None if submission.zone is None else self.zones.of(submission.zone),
             spot_allowed=submission.spot_allowed,
             one_zone=submission.one_zone,
-            spread=-(-submission.task_count // 2) if submission.spread_over_zones else None,
+            max_tasks_per_zone=-(-submission.task_count // 2)
+            if submission.spread_over_zones
+            else None,
             rank=submission.rank_number,
-            guaranteed=state.id in self._within,
-            ordinary_at=self._ordinary_at(state),
-            service=submission.is_service,
+            within_guarantee=state.id in self._within,
+            ordinary_machines_from=self._ordinary_at(state),
+            is_service=submission.is_service,
         )
-        job.claim = (
-            job.guaranteed or submission.is_service or submission.job_class in self._prompt_classes
+        job.may_preempt = (
+            job.within_guarantee
+            or submission.is_service
+            or submission.job_class in self._prompt_classes
         )
         if submission.is_service:
             self._note_replicas(job, state, number_of)
         if state.bad_machines:
             bad = [name for name, until in state.bad_machines.items() if until > now]
-            job.avoid = frozenset(number_of[name] for name in bad if name in number_of)
+            job.avoided_machines = frozenset(number_of[name] for name in bad if name in number_of)
         if submission.one_zone or submission.spread_over_zones:
             self._note_zones(job, state)
         return job
@@ -285,18 +291,18 @@
         return state.assignable_count
 
     @staticmethod
-    def _note_replicas(job: Job, state: JobState, number_of: dict[str, int]) -> None:
+    def _note_replicas(job: PlacementJob, state: JobState, number_of: dict[str, int]) -> None:
         for attempt in state.attempts.values():
             number = number_of.get(attempt.machine)
             if number is not None:
-                job.replicas_on[number] = job.replicas_on.get(number, 0) + 1
+                job.replicas_by_machine[number] = job.replicas_by_machine.get(number, 0) + 1
 
-    def _note_zones(self, job: Job, state: JobState) -> None:
+    def _note_zones(self, job: PlacementJob, state: JobState) -> None:
         """Where its tasks may be; what may be anywhere counts against every zone."""
         for attempt in state.attempts.values():
             machine = self._registry.machines.get(attempt.machine)
             if machine is None or machine.zone is None:
-                job.lost += 1
+                job.tasks_in_unknown_zones += 1
             else:
                 _note_held(job, self.zones.of(machine.zone))
         for machine in self._registry.machines.values():
@@ -315,5 +321,5 @@
     return expected
 
 
-def _note_held(job: Job, zone: int) -> None:
-    job.held[zone] = job.held.get(zone, 0) + 1
+def _note_held(job: PlacementJob, zone: int) -> None:
+    job.tasks_by_zone[zone] = job.tasks_by_zone.get(zone, 0) + 1
--- a/spoolcourse/control/scheduling/snapshot_cache.py
+++ b/spoolcourse/control/scheduling/snapshot_cache.py
@@ -11,7 +11,12 @@
 from dataclasses import dataclass
 
 from spoolcourse.control.jobs.model import Attempt, JobState
-from spoolcourse.control.placement.model import LEAST_RATE, Node, RunningTask
+from spoolcourse.control.placement.model import (
+    MIN_FETCH_GB_PER_S,
+    PlacementMachine,
+    Resources,
+    RunningTask,
+)
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.wire.messages import MachineType
 
@@ -55,7 +60,7 @@
     cpus: float
     gpus: float
     memory: float
-    freed: tuple[float, float, float]
+    freed: Resources
     images: set[int]
     fetching: dict[int, float]
     tasks: list[RunningTask]
@@ -99,12 +104,12 @@
         jobs: dict[str, JobState],
         now: float,
         rare: bool,
-    ) -> Node:
+    ) -> PlacementMachine:
         """What the pass sees of a machine, made again only if something changed there."""
         known = self._known.get(machine.id)
         if known is None or known.changes != machine.change_count or known.until <= now:
             known = self._known[machine.id] = self._make(machine, machine_type, jobs, now)
-        return Node(
+        return PlacementMachine(
             known.machine_type,
             known.zone,
             bool(machine.spot),
@@ -125,7 +130,7 @@
     def _make(
         self, machine: Machine, machine_type: MachineType, jobs: dict[str, JobState], now: float
     ) -> MachineSnapshot:
-        node = Node(
+        node = PlacementMachine(
             self._machine_types.of(machine_type.name),
             self._zones.of(machine.zone or ""),
             bool(machine.spot),
@@ -135,7 +140,7 @@
             machine_type.cpus,
             machine_type.fetch_gb_per_s,
         )
-        rate = max(machine_type.fetch_gb_per_s, LEAST_RATE)
+        rate = max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
         attempts = machine.attempts.values()
         for attempt in attempts:
             if attempt.is_executing:
@@ -144,14 +149,14 @@
             if submission.image not in machine.images:
                 since = machine.fetching.get(submission.image, now)
                 left = max(submission.image_gb - rate * (now - since), LEAST_LEFT_GB)
-                node.fetching[self.images.of(submission.image)] = left
-        fetch = sum(node.fetching.values()) / rate
+                node.fetch_left_gb[self.images.of(submission.image)] = left
+        fetch = sum(node.fetch_left_gb.values()) / rate
         until = float("inf")
         for attempt in attempts:
             submission = attempt.job_state.record.submission
             node.cpus -= submission.cpus
             node.gpus -= submission.gpus
-            node.memory -= submission.memory_gb
+            node.memory_gb -= submission.memory_gb
             end, steady = self._ends(attempt, now, fetch)
             until = min(until, end if steady else now + LOOK_AGAIN_S)
             going = attempt.is_executing
@@ -172,7 +177,7 @@
                 attempt.since if going and not saves else None,
             )
             if attempt.stopping:
-                node.free(task)
+                node.expect_release(task)
             node.tasks.append(task)
         for job, _, _ in machine.unexpected_attempts:
             job_state = jobs.get(job)
@@ -180,8 +185,8 @@
                 submission = job_state.record.submission
                 node.cpus -= submission.cpus
                 node.gpus -= submission.gpus
-                node.memory -= submission.memory_gb
-        node.tasks.sort(key=lambda t: t.end)
+                node.memory_gb -= submission.memory_gb
+        node.tasks.sort(key=lambda t: t.expected_end)
         return MachineSnapshot(
             machine.change_count,
             until,
@@ -189,10 +194,10 @@
             node.zone,
             node.cpus,
             node.gpus,
-            node.memory,
-            node.freed,
+            node.memory_gb,
+            node.being_freed,
             {self.images.of(i) for i in machine.images},
-            node.fetching,
+            node.fetch_left_gb,
             node.tasks,
         )
 
--- a/tests/golden/adapter.py
+++ b/tests/golden/adapter.py
@@ -9,6 +9,7 @@
 from spoolcourse.control.autoscaling.excess_capacity import ExcessCapacity
 from spoolcourse.control.autoscaling.machine_type_lookup import MachineTypeLookup
 from spoolcourse.control.autoscaling.planner import (
+    JobDemand,
     Offer,
     ProvisionRequest,
     plan_provisioning,
@@ -16,7 +17,15 @@
 )
 from spoolcourse.control.jobs.model import Attempt
 from spoolcourse.control.placement.backfill import place
-from spoolcourse.control.placement.model import Job, Node, Plan, RunningTask, Snapshot, Team
+from spoolcourse.control.placement.model import (
+    PlacementJob,
+    PlacementMachine,
+    Plan,
+    Resources,
+    RunningTask,
+    Snapshot,
+    TeamBudget,
+)
 from spoolcourse.control.placement.preempt import choose_victims
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.policy.keys import Policy
@@ -29,81 +38,85 @@
 
 def _task(task: Fields) -> RunningTask:
     return RunningTask(
-        end=task["end"],
+        expected_end=task["end"],
         cpus=task["cpus"],
         gpus=task["gpus"],
-        memory=task["memory_gb"],
-        ref=task["reference"],
+        memory_gb=task["memory_gb"],
+        attempt_number=task["reference"],
         rank=task["rank"],
         team=task["team"],
-        lost=task["lost_cpu_s"],
+        checkpoint_loss_cpu_s=task["lost_cpu_s"],
         stopping=task["stopping"],
-        safe=task["within_guarantee"],
-        since=task["running_since"],
+        within_guarantee=task["within_guarantee"],
+        unsaved_since=task["running_since"],
     )
 
 
-def _machine(machine: Fields) -> Node:
-    return Node(
+def _machine(machine: Fields) -> PlacementMachine:
+    return PlacementMachine(
         machine_type=machine["machine_type"],
         zone=machine["zone"],
         spot=machine["spot"],
         cpus=machine["free_cpus"],
         gpus=machine["free_gpus"],
-        memory=machine["free_memory_gb"],
-        size=machine["size_cpus"],
-        fetch_rate=machine["fetch_gb_per_s"],
-        images=set(machine["cached_images"]),
-        fetching=dict(machine["fetches"]),
+        memory_gb=machine["free_memory_gb"],
+        total_cpus=machine["size_cpus"],
+        fetch_gb_per_s=machine["fetch_gb_per_s"],
+        cached_images=set(machine["cached_images"]),
+        fetch_left_gb=dict(machine["fetches"]),
         tasks=[_task(task) for task in machine["tasks"]],
         ready_at=machine["ready_at"],
         scale_in_candidate=machine["surplus"],
-        rare=machine["rare"],
-        freed=machine["being_freed"],
+        has_scarce_type=machine["rare"],
+        being_freed=Resources(*machine["being_freed"]),
     )
 
 
-def _job(job: Fields) -> Job:
+def _job(job: Fields) -> PlacementJob:
     types = job["machine_types"]
-    return Job(
-        pending=job["waiting_tasks"],
+    return PlacementJob(
+        pending_tasks=job["waiting_tasks"],
         cpus=job["cpus"],
         gpus=job["gpus"],
-        memory=job["memory_gb"],
+        memory_gb=job["memory_gb"],
         image=job["image"],
         image_gb=job["image_gb"],
         team=job["team"],
-        estimate=job["estimate_s"],
+        estimate_s=job["estimate_s"],
         machine_types=None if types is None else frozenset(types),
         zone=job["zone"],
         spot_allowed=job["spot_allowed"],
         one_zone=job["one_zone"],
-        spread=job["most_in_a_zone"],
-        held=dict(job["held_by_zone"]),
-        lost=job["tasks_in_unknown_zones"],
-        avoid=frozenset(job["avoided_machines"]),
+        max_tasks_per_zone=job["most_in_a_zone"],
+        tasks_by_zone=dict(job["held_by_zone"]),
+        tasks_in_unknown_zones=job["tasks_in_unknown_zones"],
+        avoided_machines=frozenset(job["avoided_machines"]),
         rank=job["rank"],
-        claim=job["claim"],
-        guaranteed=job["within_guarantee"],
-        replicas_on=dict(job["replicas_by_machine"]),
-        service=job["service"],
-        ordinary_at=job["ordinary_machines_from"],
+        may_preempt=job["claim"],
+        within_guarantee=job["within_guarantee"],
+        replicas_by_machine=dict(job["replicas_by_machine"]),
+        is_service=job["service"],
+        ordinary_machines_from=job["ordinary_machines_from"],
     )
 
 
-def _team(team: Fields) -> Team:
-    return Team(cpus=team["free_cpus"], gpus=team["free_gpus"], over=team["cpus_over_guarantee"])
+def _team(team: Fields) -> TeamBudget:
+    return TeamBudget(
+        cpus=team["free_cpus"],
+        gpus=team["free_gpus"],
+        cpus_over_guarantee=team["cpus_over_guarantee"],
+    )
 
 
 def _snapshot(cluster: Fields) -> Snapshot:
     return Snapshot(
         now=cluster["now"],
         jobs=[_job(job) for job in cluster["jobs"]],
-        nodes=[_machine(machine) for machine in cluster["machines"]],
+        machines=[_machine(machine) for machine in cluster["machines"]],
         teams=[_team(team) for team in cluster["teams"]],
-        zones=cluster["zones"],
-        node_fetches=cluster["fetches_per_machine"],
-        zone_fetches=cluster["fetches_per_zone"],
+        zone_count=cluster["zones"],
+        fetches_per_machine=cluster["fetches_per_machine"],
+        fetches_per_zone=cluster["fetches_per_zone"],
     )
 
 
@@ -114,8 +127,8 @@
         spot=offer["spot"],
         cpus=offer["cpus"],
         gpus=offer["gpus"],
-        memory=offer["memory_gb"],
-        price=offer["price_per_hour"],
+        memory_gb=offer["memory_gb"],
+        price_per_hour=offer["price_per_hour"],
         boot_s=offer["boot_s"],
     )
 
@@ -161,16 +174,16 @@
 
 def _plan(plan: Plan) -> Fields:
     return {
-        "placements": [[d.job, d.node, d.count] for d in plan.decisions],
+        "placements": [[p.job, p.machine, p.task_count] for p in plan.placements],
         "head": plan.head,
-        "head_start": plan.head_start,
-        "unplaced": [[job, tasks] for job, tasks in plan.unplaced.items()],
-        "reasons": [[job, reason] for job, reason in sorted(plan.why.items())],
+        "head_start": plan.shadow_time,
+        "unplaced": [[job, tasks] for job, tasks in plan.unplaced_tasks.items()],
+        "reasons": [[job, reason] for job, reason in sorted(plan.wait_reasons.items())],
     }
 
 
 def _provisions(provisions: list[ProvisionRequest]) -> list[list[Any]]:
-    return [[h.offer.machine_type, h.offer.zone, h.offer.spot, h.count] for h in provisions]
+    return [[r.offer.machine_type, r.offer.zone, r.offer.spot, r.count] for r in provisions]
 
 
 def placement(cluster: Fields) -> Fields:
@@ -186,28 +199,30 @@
 def provisioning(asked: Fields) -> Fields:
     """For all the waiting work, and for what the placement pass leaves over, as in service."""
     offers = [_offer(offer) for offer in asked["offers"]]
-    limit = {} if asked["most_machines"] is None else {"most": asked["most_machines"]}
+    limit = {} if asked["most_machines"] is None else {"max_machines": asked["most_machines"]}
     snapshot = _snapshot(asked["cluster"])
     room = asked["free_cpus_by_team"]
-    everything = [(snapshot.jobs[number], tasks) for number, tasks in asked["demand"]]
+    everything = [JobDemand(snapshot.jobs[number], tasks) for number, tasks in asked["demand"]]
     for_all = plan_provisioning(
         demand=everything,
-        nodes=snapshot.nodes,
+        machines=snapshot.machines,
         offers=offers,
         now=snapshot.now,
-        team_room=room,
+        team_cpus=room,
         **limit,
     )
-    unplaced = place(snapshot).unplaced
+    unplaced = place(snapshot).unplaced_tasks
     for_unplaced = plan_provisioning(
-        demand=[(snapshot.jobs[number], tasks) for number, tasks in unplaced.items()],
-        nodes=snapshot.nodes,
+        demand=[JobDemand(snapshot.jobs[number], tasks) for number, tasks in unplaced.items()],
+        machines=snapshot.machines,
         offers=offers,
         now=snapshot.now,
-        team_room=room,
+        team_cpus=room,
         **limit,
     )
-    spare = top_up(short=asked["missing_cpus"], offers=offers, machines=asked["machines_in_all"])
+    spare = top_up(
+        missing_cpus=asked["missing_cpus"], offers=offers, fleet_size=asked["machines_in_all"]
+    )
     return {
         "provisions": _provisions(for_all),
         "provisions_for_unplaced": _provisions(for_unplaced),
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,10 +9,16 @@
 
 import orjson
 
-from spoolcourse.control.autoscaling.planner import Offer, plan_provisioning
+from spoolcourse.control.autoscaling.planner import JobDemand, Offer, plan_provisioning
 from spoolcourse.control.http_client import Response
 from spoolcourse.control.placement.backfill import place
-from spoolcourse.control.placement.model import Job, Node, RunningTask, Snapshot, Team
+from spoolcourse.control.placement.model import (
+    PlacementJob,
+    PlacementMachine,
+    RunningTask,
+    Snapshot,
+    TeamBudget,
+)
 from spoolcourse.control.scheduling.scheduling_loop import ATTEMPTS_MOST
 from spoolcourse.control.store.records import initial_machines_of, initial_machines_values
 from spoolcourse.control.store.watch_cache import MAX_CHANGES_BEHIND
@@ -129,12 +135,16 @@
 
 
 def test_a_plan_for_thousands_of_machines_asks_for_whole_batches() -> None:
-    offers = [Offer(0, 0, True, 8.0, 0.0, 64.0, price=1.0, boot_s=10.0)]
-    waiting = Job(9 * FLEET, 2.0, 0.0, 1.0, image=0, image_gb=0.0, team=0, estimate=10.0)
-    fleet: list[Node] = []
-    provisions = plan_provisioning([(waiting, 9 * FLEET)], fleet, offers, 0.0, [1e9], most=FLEET)
+    offers = [Offer(0, 0, True, 8.0, 0.0, 64.0, price_per_hour=1.0, boot_s=10.0)]
+    waiting = PlacementJob(9 * FLEET, 2.0, 0.0, 1.0, image=0, image_gb=0.0, team=0, estimate_s=10.0)
+    fleet: list[PlacementMachine] = []
+    provisions = plan_provisioning(
+        [JobDemand(waiting, 9 * FLEET)], fleet, offers, 0.0, [1e9], max_machines=FLEET
+    )
     assert [(provision.offer, provision.count) for provision in provisions] == [(offers[0], FLEET)]
-    provisions = plan_provisioning([(waiting, 9)], fleet, offers, 0.0, [1e9], most=FLEET)
+    provisions = plan_provisioning(
+        [JobDemand(waiting, 9)], fleet, offers, 0.0, [1e9], max_machines=FLEET
+    )
     assert [provision.count for provision in provisions] == [3], "no more than the tasks need"
 
 
@@ -204,29 +214,32 @@
 
 def test_a_pass_with_a_backlog_looks_at_each_full_machine_a_few_times() -> None:
     # Fleet times backlog would be 1.2 million looks at 4,000 machines and 300 waiting jobs.
-    class Counted(list[Node]):
+    class Counted(list[PlacementMachine]):
         looks = 0
 
         def __getitem__(self, number: Any) -> Any:
             Counted.looks += 1
             return super().__getitem__(number)
 
-        def __iter__(self) -> Iterator[Node]:
+        def __iter__(self) -> Iterator[PlacementMachine]:
             Counted.looks += len(self)
             return super().__iter__()
 
-    nodes = Counted(
-        Node(0, 0, False, 0.0, 0.0, 60.0, 8.0, 1.0, tasks=[RunningTask(50.0, 8.0, 0.0, 4.0)])
+    machines = Counted(
+        PlacementMachine(
+            0, 0, False, 0.0, 0.0, 60.0, 8.0, 1.0, tasks=[RunningTask(50.0, 8.0, 0.0, 4.0)]
+        )
         for _ in range(FLEET)
     )
-    nodes[7].cpus = 2.0
+    machines[7].cpus = 2.0
     Counted.looks = 0
     jobs = [
-        Job(20, 2.0, 0.0, 1.0, image=0, image_gb=0.0, team=0, estimate=10.0) for _ in range(300)
+        PlacementJob(20, 2.0, 0.0, 1.0, image=0, image_gb=0.0, team=0, estimate_s=10.0)
+        for _ in range(300)
     ]
-    plan = place(Snapshot(0.0, jobs, nodes, [Team(inf, inf)], 1, 2, 16))
-    assert [(d.job, d.node, d.count) for d in plan.decisions] == [(0, 7, 1)]
-    assert len(plan.unplaced) == 300
+    plan = place(Snapshot(0.0, jobs, machines, [TeamBudget(inf, inf)], 1, 2, 16))
+    assert [(d.job, d.machine, d.task_count) for d in plan.placements] == [(0, 7, 1)]
+    assert len(plan.unplaced_tasks) == 300
     assert Counted.looks <= 4 * FLEET
 
 
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -9,7 +9,13 @@
 
 from spoolcourse.control.http_client import Request
 from spoolcourse.control.placement.backfill import place
-from spoolcourse.control.placement.model import Job, Node, RunningTask, Snapshot, Team
+from spoolcourse.control.placement.model import (
+    PlacementJob,
+    PlacementMachine,
+    RunningTask,
+    Snapshot,
+    TeamBudget,
+)
 from tests.fakes.clock import play
 from tests.fakes.registry import RegistryHarness, on
 from tests.fakes.services import served, service
@@ -116,21 +122,23 @@
 
 
 def test_no_head_is_promised_the_room_of_a_service() -> None:
-    def node(*ends: float) -> Node:
+    def machine(*ends: float) -> PlacementMachine:
         tasks = [RunningTask(end, 8.0, 0.0, 8.0) for end in ends]
-        return Node(0, 0, False, 8.0 - 8.0 * len(tasks), 0.0, 32.0, 8.0, 1.0, tasks=tasks)
+        return PlacementMachine(
+            0, 0, False, 8.0 - 8.0 * len(tasks), 0.0, 32.0, 8.0, 1.0, tasks=tasks
+        )
 
-    def snapshot(*nodes: Node) -> Snapshot:
+    def snapshot(*machines: PlacementMachine) -> Snapshot:
         jobs = [
-            Job(1, 8.0, 0.0, 8.0, 0, 0.0, 0, 10.0),
-            Job(1, 4.0, 0.0, 4.0, 0, 0.0, 0, float("inf")),
+            PlacementJob(1, 8.0, 0.0, 8.0, 0, 0.0, 0, 10.0),
+            PlacementJob(1, 4.0, 0.0, 4.0, 0, 0.0, 0, float("inf")),
         ]
-        return Snapshot(0.0, jobs, list(nodes), [Team(100.0, 0.0)], 1, 2, 16)
+        return Snapshot(0.0, jobs, list(machines), [TeamBudget(100.0, 0.0)], 1, 2, 16)
 
-    plan = place(snapshot(node(float("inf"))))
-    assert plan.head == 0 and plan.head_start is None
-    plan = place(snapshot(node(float("inf")), node(50.0)))
-    assert plan.head_start == 50.0
+    plan = place(snapshot(machine(float("inf"))))
+    assert plan.head == 0 and plan.shadow_time is None
+    plan = place(snapshot(machine(float("inf")), machine(50.0)))
+    assert plan.shadow_time == 50.0
 
 
 def test_a_lost_replica_runs_elsewhere_and_its_zones_hold() -> None:
--- a/tests/test_snapshot_cache.py
+++ b/tests/test_snapshot_cache.py
@@ -28,15 +28,30 @@
     """Everything that a pass gets of the machines, by names."""
     snapshot = of.take(now, builds)
     images, found = of._images.names, {}
-    for machine, node in zip(of.machines, snapshot.nodes, strict=True):
+    for machine, view in zip(of.machines, snapshot.machines, strict=True):
         tasks = sorted(
-            (t.ref, t.cpus, t.rank, t.team, t.stopping, t.safe, round(t.loss(now), 3))
-            for t in node.tasks
+            (
+                t.attempt_number,
+                t.cpus,
+                t.rank,
+                t.team,
+                t.stopping,
+                t.within_guarantee,
+                round(t.loss_cpu_s(now), 3),
+            )
+            for t in view.tasks
         )
         found[machine.id] = (
-            (node.cpus, node.gpus, node.memory, node.freed, node.zone, node.scale_in_candidate),
-            sorted(images[i] for i in node.images),
-            sorted(images[i] for i in node.fetching),
+            (
+                view.cpus,
+                view.gpus,
+                view.memory_gb,
+                view.being_freed,
+                view.zone,
+                view.scale_in_candidate,
+            ),
+            sorted(images[i] for i in view.cached_images),
+            sorted(images[i] for i in view.fetch_left_gb),
             tasks,
         )
     return found
