--- a/spoolcourse/control/autoscaling/planner.py
+++ b/spoolcourse/control/autoscaling/planner.py
@@ -6,9 +6,11 @@
 from __future__ import annotations
 
 import math
-from dataclasses import dataclass, replace
+from dataclasses import dataclass
 from typing import NamedTuple
 
+from msgspec.structs import replace
+
 from spoolcourse.control.placement.model import (
     EPSILON,
     PlacementJob,
--- a/spoolcourse/control/placement/model.py
+++ b/spoolcourse/control/placement/model.py
@@ -2,30 +2,23 @@
 
 Machines, jobs, teams, zones, machine types and images are dense indices here. Times are seconds
 on the leader's clock, durations are seconds, memory and images are GB, CPUs may be fractions.
+
+Records that a snapshot has thousands of are `msgspec.Struct`s: made with keywords, they cost a
+quarter of the processor time of a dataclass.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from math import inf
-from typing import NamedTuple
+
+import msgspec
 
 EPSILON = 1e-6  # absolute tolerance for resources and times, which are sums of floats
 MIN_FETCH_GB_PER_S = 1e-3  # a machine type whose rate is given as 0 still fetches
 UNBOUNDED_TASKS = 100_000  # stands for "no limit": no job has more tasks
 
 
-class Resources(NamedTuple):
-    """An amount of each resource."""
-
-    cpus: float
-    gpus: float
-    memory_gb: float
-
-
-NO_RESOURCES = Resources(0.0, 0.0, 0.0)
-
-
 def tasks_that_fit(cpus: float, gpus: float, memory_gb: float, job: PlacementJob) -> int:
     """How many tasks of the job fit into these free resources."""
     count: float = UNBOUNDED_TASKS
@@ -45,8 +38,7 @@
     return max(0, int((free + EPSILON) // per_task))
 
 
-@dataclass(slots=True)
-class RunningTask:
+class RunningTask(msgspec.Struct):
     """An attempt that holds resources of a machine until about `expected_end`."""
 
     expected_end: float  # infinite for a service
@@ -68,10 +60,9 @@
         return self.cpus * (now - self.unsaved_since)
 
 
-class FreeResources:
-    """Free resources that tasks can be packed into."""
+class FreeResources(msgspec.Struct):
+    """Free resources that tasks are packed into."""
 
-    __slots__ = ("cpus", "gpus", "memory_gb")
     cpus: float
     gpus: float
     memory_gb: float
@@ -93,34 +84,32 @@
         self.memory_gb -= count * job.memory_gb
 
 
-@dataclass(slots=True)
-class PlacementMachine(FreeResources):
-    """A machine as a pass sees it. `ready_at` is in the future while it boots."""
+class PlacementMachine(FreeResources, kw_only=True):
+    """A machine as a pass sees it, with what is free there now."""
 
     machine_type: int
     zone: int
     spot: bool
-    cpus: float  # free now, as are the next two
-    gpus: float
-    memory_gb: float
     total_cpus: float
     fetch_gb_per_s: float
-    cached_images: set[int] = field(default_factory=set)
-    fetch_left_gb: dict[int, float] = field(default_factory=dict)  # by image, estimated
-    tasks: list[RunningTask] = field(default_factory=list)  # by expected end
-    ready_at: float = 0.0
+    cached_images: set[int] = msgspec.field(default_factory=set)
+    fetch_left_gb: dict[int, float] = msgspec.field(default_factory=dict)  # by image, estimated
+    tasks: list[RunningTask] = msgspec.field(default_factory=list)  # by expected end
+    ready_at: float = 0.0  # in the future while it boots
     scale_in_candidate: bool = False  # should run empty so that it can be returned
     has_scarce_type: bool = False  # some job can use this machine type only, or few beside it
-    being_freed: Resources = NO_RESOURCES  # by tasks that are being stopped
+    cpus_being_freed: float = 0.0  # by tasks that are being stopped, as are the next two
+    gpus_being_freed: float = 0.0
+    memory_gb_being_freed: float = 0.0
 
     def expect_release(self, task: RunningTask) -> None:
-        """Count a task that is being stopped in `being_freed`."""
-        cpus, gpus, memory_gb = self.being_freed
-        self.being_freed = Resources(cpus + task.cpus, gpus + task.gpus, memory_gb + task.memory_gb)
+        """Count the resources of a task that is being stopped as being freed."""
+        self.cpus_being_freed += task.cpus
+        self.gpus_being_freed += task.gpus
+        self.memory_gb_being_freed += task.memory_gb
 
 
-@dataclass(slots=True)
-class PlacementJob:
+class PlacementJob(msgspec.Struct):
     """A job as a pass sees it, with its tasks that wait for a machine."""
 
     pending_tasks: int
@@ -136,13 +125,13 @@
     spot_allowed: bool = True
     one_zone: bool = False
     max_tasks_per_zone: int | None = None
-    tasks_by_zone: dict[int, int] = field(default_factory=dict)  # that may run in the zone
+    tasks_by_zone: dict[int, int] = msgspec.field(default_factory=dict)  # that may run in the zone
     tasks_in_unknown_zones: int = 0
     avoided_machines: frozenset[int] = frozenset()  # it failed there recently
     rank: int = 2  # 0 is the highest
     may_preempt: bool = False  # running tasks may be stopped for it
     within_guarantee: bool = False  # it fits into its team's guarantee
-    replicas_by_machine: dict[int, int] = field(default_factory=dict)  # of a service
+    replicas_by_machine: dict[int, int] = msgspec.field(default_factory=dict)  # of a service
     is_service: bool = False
     ordinary_machines_from: float = 0.0  # the time from which they may be rented for it
 
--- a/spoolcourse/control/placement/preempt.py
+++ b/spoolcourse/control/placement/preempt.py
@@ -14,7 +14,6 @@
     PlacementJob,
     PlacementMachine,
     Plan,
-    Resources,
     RunningTask,
     Snapshot,
     tasks_that_fit,
@@ -115,7 +114,7 @@
         for number, machine in enumerate(self._snapshot.machines):
             if booked >= wanted:
                 break
-            has_cpus = machine.cpus + machine.being_freed.cpus + EPSILON >= job.cpus
+            has_cpus = machine.cpus + machine.cpus_being_freed + EPSILON >= job.cpus
             if has_cpus and _machine_suits(job, number, machine, self._snapshot.now):
                 booked += _book_room(job, machine, wanted - booked)
         return booked
@@ -178,11 +177,10 @@
 
 def _fits_without(job: PlacementJob, machine: PlacementMachine, victims: list[RunningTask]) -> bool:
     """Whether a task of the job fits once these have ended."""
-    cpus, gpus, memory_gb = machine.being_freed
     count = tasks_that_fit(
-        machine.cpus + cpus + sum(task.cpus for task in victims),
-        machine.gpus + gpus + sum(task.gpus for task in victims),
-        machine.memory_gb + memory_gb + sum(task.memory_gb for task in victims),
+        machine.cpus + machine.cpus_being_freed + sum(task.cpus for task in victims),
+        machine.gpus + machine.gpus_being_freed + sum(task.gpus for task in victims),
+        machine.memory_gb + machine.memory_gb_being_freed + sum(task.memory_gb for task in victims),
         job,
     )
     return count >= 1
@@ -190,15 +188,15 @@
 
 def _book_room(job: PlacementJob, machine: PlacementMachine, wanted: int) -> int:
     """Book room that is free or being freed for the job; returns for how many tasks."""
-    cpus, gpus, memory_gb = machine.being_freed
     fitting = tasks_that_fit(
-        machine.cpus + cpus, machine.gpus + gpus, machine.memory_gb + memory_gb, job
+        machine.cpus + machine.cpus_being_freed,
+        machine.gpus + machine.gpus_being_freed,
+        machine.memory_gb + machine.memory_gb_being_freed,
+        job,
     )
     count = min(wanted, fitting)
     if count > 0:
-        machine.being_freed = Resources(
-            cpus - count * job.cpus,
-            gpus - count * job.gpus,
-            memory_gb - count * job.memory_gb,
-        )
+        machine.cpus_being_freed -= count * job.cpus
+        machine.gpus_being_freed -= count * job.gpus
+        machine.memory_gb_being_freed -= count * job.memory_gb
     return count
--- a/spoolcourse/control/placement/reservations.py
+++ b/spoolcourse/control/placement/reservations.py
@@ -24,11 +24,7 @@
 class Reservation(FreeResources):
     """What a machine has left beside the head's tasks, from the time on at which they start."""
 
-    __slots__ = ("starts_at",)
-
-    def __init__(self, starts_at: float, left: FreeResources) -> None:
-        self.starts_at = starts_at
-        self.cpus, self.gpus, self.memory_gb = left.cpus, left.gpus, left.memory_gb
+    starts_at: float
 
     def tasks_allowed(self, job: PlacementJob, expected_end: float) -> int:
         """How many tasks of the job that end then leave the head's start as it is."""
@@ -71,7 +67,8 @@
         machine = snapshot.machines[number]
         free = free_by_machine.get(number)
         if free is None:
-            free = free_by_machine[number] = _copy_of_free(machine)
+            free = FreeResources(machine.cpus, machine.gpus, machine.memory_gb)
+            free_by_machine[number] = free
         if ended:
             free.release(machine.tasks[ended - 1])
         # Services have no end: what they hold is promised to no job.
@@ -116,15 +113,9 @@
     machine: PlacementMachine, job: PlacementJob, starts_at: float, count: int
 ) -> Reservation:
     """The reservation for so many tasks of the head on a machine."""
-    left = _copy_of_free(machine)
+    reservation = Reservation(machine.cpus, machine.gpus, machine.memory_gb, starts_at=starts_at)
     for task in machine.tasks:
         if task.expected_end <= starts_at + EPSILON:
-            left.release(task)
-    left.book(job, count)
-    return Reservation(starts_at, left)
-
-
-def _copy_of_free(machine: PlacementMachine) -> FreeResources:
-    free = FreeResources()
-    free.cpus, free.gpus, free.memory_gb = machine.cpus, machine.gpus, machine.memory_gb
-    return free
+            reservation.release(task)
+    reservation.book(job, count)
+    return reservation
--- /dev/null
+++ b/spoolcourse/control/scheduling/job_views.py
@@ -0,0 +1,191 @@
+"""The waiting jobs as the placement pass sees them."""
+
+from __future__ import annotations
+
+import logging
+from dataclasses import dataclass
+from math import inf
+
+from spoolcourse.control.jobs.model import JobState
+from spoolcourse.control.placement.model import PlacementJob
+from spoolcourse.control.scheduling.estimates import run_estimate_s
+from spoolcourse.control.scheduling.name_index import SnapshotIndices
+from spoolcourse.control.workers.worker_registry import WorkerRegistry
+from spoolcourse.policy.keys import Policy
+from spoolcourse.wire.messages import Submission
+from spoolcourse.wire.settings import Objective
+
+log = logging.getLogger(__name__)
+
+# Kinds of objectives that people wait for: the start of a job, the replicas of a service.
+PROMPT_OBJECTIVES = ("wait", "up")
+COMPLETION_OBJECTIVE = "finished"
+
+
+@dataclass(frozen=True, slots=True)
+class PassContext:
+    """What the views of all jobs of one pass are made with."""
+
+    now: float
+    boot_s: float  # of the machine type that boots the slowest
+    machine_numbers: dict[str, int]  # by machine: its number in the snapshot
+    within_guarantee: set[str]  # jobs
+    overdue_to_begin: set[str]  # jobs
+
+
+class JobViews:
+    """Builds what a pass sees of each job."""
+
+    def __init__(
+        self,
+        indices: SnapshotIndices,
+        registry: WorkerRegistry,
+        objectives: list[Objective],
+        policy: Policy,
+    ) -> None:
+        self._indices = indices
+        self._registry = registry
+        self._policy = policy
+        self._prompt_classes = {
+            objective.job_class for objective in objectives if objective.kind in PROMPT_OBJECTIVES
+        }
+        self._completion_s_by_class = _completion_s_by_class(objectives)
+
+    def view(self, job_state: JobState, context: PassContext) -> PlacementJob:
+        """The job as the pass sees it; one whose view fails is left out alone.
+
+        A rule that failed for jobs without a deadline once stopped every pass of every leader.
+        """
+        try:
+            return self._build(job_state, context)
+        except Exception:
+            log.exception("job left out of this pass: job=%s", job_state.id)
+            return PlacementJob(
+                pending_tasks=0,
+                cpus=0.0,
+                gpus=0.0,
+                memory_gb=0.0,
+                image=0,
+                image_gb=0.0,
+                team=self._indices.teams.number_of(job_state.record.submission.team),
+                estimate_s=0.0,
+            )
+
+    def _build(self, job_state: JobState, context: PassContext) -> PlacementJob:
+        submission = job_state.record.submission
+        indices = self._indices
+        types, zone = submission.machine_types, submission.zone
+        within_guarantee = job_state.id in context.within_guarantee
+        job = PlacementJob(
+            pending_tasks=_tasks_to_place(job_state, context),
+            cpus=submission.cpus,
+            gpus=submission.gpus,
+            memory_gb=submission.memory_gb,
+            image=indices.images.number_of(submission.image),
+            image_gb=submission.image_gb,
+            team=indices.teams.number_of(submission.team),
+            estimate_s=run_estimate_s(job_state, self._policy),
+            machine_types=(
+                None if types is None else frozenset(map(indices.machine_types.number_of, types))
+            ),
+            zone=None if zone is None else indices.zones.number_of(zone),
+            spot_allowed=submission.spot_allowed,
+            one_zone=submission.one_zone,
+            max_tasks_per_zone=_max_tasks_per_zone(submission),
+            rank=submission.rank_number,
+            within_guarantee=within_guarantee,
+            may_preempt=within_guarantee or self._is_prompt(submission),
+            ordinary_machines_from=self._ordinary_machines_from(job_state, context.boot_s),
+            is_service=submission.is_service,
+        )
+        if submission.is_service:
+            _count_replicas(job, job_state, context.machine_numbers)
+        if job_state.bad_machines:
+            job.avoided_machines = _avoided_machines(job_state, context)
+        if submission.one_zone or submission.spread_over_zones:
+            self._count_tasks_by_zone(job, job_state)
+        return job
+
+    def _is_prompt(self, submission: Submission) -> bool:
+        """Whether people wait for it to start."""
+        return submission.is_service or submission.job_class in self._prompt_classes
+
+    def _ordinary_machines_from(self, job_state: JobState, boot_s: float) -> float:
+        """From when on ordinary machines may be rented for the job.
+
+        They cost a multiple of spot ones. They are for deadlines that would be missed otherwise,
+        and for work without a known deadline; the rest waits for spot machines as long as it can.
+        Without a deadline of its own a job is expected by the time that the objectives name for
+        its class. A wait objective or a guarantee is missed by the time that a machine has booted,
+        so neither is a reason to rent one.
+        """
+        submission = job_state.record.submission
+        if submission.is_service:
+            return job_state.waiting_since  # each second without its replicas is missed
+        earliest = job_state.waiting_since + self._policy.ordinary_wait_s
+        due_s = submission.due_s
+        if due_s is None:
+            due_s = self._completion_s_by_class.get(submission.job_class)
+        if due_s is None:
+            return earliest
+        estimate_s = run_estimate_s(job_state, self._policy)
+        needed_s = self._policy.rescue_estimates * estimate_s + boot_s
+        return max(earliest, job_state.waiting_since + due_s - needed_s)
+
+    def _count_tasks_by_zone(self, job: PlacementJob, job_state: JobState) -> None:
+        """Count where its tasks may be; what may be anywhere counts against every zone."""
+        zones = self._indices.zones
+        for attempt in job_state.attempts.values():
+            machine = self._registry.machines.get(attempt.machine)
+            if machine is None or machine.zone is None:
+                job.tasks_in_unknown_zones += 1
+            else:
+                _count_task(job, zones.number_of(machine.zone))
+        for machine in self._registry.machines.values():
+            for attempt_id in machine.unexpected_attempts:
+                if attempt_id.job == job_state.id:
+                    _count_task(job, zones.number_of(machine.zone or ""))
+
+
+def _tasks_to_place(job_state: JobState, context: PassContext) -> int:
+    """How many tasks the pass may place."""
+    if job_state.retry_at > context.now:
+        return 0
+    if job_state.id in context.overdue_to_begin:
+        return 1
+    return job_state.assignable_count
+
+
+def _max_tasks_per_zone(submission: Submission) -> int | None:
+    """Half of the tasks, rounded up, of a job that is spread over zones."""
+    return -(-submission.task_count // 2) if submission.spread_over_zones else None
+
+
+def _avoided_machines(job_state: JobState, context: PassContext) -> frozenset[int]:
+    """The numbers of the machines where it failed recently."""
+    avoided = [name for name, until in job_state.bad_machines.items() if until > context.now]
+    numbers = context.machine_numbers
+    return frozenset(numbers[name] for name in avoided if name in numbers)
+
+
+def _count_replicas(
+    job: PlacementJob, job_state: JobState, machine_numbers: dict[str, int]
+) -> None:
+    for attempt in job_state.attempts.values():
+        number = machine_numbers.get(attempt.machine)
+        if number is not None:
+            job.replicas_by_machine[number] = job.replicas_by_machine.get(number, 0) + 1
+
+
+def _count_task(job: PlacementJob, zone: int) -> None:
+    job.tasks_by_zone[zone] = job.tasks_by_zone.get(zone, 0) + 1
+
+
+def _completion_s_by_class(objectives: list[Objective]) -> dict[str, float]:
+    """By class: within what time its jobs are expected to finish, the strictest if several."""
+    completion_s: dict[str, float] = {}
+    for objective in objectives:
+        if objective.kind == COMPLETION_OBJECTIVE:
+            known_s = completion_s.get(objective.job_class, inf)
+            completion_s[objective.job_class] = min(known_s, objective.within_s)
+    return completion_s
--- /dev/null
+++ b/spoolcourse/control/scheduling/preemption.py
@@ -0,0 +1,47 @@
+"""Carries out preemptions: stops the tasks that a pass chose to make room for others."""
+
+from __future__ import annotations
+
+import logging
+
+from spoolcourse.control.leader_context import LeaderContext
+from spoolcourse.control.placement.model import Plan, Snapshot
+from spoolcourse.control.placement.preempt import choose_victims
+from spoolcourse.control.scheduling.snapshot_builder import SnapshotBuilder
+from spoolcourse.control.workers.command_dispatcher import CommandDispatcher
+
+log = logging.getLogger(__name__)
+
+
+class Preemptor:
+    """Stops the victims of each pass."""
+
+    def __init__(
+        self,
+        leader: LeaderContext,
+        command_dispatcher: CommandDispatcher,
+        snapshot_builder: SnapshotBuilder,
+    ) -> None:
+        self._policy = leader.policy
+        self._registry = leader.registry
+        self._command_dispatcher = command_dispatcher
+        self._snapshot_builder = snapshot_builder
+
+    def preempt(self, snapshot: Snapshot, plan: Plan) -> None:
+        """Stop tasks for the jobs that the plan leaves unplaced. Uses up the snapshot further."""
+        victims = choose_victims(snapshot, plan, self._policy.preempt_patience_s)
+        if not victims:
+            return
+        for attempt in self._snapshot_builder.attempts(victims):
+            log.info(
+                "preempted: job=%s task=%d attempt=%d machine=%s",
+                attempt.job_state.id,
+                attempt.task,
+                attempt.number,
+                attempt.machine,
+            )
+            if attempt.never_sent:
+                self._registry.release_attempt(attempt)
+            else:
+                self._registry.request_stop(attempt)
+                self._command_dispatcher.wake.set()
--- /dev/null
+++ b/spoolcourse/control/scheduling/scarce_machine_types.py
@@ -0,0 +1,35 @@
+"""Machine types that some jobs depend on, while others have a choice."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from spoolcourse.control.jobs.model import JobState
+from spoolcourse.policy.keys import Policy
+from spoolcourse.wire.messages import MachineType, fits
+
+
+class ScarceMachineTypes:
+    """Remembers which types are scarce for the policy's `rare_s`."""
+
+    def __init__(self, policy: Policy) -> None:
+        self._policy = policy
+        self._scarce_until: dict[str, float] = {}
+
+    def update(
+        self, jobs: Iterable[JobState], machine_types: dict[str, MachineType], now: float
+    ) -> None:
+        """Mark the types of each job that cannot use all of them."""
+        for job_state in jobs:
+            fitting = [
+                machine_type.name
+                for machine_type in machine_types.values()
+                if fits(job_state.record.submission, machine_type)
+            ]
+            if len(fitting) < len(machine_types):
+                for name in fitting:
+                    self._scarce_until[name] = now + self._policy.rare_s
+
+    def is_scarce(self, machine_type: str, now: float) -> bool:
+        """Whether some job recently could use this type only, or few beside it."""
+        return self._scarce_until.get(machine_type, 0.0) > now
--- a/spoolcourse/control/scheduling/snapshot_cache.py
+++ b/spoolcourse/control/scheduling/snapshot_cache.py
@@ -1,215 +1,212 @@
 """What the passes see of each machine, kept between them.
 
-A machine's free room and its tasks' expected ends are worked out again only when something
+A machine's free resources and its tasks' expected ends are computed again only when something
 changed there, or when time alone changes them. Measured on a fleet of 534 machines, where a
-pass worked out all of them again ten times a second: four fifths of the leader's time.
+pass computed all of them again ten times a second: four fifths of the leader's time.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from dataclasses import dataclass
+from math import inf
+
+import msgspec
 
 from spoolcourse.control.jobs.model import Attempt, JobState
 from spoolcourse.control.placement.model import (
     MIN_FETCH_GB_PER_S,
     PlacementMachine,
-    Resources,
     RunningTask,
 )
+from spoolcourse.control.scheduling.estimates import run_estimate_s
+from spoolcourse.control.scheduling.name_index import SnapshotIndices
 from spoolcourse.control.workers.machine import Machine
-from spoolcourse.wire.messages import MachineType
+from spoolcourse.policy.keys import Policy
+from spoolcourse.wire.messages import MachineType, Submission
 
-LOOK_AGAIN_S = 0.5  # an overrun or a fetch under way is looked at again after so long
+REFRESH_S = 0.5  # an overrun or a fetch under way is computed again after so long
 OVERRUN_SHARE = 0.5  # of what a task took so far: what one that overran is expected to need
 OVERRUN_LEAST_S = 1.0
 LEAST_LEFT_GB = 0.1  # of an image whose fetch should be over
 LEAST_FETCH_S = 0.5
 
 
-class Index:
-    """Names to dense numbers."""
-
-    def __init__(self, names: list[str] | None = None) -> None:
-        self.names: list[str] = []
-        self._numbers: dict[str, int] = {}
-        for name in names or []:
-            self.of(name)
-
-    def of(self, name: str) -> int:
-        """The index of a name; a new name gets the next one."""
-        number = self._numbers.get(name)
-        if number is None:
-            number = self._numbers[name] = len(self.names)
-            self.names.append(name)
-        return number
-
-    def __len__(self) -> int:
-        """How many names there are."""
-        return len(self.names)
-
+class CachedMachine(msgspec.Struct):
+    """What was computed for a machine; a pass changes none of the collections."""
 
-@dataclass(slots=True)
-class MachineSnapshot:
-    """A machine as it was seen; `images`, `fetching` and `tasks` are not changed by a pass."""
-
-    changes: int  # of the machine, when it was seen
-    until: float
+    changes: int  # the machine's count of changes at that time
+    valid_until: float
     machine_type: int
     zone: int
-    cpus: float
+    cpus: float  # free, as are the next two
     gpus: float
-    memory: float
-    freed: Resources
-    images: set[int]
-    fetching: dict[int, float]
+    memory_gb: float
+    cpus_being_freed: float
+    gpus_being_freed: float
+    memory_gb_being_freed: float
+    cached_images: set[int]
+    fetch_left_gb: dict[int, float]
     tasks: list[RunningTask]
 
 
 class SnapshotCache:
     """Keeps what passes see of machines until it changes."""
 
-    def __init__(
-        self,
-        teams: Index,
-        zones: Index,
-        machine_types: Index,
-        estimate: Callable[[JobState], float],
-    ) -> None:
-        self._teams = teams
-        self._zones = zones
-        self._machine_types = machine_types
-        self.images = Index()
-        self._estimate = estimate
-        self._known: dict[str, MachineSnapshot] = {}
-        self._within: set[str] = set()
-
-    def judge(self, within: set[str], jobs: dict[str, JobState]) -> None:
-        """Which jobs are within their teams' guarantees, for what their tasks look like."""
-        for job in self._within ^ within:
+    def __init__(self, indices: SnapshotIndices, policy: Policy) -> None:
+        self._indices = indices
+        self._policy = policy
+        self._cached: dict[str, CachedMachine] = {}  # by machine
+        self._within_guarantee: set[str] = set()
+
+    def update_guarantees(self, within_guarantee: set[str], jobs: dict[str, JobState]) -> None:
+        """Take over which jobs are within guarantees; drops the machines of those that changed."""
+        for job in self._within_guarantee ^ within_guarantee:
             job_state = jobs.get(job)
             for attempt in job_state.attempts.values() if job_state is not None else ():
-                self._known.pop(attempt.machine, None)
-        self._within = set(within)
+                self._cached.pop(attempt.machine, None)
+        self._within_guarantee = set(within_guarantee)
 
-    def keep(self, machines: dict[str, Machine]) -> None:
-        """Forget those that are gone."""
-        if len(self._known) > len(machines):
-            self._known = {name: s for name, s in self._known.items() if name in machines}
+    def forget_missing(self, machines: dict[str, Machine]) -> None:
+        """Forget machines that are not among these."""
+        if len(self._cached) > len(machines):
+            self._cached = {name: c for name, c in self._cached.items() if name in machines}
 
-    def node(
+    def view(
         self,
         machine: Machine,
         machine_type: MachineType,
         jobs: dict[str, JobState],
         now: float,
-        rare: bool,
+        has_scarce_type: bool,
     ) -> PlacementMachine:
-        """What the pass sees of a machine, made again only if something changed there."""
-        known = self._known.get(machine.id)
-        if known is None or known.changes != machine.change_count or known.until <= now:
-            known = self._known[machine.id] = self._make(machine, machine_type, jobs, now)
-        return PlacementMachine(
-            known.machine_type,
-            known.zone,
-            bool(machine.spot),
-            known.cpus,
-            known.gpus,
-            known.memory,
-            machine_type.cpus,
-            machine_type.fetch_gb_per_s,
-            known.images,
-            dict(known.fetching) if known.fetching else {},
-            known.tasks,
-            0.0,
-            machine.scale_in_candidate,
-            rare,
-            known.freed,
+        """What the pass sees of a machine, computed again only if something changed there."""
+        cached = self._cached.get(machine.id)
+        if cached is None or cached.changes != machine.change_count or cached.valid_until <= now:
+            cached = self._cached[machine.id] = self._compute(machine, machine_type, jobs, now)
+        # At most 15 keywords: CPython makes a dict of more, which takes three times as long.
+        view = PlacementMachine(
+            machine_type=cached.machine_type,
+            zone=cached.zone,
+            spot=bool(machine.spot),
+            cpus=cached.cpus,
+            gpus=cached.gpus,
+            memory_gb=cached.memory_gb,
+            total_cpus=machine_type.cpus,
+            fetch_gb_per_s=machine_type.fetch_gb_per_s,
+            cached_images=cached.cached_images,
+            fetch_left_gb=dict(cached.fetch_left_gb) if cached.fetch_left_gb else {},
+            tasks=cached.tasks,
+            cpus_being_freed=cached.cpus_being_freed,
+            gpus_being_freed=cached.gpus_being_freed,
+            memory_gb_being_freed=cached.memory_gb_being_freed,
         )
+        view.scale_in_candidate = machine.scale_in_candidate
+        view.has_scarce_type = has_scarce_type
+        return view
 
-    def _make(
+    def _compute(
         self, machine: Machine, machine_type: MachineType, jobs: dict[str, JobState], now: float
-    ) -> MachineSnapshot:
-        node = PlacementMachine(
-            self._machine_types.of(machine_type.name),
-            self._zones.of(machine.zone or ""),
-            bool(machine.spot),
-            machine_type.cpus,
-            machine_type.gpus,
-            machine_type.memory_gb,
-            machine_type.cpus,
-            machine_type.fetch_gb_per_s,
+    ) -> CachedMachine:
+        gb_per_s = max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
+        view = PlacementMachine(
+            machine_type=self._indices.machine_types.number_of(machine_type.name),
+            zone=self._indices.zones.number_of(machine.zone or ""),
+            spot=bool(machine.spot),
+            cpus=machine_type.cpus,
+            gpus=machine_type.gpus,
+            memory_gb=machine_type.memory_gb,
+            total_cpus=machine_type.cpus,
+            fetch_gb_per_s=machine_type.fetch_gb_per_s,
+            fetch_left_gb=self._fetch_left_gb(machine, gb_per_s, now),
         )
-        rate = max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
-        attempts = machine.attempts.values()
-        for attempt in attempts:
+        fetch_s = sum(view.fetch_left_gb.values()) / gb_per_s
+        valid_until = self._add_tasks(view, machine, fetch_s, now)
+        for job, _, _ in machine.unexpected_attempts:
+            job_state = jobs.get(job)
+            if job_state is not None:
+                _subtract(view, job_state.record.submission)
+        view.tasks.sort(key=lambda task: task.expected_end)
+        return CachedMachine(
+            changes=machine.change_count,
+            valid_until=valid_until,
+            machine_type=view.machine_type,
+            zone=view.zone,
+            cpus=view.cpus,
+            gpus=view.gpus,
+            memory_gb=view.memory_gb,
+            cpus_being_freed=view.cpus_being_freed,
+            gpus_being_freed=view.gpus_being_freed,
+            memory_gb_being_freed=view.memory_gb_being_freed,
+            cached_images={self._indices.images.number_of(image) for image in machine.images},
+            fetch_left_gb=view.fetch_left_gb,
+            tasks=view.tasks,
+        )
+
+    def _fetch_left_gb(self, machine: Machine, gb_per_s: float, now: float) -> dict[int, float]:
+        """By image: about how much is still to be fetched for the machine's attempts."""
+        fetch_left_gb: dict[int, float] = {}
+        for attempt in machine.attempts.values():
             if attempt.is_executing:
                 continue
             submission = attempt.job_state.record.submission
             if submission.image not in machine.images:
                 since = machine.fetching.get(submission.image, now)
-                left = max(submission.image_gb - rate * (now - since), LEAST_LEFT_GB)
-                node.fetch_left_gb[self.images.of(submission.image)] = left
-        fetch = sum(node.fetch_left_gb.values()) / rate
-        until = float("inf")
-        for attempt in attempts:
-            submission = attempt.job_state.record.submission
-            node.cpus -= submission.cpus
-            node.gpus -= submission.gpus
-            node.memory_gb -= submission.memory_gb
-            end, steady = self._ends(attempt, now, fetch)
-            until = min(until, end if steady else now + LOOK_AGAIN_S)
-            going = attempt.is_executing
-            saves = submission.checkpoint_every_s > 0
-            task = RunningTask(
-                end,
-                submission.cpus,
-                submission.gpus,
-                submission.memory_gb,
-                attempt.number,
-                # What goes before rank must not be stopped by rank, or the two would take
-                # turns. Measured: one first task stopped a hundred times on a busy day.
-                0 if attempt.exempt_from_preemption else submission.rank_number,
-                self._teams.of(submission.team),
-                submission.cpus * submission.checkpoint_cost_s if going and saves else 0.0,
-                attempt.stopping,
-                attempt.exempt_from_preemption or attempt.job_state.id in self._within,
-                attempt.since if going and not saves else None,
-            )
+                left_gb = max(submission.image_gb - gb_per_s * (now - since), LEAST_LEFT_GB)
+                fetch_left_gb[self._indices.images.number_of(submission.image)] = left_gb
+        return fetch_left_gb
+
+    def _add_tasks(
+        self, view: PlacementMachine, machine: Machine, fetch_s: float, now: float
+    ) -> float:
+        """Add the machine's attempts to its view; returns until when the view is valid."""
+        valid_until = inf
+        for attempt in machine.attempts.values():
+            _subtract(view, attempt.job_state.record.submission)
+            expected_end, is_steady = self._expected_end(attempt, now, fetch_s)
+            valid_until = min(valid_until, expected_end if is_steady else now + REFRESH_S)
+            task = self._running_task(attempt, expected_end)
             if attempt.stopping:
-                node.expect_release(task)
-            node.tasks.append(task)
-        for job, _, _ in machine.unexpected_attempts:
-            job_state = jobs.get(job)
-            if job_state is not None:
-                submission = job_state.record.submission
-                node.cpus -= submission.cpus
-                node.gpus -= submission.gpus
-                node.memory_gb -= submission.memory_gb
-        node.tasks.sort(key=lambda t: t.expected_end)
-        return MachineSnapshot(
-            machine.change_count,
-            until,
-            node.machine_type,
-            node.zone,
-            node.cpus,
-            node.gpus,
-            node.memory_gb,
-            node.being_freed,
-            {self.images.of(i) for i in machine.images},
-            node.fetch_left_gb,
-            node.tasks,
+                view.expect_release(task)
+            view.tasks.append(task)
+        return valid_until
+
+    def _running_task(self, attempt: Attempt, expected_end: float) -> RunningTask:
+        submission = attempt.job_state.record.submission
+        is_executing = attempt.is_executing
+        has_checkpoints = submission.checkpoint_every_s > 0
+        checkpoint_cpu_s = submission.cpus * submission.checkpoint_cost_s
+        return RunningTask(
+            expected_end=expected_end,
+            cpus=submission.cpus,
+            gpus=submission.gpus,
+            memory_gb=submission.memory_gb,
+            attempt_number=attempt.number,
+            # What goes before rank must not be stopped by rank, or the two would take
+            # turns. Measured: one first task stopped a hundred times on a busy day.
+            rank=0 if attempt.exempt_from_preemption else submission.rank_number,
+            team=self._indices.teams.number_of(submission.team),
+            checkpoint_loss_cpu_s=checkpoint_cpu_s if is_executing and has_checkpoints else 0.0,
+            stopping=attempt.stopping,
+            within_guarantee=attempt.exempt_from_preemption
+            or attempt.job_state.id in self._within_guarantee,
+            unsaved_since=attempt.since if is_executing and not has_checkpoints else None,
         )
 
-    def _ends(self, attempt: Attempt, now: float, fetch: float) -> tuple[float, bool]:
+    def _expected_end(self, attempt: Attempt, now: float, fetch_s: float) -> tuple[float, bool]:
         """When it is expected to end, and whether that stays so while time passes."""
-        estimate = self._estimate(attempt.job_state)
-        elapsed = now - attempt.since
+        estimate_s = run_estimate_s(attempt.job_state, self._policy)
+        elapsed_s = now - attempt.since
         if attempt.is_executing:
-            if elapsed < estimate:
-                return attempt.since + estimate, True
+            if elapsed_s < estimate_s:
+                return attempt.since + estimate_s, True
             # A task that overran its estimate is expected to need half again of what it
             # took so far; else it would be due at any moment, and push the head back
             # forever.
-            return now + elapsed * OVERRUN_SHARE + OVERRUN_LEAST_S, False
-        return now + max(fetch - elapsed, LEAST_FETCH_S) + estimate, False
+            return now + elapsed_s * OVERRUN_SHARE + OVERRUN_LEAST_S, False
+        return now + max(fetch_s - elapsed_s, LEAST_FETCH_S) + estimate_s, False
+
+
+def _subtract(view: PlacementMachine, submission: Submission) -> None:
+    """Subtract what one task of the job holds."""
+    view.cpus -= submission.cpus
+    view.gpus -= submission.gpus
+    view.memory_gb -= submission.memory_gb
--- a/spoolcourse/control/scheduling/termination_notices.py
+++ b/spoolcourse/control/scheduling/termination_notices.py
@@ -1,4 +1,8 @@
-"""Machines with a termination notice: their tasks are stopped in time, or moved."""
+"""Spot machines that the cloud takes back: their tasks are stopped in time, or moved.
+
+A termination notice is the cloud's preemption notice for a spot machine: it names the time
+(`terminates_at`) at which the machine goes. Until then its tasks are drained.
+"""
 
 from __future__ import annotations
 
@@ -7,31 +11,25 @@
 from spoolcourse.control.autoscaling.replica_places import ReplicaPlaces
 from spoolcourse.control.jobs.model import Attempt, AttemptStage
 from spoolcourse.control.leader_context import LeaderContext
-from spoolcourse.control.scheduling.snapshot_builder import SnapshotBuilder
+from spoolcourse.control.scheduling.estimates import run_estimate_s
 from spoolcourse.control.workers.machine import Machine
 
 PERIOD_S = 0.5
-REPORTS_NEEDED = 2  # to hear of the end of a task that was stopped in time
+HEARTBEATS_NEEDED = 2  # until the end of a task that was stopped in time is known
 MARGIN_S = 1.0
 HOPELESS_SHARE = 1.5  # of the time left: a task that needs more is not waited for
 
 
-class TerminationLoop:
-    """Goes through the machines with a notice."""
+class TerminationNoticeLoop:
+    """Drains the machines with a termination notice."""
 
-    def __init__(
-        self,
-        leader: LeaderContext,
-        snapshot_builder: SnapshotBuilder,
-        places: ReplicaPlaces,
-    ) -> None:
+    def __init__(self, leader: LeaderContext, places: ReplicaPlaces) -> None:
         self._clock = leader.controller.clock
+        self._policy = leader.policy
         self._registry = leader.registry
-        self._snapshot_builder = snapshot_builder
         self._places = places
-        self._last_call_s = (
-            REPORTS_NEEDED * leader.controller.params.workers.heartbeat_interval_s + MARGIN_S
-        )
+        heartbeat_interval_s = leader.controller.params.workers.heartbeat_interval_s
+        self._stop_lead_s = HEARTBEATS_NEEDED * heartbeat_interval_s + MARGIN_S
 
     async def run(self) -> None:
         """Run until cancelled."""
@@ -56,9 +54,9 @@
         if submission.is_service:
             return self._must_move(attempt, left_s)
         if submission.checkpoint_every_s > 0:
-            return left_s < submission.checkpoint_cost_s + self._last_call_s
+            return left_s < submission.checkpoint_cost_s + self._stop_lead_s
         ran_s = self._clock() - attempt.since if attempt.stage is AttemptStage.RUNNING else 0.0
-        needed_s = self._snapshot_builder.estimate(attempt.job_state) - ran_s
+        needed_s = run_estimate_s(attempt.job_state, self._policy) - ran_s
         return needed_s > HOPELESS_SHARE * left_s
 
     def _must_move(self, replica: Attempt, left_s: float) -> bool:
@@ -68,6 +66,6 @@
         at a time, none while another is missing or while there is nowhere to go to, as long as
         there is time.
         """
-        if left_s < self._last_call_s:
+        if left_s < self._stop_lead_s:
             return True
         return replica.job_state.all_running and self._places.has_place_elsewhere(replica)
--- /dev/null
+++ b/spoolcourse/control/scheduling/waiting_jobs.py
@@ -0,0 +1,70 @@
+"""The waiting jobs for the operators: what each waits for, in `/status` and in the log."""
+
+from __future__ import annotations
+
+import logging
+from dataclasses import dataclass
+
+from spoolcourse.control.jobs.model import JobState
+from spoolcourse.control.leader_context import LeaderContext
+
+log = logging.getLogger(__name__)
+
+# Shown in `/status`; the placement pass gives the other reasons.
+NOT_PLANNED_YET = "next pass"
+PAUSED_AFTER_ERROR = "an error's pause"
+
+
+@dataclass(frozen=True, slots=True)
+class WaitingJob:
+    """A job with tasks that wait, and what for."""
+
+    id: str
+    job_class: str
+    team: str
+    tasks: int
+    waits_s: float
+    reason: str
+
+
+class WaitingJobs:
+    """Lists the waiting jobs with the reasons of the latest pass."""
+
+    def __init__(self, leader: LeaderContext) -> None:
+        self._clock = leader.controller.clock
+        self._job_queue = leader.job_queue
+        self._reasons: dict[str, str] = {}  # by job
+
+    def set_reasons(self, reasons: dict[str, str]) -> None:
+        """Replace the reasons by those of a new pass, by job."""
+        self._reasons = reasons
+
+    def list(self) -> list[WaitingJob]:
+        """Jobs with tasks that wait, in order of arrival."""
+        now = self._clock()
+        return [
+            WaitingJob(
+                id=job_state.id,
+                job_class=job_state.record.submission.job_class,
+                team=job_state.record.submission.team,
+                tasks=job_state.pending,
+                waits_s=round(now - job_state.waiting_since, 1),
+                reason=self._reason(job_state, now),
+            )
+            for job_state in sorted(self._job_queue.jobs.values(), key=lambda job: job.order)
+            if job_state.pending > 0 and not job_state.record.cancelled
+        ]
+
+    def _reason(self, job_state: JobState, now: float) -> str:
+        if job_state.retry_at > now:
+            return PAUSED_AFTER_ERROR
+        return self._reasons.get(job_state.id, NOT_PLANNED_YET)
+
+    def log_summary(self) -> None:
+        """Log how many tasks wait, by class and reason."""
+        tasks: dict[tuple[str, str], int] = {}
+        for job in self.list():
+            key = (job.job_class, job.reason)
+            tasks[key] = tasks.get(key, 0) + job.tasks
+        for (job_class, reason), count in sorted(tasks.items()):
+            log.info("waiting: class=%s tasks=%d reason=%s", job_class, count, reason)
--- a/tests/golden/adapter.py
+++ b/tests/golden/adapter.py
@@ -21,7 +21,6 @@
     PlacementJob,
     PlacementMachine,
     Plan,
-    Resources,
     RunningTask,
     Snapshot,
     TeamBudget,
@@ -53,6 +52,7 @@
 
 
 def _machine(machine: Fields) -> PlacementMachine:
+    freed_cpus, freed_gpus, freed_memory_gb = machine["being_freed"]
     return PlacementMachine(
         machine_type=machine["machine_type"],
         zone=machine["zone"],
@@ -68,7 +68,9 @@
         ready_at=machine["ready_at"],
         scale_in_candidate=machine["surplus"],
         has_scarce_type=machine["rare"],
-        being_freed=Resources(*machine["being_freed"]),
+        cpus_being_freed=freed_cpus,
+        gpus_being_freed=freed_gpus,
+        memory_gb_being_freed=freed_memory_gb,
     )
 
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -17,11 +17,10 @@
 from spoolcourse.control.placement.preempt import choose_victims
 
 
-def machine(cpus: float = 8.0, size: float = 8.0, **fields: object) -> PlacementMachine:
-    return PlacementMachine(
-        *(0, 0, False, cpus, 0.0, 64.0, size, 1.0),
-        **fields,  # type: ignore[arg-type]
-    )
+def machine(cpus: float = 8.0, total_cpus: float = 8.0, **fields: object) -> PlacementMachine:
+    plain = {"machine_type": 0, "zone": 0, "spot": False} | fields
+    plain = {"gpus": 0.0, "memory_gb": 64.0, "fetch_gb_per_s": 1.0} | plain
+    return PlacementMachine(cpus=cpus, total_cpus=total_cpus, **plain)  # type: ignore[arg-type]
 
 
 def job(
@@ -29,10 +28,7 @@
 ) -> PlacementJob:
     plain = {"image": 0, "image_gb": 0.0, "team": 0} | fields
     return PlacementJob(
-        pending,
-        cpus,
-        0.0,
-        1.0,
+        *(pending, cpus, 0.0, 1.0),
         estimate_s=estimate_s,
         **plain,  # type: ignore[arg-type]
     )
@@ -126,7 +122,7 @@
 
 def test_zone_rules_count_tasks_that_may_be_anywhere() -> None:
     def zoned() -> list[PlacementMachine]:
-        return [machine(4.0), PlacementMachine(0, 1, False, 8.0, 0.0, 64.0, 8.0, 1.0)]
+        return [machine(4.0), machine(zone=1)]
 
     plan = run([job(4, 2.0, one_zone=True)], zoned())
     assert {d.machine for d in plan.placements} == {1}
@@ -139,7 +135,7 @@
 
 
 def test_spot_types_zones_and_bad_machines_are_respected() -> None:
-    spot = PlacementMachine(1, 0, True, 8.0, 0.0, 64.0, 8.0, 1.0)
+    spot = machine(machine_type=1, spot=True)
     assert placed(run([job(spot_allowed=False)], [spot])) == {}
     assert placed(run([job(machine_types=frozenset({0}))], [spot])) == {}
     assert placed(run([job(zone=1)], [spot])) == {}
@@ -187,9 +183,8 @@
 def test_only_room_that_a_job_may_use_keeps_machines_from_being_rented_for_it() -> None:
     # Services that may not run on spot machines waited for minutes, while tasks kept ending there.
     def ending(zone: int = 0, spot: bool = True, size: float = 8.0) -> PlacementMachine:
-        return PlacementMachine(
-            0, zone, spot, 0.0, 0.0, 64.0, size, 1.0, tasks=[RunningTask(101.0, 8.0, 0, 1)]
-        )
+        tasks = [RunningTask(101.0, 8.0, 0, 1)]
+        return machine(0.0, size, zone=zone, spot=spot, tasks=tasks)
 
     def rented(wanted: PlacementJob, *machines: PlacementMachine) -> int:
         offers = [offer(1.0, False, cpus=16.0)]
@@ -313,20 +308,18 @@
         service.is_service, service.replicas_by_machine = True, on or {}
         return Snapshot(0.0, [service], list(machines), [TeamBudget(100.0, 0.0)], 1, 2, 16)
 
-    def machine(cached: bool = True, cpus: float = 8.0) -> PlacementMachine:
-        return PlacementMachine(
-            0, 0, False, cpus, 0.0, 32.0, 8.0, 1.0, cached_images={0} if cached else set()
-        )
+    def host(cached: bool = True, cpus: float = 8.0) -> PlacementMachine:
+        return machine(cpus, memory_gb=32.0, cached_images={0} if cached else set())
 
-    plan = place(snapshot(machine(cpus=4.0), machine()))
+    plan = place(snapshot(host(cpus=4.0), host()))
     assert sorted((d.machine, d.task_count) for d in plan.placements) == [(0, 1), (1, 1)]
-    plan = place(snapshot(machine(cpus=4.0), machine(), pending=1, on={0: 1}))
+    plan = place(snapshot(host(cpus=4.0), host(), pending=1, on={0: 1}))
     assert [(d.machine, d.task_count) for d in plan.placements] == [(1, 1)]
     # An image at hand counts more: a replica there is up sooner.
-    plan = place(snapshot(machine(), machine(cached=False), pending=1, on={0: 1}))
+    plan = place(snapshot(host(), host(cached=False), pending=1, on={0: 1}))
     assert [(d.machine, d.task_count) for d in plan.placements] == [(0, 1)]
     # With one machine all of them go there.
-    plan = place(snapshot(machine(), pending=3))
+    plan = place(snapshot(host(), pending=3))
     assert sum(d.task_count for d in plan.placements) == 3
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -19,7 +19,7 @@
     Snapshot,
     TeamBudget,
 )
-from spoolcourse.control.scheduling.scheduling_loop import ATTEMPTS_MOST
+from spoolcourse.control.scheduling.attempt_numbers import ATTEMPTS_MOST
 from spoolcourse.control.store.records import initial_machines_of, initial_machines_values
 from spoolcourse.control.store.watch_cache import MAX_CHANGES_BEHIND
 from spoolcourse.control.workers.call_limit import concurrent_call_limit
@@ -161,7 +161,7 @@
         world = World()
         await world.up()
         first = world.nodes[str(world.leader)].leader_term
-        world.active().scheduling._attempts = ATTEMPTS_MOST - 2
+        world.active().scheduling._attempt_numbers._used = ATTEMPTS_MOST - 2
         await world.submit(job(pieces=6))
         await world.finish()
         assert all(node.leader_term is not first for node in world.nodes.values())
@@ -227,7 +227,15 @@
 
     machines = Counted(
         PlacementMachine(
-            0, 0, False, 0.0, 0.0, 60.0, 8.0, 1.0, tasks=[RunningTask(50.0, 8.0, 0.0, 4.0)]
+            machine_type=0,
+            zone=0,
+            spot=False,
+            cpus=0.0,
+            gpus=0.0,
+            memory_gb=60.0,
+            total_cpus=8.0,
+            fetch_gb_per_s=1.0,
+            tasks=[RunningTask(50.0, 8.0, 0.0, 4.0)],
         )
         for _ in range(FLEET)
     )
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -263,7 +263,7 @@
         def broken(snapshot: Any, builds: Any) -> None:
             raise KeyError("unforeseen")
 
-        active.snapshot_builder.take = broken  # type: ignore[method-assign,assignment]
+        active.snapshot_builder.build = broken  # type: ignore[method-assign,assignment]
         await world.submit(job())
         await world.finish()
         assert world.nodes[first].leader_term is not leader_term
@@ -277,14 +277,14 @@
         world = World()
         await world.up()
         leader_term, active = world.nodes[str(world.leader)].leader_term, world.active()
-        judge = active.snapshot_builder._job
+        build = active.snapshot_builder._job_views._build
 
-        def partly(work: Any, now: float, number_of: dict[str, int]) -> Any:
-            if work.id == "job-000001":
+        def partly(job_state: Any, context: Any) -> Any:
+            if job_state.id == "job-000001":
                 raise TypeError("unforeseen")
-            return judge(work, now, number_of)
+            return build(job_state, context)
 
-        active.snapshot_builder._job = partly  # type: ignore[assignment,method-assign]
+        active.snapshot_builder._job_views._build = partly  # type: ignore[method-assign]
         await world.submit(job(1))
         await world.submit(job(2))
         await world.finish(2)
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -125,7 +125,15 @@
     def machine(*ends: float) -> PlacementMachine:
         tasks = [RunningTask(end, 8.0, 0.0, 8.0) for end in ends]
         return PlacementMachine(
-            0, 0, False, 8.0 - 8.0 * len(tasks), 0.0, 32.0, 8.0, 1.0, tasks=tasks
+            machine_type=0,
+            zone=0,
+            spot=False,
+            cpus=8.0 - 8.0 * len(tasks),
+            gpus=0.0,
+            memory_gb=32.0,
+            total_cpus=8.0,
+            fetch_gb_per_s=1.0,
+            tasks=tasks,
         )
 
     def snapshot(*machines: PlacementMachine) -> Snapshot:
--- a/tests/test_snapshot_cache.py
+++ b/tests/test_snapshot_cache.py
@@ -26,8 +26,8 @@
 
 def seen(of: SnapshotBuilder, now: float, builds: dict[str, MachineType]) -> dict[str, Any]:
     """Everything that a pass gets of the machines, by names."""
-    snapshot = of.take(now, builds)
-    images, found = of._images.names, {}
+    snapshot = of.build(now, builds)
+    images, found = of.indices.images.names, {}
     for machine, view in zip(of.machines, snapshot.machines, strict=True):
         tasks = sorted(
             (
@@ -46,7 +46,7 @@
                 view.cpus,
                 view.gpus,
                 view.memory_gb,
-                view.being_freed,
+                (view.cpus_being_freed, view.gpus_being_freed, view.memory_gb_being_freed),
                 view.zone,
                 view.scale_in_candidate,
             ),
@@ -113,13 +113,13 @@
     other = on(stage="ended", number=9, cause="done")
     harness.heartbeat(other, spindle="m-2", address="m-2:9")
     assert harness.job_state.finished
-    before = surveyor(harness.job_queue, harness.registry).take(harness.now, BUILDS)
+    before = surveyor(harness.job_queue, harness.registry).build(harness.now, BUILDS)
     harness.job_queue.remove(harness.job_state)
-    after = surveyor(harness.job_queue, harness.registry).take(harness.now, BUILDS)
+    after = surveyor(harness.job_queue, harness.registry).build(harness.now, BUILDS)
     red = [t.name for t in settings().settings.teams].index("red")
     assert after.teams[red].cpus == before.teams[red].cpus == 64.0 - 2.0
     harness.heartbeat()  # it is gone from the machine
-    gone = surveyor(harness.job_queue, harness.registry).take(harness.now, BUILDS)
+    gone = surveyor(harness.job_queue, harness.registry).build(harness.now, BUILDS)
     assert gone.teams[red].cpus == 64.0
 
 
@@ -131,13 +131,13 @@
         harness.heartbeat()
         harness.now += waited
         watch = surveyor(harness.job_queue, harness.registry)
-        watch.take(harness.now, BUILDS)
+        watch.build(harness.now, BUILDS)
         attempt = harness.assign()
-        attempt.exempt_from_preemption = harness.job_state.id in watch.unbegun
+        attempt.exempt_from_preemption = harness.job_state.id in watch.overdue_to_begin
         harness.heartbeat(on())
         urgent = parse(job(2, rank="high", crew="blue"), Submission)
         harness.job_queue.add(JobRecord(urgent, 1.0, 170, None, 6), harness.now)
-        snapshot = watch.take(harness.now, BUILDS)
+        snapshot = watch.build(harness.now, BUILDS)
         return choose_victims(snapshot, place(snapshot), 5.0)
 
     assert stopped(10.0) == [1], "urgent work stops other work"
