--- a/spoolcourse/control/leader/active_leader.py
+++ b/spoolcourse/control/leader/active_leader.py
@@ -20,7 +20,7 @@
 from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
 from spoolcourse.control.scheduling.scheduling_loop import SchedulingLoop
 from spoolcourse.control.scheduling.snapshot_builder import SnapshotBuilder
-from spoolcourse.control.scheduling.termination_notices import TerminationLoop
+from spoolcourse.control.scheduling.termination_notices import TerminationNoticeLoop
 from spoolcourse.control.store.errors import StoreUnavailableError
 from spoolcourse.control.supervisor import LoopFunction
 from spoolcourse.control.workers.command_dispatcher import CommandDispatcher
@@ -66,9 +66,7 @@
         self.scheduling = SchedulingLoop(
             leader, self.command_dispatcher, self.autoscaler, self.snapshot_builder
         )
-        self.termination = TerminationLoop(
-            leader, self.snapshot_builder, self.autoscaler.replica_places
-        )
+        self.termination = TerminationNoticeLoop(leader, self.autoscaler.replica_places)
         self.heartbeat_handler = HeartbeatHandler(
             context, leadership, self.registry, renewal_deadline
         )
@@ -166,7 +164,7 @@
 
     def is_rare_type(self, machine_type: str) -> bool:
         """Whether some job recently can use this type only, or few beside it."""
-        return self.snapshot_builder.is_rare(machine_type, self._clock())
+        return self.snapshot_builder.is_scarce(machine_type, self._clock())
 
     async def on_machine_list(self, hosts: list[Host]) -> None:
         """The cloud has listed its machines."""
@@ -174,7 +172,7 @@
 
     def on_fleet_summary(self) -> None:
         """Time for a summary in the log."""
-        self.scheduling.log_waiting()
+        self.scheduling.waiting_jobs.log_summary()
 
     # -- what comes from outside ----------------------------------------------------------
 
--- a/spoolcourse/control/status.py
+++ b/spoolcourse/control/status.py
@@ -17,7 +17,7 @@
 from spoolcourse.control.jobs.model import AttemptStage
 from spoolcourse.control.leader.active_leader import ActiveLeader
 from spoolcourse.control.leadership.failover_timeline import FailoverTimeline
-from spoolcourse.control.scheduling.scheduling_loop import WaitingJob
+from spoolcourse.control.scheduling.waiting_jobs import WaitingJob
 
 JOBS_SHOWN = 200
 SILENCE_SHOWN_S = 86_400.0  # of a controller that has never read the key-value store
@@ -139,7 +139,7 @@
     job_states = leader.job_queue.jobs.values()
     machines = leader.registry.machines.values()
     attempts = [attempt for job in job_states for attempt in job.attempts.values()]
-    waiting = leader.scheduling.waiting()
+    waiting = leader.scheduling.waiting_jobs.list()
     services = [
         job for job in job_states if job.record.submission.is_service and not job.record.cancelled
     ]
