--- a/tests/test_snapshot_cache.py
+++ b/tests/test_snapshot_cache.py
@@ -16,19 +16,21 @@
 from tests.fakes.registry import RegistryHarness, on
 from tests.fakes.world import World, job, settings
 
-BUILDS = {"c8": MachineType("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 20.0, ["a", "b"])}
+MACHINE_TYPES = {"c8": MachineType("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 20.0, ["a", "b"])}
 
 
-def surveyor(works: Any, registry: Any) -> SnapshotBuilder:
+def snapshot_builder(job_queue: Any, registry: Any) -> SnapshotBuilder:
     policy = check_policy({}, "test").initial()
-    return SnapshotBuilder(works, registry, settings().settings, policy)
+    return SnapshotBuilder(job_queue, registry, settings().settings, policy)
 
 
-def seen(of: SnapshotBuilder, now: float, builds: dict[str, MachineType]) -> dict[str, Any]:
+def machine_views(
+    builder: SnapshotBuilder, now: float, machine_types: dict[str, MachineType]
+) -> dict[str, Any]:
     """Everything that a pass gets of the machines, by names."""
-    snapshot = of.build(now, builds)
-    images, found = of.indices.images.names, {}
-    for machine, view in zip(of.machines, snapshot.machines, strict=True):
+    snapshot = builder.build(now, machine_types)
+    images, views = builder.indices.images.names, {}
+    for machine, view in zip(builder.machines, snapshot.machines, strict=True):
         tasks = sorted(
             (
                 t.attempt_number,
@@ -41,7 +43,7 @@
             )
             for t in view.tasks
         )
-        found[machine.id] = (
+        views[machine.id] = (
             (
                 view.cpus,
                 view.gpus,
@@ -54,7 +56,7 @@
             sorted(images[i] for i in view.fetch_left_gb),
             tasks,
         )
-    return found
+    return views
 
 
 def test_what_is_kept_of_a_machine_is_what_a_new_look_shows() -> None:
@@ -68,10 +70,10 @@
 
         def compare(active: ActiveLeader) -> None:
             nonlocal compared
-            now, builds = world.now(), active._context.machine_types()
-            fresh = surveyor(active.job_queue, active.registry)
-            kept = seen(active.snapshot_builder, now, builds)
-            assert kept == seen(fresh, now, builds)
+            now, machine_types = world.now(), active._context.machine_types()
+            fresh = snapshot_builder(active.job_queue, active.registry)
+            kept = machine_views(active.snapshot_builder, now, machine_types)
+            assert kept == machine_views(fresh, now, machine_types)
             compared += sum(len(row[3]) for row in kept.values())
 
         for number in range(1, 13):
@@ -113,31 +115,31 @@
     other = on(stage="ended", number=9, cause="done")
     harness.heartbeat(other, spindle="m-2", address="m-2:9")
     assert harness.job_state.finished
-    before = surveyor(harness.job_queue, harness.registry).build(harness.now, BUILDS)
+    before = snapshot_builder(harness.job_queue, harness.registry).build(harness.now, MACHINE_TYPES)
     harness.job_queue.remove(harness.job_state)
-    after = surveyor(harness.job_queue, harness.registry).build(harness.now, BUILDS)
+    after = snapshot_builder(harness.job_queue, harness.registry).build(harness.now, MACHINE_TYPES)
     red = [t.name for t in settings().settings.teams].index("red")
     assert after.teams[red].cpus == before.teams[red].cpus == 64.0 - 2.0
     harness.heartbeat()  # it is gone from the machine
-    gone = surveyor(harness.job_queue, harness.registry).build(harness.now, BUILDS)
+    gone = snapshot_builder(harness.job_queue, harness.registry).build(harness.now, MACHINE_TYPES)
     assert gone.teams[red].cpus == 64.0
 
 
 def test_what_went_before_rank_so_that_its_job_begins_is_not_stopped_by_rank() -> None:
     # Measured on fleets: after `begin_s` the first task of a job was started, stopped for the
     # next urgent claim and started again, up to a hundred times, and the job never began.
-    def stopped(waited: float) -> list[int]:
+    def stopped(waited_s: float) -> list[int]:
         harness = RegistryHarness(pieces=3, vcpus=8.0, expectS=100.0)
         harness.heartbeat()
-        harness.now += waited
-        watch = surveyor(harness.job_queue, harness.registry)
-        watch.build(harness.now, BUILDS)
+        harness.now += waited_s
+        builder = snapshot_builder(harness.job_queue, harness.registry)
+        builder.build(harness.now, MACHINE_TYPES)
         attempt = harness.assign()
-        attempt.exempt_from_preemption = harness.job_state.id in watch.overdue_to_begin
+        attempt.exempt_from_preemption = harness.job_state.id in builder.overdue_to_begin
         harness.heartbeat(on())
         urgent = parse(job(2, rank="high", crew="blue"), Submission)
         harness.job_queue.add(JobRecord(urgent, 1.0, 170, None, 6), harness.now)
-        snapshot = watch.build(harness.now, BUILDS)
+        snapshot = builder.build(harness.now, MACHINE_TYPES)
         return choose_victims(snapshot, place(snapshot), 5.0)
 
     assert stopped(10.0) == [1], "urgent work stops other work"
