--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -119,7 +119,8 @@
                     return await get(key)
 
                 client.get = late  # type: ignore[method-assign]
-        assert leadership.term is None and len(wire.held) == 2
+        assert leadership.term is None
+        assert len(wire.held) == 2
         assert store.value(LEADER_KEY) is not None
         await asyncio.sleep(4)
         assert store.value(LEADER_KEY) is None, "nobody renews it, so others may stand"
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -17,7 +17,8 @@
 def test_an_array_starts_as_many_as_fit_and_becomes_the_head() -> None:
     plan = run([job(10), job(1)], [machine(), machine(4.0)])
     assert placed(plan) == {0: 6}
-    assert plan.head == 0 and plan.unplaced_tasks[0] == 4
+    assert plan.head == 0
+    assert plan.unplaced_tasks[0] == 4
 
 
 def test_what_is_left_for_scale_in_candidates_is_gathered_on_few() -> None:
@@ -79,7 +80,8 @@
 def test_a_job_at_its_teams_limit_waits_but_is_not_the_head() -> None:
     plan = run([job(4, 2.0), job(4, 2.0, team=1)], [machine(16.0)], team=4.0)
     assert placed(plan) == {0: 2, 1: 4}
-    assert plan.head is None and plan.wait_reasons[0] == "team limit"
+    assert plan.head is None
+    assert plan.wait_reasons[0] == "team limit"
 
 
 def test_zone_rules_count_tasks_that_may_be_anywhere() -> None:
--- a/tests/test_scale_out_planning.py
+++ b/tests/test_scale_out_planning.py
@@ -81,7 +81,8 @@
 def test_headroom_is_filled_with_cheap_spot_machines_only() -> None:
     offers = [offer(0.3, True), offer(0.5, True, cpus=32.0), offer(0.1, False)]
     assert [(r.offer.cpus, r.count) for r in top_up(50.0, offers)] == [(32.0, 1), (8.0, 2)]
-    assert top_up(7.0, offers) == [] and top_up(-5.0, offers) == []
+    assert top_up(7.0, offers) == []
+    assert top_up(-5.0, offers) == []
 
 
 def test_machines_are_rented_in_zones_that_take_more_of_the_job() -> None:
@@ -106,6 +107,7 @@
     offer = Offer(0, 0, True, 8.0, 0.0, 64.0, price_per_hour=1.0, boot_s=10.0)
     waiting = job(100)
     plan = run([waiting], [machine()], team=inf)
-    assert placed(plan) == {0: 4} and plan.wait_reasons[0] == "machines"
+    assert placed(plan) == {0: 4}
+    assert plan.wait_reasons[0] == "machines"
     provisions = plan_provisioning([JobDemand(waiting, 96)], [], [offer], 0.0, [inf])
     assert [(provision.offer, provision.count) for provision in provisions] == [(offer, 24)]
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -60,7 +60,7 @@
                 return None
             return "hold" if path == "/multi" else "cut"
 
-        other, third = (n for n in LABELS if n != first)
+        other, _ = (n for n in LABELS if n != first)
         world.wire.filters.append(hold)
         world.cloud.add()
         await world.submit(job(), other)
@@ -174,7 +174,8 @@
         world.state.in_outage = True
         await asyncio.sleep(25)
         reply = await world.submit(job(2))
-        assert reply.status == 503 and reply.headers["Retry-After"]
+        assert reply.status == 503
+        assert reply.headers["Retry-After"]
         assert (await world.poll(1)).status == 503
         assert (await world.ask("n0", "GET", "/healthz")).status == 200
         world.state.end_outage()
@@ -195,7 +196,7 @@
         cut = world.now()
 
         def apart(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
-            ends = {src, dst.split(":")[0]}
+            ends = {src, dst.split(":", maxsplit=1)[0]}
             worker = any(end.startswith("m-") for end in ends)
             return "cut" if worker and leader in ends else None
 
@@ -210,7 +211,8 @@
         await world.finish(2)
         await asyncio.sleep(40)
         assert not world.active(leader).heartbeat_handler.hears_no_worker(), "they are back"
-        assert world.now() > cut and world.cloud.broken == []
+        assert world.now() > cut
+        assert world.cloud.broken == []
 
     play(story())
 
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -92,11 +92,9 @@
         harness.heartbeat()
         harness.heartbeat(on(0, number))
         harness.heartbeat(on(0, number, stage="ended", cause=cause))
-        assert (
-            harness.job_state.done_count == 0
-            and harness.job_state.pending_count == 2
-            and not harness.job_state.finished
-        )
+        assert harness.job_state.done_count == 0
+        assert harness.job_state.pending_count == 2
+        assert not harness.job_state.finished
         backoffs_s.append(harness.job_state.backoff_until - harness.now)
         harness.save()
         harness.heartbeat()
@@ -146,7 +144,8 @@
         return Snapshot(0.0, jobs, list(machines), [TeamBudget(100.0, 0.0)], 1, 2, 16)
 
     plan = place(snapshot(machine(float("inf"))))
-    assert plan.head == 0 and plan.shadow_time is None
+    assert plan.head == 0
+    assert plan.shadow_time is None
     plan = place(snapshot(machine(float("inf")), machine(50.0)))
     assert plan.shadow_time == 50.0
 
--- a/tests/test_worker_registry.py
+++ b/tests/test_worker_registry.py
@@ -45,7 +45,8 @@
     assert harness.heartbeat(baton=TERM - 1) == []
     assert harness.job_state.attempts, "the former leader's start may still arrive"
     harness.heartbeat()
-    assert not harness.job_state.attempts and harness.job_state.pending_count == 4
+    assert not harness.job_state.attempts
+    assert harness.job_state.pending_count == 4
 
 
 def test_a_result_is_acknowledged_only_when_it_is_durable() -> None:
@@ -54,7 +55,8 @@
     harness.assign()
     harness.heartbeat()
     assert harness.heartbeat(on(stage="ended", cause="done")) == []
-    assert harness.job_state.done_count == 1 and not harness.job_state.attempts
+    assert harness.job_state.done_count == 1
+    assert not harness.job_state.attempts
     harness.save()
     assert harness.heartbeat(on(stage="ended", cause="done")) == [REAP]
 
@@ -67,7 +69,8 @@
     harness.heartbeat()
     commands = harness.heartbeat(on(stage="ended", cause=cause))
     assert commands == [REAP]
-    assert harness.job_state.pending_count == 4 and next(harness.job_state.assignable_tasks()) == 0
+    assert harness.job_state.pending_count == 4
+    assert next(harness.job_state.assignable_tasks()) == 0
     assert ("m-1" in harness.job_state.avoided_machines) == (cause == "error")
 
 
@@ -78,7 +81,8 @@
     harness.heartbeat()
     harness.heartbeat(on())
     harness.heartbeat(shift=2, tick=1)
-    assert not harness.job_state.attempts and harness.job_state.pending_count == 4
+    assert not harness.job_state.attempts
+    assert harness.job_state.pending_count == 4
 
 
 def test_only_a_lease_that_we_alone_renewed_proves_an_end() -> None:
@@ -131,7 +135,8 @@
     harness.assign()
     harness.registry.forget_deleted_machine("m-1")
     assert harness.job_state.pending_count == 4
-    assert harness.heartbeat(on()) is None and not harness.job_state.attempts
+    assert harness.heartbeat(on()) is None
+    assert not harness.job_state.attempts
 
 
 def test_malformed_heartbeats_are_refused() -> None:
