--- a/spoolcourse/control/workers/command_builder.py
+++ b/spoolcourse/control/workers/command_builder.py
@@ -33,7 +33,7 @@
         """The commands to answer a heartbeat with, the urgent ones first.
 
         A heartbeat under an older fencing token gets only stops of cancelled work: older commands
-        may still reach the machine, and its next heartbeat tells what is there. But this answer
+        may still reach the machine, and its next heartbeat shows what is there. But this answer
         renews its lease, and may be the last one that arrives, so what is cancelled ends now.
         """
         urgent, others = self._commands_for_reported(machine, heartbeat, under_our_token)
@@ -158,9 +158,7 @@
 
     def _may_acknowledge(self, machine: Machine, task_id: TaskId, status: TaskStatus) -> bool:
         """Whether the worker may forget an ended attempt: not before its result is durable."""
-        if machine.unacknowledgeable and AttemptId(*task_id, status.attempt) in (
-            machine.unacknowledgeable
-        ):
+        if _contains(machine.unacknowledgeable, task_id, status.attempt):
             return False
         job_state = self._job_queue.jobs.get(task_id.job)
         if job_state is None:
@@ -177,9 +175,7 @@
         job_state = self._job_queue.jobs.get(task_id.job)
         if job_state is None:
             return None
-        if machine.unexpected_attempts and AttemptId(*task_id, status.attempt) in (
-            machine.unexpected_attempts
-        ):
+        if _contains(machine.unexpected_attempts, task_id, status.attempt):
             return 0.0
         attempt = machine.attempts.get(task_id)
         if attempt is not None and attempt.stopping and status.stage is not TaskStage.SAVING:
@@ -187,6 +183,11 @@
         return None
 
 
+def _contains(attempt_ids: set[AttemptId], task_id: TaskId, number: int) -> bool:
+    """Whether the attempt is among them; mostly there are none, so no identity is built."""
+    return bool(attempt_ids) and AttemptId(*task_id, number) in attempt_ids
+
+
 def _checkpoint_grace_s(job_state: JobState) -> float:
     """Time enough to save progress, for a job with checkpoints; 0 for others."""
     submission = job_state.record.submission
--- a/spoolcourse/control/workers/machine.py
+++ b/spoolcourse/control/workers/machine.py
@@ -24,7 +24,7 @@
 class Machine:
     """A machine of the term. Unknown values are None.
 
-    Two kinds of heartbeats are told apart: a machine's own heartbeats, which it sends and whose
+    There are two kinds of heartbeats: a machine's own heartbeats, which it sends and whose
     answers renew its lease, and those that come as the response to a call, which renew nothing.
     """
 
@@ -85,7 +85,7 @@
 
     @property
     def is_schedulable(self) -> bool:
-        """Whether it may be given new work, as far as no clock is needed to tell."""
+        """Whether it may be given new work, apart from conditions that need a clock."""
         return (
             self.confirmed
             and not self.deletion_requested
@@ -119,7 +119,7 @@
     # -- transitions -------------------------------------------------------------------------
 
     def record_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
-        """Take over what a newer heartbeat says of the machine itself."""
+        """Store what a newer heartbeat says of the machine itself."""
         self.last_heartbeat_at = now
         self.incarnation, self.sequence = heartbeat.incarnation, heartbeat.sequence
         self.machine_type, self.zone = heartbeat.machine_type, heartbeat.zone
--- a/spoolcourse/control/workers/reconciliation.py
+++ b/spoolcourse/control/workers/reconciliation.py
@@ -1,7 +1,7 @@
 """Reconciliation: what a heartbeat proves about the attempts that may be on its machine.
 
 A worker has one heartbeat in flight, executes an answer within its time-out or never, and drops it
-in a later incarnation; so the next newer heartbeat under our fencing token tells for certain
+in a later incarnation; so the next newer heartbeat under our fencing token shows for certain
 whether a start in an answer arrived. Starts sent to the worker's address may come late: they stay
 possible until the incarnation or our term ends (PROTOCOL, Delayed messages).
 """
@@ -62,7 +62,7 @@
     def _reconcile_reported(
         self, machine: Machine, heartbeat: Heartbeat, now: float
     ) -> set[TaskId]:
-        """Take in what the heartbeat lists; the tasks whose counted attempts are there."""
+        """Apply what the heartbeat lists. Returns the tasks whose counted attempts are there."""
         present: set[TaskId] = set()
         unexpected_before = set(machine.unexpected_attempts)
         machine.unexpected_attempts.clear()
@@ -81,7 +81,7 @@
     def _update_attempt(
         self, machine: Machine, attempt: Attempt, status: TaskStatus, now: float
     ) -> None:
-        """Take in what a heartbeat says of the attempt that counts there."""
+        """Apply what a heartbeat says of the attempt that counts there."""
         if status.stage is TaskStage.ENDED:
             self._end_attempt(machine, attempt, status.cause or "", now)
             return
@@ -150,7 +150,7 @@
     def _reconcile_unexpected(
         self, machine: Machine, task_id: TaskId, status: TaskStatus, now: float
     ) -> bool:
-        """Take in an attempt that does not count on this machine.
+        """Handle an attempt that does not count on this machine.
 
         True if it was adopted, and counts from now on.
         """
--- a/spoolcourse/control/workers/worker_registry.py
+++ b/spoolcourse/control/workers/worker_registry.py
@@ -95,7 +95,7 @@
     # -- heartbeats ------------------------------------------------------------------
 
     def process_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatOutcome:
-        """Take in a machine's own heartbeat that carries no higher fencing token than ours."""
+        """Process a machine's own heartbeat that carries no higher fencing token than ours."""
         now = self._clock()
         if heartbeat.machine in self.deleted_names:
             return OutdatedHeartbeat()
@@ -108,7 +108,7 @@
         return AcceptedHeartbeat(self.commands.build_response(machine, heartbeat, under_our_token))
 
     def observe_unanswered_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Take in a machine's own heartbeat that is not answered, and so renews nothing."""
+        """Process a machine's own heartbeat that is not answered, and so renews nothing."""
         self.observe_heartbeat(heartbeat)
         machine = self.machines.get(heartbeat.machine)
         if machine is not None and (heartbeat.incarnation, heartbeat.sequence) == (
@@ -118,7 +118,7 @@
             machine.last_own_heartbeat_at = self._clock()
 
     def observe_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Take in a heartbeat that came as the response to a call."""
+        """Process a heartbeat that came as the response to a call."""
         if heartbeat.machine in self.deleted_names:
             return
         machine = self.ensure_machine(heartbeat.machine)
