--- a/spoolcourse/control/failover/comparison.py
+++ b/spoolcourse/control/failover/comparison.py
@@ -54,7 +54,7 @@
         "record": (left.record, right.record),
         "chunks": (_chunks(left), _chunks(right)),
         "attempts": (_attempts(left), _attempts(right)),
-        "tasks done": (left.done, right.done),
+        "tasks done": (left.done_count, right.done_count),
         "tasks to be tried again": (left.requeued, right.requeued),
         "first task that was never assigned": (left.first_unassigned, right.first_unassigned),
         "tasks that a chunk may hold": (left.max_held_per_chunk, right.max_held_per_chunk),
--- a/spoolcourse/control/jobs/final_state.py
+++ b/spoolcourse/control/jobs/final_state.py
@@ -42,7 +42,7 @@
     record = job_state.record
     record_key, final_state_key = job_key(job_state.id), final_key(job_state.id)
     stage = JobStage.CANCELLED if record.cancelled else JobStage.DONE
-    value = FinalState(stage, job_state.done, record.accepted_at).value()
+    value = FinalState(stage, job_state.done_count, record.accepted_at).value()
     progress_keys = [
         progress_key(job_state.id, chunk.index)
         for chunk in job_state.chunks.values()
--- a/spoolcourse/control/jobs/job_queue.py
+++ b/spoolcourse/control/jobs/job_queue.py
@@ -88,7 +88,9 @@
         former = job_state.chunks.get(recorded.index)
         former_progress = former.progress if former is not None else Progress()
         job_state.chunks[recorded.index] = recorded
-        job_state.done += recorded.progress.done.bit_count() - former_progress.done.bit_count()
+        job_state.done_count += (
+            recorded.progress.done.bit_count() - former_progress.done.bit_count()
+        )
         held = recorded.progress.held
         for task, holder in former_progress.held.items():
             if held.get(task) != holder:
@@ -158,7 +160,7 @@
             return
         chunk = job_state.chunk(task)
         chunk.progress.done |= 1 << (task % job_state.record.tasks_per_chunk)
-        job_state.done += 1
+        job_state.done_count += 1
         job_state.requeued.discard(task)
         self._add_pending_write(chunk)
         self.queue_final_state_if_finished(job_state)
--- a/spoolcourse/control/jobs/model.py
+++ b/spoolcourse/control/jobs/model.py
@@ -43,7 +43,7 @@
     number: int
     machine: str
     chunk_version: int  # of its chunk when it was assigned
-    since: float  # when `stage` began
+    since: float  # when `stage` began: steady, in seconds
     stage: AttemptStage = AttemptStage.ASSIGNED
     start_sent_with: tuple[int, int] | None = None  # the heartbeat whose response carried the start
     sent_directly: bool = False  # the start was also sent to the machine's address
@@ -51,7 +51,7 @@
     # It was placed before rank, so that its job begins: no claim stops it.
     exempt_from_preemption: bool = False
     stopping: bool = False
-    stop_sent: bool = False  # to the machine's address
+    stop_sent: bool = False  # directly, to the machine's address
 
     @property
     def name(self) -> str:
@@ -107,17 +107,18 @@
 
 @dataclass(slots=True, eq=False)
 class JobState:
-    """A live job while this controller leads."""
+    """A live job while this controller leads; times are steady, in seconds."""
 
     record: JobRecord
     chunks: dict[int, Chunk] = field(default_factory=dict)
     attempts: dict[int, Attempt] = field(default_factory=dict)
-    done: int = 0
-    requeued: set[int] = field(default_factory=set)
+    done_count: int = 0
+    requeued: set[int] = field(default_factory=set)  # tasks that lost an attempt
     first_unassigned: int = 0  # tasks from here on were never assigned, but for those held or done
-    retry_at: float = 0.0
-    failures: int = 0  # attempts in a row that ended in error
-    bad_machines: dict[str, float] = field(default_factory=dict)  # it failed there: until when
+    backoff_until: float = 0.0  # no task is placed before
+    consecutive_failures: int = 0  # attempts in a row that ended in error
+    # Machines on which it failed, and until when they are avoided.
+    avoided_machines: dict[str, float] = field(default_factory=dict)
     final_state_persisted: bool = False
     waiting_since: float = 0.0
     # Chunks made for a larger limit of the key-value store than the one to come never hold more
@@ -131,19 +132,19 @@
         return self.record.submission.id
 
     @property
-    def order(self) -> tuple[float, str]:
+    def arrival_order(self) -> tuple[float, str]:
         """What jobs are ordered by: their arrival."""
         return (self.record.accepted_at, self.id)
 
     @property
-    def pending(self) -> int:
+    def pending_count(self) -> int:
         """How many tasks are neither done nor held by an attempt."""
-        return self.record.submission.task_count - self.done - len(self.attempts)
+        return self.record.submission.task_count - self.done_count - len(self.attempts)
 
     @property
     def all_running(self) -> bool:
         """All its tasks run, and none is being stopped."""
-        return self.pending == 0 and all(
+        return self.pending_count == 0 and all(
             a.stage is AttemptStage.RUNNING and not a.stopping for a in self.attempts.values()
         )
 
@@ -151,7 +152,7 @@
     def assignable_count(self) -> int:
         """How many pending tasks may be assigned now: see `max_held_per_chunk`."""
         if self.max_held_per_chunk >= self.record.tasks_per_chunk:
-            return self.pending
+            return self.pending_count
         chunk_size, task_count = self.record.tasks_per_chunk, self.record.submission.task_count
         total = 0
         for index in range(self.record.chunk_count):
@@ -172,7 +173,7 @@
             return not self.attempts
         if self.record.submission.is_service:
             return False  # only its user ends it
-        return self.done == self.record.submission.task_count
+        return self.done_count == self.record.submission.task_count
 
     def chunk(self, task: int) -> Chunk:
         """The chunk that a task belongs to."""
--- a/spoolcourse/control/scheduling/scheduling_loop.py
+++ b/spoolcourse/control/scheduling/scheduling_loop.py
@@ -234,16 +234,18 @@
                 job_state.id,
                 job_state.record.submission.job_class,
                 job_state.record.submission.team,
-                job_state.pending,
+                job_state.pending_count,
                 round(now - job_state.waiting_since, 1),
                 self._reason(job_state, now),
             )
-            for job_state in sorted(self._job_queue.jobs.values(), key=lambda job: job.order)
-            if job_state.pending > 0 and not job_state.record.cancelled
+            for job_state in sorted(
+                self._job_queue.jobs.values(), key=lambda job: job.arrival_order
+            )
+            if job_state.pending_count > 0 and not job_state.record.cancelled
         ]
 
     def _reason(self, job_state: JobState, now: float) -> str:
-        if job_state.retry_at > now:
+        if job_state.backoff_until > now:
             return "an error's pause"
         return self._reasons.get(job_state.id, "next pass")
 
--- a/spoolcourse/control/scheduling/snapshot_builder.py
+++ b/spoolcourse/control/scheduling/snapshot_builder.py
@@ -109,7 +109,7 @@
         """
         self.job_states = sorted(
             (state for state in self._job_queue.jobs.values() if not state.record.cancelled),
-            key=lambda state: state.order,
+            key=lambda state: state.arrival_order,
         )
         self.unbegun = {state.id for state in self.job_states if self._unbegun(state, now)}
         self._within = self._guarantees()
@@ -118,7 +118,7 @@
                 state.id not in self.unbegun,
                 state.record.submission.rank_number,
                 state.id not in self._within,
-                state.order,
+                state.arrival_order,
             )
         )
 
@@ -183,7 +183,7 @@
         """
         return (
             not job_state.attempts
-            and job_state.done == 0
+            and job_state.done_count == 0
             and now - job_state.waiting_since > self._policy.begin_s
         )
 
@@ -215,8 +215,8 @@
         for job_state in self.job_states:
             submission = job_state.record.submission
             room = left[self.teams.of(submission.team)]
-            room[0] -= submission.cpus * (submission.task_count - job_state.done)
-            room[1] -= submission.gpus * (submission.task_count - job_state.done)
+            room[0] -= submission.cpus * (submission.task_count - job_state.done_count)
+            room[1] -= submission.gpus * (submission.task_count - job_state.done_count)
             if room[0] >= 0 and room[1] >= 0:
                 found.add(job_state.id)
         return found
@@ -269,8 +269,8 @@
         )
         if submission.is_service:
             self._note_replicas(job, state, number_of)
-        if state.bad_machines:
-            bad = [name for name, until in state.bad_machines.items() if until > now]
+        if state.avoided_machines:
+            bad = [name for name, until in state.avoided_machines.items() if until > now]
             job.avoid = frozenset(number_of[name] for name in bad if name in number_of)
         if submission.one_zone or submission.spread_over_zones:
             self._note_zones(job, state)
@@ -278,7 +278,7 @@
 
     def _pending(self, state: JobState, now: float) -> int:
         """How many tasks the pass may place."""
-        if state.retry_at > now:
+        if state.backoff_until > now:
             return 0
         if state.id in self.unbegun:
             return 1
--- a/spoolcourse/control/status.py
+++ b/spoolcourse/control/status.py
@@ -149,7 +149,7 @@
         waiting_jobs=len(waiting),
         waiting_tasks=sum(job.tasks for job in waiting),
         services=len(services),
-        replicas_missing=sum(job.pending for job in services),
+        replicas_missing=sum(job.pending_count for job in services),
         attempts=len(attempts),
         unproven_attempts=sum(
             1
--- a/spoolcourse/control/workers/reconciliation.py
+++ b/spoolcourse/control/workers/reconciliation.py
@@ -101,8 +101,12 @@
             self._record_cached_image(machine, job_state.record.submission)
             machine.failed_jobs.discard(job_state.id)
             runs_well = now - attempt.since > HEALTHY_S
-            if job_state.record.submission.is_service and job_state.failures and runs_well:
-                job_state.failures = 0
+            if (
+                job_state.record.submission.is_service
+                and job_state.consecutive_failures
+                and runs_well
+            ):
+                job_state.consecutive_failures = 0
 
     def _end_attempt(self, machine: Machine, attempt: Attempt, cause: str, now: float) -> None:
         job_state = attempt.job_state
@@ -128,7 +132,7 @@
             machine.no_room_until = now + REFUSED_START_PAUSE_S
             _log_refused_start(machine, attempt, cause)
         elif cause in (EndCause.OTHER_ATTEMPT_THERE, EndCause.NO_SUCH_TASK):
-            job_state.retry_at = now + REFUSED_START_PAUSE_S
+            job_state.backoff_until = now + REFUSED_START_PAUSE_S
             _log_refused_start(machine, attempt, cause)
         self._machines.release_attempt(attempt)
 
@@ -138,7 +142,7 @@
         if job_state.record.submission.is_service:
             _count_failure(job_state, REPLICA_BACKOFF, now)  # a replica should run on
             return
-        job_state.failures = 0
+        job_state.consecutive_failures = 0
         self._job_queue.complete(job_state, attempt.task)
 
     def _record_cached_image(self, machine: Machine, submission: Submission) -> None:
@@ -240,7 +244,7 @@
 
 def _record_error(machine: Machine, attempt: Attempt, now: float) -> None:
     job_state = attempt.job_state
-    job_state.bad_machines[machine.id] = now + AVOID_S
+    job_state.avoided_machines[machine.id] = now + AVOID_S
     machine.failed_jobs.add(job_state.id)
     is_service = job_state.record.submission.is_service
     _count_failure(job_state, REPLICA_BACKOFF if is_service else ARRAY_BACKOFF, now)
@@ -260,7 +264,7 @@
 
 
 def _count_failure(job_state: JobState, backoff: Backoff, now: float) -> None:
-    job_state.failures += 1
-    pause_s = backoff.pause_s(job_state.failures)
+    job_state.consecutive_failures += 1
+    pause_s = backoff.pause_s(job_state.consecutive_failures)
     if pause_s > 0:
-        job_state.retry_at = now + pause_s
+        job_state.backoff_until = now + pause_s
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -86,10 +86,10 @@
         harness.heartbeat()
         harness.heartbeat(on(0, number))
         harness.heartbeat(on(0, number, stage="ended", cause=cause))
-        assert harness.job_state.done == 0
-        assert harness.job_state.pending == 2
+        assert harness.job_state.done_count == 0
+        assert harness.job_state.pending_count == 2
         assert not harness.job_state.finished
-        backoffs_s.append(harness.job_state.retry_at - harness.now)
+        backoffs_s.append(harness.job_state.backoff_until - harness.now)
         harness.save()
         harness.heartbeat()
         harness.now += 30.0
@@ -102,7 +102,7 @@
         harness.heartbeat(on(0, 20))
         harness.now += 25.0
         harness.heartbeat(on(0, 20))
-        assert harness.job_state.failures == 0, "a replica that runs well clears it"
+        assert harness.job_state.consecutive_failures == 0, "a replica that runs well clears it"
 
 
 def test_an_ended_replica_is_acknowledged_to_its_worker() -> None:
--- a/tests/test_worker_registry.py
+++ b/tests/test_worker_registry.py
@@ -46,7 +46,7 @@
     assert harness.job_state.attempts, "the former leader's start may still arrive"
     harness.heartbeat()
     assert not harness.job_state.attempts
-    assert harness.job_state.pending == 4
+    assert harness.job_state.pending_count == 4
 
 
 def test_a_result_is_acknowledged_only_when_it_is_durable() -> None:
@@ -55,7 +55,7 @@
     harness.assign()
     harness.heartbeat()
     assert harness.heartbeat(on(stage="ended", cause="done")) == []
-    assert harness.job_state.done == 1
+    assert harness.job_state.done_count == 1
     assert not harness.job_state.attempts
     harness.save()
     assert harness.heartbeat(on(stage="ended", cause="done")) == [REAP]
@@ -69,9 +69,9 @@
     harness.heartbeat()
     commands = harness.heartbeat(on(stage="ended", cause=cause))
     assert commands == [REAP]
-    assert harness.job_state.pending == 4
+    assert harness.job_state.pending_count == 4
     assert next(harness.job_state.assignable_tasks()) == 0
-    assert ("m-1" in harness.job_state.bad_machines) == (cause == "error")
+    assert ("m-1" in harness.job_state.avoided_machines) == (cause == "error")
 
 
 def test_a_new_incarnation_means_the_old_tasks_are_gone() -> None:
@@ -82,7 +82,7 @@
     harness.heartbeat(on())
     harness.heartbeat(shift=2, tick=1)
     assert not harness.job_state.attempts
-    assert harness.job_state.pending == 4
+    assert harness.job_state.pending_count == 4
 
 
 def test_only_a_lease_that_we_alone_renewed_proves_an_end() -> None:
@@ -134,7 +134,7 @@
     harness.heartbeat()
     harness.assign()
     harness.registry.forget_deleted_machine("m-1")
-    assert harness.job_state.pending == 4
+    assert harness.job_state.pending_count == 4
     assert harness.heartbeat(on()) is None
     assert not harness.job_state.attempts
 
@@ -175,4 +175,4 @@
     assert harness.heartbeat(on(stage="ended", cause="halted")) == []
     harness.save()
     assert harness.heartbeat(on(stage="ended", cause="halted")) == []
-    assert harness.job_state.pending == 4, "it is proven ended all the same"
+    assert harness.job_state.pending_count == 4, "it is proven ended all the same"
