--- a/spoolcourse/control/failover/restore.py
+++ b/spoolcourse/control/failover/restore.py
@@ -6,11 +6,11 @@
 
 from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.jobs.job_queue import JobQueue
+from spoolcourse.control.jobs.model import RecordedProgress
 from spoolcourse.control.store.keys import PROGRESS_PREFIX, parse_progress_key
 from spoolcourse.control.store.records import Progress, chunk_tasks
 
-# By job and chunk: the progress, and the revision of its record.
-SavedProgress = dict[str, dict[int, tuple[Progress, int]]]
+SavedProgress = dict[str, dict[int, RecordedProgress]]  # by job and chunk
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,5 +53,5 @@
             leftover_keys.append(entry.key)
             continue
         progress = Progress.from_value(entry.value)
-        saved.setdefault(job, {})[chunk] = (progress, entry.revision)
+        saved.setdefault(job, {})[chunk] = RecordedProgress(progress, entry.revision)
     return saved, leftover_keys
--- a/spoolcourse/control/jobs/job_queue.py
+++ b/spoolcourse/control/jobs/job_queue.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 
 from spoolcourse.control.jobs.model import (
     UNBOUNDED,
@@ -14,6 +14,7 @@
     AttemptStage,
     Chunk,
     JobState,
+    RecordedProgress,
 )
 from spoolcourse.control.store.records import Assignment, JobRecord, Progress
 from spoolcourse.wire.identities import ChunkId, TaskId
@@ -52,14 +53,14 @@
         return job_state
 
     def restore(
-        self, record: JobRecord, now: float, recorded: dict[int, tuple[Progress, int]]
+        self, record: JobRecord, now: float, recorded_chunks: Mapping[int, RecordedProgress]
     ) -> JobState:
-        """Rebuild a job from its records: by chunk, the progress and its key's revision.
+        """Rebuild a job from its records: by chunk index, what is recorded.
 
         Its attempts are open until their machines have been heard from.
         """
         job_state = self._create(record, now)
-        for index, (progress, revision) in recorded.items():
+        for index, (progress, revision) in recorded_chunks.items():
             chunk = Chunk(ChunkId(job_state.id, index), progress, revision)
             self.apply_recorded_chunk(job_state, chunk, now)
         self.queue_final_state_if_finished(job_state)
--- a/spoolcourse/control/jobs/model.py
+++ b/spoolcourse/control/jobs/model.py
@@ -9,9 +9,10 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import NamedTuple
 
 from spoolcourse.control.store.records import JobRecord, Progress
-from spoolcourse.wire.identities import ChunkId
+from spoolcourse.wire.identities import ChunkId, HeartbeatId
 from spoolcourse.wire.messages import TaskStage, task_name
 
 UNBOUNDED = sys.maxsize  # tasks that a chunk may hold, where its size alone bounds them
@@ -45,7 +46,7 @@
     chunk_version: int  # of its chunk when it was assigned
     since: float  # when `stage` began: steady, in seconds
     stage: AttemptStage = AttemptStage.ASSIGNED
-    start_sent_with: tuple[int, int] | None = None  # the heartbeat whose response carried the start
+    start_sent_with: HeartbeatId | None = None  # the heartbeat whose response carried the start
     sent_directly: bool = False  # the start was also sent to the machine's address
     in_flight_incarnation: int | None = None  # the incarnation in which that may still arrive
     # It was placed before rank, so that its job begins: no claim stops it.
@@ -105,6 +106,13 @@
         return self.persisted_version == self.version
 
 
+class RecordedProgress(NamedTuple):
+    """A chunk's progress as the key-value store holds it."""
+
+    progress: Progress
+    revision: int  # of its key
+
+
 @dataclass(slots=True, eq=False)
 class JobState:
     """A live job while this controller leads; times are steady, in seconds."""
--- a/spoolcourse/control/workers/command_builder.py
+++ b/spoolcourse/control/workers/command_builder.py
@@ -10,7 +10,7 @@
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.control.workers.machine_table import MachineTable
 from spoolcourse.wire.commands import Acknowledge, Command, Start, Stop
-from spoolcourse.wire.identities import AttemptId, TaskId
+from spoolcourse.wire.identities import AttemptId, HeartbeatId, TaskId
 from spoolcourse.wire.messages import EndCause, Heartbeat, TaskStage, TaskStatus, parse_task_name
 
 COMMANDS_MAX = 300  # in one response, well below 64 KiB
@@ -96,7 +96,7 @@
             if len(commands) >= COMMANDS_MAX:
                 return
             if attempt.stage is AttemptStage.ASSIGNED and _is_startable(attempt):
-                attempt.start_sent_with = (heartbeat.incarnation, heartbeat.sequence)
+                attempt.start_sent_with = HeartbeatId(heartbeat.incarnation, heartbeat.sequence)
                 self._leader.record_phase(FailoverPhase.FIRST_START)
                 commands.append(Start(attempt.name, attempt.number))
 
--- a/spoolcourse/wire/identities.py
+++ b/spoolcourse/wire/identities.py
@@ -23,6 +23,13 @@
     number: int
 
 
+class HeartbeatId(NamedTuple):
+    """A heartbeat of a machine; a newer one compares greater (PROTOCOL, `shift` and `tick`)."""
+
+    incarnation: int
+    sequence: int
+
+
 class ChunkId(NamedTuple):
     """A part of a job's stored progress: its job, and its index in the job from 0."""
 
--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -8,7 +8,7 @@
 from spoolcourse.control.jobs.chunk_batch import BatchLimits, select_batch
 from spoolcourse.control.jobs.final_state import prepare_final_state
 from spoolcourse.control.jobs.job_queue import JobQueue
-from spoolcourse.control.jobs.model import JobState
+from spoolcourse.control.jobs.model import JobState, RecordedProgress
 from spoolcourse.control.jobs.progress_writer import ProgressWriter
 from spoolcourse.control.leadership.failover_proof import FailoverProof, ProofSource
 from spoolcourse.control.leadership.term import Term
@@ -200,7 +200,9 @@
     queue = JobQueue()
     record = JobRecord(parse(job(pieces=64), Submission), 1.0, 16, None, 5)
     job_state = queue.restore(
-        record, 0.0, {index: (Progress(done=0xFFFF), 10 + index) for index in range(4)}
+        record,
+        0.0,
+        {index: RecordedProgress(Progress(done=0xFFFF), 10 + index) for index in range(4)},
     )
     write = prepare_final_state(job_state, 4, {TERM_KEY: 7})
     keys = [progress_key(job_state.id, index) for index in range(4)]
