--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -50,7 +50,9 @@
     assert harness.job_state.attempts == {0: attempt}
     harness.now += 10.0
     harness.registry.expire_leases()
-    assert not harness.job_state.attempts, "nobody renews that session: it is over by now"
+    assert not harness.job_state.attempts, (
+        "nobody renews that incarnation's lease: it is over by now"
+    )
 
 
 def test_a_machine_that_reaches_no_controller_gets_no_new_work() -> None:
@@ -89,22 +91,22 @@
 
 
 def test_a_claim_that_is_carried_out_late_is_not_taken_for_the_next_one() -> None:
-    # Both are of the same run and for the same term, but on leases of their own: the key hangs
-    # on the first one's, which nobody renews.
+    # Both are of the same run and for the same term, but each has its own lease. The key is
+    # attached to the first one's, which nobody renews.
     async def story() -> None:
-        state, wire = FakeKeyValueStore(), FakeWire()
-        wire.hosts["state:1"] = state.serve
+        store, wire = FakeKeyValueStore(), FakeWire()
+        wire.hosts["state:1"] = store.serve
         limits = State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
         client = StoreClient(wire.end_of("n0"), "state:1", limits, controllers=2)
         watch_cache = WatchCache(client, PREFIX)
-        node = Leadership(client, watch_cache, "n0", "run-0")
+        leadership = Leadership(client, watch_cache, "n0", "run-0")
         await watch_cache.reload()
         wire.filters.append(
             lambda src, dst, method, path, body: "hold" if path == "/multi" else None
         )
         for _ in range(2):
             try:
-                await node._stand_for_election()
+                await leadership._stand_for_election()
             except OutcomeUnknownError:
                 if len(wire.held) == 2:
                     break
@@ -113,21 +115,21 @@
 
                 async def late(key: str, get: Any = get) -> Any:
                     _, method, path, body = wire.held[0]
-                    await state.serve(method, path, body)
+                    await store.serve(method, path, body)
                     return await get(key)
 
                 client.get = late  # type: ignore[method-assign]
-        assert node.term is None
+        assert leadership.term is None
         assert len(wire.held) == 2
-        assert state.value(LEADER_KEY) is not None
+        assert store.value(LEADER_KEY) is not None
         await asyncio.sleep(4)
-        assert state.value(LEADER_KEY) is None, "nobody renews it, so others may stand"
+        assert store.value(LEADER_KEY) is None, "nobody renews it, so others may stand"
 
     play(story())
 
 
-def guarded(key: str) -> set[str]:
-    """Keys whose change makes a write of this one wrong."""
+def keys_that_guard(key: str) -> set[str]:
+    """Keys whose change makes a write of this key wrong."""
     if key.startswith(PROGRESS_PREFIX):
         return {key, job_key(parse_progress_key(key)[0]), TERM_KEY}
     if key.startswith(FINAL_PREFIX):
@@ -135,15 +137,20 @@
     return {key, final_key(key[len(JOB_PREFIX) :])} if key.startswith(JOB_PREFIX) else {key}
 
 
-def late_writes(world: World, every: int) -> Any:
-    """Each so many-th transaction gets no answer and is carried out later. If anything that
-    it depends on has changed since, deleted and made again included, it must change nothing."""
+def delay_transactions(world: World, every: int) -> Any:
+    """Every n-th transaction gets no answer and is carried out later.
+
+    If a key that it depends on has changed since, or was deleted and made again, it must change
+    nothing.
+    """
     count = 0
     sent: dict[int, int] = {}
     bodies: list[Any] = []
 
     def judge(body: Any, reply: Any) -> None:
-        needs = set().union(*(guarded(op.get("set") or op["delete"]) for op in body["apply"]))
+        needs = set().union(
+            *(keys_that_guard(op.get("set") or op["delete"]) for op in body["apply"])
+        )
         since = sent[id(body)]
         log = world.state.log[: -len(body["apply"])] if reply.status == 200 else world.state.log
         changed = needs & {str(e.get("set") or e["delete"]) for e in log if e["stamp"] > since}
@@ -172,7 +179,7 @@
         world = World()
         world.cloud.run_s = lambda task: 6.0 + int(task[-1]) * 3.0
         await world.up()
-        world.wire.filters.append(late_writes(world, every))
+        world.wire.filters.append(delay_transactions(world, every))
         for number in range(1, 9):
             body = job(number, pieces=3, crew="blue" if number % 2 else "red")
             await insist(world, lambda label, body=body: world.submit(body, label))
@@ -188,7 +195,7 @@
     play(story())
 
 
-def test_a_report_held_until_a_new_leader_has_acted() -> None:
+def test_a_heartbeat_that_arrives_after_a_new_leader_has_acted_gets_no_commands() -> None:
     async def story() -> None:
         world = World()
         world.cloud.run_s = lambda task: 25.0
@@ -219,7 +226,7 @@
     play(story())
 
 
-def test_commands_are_held_up_and_the_machine_then_goes_on() -> None:
+def test_commands_that_arrive_late_at_a_machine_that_hung_break_no_rule() -> None:
     async def story() -> None:
         world = World()
         world.cloud.run_s = lambda task: 15.0
@@ -246,8 +253,8 @@
 
 
 @pytest.mark.parametrize("meanwhile", ["cancelled", "another leader", "ended"])
-def test_a_write_that_is_still_on_its_way_when_things_change(meanwhile: str) -> None:
-    # The key itself has not changed: what else the write depends on has.
+def test_a_write_under_way_is_refused_once_what_it_depends_on_has_changed(meanwhile: str) -> None:
+    # The key itself has not changed, but another that the write depends on has.
     async def story() -> None:
         world = World()
         world.cloud.run_s = lambda task: 4.0
