--- a/spoolcourse/control/autoscaling/__init__.py
+++ b/spoolcourse/control/autoscaling/__init__.py
@@ -1,1 +1,1 @@
-"""Machines: listing, renting, returning."""
+"""Autoscaling: the cloud's machine list, scale out and scale in."""
--- a/spoolcourse/control/autoscaling/machine_list.py
+++ b/spoolcourse/control/autoscaling/machine_list.py
@@ -1,4 +1,4 @@
-"""The cloud's machine list: it updates the registry, and names machines to be told of the term."""
+"""The cloud's machine list: updates the registry, announces the fencing token to new machines."""
 
 from __future__ import annotations
 
--- a/spoolcourse/control/autoscaling/scale_out.py
+++ b/spoolcourse/control/autoscaling/scale_out.py
@@ -1,4 +1,4 @@
-"""Scale out: renting machines, with backoff for kinds that the cloud has refused."""
+"""Scale out: provisioning machines, with backoff for kinds that the cloud has refused."""
 
 from __future__ import annotations
 
--- a/spoolcourse/control/scheduling/capacity_planning.py
+++ b/spoolcourse/control/scheduling/capacity_planning.py
@@ -20,7 +20,7 @@
 
 
 class CapacityPlanner:
-    """Tells the autoscaler which machines to rent after each pass."""
+    """Requests scale out after each pass, for what found no machine."""
 
     def __init__(
         self, leader: LeaderContext, autoscaler: FleetAutoscaler, indices: SnapshotIndices
--- a/spoolcourse/control/scheduling/scheduling_loop.py
+++ b/spoolcourse/control/scheduling/scheduling_loop.py
@@ -5,9 +5,9 @@
 import asyncio
 import logging
 import time
-from contextlib import suppress
 from itertools import islice
 
+from spoolcourse.control.async_utils import wait_for_event
 from spoolcourse.control.autoscaling.autoscaler import FleetAutoscaler
 from spoolcourse.control.leader_context import LeaderContext
 from spoolcourse.control.leadership.failover_timeline import FailoverPhase
@@ -56,9 +56,7 @@
         """Run until cancelled."""
         while True:
             # A pass runs when something changed, and after a period in any case.
-            with suppress(TimeoutError):
-                async with asyncio.timeout(self._policy.pass_period_s):
-                    await self.wake.wait()
+            await wait_for_event(self.wake, self._policy.pass_period_s)
             self.wake.clear()
             if self._registry.leader.may_start():
                 began = time.process_time()
