--- a/spoolcourse/cli.py
+++ b/spoolcourse/cli.py
@@ -132,13 +132,13 @@
 ) -> int:
     from spoolcourse.control.http_client import AiohttpClient, NoResponseError
 
-    net = AiohttpClient()
+    http_client = AiohttpClient()
     try:
-        response = await net.call(args.node, method, path, body, timeout_s=args.timeout)
+        response = await http_client.call(args.node, method, path, body, timeout_s=args.timeout)
     except NoResponseError as exc:
         raise UserError(str(exc)) from exc
     finally:
-        await net.close()
+        await http_client.close()
     if response.status in (200, 201):
         import orjson
 
--- a/spoolcourse/control/autoscaling/autoscaler.py
+++ b/spoolcourse/control/autoscaling/autoscaler.py
@@ -50,13 +50,15 @@
         self._registry = registry
         self._owner = owner
         self._types = MachineTypeLookup(context.machine_types)
-        self.excess_capacity = ExcessCapacity(policy, registry, self._types, owner.is_rare_type)
-        self.scale_out = ScaleOut(leader, self._cloud, self._types, owner.may_start)
+        self.excess_capacity = ExcessCapacity(policy, registry, self._types, owner.is_scarce_type)
+        self.scale_out = ScaleOut(leader, self._cloud, self._types, owner.holds_lease)
         self.machine_list = MachineListLoop(leader, self._types, owner.on_machine_list)
         self.replica_places = ReplicaPlaces(
             registry, context.params.workers, context.clock, context.machine_types
         )
-        self.replica_probe = ReplicaProbe(context.net, registry, self.replica_places, context.clock)
+        self.replica_probe = ReplicaProbe(
+            context.http_client, registry, self.replica_places, context.clock
+        )
         self.service_reserve = ServiceReserve(registry, policy, self._types)
         self._scale_in = ScaleIn(
             leader,
@@ -86,7 +88,7 @@
                 logged_at = self._clock()
                 log_fleet_summary(self._registry, self._types)
                 self._owner.on_fleet_summary()
-            names = self._scale_in.machines_to_delete(holds_lease=self._owner.may_start())
+            names = self._scale_in.machines_to_delete(holds_lease=self._owner.holds_lease())
             for start in range(0, min(len(names), self._max_deletions), DELETE_MAX):
                 await self._delete(names[start : start + DELETE_MAX])
 
--- a/spoolcourse/control/autoscaling/excess_capacity.py
+++ b/spoolcourse/control/autoscaling/excess_capacity.py
@@ -23,12 +23,12 @@
         policy: Policy,
         registry: WorkerRegistry,
         types: MachineTypeLookup,
-        is_rare_type: Callable[[str], bool],
+        is_scarce_type: Callable[[str], bool],
     ) -> None:
         self._policy = policy
         self._registry = registry
         self._types = types
-        self._is_rare_type = is_rare_type
+        self._is_scarce_type = is_scarce_type
         self.demand = DemandHistory(KEYS["keep_s"].high)
 
     def missing_cpus(self, now: float) -> float:
@@ -56,7 +56,7 @@
         # Those already marked stay marked if possible: they have run emptier since.
         for machine in sorted(on_demand, key=lambda m: (not m.scale_in_candidate, len(m.attempts))):
             cpus = self._types.cpus(machine)
-            needed = machine.id in reserved or self._is_rare_type(machine.machine_type or "")
+            needed = machine.id in reserved or self._is_scarce_type(machine.machine_type or "")
             machine.scale_in_candidate = cpus <= excess_cpus and not needed
             if machine.scale_in_candidate:
                 excess_cpus -= cpus
--- a/spoolcourse/control/autoscaling/machine_list.py
+++ b/spoolcourse/control/autoscaling/machine_list.py
@@ -33,7 +33,7 @@
         self._period_s = max(LIST_PERIOD_S, context.params.cloud.list_lag_s / 2)
         self._registry = leader.registry
         self._announcer = FencingTokenAnnouncer(
-            context.net, leader.registry, context.params.machine_limits.sockets
+            context.http_client, leader.registry, context.params.machine_limits.sockets
         )
         self._types = types
         self._on_list = on_list
@@ -68,10 +68,10 @@
         if machine.spot is None:
             machine.spot = host.spot
         machine.address = machine.address or host.address
-        if machine.rented_at is None:
-            machine.rented_at = requested_at - host.age_s
+        if machine.provisioned_at is None:
+            machine.provisioned_at = requested_at - host.age_s
         if machine.last_heartbeat_at is None and machine.expected_ready_at is None:
-            machine.expected_ready_at = machine.rented_at + self._types.boot_s(machine)
+            machine.expected_ready_at = machine.provisioned_at + self._types.boot_s(machine)
 
     def _unconfirmed(self, hosts: list[Host]) -> list[Machine]:
         """Running machines that have sent no heartbeat under the leader's fencing token."""
--- a/spoolcourse/control/autoscaling/owner.py
+++ b/spoolcourse/control/autoscaling/owner.py
@@ -14,7 +14,7 @@
         """Machines that were there before the service first ran: not deleted for being idle."""
         ...
 
-    def is_rare_type(self, machine_type: str) -> bool:
+    def is_scarce_type(self, machine_type: str) -> bool:
         """Whether jobs depend on the machine type, so that idle machines of it stay longer."""
         ...
 
@@ -22,7 +22,7 @@
 class AutoscalerOwner(ScaleInOwner, Protocol):
     """What the whole autoscaler asks and reports."""
 
-    def may_start(self) -> bool:
+    def holds_lease(self) -> bool:
         """Whether no other controller can lead by now, so that machines may be rented."""
         ...
 
--- a/spoolcourse/control/autoscaling/replica_probe.py
+++ b/spoolcourse/control/autoscaling/replica_probe.py
@@ -38,12 +38,12 @@
 
     def __init__(
         self,
-        net: HttpClient,
+        http_client: HttpClient,
         registry: WorkerRegistry,
         places: ReplicaPlaces,
         clock: Callable[[], float],
     ) -> None:
-        self._net = net
+        self._http_client = http_client
         self._registry = registry
         self._late_after_s = places.late_after_s
         self._clock = clock
@@ -96,7 +96,9 @@
     async def _probe(self, machine: Machine) -> None:
         reported_at = machine.last_own_heartbeat_at
         try:
-            self._registry.observe_heartbeat(await fetch_heartbeat(self._net, machine.address))
+            self._registry.observe_heartbeat(
+                await fetch_heartbeat(self._http_client, machine.address)
+            )
             self._failures.pop(machine.id, None)
         except (NoResponseError, MalformedError) as exc:
             log.debug("heartbeat late and probe failed: machine=%s reason=%s", machine.id, exc)
--- a/spoolcourse/control/autoscaling/scale_in.py
+++ b/spoolcourse/control/autoscaling/scale_in.py
@@ -137,7 +137,7 @@
 
     def _idle_limit_s(self, machine: Machine) -> float:
         """Seconds that an idle machine is kept: by its type, its mark, or its boot time."""
-        if self._owner.is_rare_type(machine.machine_type or ""):
+        if self._owner.is_scarce_type(machine.machine_type or ""):
             return self._policy.rare_s
         if machine.scale_in_candidate:
             return self._policy.surplus_idle_s
--- a/spoolcourse/control/autoscaling/scale_out.py
+++ b/spoolcourse/control/autoscaling/scale_out.py
@@ -40,7 +40,7 @@
 class ScaleOut:
     """Rents what the last placement pass asked for; kinds that were refused wait for a backoff.
 
-    `may_start` says whether no other controller can lead by now: only then machines are rented.
+    `holds_lease` says whether no other controller can lead by now: only then machines are rented.
     """
 
     def __init__(
@@ -48,14 +48,14 @@
         leader: LeaderContext,
         cloud: ProvisioningClient,
         types: MachineTypeLookup,
-        may_start: Callable[[], bool],
+        holds_lease: Callable[[], bool],
     ) -> None:
         self._cloud = cloud
         self._clock = leader.controller.clock
         self._policy = leader.policy
         self._registry = leader.registry
         self._types = types
-        self._may_start = may_start
+        self._holds_lease = holds_lease
         self._refusals: dict[MachineKind, _Refusal] = {}
         self._pending: list[ScaleOutRequest] = []
         self._wake = asyncio.Event()
@@ -85,7 +85,7 @@
             self._requesting = True
             for request in requests:
                 for part in _parts(request):
-                    if self._may_start() and self.may_request(part.kind):
+                    if self._holds_lease() and self.may_request(part.kind):
                         await self._rent(part)
             self._requesting = False
 
@@ -130,7 +130,7 @@
             kind.zone,
             kind.spot,
         )
-        machine.rented_at = requested_at
+        machine.provisioned_at = requested_at
         if machine.last_heartbeat_at is None:
             machine.expected_ready_at = requested_at + self._types.boot_s(machine)
 
--- a/spoolcourse/control/cloud/client.py
+++ b/spoolcourse/control/cloud/client.py
@@ -70,9 +70,9 @@
     """What any controller may ask the cloud. Each call raises `CloudError` unless it succeeds."""
 
     def __init__(
-        self, net: HttpClient, addr: str, rps: float, timeout_s: float = TIMEOUT_S
+        self, http_client: HttpClient, addr: str, rps: float, timeout_s: float = TIMEOUT_S
     ) -> None:
-        self._net = net
+        self._http_client = http_client
         self._addr = addr
         self._timeout_s = timeout_s
         # Only the leader works with the cloud; other controllers read the catalog now and then.
@@ -84,7 +84,9 @@
         except RateLimitExceededError as exc:
             raise CloudRequestFailedError(method, path, None, f"not sent, {exc}") from exc
         try:
-            reply = await self._net.call(self._addr, method, path, body, timeout_s=self._timeout_s)
+            reply = await self._http_client.call(
+                self._addr, method, path, body, timeout_s=self._timeout_s
+            )
         except NoResponseError as exc:
             raise CloudRequestFailedError(method, path, None, str(exc)) from exc
         if reply.status == TOO_MANY_REQUESTS:
--- a/spoolcourse/control/context.py
+++ b/spoolcourse/control/context.py
@@ -24,7 +24,7 @@
     their names, and none before its catalog was read once.
     """
 
-    net: HttpClient
+    http_client: HttpClient
     client: StoreClient
     watch_cache: WatchCache
     job_index: JobIndex
--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -60,7 +60,7 @@
 class Services:
     """What this controller asks other hosts with, and what it knows of the key-value store."""
 
-    net: HttpClient
+    http_client: HttpClient
     client: StoreClient
     watch_cache: WatchCache
     job_index: JobIndex
@@ -76,14 +76,14 @@
     def __init__(
         self,
         settings: Settings,
-        net: HttpClient,
+        http_client: HttpClient,
         policy: PolicySource | None = None,
         wall_clock: Callable[[], float] = time.time,
         run_id: str | None = None,
         standby: StandbySettings = OFF,
     ) -> None:
         """`run_id` tells this process from earlier ones under the same label."""
-        services = _connect(settings, net)
+        services = _connect(settings, http_client)
         self.watch_cache = services.watch_cache
         self.job_index = services.job_index
         self._lifecycle = TermLifecycle(self.watch_cache, self._build_term, self._resume_shadowing)
@@ -136,7 +136,7 @@
         )
         heartbeat_interval_s = settings.settings.workers.heartbeat_interval_s
         relay = HeartbeatRelay(
-            self._context.net, settings.label, settings.seeds, heartbeat_interval_s
+            self._context.http_client, settings.label, settings.seeds, heartbeat_interval_s
         )
         workers = WorkerApi(parts, relay)
         users = UserApi(self._context, self.leadership, self.health)
@@ -179,16 +179,16 @@
         await self._supervisor.wait()
 
 
-def _connect(settings: Settings, net: HttpClient) -> Services:
+def _connect(settings: Settings, http_client: HttpClient) -> Services:
     params, outside = settings.settings, settings.outside
-    client = StoreClient(net, outside.state, params.state, len(settings.seeds) + 1)
+    client = StoreClient(http_client, outside.state, params.state, len(settings.seeds) + 1)
     watch_cache = WatchCache(client, PREFIX)
     return Services(
-        net=net,
+        http_client=http_client,
         client=client,
         watch_cache=watch_cache,
         job_index=JobIndex(watch_cache),
-        cloud=CloudClient(net, outside.cloud, params.cloud.rps),
+        cloud=CloudClient(http_client, outside.cloud, params.cloud.rps),
     )
 
 
@@ -200,7 +200,7 @@
     wall_clock: Callable[[], float],
 ) -> ControllerContext:
     return ControllerContext(
-        net=services.net,
+        http_client=services.http_client,
         client=services.client,
         watch_cache=services.watch_cache,
         job_index=services.job_index,
@@ -221,7 +221,11 @@
 
 def _build_health(context: ControllerContext) -> HealthCheck:
     return HealthCheck(
-        context.net, context.peers, context.watch_cache, context.machine_types, context.clock
+        context.http_client,
+        context.peers,
+        context.watch_cache,
+        context.machine_types,
+        context.clock,
     )
 
 
--- a/spoolcourse/control/failover/hint_loop.py
+++ b/spoolcourse/control/failover/hint_loop.py
@@ -42,7 +42,7 @@
         leader_label: Callable[[], str | None],
     ) -> None:
         """`leader_label`: the label of the controller that leads; None if none is known."""
-        self._net = context.net
+        self._http_client = context.http_client
         self._watch_cache = context.watch_cache
         self._peers = {peer.label: peer for peer in context.peers}
         self._settings = settings
@@ -64,7 +64,7 @@
         query = HintQuery(self._next_page_after, self._settings.hint_machines)
         self._next_page_after = ""
         try:
-            reply = await self._net.call(
+            reply = await self._http_client.call(
                 leader.endpoint, "GET", query.path, timeout_s=REQUEST_TIMEOUT_S
             )
             if reply.status != 200:
--- a/spoolcourse/control/failover/leadership_transfer.py
+++ b/spoolcourse/control/failover/leadership_transfer.py
@@ -68,7 +68,7 @@
     term = leadership.term
     if term is None or not leadership.holds_lease():
         raise LeadershipTransferRefusedError(TransferRefusal.LEASE_UNCERTAIN)
-    replies = await query_peers(context.net, context.peers, STANDBY_QUERY)
+    replies = await query_peers(context.http_client, context.peers, STANDBY_QUERY)
     successors: list[str] = []
     ineligible_peers: list[IneligiblePeer] = []
     for peer, reply in zip(context.peers, replies, strict=True):
--- a/spoolcourse/control/health.py
+++ b/spoolcourse/control/health.py
@@ -27,13 +27,13 @@
 
     def __init__(
         self,
-        net: HttpClient,
+        http_client: HttpClient,
         peers: list[Seed],
         watch_cache: WatchCache,
         machine_types: Callable[[], dict[str, MachineType]],
         clock: Callable[[], float],
     ) -> None:
-        self._net = net
+        self._http_client = http_client
         self._peers = peers
         self._watch_cache = watch_cache
         self._machine_types = machine_types
@@ -60,7 +60,7 @@
 
     async def _is_ready(self, peer: Seed) -> bool:
         try:
-            response = await self._net.call(
+            response = await self._http_client.call(
                 peer.endpoint, "GET", paths.HEALTH, timeout_s=PEER_TIMEOUT_S
             )
         except NoResponseError:
--- a/spoolcourse/control/jobs/cancellation_query.py
+++ b/spoolcourse/control/jobs/cancellation_query.py
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        net: HttpClient,
+        http_client: HttpClient,
         peers: list[Seed],
         watch_cache: WatchCache,
         job_index: JobIndex,
@@ -55,7 +55,7 @@
         step_down: Callable[[str], None],
     ) -> None:
         """`clock` is steady, in seconds; `step_down` ends the term for the reason given."""
-        self._net = net
+        self._http_client = http_client
         self._peers = peers
         self._watch_cache = watch_cache
         self._job_index = job_index
@@ -75,7 +75,7 @@
         """Query every peer once. Step down if one knows a later term; else apply the replies."""
         asked_at = self._clock()
         query = cancellations_query(self._watch_cache.store_revision)
-        replies = await query_peers(self._net, self._peers, query)
+        replies = await query_peers(self._http_client, self._peers, query)
         for reply in replies:
             if reply is not None and reply.term > self._term.number:
                 self._step_down(f"a peer knows of term {reply.term}")
--- a/spoolcourse/control/leader/active_leader.py
+++ b/spoolcourse/control/leader/active_leader.py
@@ -57,7 +57,7 @@
         )
         leader = self._build_context()
         sockets = params.machine_limits.sockets
-        self.command_dispatcher = CommandDispatcher(context.net, self.registry, sockets)
+        self.command_dispatcher = CommandDispatcher(context.http_client, self.registry, sockets)
         self.initial_machines = InitialMachines(context, self.proof.term)
         self.snapshot_builder = SnapshotBuilder(
             self.job_queue, self.registry, params, leader.policy
@@ -137,7 +137,7 @@
 
     # -- what the parts ask ---------------------------------------------------------------
 
-    def may_start(self) -> bool:
+    def holds_lease(self) -> bool:
         """Whether nobody else can lead by now."""
         return self._leadership.holds_lease()
 
@@ -162,9 +162,9 @@
         """The machines that are never deleted for being idle."""
         return self.initial_machines.names()
 
-    def is_rare_type(self, machine_type: str) -> bool:
+    def is_scarce_type(self, machine_type: str) -> bool:
         """Whether some job recently can use this type only, or few beside it."""
-        return self.snapshot_builder.is_scarce(machine_type, self._clock())
+        return self.snapshot_builder.is_scarce_type(machine_type, self._clock())
 
     async def on_machine_list(self, hosts: list[Host]) -> None:
         """The cloud has listed its machines."""
--- a/spoolcourse/control/leader/hinted_workers.py
+++ b/spoolcourse/control/leader/hinted_workers.py
@@ -45,7 +45,7 @@
     def __init__(self, leader: LeaderContext, hints: list[Hint]) -> None:
         context = leader.controller
         self._announcer = FencingTokenAnnouncer(
-            context.net, leader.registry, context.params.machine_limits.sockets
+            context.http_client, leader.registry, context.params.machine_limits.sockets
         )
         self._workers = [HintedWorker(hint, leader.registry) for hint in hints]
         for hint in hints:
--- a/spoolcourse/control/leader/leader_term.py
+++ b/spoolcourse/control/leader/leader_term.py
@@ -56,7 +56,7 @@
         step_down = self._leadership.step_down
         context = self._context
         query = CancellationQuery(
-            context.net,
+            context.http_client,
             context.peers,
             context.watch_cache,
             context.job_index,
@@ -66,7 +66,7 @@
             step_down,
         )
         level = FeatureLevel(
-            context.net, context.client, context.watch_cache, context.peers, self._term
+            context.http_client, context.client, context.watch_cache, context.peers, self._term
         )
         self._supervisor.spawn(self._run_failover)
         self._supervisor.spawn(query.run)
--- a/spoolcourse/control/leadership/feature_level.py
+++ b/spoolcourse/control/leadership/feature_level.py
@@ -42,13 +42,13 @@
 
     def __init__(
         self,
-        net: HttpClient,
+        http_client: HttpClient,
         client: StoreClient,
         watch_cache: WatchCache,
         peers: list[Seed],
         term: Term,
     ) -> None:
-        self._net = net
+        self._http_client = http_client
         self._client = client
         self._watch_cache = watch_cache
         self._peers = peers
@@ -57,7 +57,7 @@
     async def run(self) -> None:
         """Query the peers until all of them have this version's level, and record that."""
         while not all_support_services(self._watch_cache):
-            replies = await query_peers(self._net, self._peers, LEVEL_QUERY)
+            replies = await query_peers(self._http_client, self._peers, LEVEL_QUERY)
             if all(reply is not None and reply.level >= SERVICES_LEVEL for reply in replies):
                 await self._record_level()
             await asyncio.sleep(QUERY_PERIOD_S)
--- a/spoolcourse/control/leadership/peers.py
+++ b/spoolcourse/control/leadership/peers.py
@@ -43,18 +43,18 @@
 
 
 async def query_peers(
-    net: HttpClient, peers: list[Seed], query: PeerQuery[Reply]
+    http_client: HttpClient, peers: list[Seed], query: PeerQuery[Reply]
 ) -> list[Reply | None]:
     """Query all peers at once; returns their replies in the order of the peers.
 
     None for one that does not answer in time, or whose version does not know the query.
     """
-    return await asyncio.gather(*(_query_peer(net, peer, query) for peer in peers))
+    return await asyncio.gather(*(_query_peer(http_client, peer, query) for peer in peers))
 
 
-async def _query_peer(net: HttpClient, peer: Seed, query: PeerQuery[Reply]) -> Reply | None:
+async def _query_peer(http_client: HttpClient, peer: Seed, query: PeerQuery[Reply]) -> Reply | None:
     try:
-        response = await net.call(peer.endpoint, "GET", query.path, timeout_s=TIMEOUT_S)
+        response = await http_client.call(peer.endpoint, "GET", query.path, timeout_s=TIMEOUT_S)
         return parse(response.data, query.reply_type) if response.status == 200 else None
     except (NoResponseError, MalformedError) as exc:
         log.debug("query failed, controller=%s path=%s: %s", peer.label, query.path, exc)
--- a/spoolcourse/control/scheduling/scarce_machine_types.py
+++ b/spoolcourse/control/scheduling/scarce_machine_types.py
@@ -30,6 +30,6 @@
                 for name in fitting:
                     self._scarce_until[name] = now + self._policy.rare_s
 
-    def is_scarce(self, machine_type: str, now: float) -> bool:
+    def is_scarce_type(self, machine_type: str, now: float) -> bool:
         """Whether some job recently could use this type only, or few beside it."""
         return self._scarce_until.get(machine_type, 0.0) > now
--- a/spoolcourse/control/scheduling/scheduling_loop.py
+++ b/spoolcourse/control/scheduling/scheduling_loop.py
@@ -58,7 +58,7 @@
             # A pass runs when something changed, and after a period in any case.
             await wait_for_event(self.wake, self._policy.pass_period_s)
             self.wake.clear()
-            if self._registry.leader.may_start():
+            if self._registry.leader.holds_lease():
                 began = time.process_time()
                 with self._load.time_block("pass"):
                     self._run_pass()
--- a/spoolcourse/control/scheduling/snapshot_builder.py
+++ b/spoolcourse/control/scheduling/snapshot_builder.py
@@ -54,9 +54,9 @@
         """Jobs of the latest snapshot whose first task goes before rank."""
         return self._order.overdue_to_begin
 
-    def is_scarce(self, machine_type: str, now: float) -> bool:
+    def is_scarce_type(self, machine_type: str, now: float) -> bool:
         """Whether some job recently could use this type only, or few beside it."""
-        return self._scarce_types.is_scarce(machine_type, now)
+        return self._scarce_types.is_scarce_type(machine_type, now)
 
     def attempts(self, numbers: list[int]) -> list[Attempt]:
         """The attempts on the snapshot's machines that have these numbers, in the same order."""
@@ -101,7 +101,7 @@
         self, now: float, machine_types: dict[str, MachineType]
     ) -> list[PlacementMachine]:
         """What the pass sees of each machine that takes work; sets `machines` to the same ones."""
-        scarce = {name for name in machine_types if self.is_scarce(name, now)}
+        scarce = {name for name in machine_types if self.is_scarce_type(name, now)}
         self._snapshot_cache.forget_missing(self._registry.machines)
         self.machines = []
         views: list[PlacementMachine] = []
--- a/spoolcourse/control/store/client.py
+++ b/spoolcourse/control/store/client.py
@@ -72,7 +72,7 @@
 
     def __init__(
         self,
-        net: HttpClient,
+        http_client: HttpClient,
         addr: str,
         state: State,
         controllers: int,
@@ -81,13 +81,13 @@
         """Share the limits with the other controllers.
 
         Args:
-            net: Makes the HTTP calls.
+            http_client: Makes the HTTP calls.
             addr: The store's address, host and port.
             state: The store's limits, and those to come.
             controllers: How many controllers share them.
             timeout_s: For each request, beyond the time that it asks the store to wait.
         """
-        self._net = net
+        self._http_client = http_client
         self._addr = addr
         # Limits may drop at any moment: all that is new keeps to the smaller ones. Only values
         # written before may still be larger, as long as the store is seen to allow that.
@@ -262,7 +262,9 @@
     async def _send(self, method: str, path: str, body: Any, timeout_s: float) -> Response:
         request = f"{method} {path}"
         try:
-            reply = await self._net.call(self._addr, method, path, body, timeout_s=timeout_s)
+            reply = await self._http_client.call(
+                self._addr, method, path, body, timeout_s=timeout_s
+            )
         except NoResponseError as exc:
             raise OutcomeUnknownError(request, str(exc)) from exc
         if reply.status == 429:
--- a/spoolcourse/control/user_api/api.py
+++ b/spoolcourse/control/user_api/api.py
@@ -57,7 +57,7 @@
             context.wall_clock,
         )
         self._peer_fallback = PeerFallback(
-            context.net, context.peers, leadership, context.job_index
+            context.http_client, context.peers, leadership, context.job_index
         )
 
     async def answer_user(self, request: Request) -> Response:
--- a/spoolcourse/control/user_api/peer_fallback.py
+++ b/spoolcourse/control/user_api/peer_fallback.py
@@ -31,9 +31,13 @@
     """Passes a request on to the peers, one hop: they answer by themselves or not at all."""
 
     def __init__(
-        self, net: HttpClient, peers: list[Seed], leadership: Leadership, job_index: JobIndex
+        self,
+        http_client: HttpClient,
+        peers: list[Seed],
+        leadership: Leadership,
+        job_index: JobIndex,
     ) -> None:
-        self._net = net
+        self._http_client = http_client
         self._peers = peers
         self._leadership = leadership
         self._job_index = job_index
@@ -62,7 +66,7 @@
 
     async def _ask(self, peer: Seed, request: Request, timeout_s: float) -> Response | None:
         try:
-            return await self._net.call(
+            return await self._http_client.call(
                 peer.endpoint,
                 request.method,
                 request.path,
--- a/spoolcourse/control/workers/command_builder.py
+++ b/spoolcourse/control/workers/command_builder.py
@@ -90,7 +90,7 @@
         ]
 
     def _add_starts(self, machine: Machine, heartbeat: Heartbeat, commands: list[Command]) -> None:
-        if not (self._leader.may_start() and machine.is_schedulable):
+        if not (self._leader.holds_lease() and machine.is_schedulable):
             return
         for attempt in machine.attempts.values():
             if len(commands) >= COMMANDS_MAX:
@@ -108,7 +108,7 @@
         Machines whose commands can be sent later stay pending. Only pending machines are examined,
         never all of them.
         """
-        now, may_start = self._clock(), self._leader.may_start()
+        now, holds_lease = self._clock(), self._leader.holds_lease()
         machines: list[Machine] = []
         for name in list(self._machines.pending_commands):
             machine = self._machines.machines.get(name)
@@ -122,7 +122,7 @@
                 and not self._machines.is_suspect(machine)
                 and (
                     any(map(_must_stop, attempts))
-                    or (may_start and machine.is_schedulable and any(map(_can_start, attempts)))
+                    or (holds_lease and machine.is_schedulable and any(map(_can_start, attempts)))
                 )
             ):
                 machines.append(machine)
@@ -146,7 +146,7 @@
 
         From here on the starts may arrive at any time.
         """
-        if not (self._leader.may_start() and machine.is_schedulable):
+        if not (self._leader.holds_lease() and machine.is_schedulable):
             return []
         attempts = [a for a in machine.attempts.values() if _can_start(a)][:COMMANDS_MAX]
         if attempts:
--- a/spoolcourse/control/workers/command_dispatcher.py
+++ b/spoolcourse/control/workers/command_dispatcher.py
@@ -29,9 +29,9 @@
 class CommandDispatcher:
     """Sends pending commands to machines' addresses, to each one request at a time."""
 
-    def __init__(self, net: HttpClient, registry: WorkerRegistry, sockets: int = 0) -> None:
+    def __init__(self, http_client: HttpClient, registry: WorkerRegistry, sockets: int = 0) -> None:
         """`sockets`: how many the controller may open; 0 if that is not known."""
-        self._net = net
+        self._http_client = http_client
         self._registry = registry
         self._sockets = sockets
         self.wake = asyncio.Event()
@@ -83,7 +83,11 @@
         ]
         try:
             heartbeat = await send_commands(
-                self._net, self._registry.proof, incarnation, commands, self.may_keep_connections()
+                self._http_client,
+                self._registry.proof,
+                incarnation,
+                commands,
+                self.may_keep_connections(),
             )
         except (NoResponseError, MalformedError) as exc:
             # Until it can be reached, its commands go with the heartbeat responses.
--- a/spoolcourse/control/workers/fencing_token_announcer.py
+++ b/spoolcourse/control/workers/fencing_token_announcer.py
@@ -46,9 +46,9 @@
     leader.
     """
 
-    def __init__(self, net: HttpClient, registry: WorkerRegistry, sockets: int) -> None:
+    def __init__(self, http_client: HttpClient, registry: WorkerRegistry, sockets: int) -> None:
         """`sockets`: how many the controller may open; 0 if that is not known."""
-        self._net = net
+        self._http_client = http_client
         self._registry = registry
         self._sockets = sockets
 
@@ -67,7 +67,7 @@
                 return  # its own heartbeat has arrived while it waited here
             try:
                 heartbeat = await raise_fencing_token(
-                    self._net, self._registry.proof, worker.address
+                    self._http_client, self._registry.proof, worker.address
                 )
             except (NoResponseError, MalformedError) as exc:
                 log.debug("fencing token not raised: machine=%s: %s", worker.id, exc)
--- a/spoolcourse/control/workers/heartbeat_relay.py
+++ b/spoolcourse/control/workers/heartbeat_relay.py
@@ -44,9 +44,9 @@
     """Forwards heartbeats, and decides when a worker is sent to the leader."""
 
     def __init__(
-        self, net: HttpClient, label: str, seeds: list[Seed], heartbeat_interval_s: float
+        self, http_client: HttpClient, label: str, seeds: list[Seed], heartbeat_interval_s: float
     ) -> None:
-        self._net = net
+        self._http_client = http_client
         self._label = label
         self._peers = {seed.label: seed.endpoint for seed in seeds}
         self._recent_s = RECENT_HEARTBEATS * heartbeat_interval_s
@@ -107,7 +107,7 @@
         self, worker: str, raw: bytes, leader_label: str
     ) -> HeartbeatResponse | None:
         """The leader's answer, or None if it refuses; raises `NoResponseError`."""
-        response = await self._net.call(
+        response = await self._http_client.call(
             self._peers[leader_label], "POST", paths.HEARTBEAT, raw, timeout_s=TIMEOUT_S
         )
         if response.status != 200:
--- a/spoolcourse/control/workers/leader_interface.py
+++ b/spoolcourse/control/workers/leader_interface.py
@@ -10,7 +10,7 @@
 class Leader(Protocol):
     """The leader that a worker registry belongs to."""
 
-    def may_start(self) -> bool:
+    def holds_lease(self) -> bool:
         """Whether nobody else can lead by now, so that attempts may be started."""
         ...
 
--- a/spoolcourse/control/workers/machine.py
+++ b/spoolcourse/control/workers/machine.py
@@ -64,7 +64,7 @@
     # Its life in the cloud.
     listed_stage: HostStage | None = None  # in the cloud's list
     listed_running_since: float | None = None
-    rented_at: float | None = None
+    provisioned_at: float | None = None
     expected_ready_at: float | None = None  # while it boots
     terminates_at: float | None = None  # the cloud takes the spot instance away then
     scale_in_candidate: bool = False  # cordoned: work only if nothing else has room
--- a/spoolcourse/control/workers/worker_client.py
+++ b/spoolcourse/control/workers/worker_client.py
@@ -26,28 +26,34 @@
     number: int
 
 
-async def fetch_heartbeat(net: HttpClient, address: str) -> Heartbeat:
+async def fetch_heartbeat(http_client: HttpClient, address: str) -> Heartbeat:
     """The worker's current heartbeat.
 
     Raises:
         NoResponseError: the worker did not answer.
         MalformedError: its answer is no heartbeat.
     """
-    response = await net.call(address, "GET", paths.SHOW, timeout_s=TIMEOUT_S, keep_alive=False)
+    response = await http_client.call(
+        address, "GET", paths.SHOW, timeout_s=TIMEOUT_S, keep_alive=False
+    )
     return parse(response.data, Heartbeat)
 
 
-async def raise_fencing_token(net: HttpClient, proof: FailoverProof, address: str) -> Heartbeat:
+async def raise_fencing_token(
+    http_client: HttpClient, proof: FailoverProof, address: str
+) -> Heartbeat:
     """Make the term's fencing token known to a worker, without commands; its heartbeat.
 
     Raises `NoResponseError` or `MalformedError`; the token may then be raised late.
     """
-    heartbeat = await fetch_heartbeat(net, address)
-    return await send_commands(net, proof, WorkerIncarnation(address, heartbeat.incarnation), [])
+    heartbeat = await fetch_heartbeat(http_client, address)
+    return await send_commands(
+        http_client, proof, WorkerIncarnation(address, heartbeat.incarnation), []
+    )
 
 
 async def send_commands(
-    net: HttpClient,
+    http_client: HttpClient,
     proof: FailoverProof,
     incarnation: WorkerIncarnation,
     commands: list[Command],
@@ -60,7 +66,7 @@
     """
     request = CommandRequest(proof.fencing_token, incarnation.number, commands)
     body = to_json_object(request)
-    response = await net.call(
+    response = await http_client.call(
         incarnation.address, "POST", paths.COMMANDS, body, timeout_s=TIMEOUT_S, keep_alive=keep
     )
     heartbeat = parse(response.data, Heartbeat)
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -54,7 +54,7 @@
         self.recall: float | None = None
         self.node = 0
         self.alive = True
-        self.net: HostNet = cloud.wire.end_of(name)
+        self.http_client: HostNet = cloud.wire.end_of(name)
         self._changed = asyncio.Event()
         cloud.wire.hosts[host["address"]] = cloud.wrap(self.serve)
         self.loops = [asyncio.create_task(self._heartbeat()), asyncio.create_task(self._tick())]
@@ -132,7 +132,7 @@
             sent_at, incarnation = asyncio.get_running_loop().time(), self.incarnation
             self._changed.clear()
             try:
-                reply = await self.net.call(
+                reply = await self.http_client.call(
                     nodes[self.node][1], "POST", "/v1/report", self.heartbeat(), timeout_s=4.0
                 )
             except NoResponseError:
--- a/tests/fakes/registry.py
+++ b/tests/fakes/registry.py
@@ -38,7 +38,7 @@
         )
         self.sequence = 0
 
-    def may_start(self) -> bool:
+    def holds_lease(self) -> bool:
         return self.valid
 
     def is_job_over(self, job: str) -> bool:
--- a/tests/golden/adapter.py
+++ b/tests/golden/adapter.py
@@ -252,7 +252,7 @@
         policy=policy,
         registry=cast(Any, SimpleNamespace(machines=machines)),
         types=MachineTypeLookup(machine_types=_catalog),
-        is_rare_type=rare.__contains__,
+        is_scarce_type=rare.__contains__,
     )
     excess_capacity.demand.record(now=NOW - 90.0, cpus=1.5 * fleet["wanted_cpus"])
     excess_capacity.demand.record(now=NOW, cpus=fleet["wanted_cpus"])
--- a/tests/loopback/standins.py
+++ b/tests/loopback/standins.py
@@ -43,7 +43,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._net = AiohttpClient()
+        self._http_client = AiohttpClient()
         self._open: set[Connection] = set()
 
     def bind(self, name: str) -> str:
@@ -70,11 +70,11 @@
     async def call(
         self, src: str, dst: str, method: str, path: str, body: Any, timeout: float
     ) -> Response:
-        return await self._net.call(dst, method, path, body, timeout_s=timeout)
+        return await self._http_client.call(dst, method, path, body, timeout_s=timeout)
 
     async def close(self) -> None:
         """End all calls."""
-        await self._net.close()
+        await self._http_client.close()
 
 
 class Stage:
--- a/tests/test_fencing_token_announcer.py
+++ b/tests/test_fencing_token_announcer.py
@@ -52,8 +52,8 @@
         self.wire.hosts[address] = answer
 
     async def announce(self, sockets: int = 0) -> None:
-        net = self.wire.end_of("n0")
-        announcer = FencingTokenAnnouncer(net, self.harness.registry, sockets)
+        http_client = self.wire.end_of("n0")
+        announcer = FencingTokenAnnouncer(http_client, self.harness.registry, sockets)
         await announcer.announce(self.workers, fleet_size=len(self.workers))
 
     def confirmed(self) -> list[str]:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -124,20 +124,22 @@
     async def main() -> None:
         server = await listen(("0.0.0.0", 0), handler)
         port = server.sockets[0].getsockname()[1]
-        net = AiohttpClient()
+        http_client = AiohttpClient()
 
         tasks = [
-            asyncio.create_task(net.call(f"127.0.1.{number}:{port}", "GET", "/never", timeout_s=30))
+            asyncio.create_task(
+                http_client.call(f"127.0.1.{number}:{port}", "GET", "/never", timeout_s=30)
+            )
             for number in range(1, 13)
             for _ in range(20)
         ]
         await asyncio.sleep(0)
-        reply = await net.call(f"127.0.0.1:{port}", "GET", "/a", timeout_s=5.0)
+        reply = await http_client.call(f"127.0.0.1:{port}", "GET", "/a", timeout_s=5.0)
         assert reply.status == 200
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        await net.close()
+        await http_client.close()
         server.close()
 
     asyncio.run(main())
--- a/tests/test_unresponsive_machines.py
+++ b/tests/test_unresponsive_machines.py
@@ -176,10 +176,10 @@
         assert max(seen) == 6
         machines = len(active.registry.machines)
         assert command_dispatcher.CommandDispatcher(
-            active.command_dispatcher._net, active.registry, 4 * machines
+            active.command_dispatcher._http_client, active.registry, 4 * machines
         ).may_keep_connections()
         assert not command_dispatcher.CommandDispatcher(
-            active.command_dispatcher._net, active.registry, 2 * machines
+            active.command_dispatcher._http_client, active.registry, 2 * machines
         ).may_keep_connections()
 
     play(story())
@@ -200,7 +200,7 @@
         before = set(world.cloud.hosts)
         world.state.in_outage = True
         await asyncio.sleep(300)  # idle for long, and above the peak recently
-        assert not active.may_start()
+        assert not active.holds_lease()
         assert before
         assert set(world.cloud.hosts) == before
         world.state.in_outage = False
