--- a/spoolcourse/control/scheduling/job_views.py
+++ b/spoolcourse/control/scheduling/job_views.py
@@ -57,7 +57,7 @@
         A rule that failed for jobs without a deadline once stopped every pass of every leader.
         """
         try:
-            return self._build(job_state, context)
+            return self._build_view(job_state, context)
         except Exception:
             log.exception("job left out of this pass: job=%s", job_state.id)
             return PlacementJob(
@@ -71,7 +71,7 @@
                 estimate_s=0.0,
             )
 
-    def _build(self, job_state: JobState, context: PassContext) -> PlacementJob:
+    def _build_view(self, job_state: JobState, context: PassContext) -> PlacementJob:
         submission = job_state.record.submission
         indices = self._indices
         types, zone = submission.machine_types, submission.zone
--- a/spoolcourse/control/scheduling/scheduling_loop.py
+++ b/spoolcourse/control/scheduling/scheduling_loop.py
@@ -73,7 +73,7 @@
         if not machine_types:
             return
         with self._load.time_block("snapshot"):
-            snapshot = self._snapshot_builder.build(now, machine_types)
+            snapshot = self._snapshot_builder.build_snapshot(now, machine_types)
         team_cpus = [team.cpus for team in snapshot.teams]  # the pass uses up the snapshot
         assigned_cpus = self._assigned_cpus()
         with self._load.time_block("place"):
--- a/spoolcourse/control/scheduling/snapshot_builder.py
+++ b/spoolcourse/control/scheduling/snapshot_builder.py
@@ -69,7 +69,7 @@
         }
         return [by_number[number] for number in numbers]
 
-    def build(self, now: float, machine_types: dict[str, MachineType]) -> Snapshot:
+    def build_snapshot(self, now: float, machine_types: dict[str, MachineType]) -> Snapshot:
         """The snapshot of this moment."""
         jobs = self._job_queue.jobs
         self._order = order_of_service(
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -265,7 +265,7 @@
         def broken(snapshot: Any, builds: Any) -> None:
             raise KeyError("unforeseen")
 
-        active.snapshot_builder.build = broken  # type: ignore[method-assign,assignment]
+        active.snapshot_builder.build_snapshot = broken  # type: ignore[method-assign,assignment]
         await world.submit(job())
         await world.finish()
         assert world.nodes[first].leader_term is not leader_term
@@ -279,14 +279,14 @@
         world = World()
         await world.up()
         leader_term, active = world.nodes[str(world.leader)].leader_term, world.active()
-        build = active.snapshot_builder._job_views._build
+        build = active.snapshot_builder._job_views._build_view
 
         def partly(job_state: Any, context: Any) -> Any:
             if job_state.id == "job-000001":
                 raise TypeError("unforeseen")
             return build(job_state, context)
 
-        active.snapshot_builder._job_views._build = partly  # type: ignore[method-assign]
+        active.snapshot_builder._job_views._build_view = partly  # type: ignore[method-assign]
         await world.submit(job(1))
         await world.submit(job(2))
         await world.finish(2)
--- a/tests/test_snapshot_cache.py
+++ b/tests/test_snapshot_cache.py
@@ -28,7 +28,7 @@
     builder: SnapshotBuilder, now: float, machine_types: dict[str, MachineType]
 ) -> dict[str, Any]:
     """Everything that a pass gets of the machines, by names."""
-    snapshot = builder.build(now, machine_types)
+    snapshot = builder.build_snapshot(now, machine_types)
     images, views = builder.indices.images.names, {}
     for machine, view in zip(builder.machines, snapshot.machines, strict=True):
         tasks = sorted(
@@ -115,13 +115,19 @@
     other = on(stage="ended", number=9, cause="done")
     harness.heartbeat(other, spindle="m-2", address="m-2:9")
     assert harness.job_state.finished
-    before = snapshot_builder(harness.job_queue, harness.registry).build(harness.now, MACHINE_TYPES)
+    before = snapshot_builder(harness.job_queue, harness.registry).build_snapshot(
+        harness.now, MACHINE_TYPES
+    )
     harness.job_queue.remove(harness.job_state)
-    after = snapshot_builder(harness.job_queue, harness.registry).build(harness.now, MACHINE_TYPES)
+    after = snapshot_builder(harness.job_queue, harness.registry).build_snapshot(
+        harness.now, MACHINE_TYPES
+    )
     red = [t.name for t in settings().settings.teams].index("red")
     assert after.teams[red].cpus == before.teams[red].cpus == 64.0 - 2.0
     harness.heartbeat()  # it is gone from the machine
-    gone = snapshot_builder(harness.job_queue, harness.registry).build(harness.now, MACHINE_TYPES)
+    gone = snapshot_builder(harness.job_queue, harness.registry).build_snapshot(
+        harness.now, MACHINE_TYPES
+    )
     assert gone.teams[red].cpus == 64.0
 
 
@@ -133,13 +139,13 @@
         harness.heartbeat()
         harness.now += waited_s
         builder = snapshot_builder(harness.job_queue, harness.registry)
-        builder.build(harness.now, MACHINE_TYPES)
+        builder.build_snapshot(harness.now, MACHINE_TYPES)
         attempt = harness.assign()
         attempt.exempt_from_preemption = harness.job_state.id in builder.overdue_to_begin
         harness.heartbeat(on())
         urgent = parse(job(2, rank="high", crew="blue"), Submission)
         harness.job_queue.add(JobRecord(urgent, 1.0, 170, None, 6), harness.now)
-        snapshot = builder.build(harness.now, MACHINE_TYPES)
+        snapshot = builder.build_snapshot(harness.now, MACHINE_TYPES)
         return choose_victims(snapshot, place(snapshot), 5.0)
 
     assert stopped(10.0) == [1], "urgent work stops other work"
