--- a/spoolcourse/control/jobs/model.py
+++ b/spoolcourse/control/jobs/model.py
@@ -9,9 +9,10 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import NamedTuple
 
 from spoolcourse.control.store.records import JobRecord, Progress
-from spoolcourse.wire.identities import ChunkId
+from spoolcourse.wire.identities import ChunkId, HeartbeatId
 from spoolcourse.wire.messages import TaskStage, task_name
 
 UNBOUNDED = sys.maxsize  # tasks that a chunk may hold, where its size alone bounds them
@@ -43,15 +44,15 @@
     number: int
     machine: str
     chunk_version: int  # of its chunk when it was assigned
-    since: float  # when `stage` began
+    since: float  # when `stage` began: steady, in seconds
     stage: AttemptStage = AttemptStage.ASSIGNED
-    start_sent_with: tuple[int, int] | None = None  # the heartbeat whose response carried the start
+    start_sent_with: HeartbeatId | None = None  # the heartbeat whose response carried the start
     sent_directly: bool = False  # the start was also sent to the machine's address
     in_flight_incarnation: int | None = None  # the incarnation in which that may still arrive
     # It was placed before rank, so that its job begins: no claim stops it.
     exempt_from_preemption: bool = False
     stopping: bool = False
-    stop_sent: bool = False  # to the machine's address
+    stop_sent: bool = False  # directly, to the machine's address
 
     @property
     def name(self) -> str:
@@ -105,19 +106,27 @@
         return self.persisted_version == self.version
 
 
+class RecordedProgress(NamedTuple):
+    """A chunk's progress as the key-value store holds it."""
+
+    progress: Progress
+    revision: int  # of its key
+
+
 @dataclass(slots=True, eq=False)
 class JobState:
-    """A live job while this controller leads."""
+    """A live job while this controller leads; times are steady, in seconds."""
 
     record: JobRecord
     chunks: dict[int, Chunk] = field(default_factory=dict)
     attempts: dict[int, Attempt] = field(default_factory=dict)
-    done: int = 0
-    requeued: set[int] = field(default_factory=set)
+    done_count: int = 0
+    requeued: set[int] = field(default_factory=set)  # tasks that lost an attempt
     first_unassigned: int = 0  # tasks from here on were never assigned, but for those held or done
-    retry_at: float = 0.0
-    failures: int = 0  # attempts in a row that ended in error
-    bad_machines: dict[str, float] = field(default_factory=dict)  # it failed there: until when
+    backoff_until: float = 0.0  # no task is placed before
+    consecutive_failures: int = 0  # attempts in a row that ended in error
+    # Machines on which it failed, and until when they are avoided.
+    avoided_machines: dict[str, float] = field(default_factory=dict)
     final_state_persisted: bool = False
     waiting_since: float = 0.0
     # Chunks made for a larger limit of the key-value store than the one to come never hold more
@@ -131,19 +140,19 @@
         return self.record.submission.id
 
     @property
-    def order(self) -> tuple[float, str]:
+    def arrival_order(self) -> tuple[float, str]:
         """What jobs are ordered by: their arrival."""
         return (self.record.accepted_at, self.id)
 
     @property
-    def pending(self) -> int:
+    def pending_count(self) -> int:
         """How many tasks are neither done nor held by an attempt."""
-        return self.record.submission.task_count - self.done - len(self.attempts)
+        return self.record.submission.task_count - self.done_count - len(self.attempts)
 
     @property
     def all_running(self) -> bool:
         """All its tasks run, and none is being stopped."""
-        return self.pending == 0 and all(
+        return self.pending_count == 0 and all(
             a.stage is AttemptStage.RUNNING and not a.stopping for a in self.attempts.values()
         )
 
@@ -151,7 +160,7 @@
     def assignable_count(self) -> int:
         """How many pending tasks may be assigned now: see `max_held_per_chunk`."""
         if self.max_held_per_chunk >= self.record.tasks_per_chunk:
-            return self.pending
+            return self.pending_count
         chunk_size, task_count = self.record.tasks_per_chunk, self.record.submission.task_count
         total = 0
         for index in range(self.record.chunk_count):
@@ -172,7 +181,7 @@
             return not self.attempts
         if self.record.submission.is_service:
             return False  # only its user ends it
-        return self.done == self.record.submission.task_count
+        return self.done_count == self.record.submission.task_count
 
     def chunk(self, task: int) -> Chunk:
         """The chunk that a task belongs to."""
--- a/spoolcourse/control/workers/command_builder.py
+++ b/spoolcourse/control/workers/command_builder.py
@@ -10,7 +10,7 @@
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.control.workers.machine_table import MachineTable
 from spoolcourse.wire.commands import Acknowledge, Command, Start, Stop
-from spoolcourse.wire.identities import AttemptId, TaskId
+from spoolcourse.wire.identities import AttemptId, HeartbeatId, TaskId
 from spoolcourse.wire.messages import EndCause, Heartbeat, TaskStage, TaskStatus, parse_task_name
 
 COMMANDS_MAX = 300  # in one response, well below 64 KiB
@@ -33,7 +33,7 @@
         """The commands to answer a heartbeat with, the urgent ones first.
 
         A heartbeat under an older fencing token gets only stops of cancelled work: older commands
-        may still reach the machine, and its next heartbeat tells what is there. But this answer
+        may still reach the machine, and its next heartbeat shows what is there. But this answer
         renews its lease, and may be the last one that arrives, so what is cancelled ends now.
         """
         urgent, others = self._commands_for_reported(machine, heartbeat, under_our_token)
@@ -90,13 +90,13 @@
         ]
 
     def _add_starts(self, machine: Machine, heartbeat: Heartbeat, commands: list[Command]) -> None:
-        if not (self._leader.may_start() and machine.is_schedulable):
+        if not (self._leader.holds_lease() and machine.is_schedulable):
             return
         for attempt in machine.attempts.values():
             if len(commands) >= COMMANDS_MAX:
                 return
             if attempt.stage is AttemptStage.ASSIGNED and _is_startable(attempt):
-                attempt.start_sent_with = (heartbeat.incarnation, heartbeat.sequence)
+                attempt.start_sent_with = HeartbeatId(heartbeat.incarnation, heartbeat.sequence)
                 self._leader.record_phase(FailoverPhase.FIRST_START)
                 commands.append(Start(attempt.name, attempt.number))
 
@@ -108,7 +108,7 @@
         Machines whose commands can be sent later stay pending. Only pending machines are examined,
         never all of them.
         """
-        now, may_start = self._clock(), self._leader.may_start()
+        now, holds_lease = self._clock(), self._leader.holds_lease()
         machines: list[Machine] = []
         for name in list(self._machines.pending_commands):
             machine = self._machines.machines.get(name)
@@ -122,7 +122,7 @@
                 and not self._machines.is_suspect(machine)
                 and (
                     any(map(_must_stop, attempts))
-                    or (may_start and machine.is_schedulable and any(map(_can_start, attempts)))
+                    or (holds_lease and machine.is_schedulable and any(map(_can_start, attempts)))
                 )
             ):
                 machines.append(machine)
@@ -146,7 +146,7 @@
 
         From here on the starts may arrive at any time.
         """
-        if not (self._leader.may_start() and machine.is_schedulable):
+        if not (self._leader.holds_lease() and machine.is_schedulable):
             return []
         attempts = [a for a in machine.attempts.values() if _can_start(a)][:COMMANDS_MAX]
         if attempts:
@@ -158,9 +158,7 @@
 
     def _may_acknowledge(self, machine: Machine, task_id: TaskId, status: TaskStatus) -> bool:
         """Whether the worker may forget an ended attempt: not before its result is durable."""
-        if machine.unacknowledgeable and AttemptId(*task_id, status.attempt) in (
-            machine.unacknowledgeable
-        ):
+        if _contains(machine.unacknowledgeable, task_id, status.attempt):
             return False
         job_state = self._job_queue.jobs.get(task_id.job)
         if job_state is None:
@@ -177,9 +175,7 @@
         job_state = self._job_queue.jobs.get(task_id.job)
         if job_state is None:
             return None
-        if machine.unexpected_attempts and AttemptId(*task_id, status.attempt) in (
-            machine.unexpected_attempts
-        ):
+        if _contains(machine.unexpected_attempts, task_id, status.attempt):
             return 0.0
         attempt = machine.attempts.get(task_id)
         if attempt is not None and attempt.stopping and status.stage is not TaskStage.SAVING:
@@ -187,6 +183,11 @@
         return None
 
 
+def _contains(attempt_ids: set[AttemptId], task_id: TaskId, number: int) -> bool:
+    """Whether the attempt is among them; mostly there are none, so no identity is built."""
+    return bool(attempt_ids) and AttemptId(*task_id, number) in attempt_ids
+
+
 def _checkpoint_grace_s(job_state: JobState) -> float:
     """Time enough to save progress, for a job with checkpoints; 0 for others."""
     submission = job_state.record.submission
