--- a/spoolcourse/control/jobs/chunk_batch.py
+++ b/spoolcourse/control/jobs/chunk_batch.py
@@ -13,10 +13,10 @@
 from spoolcourse.wire.identities import ChunkId
 from spoolcourse.wire.key_value_store import Operation, Put
 
-# Bytes that a change adds besides its value, at the most: its key, its conditions and their
+# Bytes that a change adds besides its value, at the most: its key, its expected revisions and their
 # spelling.
 CHANGE_OVERHEAD_BYTES = 300
-BATCH_MAX_BYTES = 48 * 1024  # of 64 KiB for a transaction: the rest is for conditions and spelling
+BATCH_MAX_BYTES = 48 * 1024  # of 64 KiB for a transaction: the rest: expected revisions, spelling
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
         return [write.put for write in self.writes]
 
     def add(self, write: ChunkWrite) -> None:
-        """Add a write with its conditions."""
+        """Add a write with its expected revisions."""
         chunk = write.chunk
         self.expected_revisions[write.put.key] = chunk.revision
         self.expected_revisions[job_key(chunk.id.job)] = write.job_revision
--- a/spoolcourse/control/jobs/progress_writer.py
+++ b/spoolcourse/control/jobs/progress_writer.py
@@ -100,7 +100,9 @@
     async def _write_chunks(self, chunk_ids: list[ChunkId]) -> None:
         """Write as many of the chunks, in their order, as one transaction takes."""
         limits = BatchLimits(self._client.value_bytes, self._client.max_operations)
-        batch = select_batch(self._job_queue, chunk_ids, limits, self._transactions.conditions())
+        batch = select_batch(
+            self._job_queue, chunk_ids, limits, self._transactions.expected_revisions()
+        )
         if not batch.writes:
             return
         start_writes = self._take_start_writes(batch)
@@ -145,7 +147,7 @@
         if job_state is None:
             return
         write = prepare_final_state(
-            job_state, self._client.max_operations, self._transactions.conditions()
+            job_state, self._client.max_operations, self._transactions.expected_revisions()
         )
         outcome = await self._transactions.commit(write.expected_revisions, write.operations)
         if not outcome.succeeded:
@@ -185,7 +187,7 @@
         for start in range(0, len(keys), step):
             part = keys[start : start + step]
             outcome = await self._transactions.commit(
-                self._transactions.conditions(), [Delete(key) for key in part]
+                self._transactions.expected_revisions(), [Delete(key) for key in part]
             )
             if not outcome.succeeded:
                 await self._transactions.reconcile_after_conflict(outcome)
--- a/spoolcourse/control/jobs/term_transactions.py
+++ b/spoolcourse/control/jobs/term_transactions.py
@@ -39,14 +39,14 @@
         self._step_down = step_down
         self._on_persisted = on_persisted
 
-    def conditions(self) -> dict[str, int]:
+    def expected_revisions(self) -> dict[str, int]:
         """The revisions that every transaction of the term is conditional on."""
         return {TERM_KEY: self._term.revision}
 
     async def commit(
         self, expected_revisions: dict[str, int], operations: list[Operation]
     ) -> CompareAndSwapResult:
-        """Carry out a transaction, or learn that one of its conditions does not hold.
+        """Carry out a transaction, or learn that one of its keys has another revision.
 
         Raises:
             RequestRefusedError: It was not carried out.
@@ -56,7 +56,7 @@
         try:
             return await self._client.compare_and_swap(expected_revisions, operations)
         except OutcomeUnknownError:
-            # It may have been carried out, or may still be. Look; the same conditions
+            # It may have been carried out, or may still be. Look; the same expected revisions
             # make sure that it and the next try can't both be carried out.
             if not await self._watch_cache.read_barrier():
                 raise
