--- a/spoolcourse/control/failover/shadow_job_queue.py
+++ b/spoolcourse/control/failover/shadow_job_queue.py
@@ -81,7 +81,7 @@
             self._apply_term(value)
 
     def as_restored(self) -> RestoredJobs:
-        """The job queue as a restore would build it now.
+        """The job queue as a restore would build it now: ages of attempts count from this call.
 
         It is not copied: once a leader changes it, no further change must be applied here.
         """
