--- a/tests/test_start.py
+++ b/tests/controller/test_start.py
@@ -6,7 +6,7 @@
 import sys
 from pathlib import Path
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 
 
 def run(code: str) -> str:
--- a/tests/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -140,7 +140,7 @@
 
 
 def test_every_key_is_documented() -> None:
-    text = Path(__file__).parent.parent.joinpath("docs/operating.md").read_text()
+    text = Path(__file__).parents[2].joinpath("docs/operating.md").read_text()
     for name, key in KEYS.items():
         assert f"| `{name}` | `{key.default}` |" in text, name
     for name in INPUTS:
--- a/tests/golden_records/__init__.py
+++ b/tests/recorded/forms/__init__.py
@@ -2,7 +2,7 @@
 
 `adapter` is the one place that names the product's classes and fields for records and messages;
 `interfaces` plays the scenarios for what operators and users see. The JSON files beside them were
-written by `python -m tests.golden_records.record`, which is only to be run on purpose when a form
+written by `python -m tests.recorded.forms.record`, which is only to be run on purpose when a form
 is meant to change. Tests read the files and never write them.
 """
 
--- a/tests/golden_records/interfaces.py
+++ b/tests/recorded/forms/interfaces.py
@@ -28,7 +28,7 @@
 from tests.fakes.isolated_leader import IsolatedLeader
 from tests.fakes.services import service
 from tests.fakes.world import LABELS, World, job
-from tests.golden_records.adapter import SETTINGS
+from tests.recorded.forms.adapter import SETTINGS
 
 # The same as `tests.fakes.world.STANDBY` without and with WARM_STANDBY; both are always played.
 VARIANTS = {"standby off": OFF, "standby on": StandbySettings(enabled=True, verify=True)}
--- a/tests/golden_records/record.py
+++ b/tests/recorded/forms/record.py
@@ -1,4 +1,4 @@
-"""Writes the recorded forms again: `python -m tests.golden_records.record`.
+"""Writes the recorded forms again: `python -m tests.recorded.forms.record`.
 
 Only to be run on purpose, when a form is meant to change: what differs afterwards is what
 older versions and operators' tools no longer find.
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from tests.golden_records import FOLDER, as_text
-from tests.golden_records.adapter import FORMS, PLAIN
-from tests.golden_records.interfaces import INTERFACES
+from tests.recorded.forms import FOLDER, as_text
+from tests.recorded.forms.adapter import FORMS, PLAIN
+from tests.recorded.forms.interfaces import INTERFACES
 
 
 def main() -> None:
--- a/tests/golden/adapter.py
+++ b/tests/recorded/plans/adapter.py
@@ -30,7 +30,7 @@
 from spoolcourse.policy.keys import Policy
 from spoolcourse.wire.identities import TaskId
 from spoolcourse.wire.messages import HostStage, MachineType
-from tests.golden.inputs import NOW, SIZES, Fields
+from tests.recorded.plans.inputs import NOW, SIZES, Fields
 
 # -- inputs ---------------------------------------------------------------------------
 
--- a/tests/golden/generate.py
+++ b/tests/recorded/plans/generate.py
@@ -1,7 +1,7 @@
-"""Records the answers: `python -m tests.golden.generate` writes the data files again.
+"""Records the answers: `python -m tests.recorded.plans.generate` writes the data files again.
 
 Only to be run on purpose, when a plan is meant to change; the commit says which and why.
-`tests/test_golden_plans.py` compares the code's answers with the record.
+`tests/recorded/test_recorded_plans.py` compares the code's answers with the record.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from tests.golden import adapter, inputs
-from tests.golden.inputs import Fields
+from tests.recorded.plans import adapter, inputs
+from tests.recorded.plans.inputs import Fields
 
 Record = dict[int, Fields]
 
--- a/tests/test_golden_records.py
+++ b/tests/recorded/test_recorded_forms.py
@@ -1,14 +1,14 @@
 """Stored records, messages, paths and settings keep the recorded forms, byte for byte.
 
-The data were written by ce417e6. See `tests/golden_records/__init__.py`.
+The data were written by ce417e6. See `tests/recorded/forms/__init__.py`.
 """
 
 from __future__ import annotations
 
 import pytest
 
-from tests.golden_records import as_text, recorded
-from tests.golden_records.adapter import FORMS, PLAIN
+from tests.recorded.forms import as_text, recorded
+from tests.recorded.forms.adapter import FORMS, PLAIN
 
 FORM_CASES = [(file, name) for file in FORMS for name in recorded(file)]
 PLAIN_CASES = [(file, name) for file in PLAIN for name in recorded(file)]
--- a/tests/test_golden_interfaces.py
+++ b/tests/recorded/test_recorded_interfaces.py
@@ -1,6 +1,6 @@
 """What operators and users see keeps its form: status, metrics, command line, policy, answers.
 
-The data were recorded from ce417e6. See `tests/golden_records/__init__.py`.
+The data were recorded from ce417e6. See `tests/recorded/forms/__init__.py`.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 import pytest
 
 from tests.fakes.world import STANDBY
-from tests.golden_records import as_text, recorded
-from tests.golden_records.interfaces import INTERFACES, VARIANTS
+from tests.recorded.forms import as_text, recorded
+from tests.recorded.forms.interfaces import INTERFACES, VARIANTS
 
 CASES = [(file, name) for file in INTERFACES for name in recorded(file)]
 ANSWERS = [(group, name) for group, found in recorded("answers").items() for name in found]
--- a/tests/test_golden_plans.py
+++ b/tests/recorded/test_recorded_plans.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from tests.golden.generate import SUITES
-from tests.golden.inputs import Fields
+from tests.recorded.plans.generate import SUITES
+from tests.recorded.plans.inputs import Fields
 
 RECORDED = {"placement": 600, "preemption": 400, "provisioning": 300, "demand": 40, "surplus": 200}
 
--- a/tests/test_standby_settings.py
+++ b/tests/wire/test_standby_settings.py
@@ -9,7 +9,7 @@
 from spoolcourse.errors import UserError
 from spoolcourse.wire.standby_settings import OFF, load_standby, parse_standby
 
-DEPLOYED = Path(__file__).resolve().parent.parent / "deploy" / "standby.toml"
+DEPLOYED = Path(__file__).resolve().parents[2] / "deploy" / "standby.toml"
 
 
 def test_the_deployed_file_turns_the_standby_on_and_without_a_file_it_is_off() -> None:
