--- a/tests/autoscaling/test_early_deletion.py
+++ b/tests/autoscaling/test_early_deletion.py
@@ -5,7 +5,6 @@
 import asyncio
 from typing import Any
 
-from tests.fakes.clock import play
 from tests.fakes.services import served, service
 from tests.fakes.world import World, job
 
@@ -72,219 +71,184 @@
     )
 
 
-def test_the_replica_of_a_machine_that_died_runs_again_before_its_lease_is_over() -> None:
-    async def story() -> None:
-        world = await running_service()
-        requested, lost = requested_deletions(world), machine_of(world)
-        world.cloud.workers[lost].die()  # the cloud goes on listing it
-        assert await restart_time_s(world) < 7.5 < LEASE_PROOF_S
-        assert requested[0] == lost
-        assert world.cloud.broken == []
+async def test_the_replica_of_a_machine_that_died_runs_again_before_its_lease_is_over() -> None:
+    world = await running_service()
+    requested, lost = requested_deletions(world), machine_of(world)
+    world.cloud.workers[lost].die()  # the cloud goes on listing it
+    assert await restart_time_s(world) < 7.5 < LEASE_PROOF_S
+    assert requested[0] == lost
+    assert world.cloud.broken == []
 
-    play(story())
 
+async def test_no_machine_is_deleted_for_one_lost_heartbeat() -> None:
+    world = await running_service()
+    requested, name = requested_deletions(world), machine_of(world)
 
-def test_no_machine_is_deleted_for_one_lost_heartbeat() -> None:
-    async def story() -> None:
-        world = await running_service()
-        requested, name = requested_deletions(world), machine_of(world)
+    def lose_reports(src: str, dst: str, *rest: Any) -> str | None:
+        return "cut" if src == name else None
 
-        def lose_reports(src: str, dst: str, *rest: Any) -> str | None:
-            return "cut" if src == name else None
-
-        for _ in range(3):
-            world.wire.filters.append(lose_reports)
-            await asyncio.sleep(1.9)  # one heartbeat falls into it
-            world.wire.filters.remove(lose_reports)
-            await asyncio.sleep(12)
-        assert requested == []
-        assert len(world.cloud.starts) == 2
-
-    play(story())
-
-
-def test_no_machine_that_answers_calls_is_deleted_while_no_controller_takes_its_heartbeats() -> (
-    None
-):
-    async def story() -> None:
-        world = await running_service()
-        requested, name = requested_deletions(world), machine_of(world)
-        world.wire.filters.append(lambda src, dst, *rest: "503" if src == name else None)
-        await asyncio.sleep(8.5)
-        world.wire.filters.pop()
+    for _ in range(3):
+        world.wire.filters.append(lose_reports)
+        await asyncio.sleep(1.9)  # one heartbeat falls into it
+        world.wire.filters.remove(lose_reports)
         await asyncio.sleep(12)
-        assert requested == [], "it came back within its lease"
-        assert len(world.cloud.starts) == 2, "it came back within its lease"
-
-    play(story())
-
-
-def test_no_machine_is_deleted_while_its_zone_is_cut_off() -> None:
-    async def story() -> None:
-        world = await running_service("aabb", scatter=False)
-        requested, zone = (
-            requested_deletions(world),
-            world.cloud.workers[machine_of(world)].host["yard"],
-        )
-        for name, worker in world.cloud.workers.items():
-            if worker.host["yard"] == zone:
-                world.cut_off(name)
-        cuts = list(world.wire.filters[1:])
-        await asyncio.sleep(9)
-        for cut in cuts:
-            world.wire.filters.remove(cut)
-        await asyncio.sleep(10)
-        # A worker that lost two heartbeats in a row has lost its lease as well; nothing is deleted.
-        assert requested == []
-        assert world.cloud.broken == []
-
-    play(story())
-
-
-def test_a_leader_that_gets_no_heartbeats_deletes_no_machine() -> None:
-    async def story() -> None:
-        world = await running_service()
-        requested, leader = requested_deletions(world), str(world.leader)
-        world.wire.filters.append(
-            lambda src, dst, *rest: (
-                "cut" if dst == f"{leader}:80" or (src == leader and dst.startswith("m-")) else None
-            )
-        )
-        await asyncio.sleep(9)
-        world.wire.filters.pop()
-        await asyncio.sleep(10)
-        assert requested == []
-        assert len(world.cloud.starts) == 2
-
-    play(story())
-
-
-def test_a_machine_that_is_back_last_after_a_disruption_is_not_deleted() -> None:
-    async def story() -> None:
-        world = await running_service("aaaabbbb")
-        requested, leader, name = requested_deletions(world), str(world.leader), machine_of(world)
-
-        def cut_leader_off(src: str, dst: str, *rest: Any) -> str | None:
-            return "cut" if dst == f"{leader}:80" or (src == leader and dst[:2] == "m-") else None
-
-        world.wire.filters.append(cut_leader_off)
-        await asyncio.sleep(4)
-        world.wire.filters.remove(cut_leader_off)
-        cut = make_unreachable(world, name)
-        await asyncio.sleep(6)
-        assert requested == []
+    assert requested == []
+    assert len(world.cloud.starts) == 2
+
+
+async def test_a_machine_that_answers_calls_is_kept_while_no_controller_takes_heartbeats() -> None:
+    world = await running_service()
+    requested, name = requested_deletions(world), machine_of(world)
+    world.wire.filters.append(lambda src, dst, *rest: "503" if src == name else None)
+    await asyncio.sleep(8.5)
+    world.wire.filters.pop()
+    await asyncio.sleep(12)
+    assert requested == [], "it came back within its lease"
+    assert len(world.cloud.starts) == 2, "it came back within its lease"
+
+
+async def test_no_machine_is_deleted_while_its_zone_is_cut_off() -> None:
+    world = await running_service("aabb", scatter=False)
+    requested, zone = (
+        requested_deletions(world),
+        world.cloud.workers[machine_of(world)].host["yard"],
+    )
+    for name, worker in world.cloud.workers.items():
+        if worker.host["yard"] == zone:
+            world.cut_off(name)
+    cuts = list(world.wire.filters[1:])
+    await asyncio.sleep(9)
+    for cut in cuts:
         world.wire.filters.remove(cut)
-        await asyncio.sleep(10)
-        assert world.cloud.broken == []
-
-    play(story())
-
+    await asyncio.sleep(10)
+    # A worker that lost two heartbeats in a row has lost its lease as well; nothing is deleted.
+    assert requested == []
+    assert world.cloud.broken == []
+
+
+async def test_a_leader_that_gets_no_heartbeats_deletes_no_machine() -> None:
+    world = await running_service()
+    requested, leader = requested_deletions(world), str(world.leader)
+    world.wire.filters.append(
+        lambda src, dst, *rest: (
+            "cut" if dst == f"{leader}:80" or (src == leader and dst.startswith("m-")) else None
+        )
+    )
+    await asyncio.sleep(9)
+    world.wire.filters.pop()
+    await asyncio.sleep(10)
+    assert requested == []
+    assert len(world.cloud.starts) == 2
 
-def test_no_machine_is_deleted_early_whose_replicas_have_no_place_elsewhere() -> None:
-    async def story() -> None:
-        world = await running_service("ab", yard=None)
-        requested, lost = requested_deletions(world), machine_of(world)
-        world.cloud.workers[lost].die()
-        await asyncio.sleep(9.5)
-        assert requested == []
-        assert await served(world, 1, 2, 90)
-        assert world.cloud.broken == []
 
-    play(story())
+async def test_a_machine_that_is_back_last_after_a_disruption_is_not_deleted() -> None:
+    world = await running_service("aaaabbbb")
+    requested, leader, name = requested_deletions(world), str(world.leader), machine_of(world)
 
+    def cut_leader_off(src: str, dst: str, *rest: Any) -> str | None:
+        return "cut" if dst == f"{leader}:80" or (src == leader and dst[:2] == "m-") else None
 
-def test_the_number_of_early_deletions_in_progress_is_bounded() -> None:
-    async def story() -> None:
-        world = await running_service("aaaaaaaabbbbbbbb", pieces=8, vcpus=4.0)
-        world.wire.filters.append(
-            lambda src, dst, method, path, body: "hold" if path == "/hosts/delete" else None
-        )
-        requested = requested_deletions(world)
-        service_machines = {machine_of(world, replica) for replica in range(8)}
-        by_zone = [
-            sorted(n for n in service_machines if world.cloud.workers[n].host["yard"] == zone)[:2]
-            for zone in ("a", "b")
-        ]
-        lost = [name for names in by_zone for name in names]
-        assert len(lost) >= 3
-        for name in lost:
-            world.cloud.workers[name].die()
-        await asyncio.sleep(LEASE_PROOF_S - 1.0)
-        assert len(set(requested)) == 2
-        world.wire.filters.clear()
-        await served(world, 1, 8, 60)
-        assert world.cloud.broken == []
-
-    play(story())
-
-
-def test_a_machine_that_reports_again_during_its_deletion_gets_no_new_work() -> None:
+    world.wire.filters.append(cut_leader_off)
+    await asyncio.sleep(4)
+    world.wire.filters.remove(cut_leader_off)
+    cut = make_unreachable(world, name)
+    await asyncio.sleep(6)
+    assert requested == []
+    world.wire.filters.remove(cut)
+    await asyncio.sleep(10)
+    assert world.cloud.broken == []
+
+
+async def test_no_machine_is_deleted_early_whose_replicas_have_no_place_elsewhere() -> None:
+    world = await running_service("ab", yard=None)
+    requested, lost = requested_deletions(world), machine_of(world)
+    world.cloud.workers[lost].die()
+    await asyncio.sleep(9.5)
+    assert requested == []
+    assert await served(world, 1, 2, 90)
+    assert world.cloud.broken == []
+
+
+async def test_the_number_of_early_deletions_in_progress_is_bounded() -> None:
+    world = await running_service("aaaaaaaabbbbbbbb", pieces=8, vcpus=4.0)
+    world.wire.filters.append(
+        lambda src, dst, method, path, body: "hold" if path == "/hosts/delete" else None
+    )
+    requested = requested_deletions(world)
+    service_machines = {machine_of(world, replica) for replica in range(8)}
+    by_zone = [
+        sorted(n for n in service_machines if world.cloud.workers[n].host["yard"] == zone)[:2]
+        for zone in ("a", "b")
+    ]
+    lost = [name for names in by_zone for name in names]
+    assert len(lost) >= 3
+    for name in lost:
+        world.cloud.workers[name].die()
+    await asyncio.sleep(LEASE_PROOF_S - 1.0)
+    assert len(set(requested)) == 2
+    world.wire.filters.clear()
+    await served(world, 1, 8, 60)
+    assert world.cloud.broken == []
+
+
+async def test_a_machine_that_reports_again_during_its_deletion_gets_no_new_work() -> None:
     # The machine is heard again while its deletion is on its way: it gets no new work, and its
     # replica starts elsewhere only once the deletion is confirmed.
-    async def story() -> None:
-        world = await running_service()
-        requested, name = requested_deletions(world), machine_of(world)
-        cut = make_unreachable(world, name)
-        world.wire.filters.append(
-            lambda src, dst, method, path, body: "hold" if path == "/hosts/delete" else None
-        )
-        await world.until(lambda: requested, 12)
-        world.wire.filters.remove(cut)
-        await world.submit(job(2, pieces=12))  # more than the other machines take
-        await asyncio.sleep(6)
-        assert len([s for s in world.cloud.starts if s[1] == "job-000001/0"]) == 1
-        assert not [s for s in world.cloud.starts if s[1].startswith("job-000002") and s[2] == name]
-        await world.wire.release()
-        assert name not in world.cloud.workers
-        await world.until(lambda: len(world.cloud.on_machines("job-000001")) == 2, 30)
-        assert world.cloud.broken == []
-
-    play(story())
-
-
-def test_a_deletion_that_takes_effect_late_under_the_next_leader_breaks_no_rule() -> None:
-    async def story() -> None:
-        world = await running_service()
-        requested, name = requested_deletions(world), machine_of(world)
-        world.cloud.run_s = lambda task: 10_000.0 if "job-000001" in task else 10.0
-        cut = make_unreachable(world, name)
-
-        def hold(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
-            return "hold" if path == "/hosts/delete" else None
-
-        world.wire.filters.append(hold)
-        await world.until(lambda: requested, 12)
-        world.kill(str(world.leader))
-        world.wire.filters.remove(cut)
-        world.wire.filters.remove(hold)
-        await world.until(lambda: world.leader, 20)
-        await world.submit(job(2, pieces=12), str(world.leader))
-        await asyncio.sleep(8)  # the machine came back within its lease and is given work
-        assert name in world.cloud.workers
-        await world.wire.release()
-        assert name not in world.cloud.workers
-        await served(world, 1, 2, 60)
-        await world.finish(2, 120)
-        assert world.cloud.broken == []
-
-    play(story())
-
-
-def test_services_survive_zones_cut_off_one_after_the_other() -> None:
-    async def story() -> None:
-        world = await running_service("aaaabbbb", pieces=4)
-        for zone in ("a", "b", "a"):
-            names = [n for n, w in world.cloud.workers.items() if w.host["yard"] == zone]
-            for name in names:
-                world.cut_off(name)
-            cuts = world.wire.filters[-len(names) :]
-            dead = next(n for n, w in world.cloud.workers.items() if w.host["yard"] != zone)
-            world.cloud.workers[dead].die()
-            await asyncio.sleep(14)
-            for cut in cuts:
-                world.wire.filters.remove(cut)
-            await asyncio.sleep(1)
-        await served(world, 1, 4, 60)
-        assert world.cloud.broken == []
-
-    play(story())
+    world = await running_service()
+    requested, name = requested_deletions(world), machine_of(world)
+    cut = make_unreachable(world, name)
+    world.wire.filters.append(
+        lambda src, dst, method, path, body: "hold" if path == "/hosts/delete" else None
+    )
+    await world.until(lambda: requested, 12)
+    world.wire.filters.remove(cut)
+    await world.submit(job(2, pieces=12))  # more than the other machines take
+    await asyncio.sleep(6)
+    assert len([s for s in world.cloud.starts if s[1] == "job-000001/0"]) == 1
+    assert not [s for s in world.cloud.starts if s[1].startswith("job-000002") and s[2] == name]
+    await world.wire.release()
+    assert name not in world.cloud.workers
+    await world.until(lambda: len(world.cloud.on_machines("job-000001")) == 2, 30)
+    assert world.cloud.broken == []
+
+
+async def test_a_deletion_that_takes_effect_late_under_the_next_leader_breaks_no_rule() -> None:
+    world = await running_service()
+    requested, name = requested_deletions(world), machine_of(world)
+    world.cloud.run_s = lambda task: 10_000.0 if "job-000001" in task else 10.0
+    cut = make_unreachable(world, name)
+
+    def hold(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
+        return "hold" if path == "/hosts/delete" else None
+
+    world.wire.filters.append(hold)
+    await world.until(lambda: requested, 12)
+    world.kill(str(world.leader))
+    world.wire.filters.remove(cut)
+    world.wire.filters.remove(hold)
+    await world.until(lambda: world.leader, 20)
+    await world.submit(job(2, pieces=12), str(world.leader))
+    await asyncio.sleep(8)  # the machine came back within its lease and is given work
+    assert name in world.cloud.workers
+    await world.wire.release()
+    assert name not in world.cloud.workers
+    await served(world, 1, 2, 60)
+    await world.finish(2, 120)
+    assert world.cloud.broken == []
+
+
+async def test_services_survive_zones_cut_off_one_after_the_other() -> None:
+    world = await running_service("aaaabbbb", pieces=4)
+    for zone in ("a", "b", "a"):
+        names = [n for n, w in world.cloud.workers.items() if w.host["yard"] == zone]
+        for name in names:
+            world.cut_off(name)
+        cuts = world.wire.filters[-len(names) :]
+        dead = next(n for n, w in world.cloud.workers.items() if w.host["yard"] != zone)
+        world.cloud.workers[dead].die()
+        await asyncio.sleep(14)
+        for cut in cuts:
+            world.wire.filters.remove(cut)
+        await asyncio.sleep(1)
+    await served(world, 1, 4, 60)
+    assert world.cloud.broken == []
--- a/tests/autoscaling/test_service_reserve.py
+++ b/tests/autoscaling/test_service_reserve.py
@@ -7,7 +7,6 @@
 
 import pytest
 
-from tests.fakes.clock import play
 from tests.fakes.services import served, service
 from tests.fakes.world import World, job
 
@@ -34,43 +33,34 @@
 
 
 @pytest.mark.parametrize("spares", [0, 1])
-def test_a_spare_machine_in_each_zone_takes_the_replicas_of_a_lost_one(spares: int) -> None:
-    async def story() -> None:
-        world, lost = await after_scale_in({"service_spares": spares, "headroom": 0.1})
-        zones = [w.host["yard"] for w in world.cloud.workers.values()]
-        assert sorted(zones) == ["a"] * (1 + spares) + ["b"] * (1 + spares)
-        world.cloud.take(lost)
-        restart_s = await served(world, 1, 2, 90)
-        assert restart_s < 15 if spares else restart_s > 30, "a boot"
-        assert world.cloud.broken == []
-
-    play(story())
-
-
-def test_other_work_runs_on_the_reserve_until_a_replica_needs_it() -> None:
-    async def story() -> None:
-        world, lost = await after_scale_in({"service_spares": 1, "headroom": 0.1})
-        world.cloud.run_s = lambda task: 10_000.0
-        await world.submit(job(3, pieces=8, loaners=False))
-        await world.until(lambda: len(world.cloud.on_machines("job-000003")) == 8, 60)
-        world.cloud.take(lost)
-        assert await served(world, 1, 2, 60) < 15
-        assert world.cloud.broken == []
-
-    play(story())
-
-
-def test_no_machine_is_reserved_for_services_that_may_run_on_spot_machines() -> None:
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda task: 10_000.0
-        await world.up()
-        for zone in "aabb":
-            world.cloud.add(zone)
-        await asyncio.sleep(3)
-        body: dict[str, Any] = service(loaners=True)
-        assert (await world.submit(body)).status == 201
-        await served(world)
-        assert world.active().autoscaler.service_reserve.reserved_machines() == set()
-
-    play(story())
+async def test_a_spare_machine_in_each_zone_takes_the_replicas_of_a_lost_one(spares: int) -> None:
+    world, lost = await after_scale_in({"service_spares": spares, "headroom": 0.1})
+    zones = [w.host["yard"] for w in world.cloud.workers.values()]
+    assert sorted(zones) == ["a"] * (1 + spares) + ["b"] * (1 + spares)
+    world.cloud.take(lost)
+    restart_s = await served(world, 1, 2, 90)
+    assert restart_s < 15 if spares else restart_s > 30, "a boot"
+    assert world.cloud.broken == []
+
+
+async def test_other_work_runs_on_the_reserve_until_a_replica_needs_it() -> None:
+    world, lost = await after_scale_in({"service_spares": 1, "headroom": 0.1})
+    world.cloud.run_s = lambda task: 10_000.0
+    await world.submit(job(3, pieces=8, loaners=False))
+    await world.until(lambda: len(world.cloud.on_machines("job-000003")) == 8, 60)
+    world.cloud.take(lost)
+    assert await served(world, 1, 2, 60) < 15
+    assert world.cloud.broken == []
+
+
+async def test_no_machine_is_reserved_for_services_that_may_run_on_spot_machines() -> None:
+    world = World()
+    world.cloud.run_s = lambda task: 10_000.0
+    await world.up()
+    for zone in "aabb":
+        world.cloud.add(zone)
+    await asyncio.sleep(3)
+    body: dict[str, Any] = service(loaners=True)
+    assert (await world.submit(body)).status == 201
+    await served(world)
+    assert world.active().autoscaler.service_reserve.reserved_machines() == set()
--- a/tests/cloud/test_cloud_client.py
+++ b/tests/cloud/test_cloud_client.py
@@ -11,7 +11,6 @@
 from spoolcourse.control.cloud.errors import CloudError, CloudRequestFailedError, NoCapacityError
 from spoolcourse.control.http_client import NoResponseError, Response
 from spoolcourse.wire.cloud import MachineKind
-from tests.fakes.clock import play
 from tests.fakes.net import FakeWire
 from tests.fakes.proof import proven
 
@@ -43,45 +42,36 @@
         (None, None, "no answer"),
     ],
 )
-def test_a_failed_request_names_what_was_asked_and_what_came_back(
+async def test_a_failed_request_names_what_was_asked_and_what_came_back(
     response: Response | None, status: int | None, detail: str
 ) -> None:
-    async def story() -> None:
-        cloud, requests = client(response)
-        with pytest.raises(CloudRequestFailedError) as raised:
-            await cloud.provisioning(PROOF).provision("t1-1", KIND, 3)
-        error = raised.value
-        assert (error.method, error.path, error.status) == ("POST", "/hosts", status)
-        assert detail in error.detail
-        assert str(error) == f"POST /hosts: {error.detail}"
-        assert len(requests) == 1, "the client itself repeats nothing"
-
-    play(story())
-
-
-def test_no_capacity_is_no_failed_request() -> None:
-    async def story() -> None:
-        cloud, _ = client(Response(503, {"error": "no capacity"}))
-        with pytest.raises(NoCapacityError) as raised:
-            await cloud.provisioning(PROOF).provision("t1-1", KIND, 3)
-        assert isinstance(raised.value, CloudError)
-        assert not isinstance(raised.value, CloudRequestFailedError), "it must not be retried"
-        assert (raised.value.path, raised.value.status) == ("/hosts", 503)
-
-    play(story())
-
-
-def test_a_request_that_would_wait_too_long_for_the_budget_is_not_sent() -> None:
-    async def story() -> None:
-        cloud, requests = client(Response(200, {"spindles": []}))
-        waiting = [asyncio.create_task(cloud.list_machines()) for _ in range(300)]
-        results = await asyncio.gather(*waiting, return_exceptions=True)
-        unsent = [error for error in results if isinstance(error, CloudRequestFailedError)]
-        assert unsent
-        assert all(error.status is None for error in unsent)
-        assert len(requests) + len(unsent) == len(results)
-
-    play(story())
+    cloud, requests = client(response)
+    with pytest.raises(CloudRequestFailedError) as raised:
+        await cloud.provisioning(PROOF).provision("t1-1", KIND, 3)
+    error = raised.value
+    assert (error.method, error.path, error.status) == ("POST", "/hosts", status)
+    assert detail in error.detail
+    assert str(error) == f"POST /hosts: {error.detail}"
+    assert len(requests) == 1, "the client itself repeats nothing"
+
+
+async def test_no_capacity_is_no_failed_request() -> None:
+    cloud, _ = client(Response(503, {"error": "no capacity"}))
+    with pytest.raises(NoCapacityError) as raised:
+        await cloud.provisioning(PROOF).provision("t1-1", KIND, 3)
+    assert isinstance(raised.value, CloudError)
+    assert not isinstance(raised.value, CloudRequestFailedError), "it must not be retried"
+    assert (raised.value.path, raised.value.status) == ("/hosts", 503)
+
+
+async def test_a_request_that_would_wait_too_long_for_the_budget_is_not_sent() -> None:
+    cloud, requests = client(Response(200, {"spindles": []}))
+    waiting = [asyncio.create_task(cloud.list_machines()) for _ in range(300)]
+    results = await asyncio.gather(*waiting, return_exceptions=True)
+    unsent = [error for error in results if isinstance(error, CloudRequestFailedError)]
+    assert unsent
+    assert all(error.status is None for error in unsent)
+    assert len(requests) + len(unsent) == len(results)
 
 
 def test_a_request_name_is_used_once_in_a_term() -> None:
--- a/tests/failover/test_leadership_transfer.py
+++ b/tests/failover/test_leadership_transfer.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from spoolcourse.control.http_client import Response
-from tests.fakes.clock import play
 from tests.fakes.failover import (
     STANDBY_ON,
     other_labels,
@@ -18,37 +17,31 @@
     return await world.wire.call("user", f"{label}:81", "POST", "/handover", None, 5.0)
 
 
-def test_leadership_is_transferred_to_a_caught_up_standby_without_waiting_for_the_lease() -> None:
-    async def story() -> None:
-        world = World(standby=STANDBY_ON)
-        former = await start_with_running_job(world)
-        follower = other_labels(former)[0]
-        reply = await request_transfer(world, follower)
-        assert reply.status == 421
-        assert reply.data == {"error": f"{former} leads"}
-        began = world.now()
-        reply = await request_transfer(world, former)
-        assert reply.status == 200
-        assert set(reply.data["successors"]) == set(other_labels(former))
-        await wait_for_failover(world, former)
-        assert world.now() - began < 1.5, "nobody waits for the lease to run out"
-        await world.finish(1)
-        assert world.cloud.broken == []
-
-    play(story())
-
-
-def test_a_transfer_is_refused_with_reasons_if_no_standby_is_caught_up() -> None:
-    async def story() -> None:
-        world = World(standby=STANDBY_ON)
-        former = await start_with_running_job(world)
-        dead, stale = other_labels(former)
-        world.kill(dead)
-        standby_of(world, stale)._mark_stale("a gap")
-        reply = await request_transfer(world, former)
-        assert reply.status == 409
-        assert world.leader == former
-        assert f"{dead} does not answer" in reply.data["error"]
-        assert f"{stale} is not: its shadow is unfit: a gap" in reply.data["error"]
-
-    play(story())
+async def test_leadership_goes_to_a_caught_up_standby_without_waiting_for_the_lease() -> None:
+    world = World(standby=STANDBY_ON)
+    former = await start_with_running_job(world)
+    follower = other_labels(former)[0]
+    reply = await request_transfer(world, follower)
+    assert reply.status == 421
+    assert reply.data == {"error": f"{former} leads"}
+    began = world.now()
+    reply = await request_transfer(world, former)
+    assert reply.status == 200
+    assert set(reply.data["successors"]) == set(other_labels(former))
+    await wait_for_failover(world, former)
+    assert world.now() - began < 1.5, "nobody waits for the lease to run out"
+    await world.finish(1)
+    assert world.cloud.broken == []
+
+
+async def test_a_transfer_is_refused_with_reasons_if_no_standby_is_caught_up() -> None:
+    world = World(standby=STANDBY_ON)
+    former = await start_with_running_job(world)
+    dead, stale = other_labels(former)
+    world.kill(dead)
+    standby_of(world, stale)._mark_stale("a gap")
+    reply = await request_transfer(world, former)
+    assert reply.status == 409
+    assert world.leader == former
+    assert f"{dead} does not answer" in reply.data["error"]
+    assert f"{stale} is not: its shadow is unfit: a gap" in reply.data["error"]
--- a/tests/failover/test_standby_failover.py
+++ b/tests/failover/test_standby_failover.py
@@ -11,7 +11,6 @@
 from spoolcourse.control.leadership.failover_proof import ProofSource, TermSupersededError
 from spoolcourse.control.leadership.term import Term
 from spoolcourse.control.store.keys import PROGRESS_PREFIX, TERM_KEY
-from tests.fakes.clock import play
 from tests.fakes.failover import (
     STANDBY_ON,
     PausedController,
@@ -30,26 +29,23 @@
 from tests.fakes.world import World, job
 
 
-def test_a_failover_to_a_caught_up_follower_needs_no_restore() -> None:
-    async def story() -> None:
-        world = World(standby=STANDBY_ON)
-        former = await start_with_running_job(world)
-        world.kill(former)
-        successor = await wait_for_failover(world, former)
-        follower = next(n for n in world.nodes if n != successor)
-        await world.until(lambda: world.nodes[follower].leadership.leader_label == successor, 5)
-        assert world.nodes[follower].leadership.vacant_at is None, "another has filled it"
-        proof = world.active(successor).proof
-        assert proof.source is ProofSource.SHADOW
-        assert proof.applied_revision >= proof.claim_revision
-        standby = standby_of(world, successor)
-        states = [standby.status.state]
-        world.nodes[successor].leadership.step_down("test")
-        states.append(standby.status.state)
-        assert states == [ShadowState.LEADING, ShadowState.USABLE], "it is a standby again"
-        await finish_each_task_once(world, 1)
-
-    play(story())
+async def test_a_failover_to_a_caught_up_follower_needs_no_restore() -> None:
+    world = World(standby=STANDBY_ON)
+    former = await start_with_running_job(world)
+    world.kill(former)
+    successor = await wait_for_failover(world, former)
+    follower = next(n for n in world.nodes if n != successor)
+    await world.until(lambda: world.nodes[follower].leadership.leader_label == successor, 5)
+    assert world.nodes[follower].leadership.vacant_at is None, "another has filled it"
+    proof = world.active(successor).proof
+    assert proof.source is ProofSource.SHADOW
+    assert proof.applied_revision >= proof.claim_revision
+    standby = standby_of(world, successor)
+    states = [standby.status.state]
+    world.nodes[successor].leadership.step_down("test")
+    states.append(standby.status.state)
+    assert states == [ShadowState.LEADING, ShadowState.USABLE], "it is a standby again"
+    await finish_each_task_once(world, 1)
 
 
 RESUMED_AT: dict[str, tuple[str, RequestMatcher]] = {
@@ -68,216 +64,190 @@
 
 
 @pytest.mark.parametrize("when", RESUMED_AT)
-def test_late_writes_of_a_paused_leader_that_resumes_during_a_failover_do_no_harm(
+async def test_late_writes_of_a_paused_leader_that_resumes_during_a_failover_do_no_harm(
     when: str,
 ) -> None:
     # Its writes, commands and cloud calls arrive late, and it goes on for a moment as a leader.
-    async def story() -> None:
-        world = World(standby=STANDBY_ON)
-        former = await start_with_running_job(world, tasks=6)
-        paused = PausedController(world, former)
-        await world.submit(job(2, pieces=6, vcpus=1.0), other_labels(former)[0])
-        await asyncio.sleep(0.3)  # it decides and writes: that is held
-        host, request = RESUMED_AT[when]
-        run_after_request(world, host, request, paused.resume)
-        stored, taken_over = record_placements_at_claim(world), record_placements_of_failover(world)
-        await wait_for_failover(world, former)
-        assert stored
-        assert stored == taken_over
-        await world.until(lambda: paused.is_resumed, 30)
-        statuses = {reply.status for reply in paused.late_placements}
-        if when == "before the claim":
-            assert 200 in statuses, "carried out, and seen"
-        else:
-            assert statuses == {409}, "refused, whatever else has not changed"
-        await finish_each_task_once(world, 1, 2)
-
-    play(story())
+    world = World(standby=STANDBY_ON)
+    former = await start_with_running_job(world, tasks=6)
+    paused = PausedController(world, former)
+    await world.submit(job(2, pieces=6, vcpus=1.0), other_labels(former)[0])
+    await asyncio.sleep(0.3)  # it decides and writes: that is held
+    host, request = RESUMED_AT[when]
+    run_after_request(world, host, request, paused.resume)
+    stored, taken_over = record_placements_at_claim(world), record_placements_of_failover(world)
+    await wait_for_failover(world, former)
+    assert stored
+    assert stored == taken_over
+    await world.until(lambda: paused.is_resumed, 30)
+    statuses = {reply.status for reply in paused.late_placements}
+    if when == "before the claim":
+        assert 200 in statuses, "carried out, and seen"
+    else:
+        assert statuses == {409}, "refused, whatever else has not changed"
+    await finish_each_task_once(world, 1, 2)
 
 
 @pytest.mark.parametrize("watch", ["slow", "broken"])
-def test_a_standby_behind_a_burst_of_changes_decides_only_after_it_has_caught_up(
+async def test_a_standby_behind_a_burst_of_changes_decides_only_after_it_has_caught_up(
     watch: str,
 ) -> None:
     # Placements that it has not seen run already: to decide without them starts tasks twice.
-    async def story() -> None:
-        world = World(standby=STANDBY_ON)
-        world.cloud.run_s = lambda task: 15.0
-        await world.up_with_machine()
-        former = str(world.leader)
-        world.wire.stalled |= {(label, "state:1") for label in other_labels(former)}
-        await world.submit(job(1, pieces=8, vcpus=1.0), former)
-        await world.until(lambda: len(world.cloud.starts) >= 8)
-        for number in range(1000):
-            world.state._apply(
-                [{"set": f"{PROGRESS_PREFIX}job-999999/{number % 7}", "v": EMPTY_PROGRESS}]
-            )
-        if watch == "broken":
-            world.state.forget_changes()
-        world.kill(former)
-        world.wire.stalled.clear()
-        stored, taken_over = record_placements_at_claim(world), record_placements_of_failover(world)
-        successor = await wait_for_failover(world, former, 30)
-        assert len(stored) == 8
-        assert stored == taken_over
-        proof = world.active(successor).proof
-        assert proof.applied_revision >= proof.claim_revision > 1000
-        await finish_each_task_once(world, 1)
-
-    play(story())
+    world = World(standby=STANDBY_ON)
+    world.cloud.run_s = lambda task: 15.0
+    await world.up_with_machine()
+    former = str(world.leader)
+    world.wire.stalled |= {(label, "state:1") for label in other_labels(former)}
+    await world.submit(job(1, pieces=8, vcpus=1.0), former)
+    await world.until(lambda: len(world.cloud.starts) >= 8)
+    for number in range(1000):
+        world.state._apply(
+            [{"set": f"{PROGRESS_PREFIX}job-999999/{number % 7}", "v": EMPTY_PROGRESS}]
+        )
+    if watch == "broken":
+        world.state.forget_changes()
+    world.kill(former)
+    world.wire.stalled.clear()
+    stored, taken_over = record_placements_at_claim(world), record_placements_of_failover(world)
+    successor = await wait_for_failover(world, former, 30)
+    assert len(stored) == 8
+    assert stored == taken_over
+    proof = world.active(successor).proof
+    assert proof.applied_revision >= proof.claim_revision > 1000
+    await finish_each_task_once(world, 1)
 
 
 EMPTY_PROGRESS: dict[str, Any] = {"done": "0", "held": {}}
 
 
-def test_a_third_controller_leads_if_the_second_dies_right_after_its_claim() -> None:
-    async def story() -> None:
-        world = World(standby=STANDBY_ON)
-        former = await start_with_running_job(world)
-        claimed: list[str] = []
-
-        async def kill_claimant() -> None:
-            run = world.state.value(TERM_KEY)["run"]
-            label = next(n for n, c in world.nodes.items() if c.leadership.run_id == run)
-            claimed.append(label)
-            world.kill(label)
+async def test_a_third_controller_leads_if_the_second_dies_right_after_its_claim() -> None:
+    world = World(standby=STANDBY_ON)
+    former = await start_with_running_job(world)
+    claimed: list[str] = []
 
-        run_after_request(world, "state:1", sets_key_below(TERM_KEY), kill_claimant)
-        world.kill(former)
-        await world.until(lambda: claimed, 20)
-        third = await wait_for_failover(world, former)
-        assert third not in claimed
-        assert world.active(third).proof.source is ProofSource.SHADOW
-        world.start(former, *claimed)
-        await finish_each_task_once(world, 1)
+    async def kill_claimant() -> None:
+        run = world.state.value(TERM_KEY)["run"]
+        label = next(n for n, c in world.nodes.items() if c.leadership.run_id == run)
+        claimed.append(label)
+        world.kill(label)
 
-    play(story())
+    run_after_request(world, "state:1", sets_key_below(TERM_KEY), kill_claimant)
+    world.kill(former)
+    await world.until(lambda: claimed, 20)
+    third = await wait_for_failover(world, former)
+    assert third not in claimed
+    assert world.active(third).proof.source is ProofSource.SHADOW
+    world.start(former, *claimed)
+    await finish_each_task_once(world, 1)
 
 
 @pytest.mark.parametrize("claim", ["lose", "hold", "outage"])
-def test_a_claim_whose_outcome_is_unknown_starts_no_task_twice(claim: str) -> None:
+async def test_a_claim_whose_outcome_is_unknown_starts_no_task_twice(claim: str) -> None:
     # Carried out and the answer lost, carried out late, or an outage right after it.
-    async def story() -> None:
-        world = World(standby=STANDBY_ON)
-        former = await start_with_running_job(world)
-        verdicts = [claim] if claim != "outage" else []
-
-        def unclear(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
-            is_claim = sets_key_below(TERM_KEY)(method, path, body or {})
-            return verdicts.pop() if verdicts and is_claim else None
-
-        async def go_out() -> None:
-            world.state.in_outage = True
-
-        if claim == "outage":
-            run_after_request(world, "state:1", sets_key_below(TERM_KEY), go_out)
-        world.wire.filters.append(unclear)
-        world.kill(former)
-        if claim == "outage":
-            await world.until(lambda: world.state.in_outage, 20)
-            await asyncio.sleep(2)
-            assert not any(is_active(world, n) for n in world.nodes), "nothing is proven yet"
-            world.state.end_outage()
-        successor = await wait_for_failover(world, former, 30)
-        if claim == "lose":
-            assert world.active(successor).proof.fencing_token == 2, "it reads that it was elected"
-        await asyncio.sleep(3)
-        await world.wire.release()
-        await finish_each_task_once(world, 1)
-
-    play(story())
-
-
-def test_jobs_cancelled_before_and_after_a_failover_end_in_time() -> None:
-    async def story() -> None:
-        world = World(standby=STANDBY_ON)
-        world.cloud.run_s = lambda task: 500.0
-        await world.up_with_machine()
-        former = str(world.leader)
-        other = other_labels(former)[0]
-        for number in (1, 2):
-            await world.submit(job(number, pieces=2, vcpus=1.0))
-        await world.until(lambda: len(world.cloud.starts) == 4)
-        paused = PausedController(world, former)
-        assert (await world.cancel(1, other)).data["stage"] == "aborted"
-        successor = await wait_for_failover(world, former)
-        assert (await world.cancel(2, successor)).data["stage"] == "aborted"
-        await paused.resume()
-        await asyncio.sleep(45)
-        assert not world.cloud.on_machines("job-000001")
-        assert not world.cloud.on_machines("job-000002")
-        assert world.cloud.broken == []
-        assert world.late_starts == []
-
-    play(story())
-
-
-def test_results_and_starts_that_two_leaders_did_not_write_are_not_repeated() -> None:
+    world = World(standby=STANDBY_ON)
+    former = await start_with_running_job(world)
+    verdicts = [claim] if claim != "outage" else []
+
+    def unclear(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
+        is_claim = sets_key_below(TERM_KEY)(method, path, body or {})
+        return verdicts.pop() if verdicts and is_claim else None
+
+    async def go_out() -> None:
+        world.state.in_outage = True
+
+    if claim == "outage":
+        run_after_request(world, "state:1", sets_key_below(TERM_KEY), go_out)
+    world.wire.filters.append(unclear)
+    world.kill(former)
+    if claim == "outage":
+        await world.until(lambda: world.state.in_outage, 20)
+        await asyncio.sleep(2)
+        assert not any(is_active(world, n) for n in world.nodes), "nothing is proven yet"
+        world.state.end_outage()
+    successor = await wait_for_failover(world, former, 30)
+    if claim == "lose":
+        assert world.active(successor).proof.fencing_token == 2, "it reads that it was elected"
+    await asyncio.sleep(3)
+    await world.wire.release()
+    await finish_each_task_once(world, 1)
+
+
+async def test_jobs_cancelled_before_and_after_a_failover_end_in_time() -> None:
+    world = World(standby=STANDBY_ON)
+    world.cloud.run_s = lambda task: 500.0
+    await world.up_with_machine()
+    former = str(world.leader)
+    other = other_labels(former)[0]
+    for number in (1, 2):
+        await world.submit(job(number, pieces=2, vcpus=1.0))
+    await world.until(lambda: len(world.cloud.starts) == 4)
+    paused = PausedController(world, former)
+    assert (await world.cancel(1, other)).data["stage"] == "aborted"
+    successor = await wait_for_failover(world, former)
+    assert (await world.cancel(2, successor)).data["stage"] == "aborted"
+    await paused.resume()
+    await asyncio.sleep(45)
+    assert not world.cloud.on_machines("job-000001")
+    assert not world.cloud.on_machines("job-000002")
+    assert world.cloud.broken == []
+    assert world.late_starts == []
+
+
+async def test_results_and_starts_that_two_leaders_did_not_write_are_not_repeated() -> None:
     # Tasks that have ended without an acknowledgement, and starts that no heartbeat has shown.
-    async def story() -> None:
-        world = World(standby=STANDBY_ON)
-        world.cloud.run_s = lambda task: 3.0
-        await world.up_with_machine()
-        former = str(world.leader)
-        await world.submit(job(1, pieces=8, vcpus=1.0))
-        await world.until(lambda: len(world.cloud.starts) >= 4)
-        world.wire.filters.append(  # heartbeats and results reach it no more, its starts go out
-            lambda src, dst, method, path, body: (
-                "cut" if dst == f"{former}:80" and path == "/v1/report" else None
-            )
+    world = World(standby=STANDBY_ON)
+    world.cloud.run_s = lambda task: 3.0
+    await world.up_with_machine()
+    former = str(world.leader)
+    await world.submit(job(1, pieces=8, vcpus=1.0))
+    await world.until(lambda: len(world.cloud.starts) >= 4)
+    world.wire.filters.append(  # heartbeats and results reach it no more, its starts go out
+        lambda src, dst, method, path, body: (
+            "cut" if dst == f"{former}:80" and path == "/v1/report" else None
         )
-        await world.submit(job(2, pieces=4, vcpus=1.0), former)
-        await asyncio.sleep(0.5)
-        world.kill(former)
-        second = await wait_for_failover(world, former)
-        world.wire.filters.append(  # it hears the results, and can't write them down
-            lambda src, dst, method, path, body: (
-                "cut" if src == second and path == "/multi" else None
-            )
-        )
-        await asyncio.sleep(3)
-        world.kill(second)
-        await wait_for_failover(world, second)
-        await finish_each_task_once(world, 1, 2)
-
-    play(story())
-
-
-def test_replicas_of_a_service_run_on_across_failovers() -> None:
-    async def story() -> None:
-        world = World(standby=STANDBY_ON)
-        world.cloud.run_s = lambda task: 500.0
-        await world.up_with_machine()
-        former = str(world.leader)
-        await asyncio.sleep(3)
-        body = job(1, shape="standing", pieces=2, vcpus=1.0, expectS=0.0)
-        assert (await world.submit(body)).status == 201
-        await world.until(lambda: len(world.cloud.on_machines("job-000001")) == 2)
-        for _ in range(2):
-            world.kill(former)
-            successor = await wait_for_failover(world, former)
-            await asyncio.sleep(12)
-            assert len(world.cloud.starts) == 2, "they run on"
-            world.start(former)
-            await asyncio.sleep(2)
-            former = successor
-        assert world.cloud.broken == []
-
-    play(story())
-
-
-def test_a_controller_restarted_within_a_second_has_a_usable_shadow() -> None:
-    async def story() -> None:
-        world = World(standby=STANDBY_ON)
-        former = await start_with_running_job(world)
+    )
+    await world.submit(job(2, pieces=4, vcpus=1.0), former)
+    await asyncio.sleep(0.5)
+    world.kill(former)
+    second = await wait_for_failover(world, former)
+    world.wire.filters.append(  # it hears the results, and can't write them down
+        lambda src, dst, method, path, body: "cut" if src == second and path == "/multi" else None
+    )
+    await asyncio.sleep(3)
+    world.kill(second)
+    await wait_for_failover(world, second)
+    await finish_each_task_once(world, 1, 2)
+
+
+async def test_replicas_of_a_service_run_on_across_failovers() -> None:
+    world = World(standby=STANDBY_ON)
+    world.cloud.run_s = lambda task: 500.0
+    await world.up_with_machine()
+    former = str(world.leader)
+    await asyncio.sleep(3)
+    body = job(1, shape="standing", pieces=2, vcpus=1.0, expectS=0.0)
+    assert (await world.submit(body)).status == 201
+    await world.until(lambda: len(world.cloud.on_machines("job-000001")) == 2)
+    for _ in range(2):
         world.kill(former)
-        await asyncio.sleep(0.4)
+        successor = await wait_for_failover(world, former)
+        await asyncio.sleep(12)
+        assert len(world.cloud.starts) == 2, "they run on"
         world.start(former)
-        await world.until(lambda: any(is_active(world, n) for n in world.nodes), 10)
-        assert world.active().proof.source is ProofSource.SHADOW
-        await finish_each_task_once(world, 1)
+        await asyncio.sleep(2)
+        former = successor
+    assert world.cloud.broken == []
 
-    play(story())
+
+async def test_a_controller_restarted_within_a_second_has_a_usable_shadow() -> None:
+    world = World(standby=STANDBY_ON)
+    former = await start_with_running_job(world)
+    world.kill(former)
+    await asyncio.sleep(0.4)
+    world.start(former)
+    await world.until(lambda: any(is_active(world, n) for n in world.nodes), 10)
+    assert world.active().proof.source is ProofSource.SHADOW
+    await finish_each_task_once(world, 1)
 
 
 def refuse_one_lease(world: World, label: str) -> None:
@@ -292,59 +262,50 @@
     world.wire.filters.append(refuse)
 
 
-def test_a_stale_follower_defers_its_candidacy_and_leads_if_all_are_stale() -> None:
-    async def story() -> None:
-        for behind in (1, 2):
-            world = World(standby=STANDBY_ON)
-            former = await start_with_running_job(world)
-            first, second = other_labels(former)
-            for label in (first, second)[:behind]:
-                standby_of(world, label)._mark_stale("test")
-            refuse_one_lease(world, second)  # it is slower, which a bounded wait makes up for
-            world.kill(former)
-            successor = await wait_for_failover(world, former)
-            assert successor == second or behind == 2
-            source = world.active(successor).proof.source
-            assert source is (ProofSource.SHADOW if behind == 1 else ProofSource.RECORDS)
-            await finish_each_task_once(world, 1)
-
-    play(story())
-
-
-def test_a_shadow_that_differs_from_the_records_is_counted_and_replaced_by_a_restore() -> None:
-    async def story() -> None:
+async def test_a_stale_follower_defers_its_candidacy_and_leads_if_all_are_stale() -> None:
+    for behind in (1, 2):
         world = World(standby=STANDBY_ON)
         former = await start_with_running_job(world)
-        for label in other_labels(former):
-            shadow = standby_of(world, label).shadow
-            assert shadow is not None
-            job_state = shadow.as_restored().job_queue.jobs["job-000001"]
-            del job_state.attempts[next(iter(job_state.attempts))]
+        first, second = other_labels(former)
+        for label in (first, second)[:behind]:
+            standby_of(world, label)._mark_stale("test")
+        refuse_one_lease(world, second)  # it is slower, which a bounded wait makes up for
         world.kill(former)
         successor = await wait_for_failover(world, former)
-        assert world.active(successor).proof.source is ProofSource.RECORDS
-        status = standby_of(world, successor).status
-        assert status.mismatches == 1
-        assert status.stale_reason == "it differs from the records"
+        assert successor == second or behind == 2
+        source = world.active(successor).proof.source
+        assert source is (ProofSource.SHADOW if behind == 1 else ProofSource.RECORDS)
         await finish_each_task_once(world, 1)
 
-    play(story())
-
-
-def test_a_superseded_controller_keeps_its_shadow() -> None:
-    async def story() -> None:
-        world = World(standby=STANDBY_ON)
-        former = await start_with_running_job(world)
-        follower = other_labels(former)[0]
-        node, standby = world.nodes[follower], standby_of(world, follower)
-        assert standby.shadow is not None
-        shadow, rebuilds = standby.shadow, standby.status.rebuilds
-        earlier = Term(0, node.watch_cache.revision(TERM_KEY) - 1, 0)
-        with pytest.raises(TermSupersededError):
-            await node._failover.run(earlier)
-        assert standby.shadow is shadow
-        assert standby.status.state is ShadowState.USABLE
-        assert (standby.status.rebuilds, standby.status.mismatches) == (rebuilds, 0)
-        await finish_each_task_once(world, 1)
 
-    play(story())
+async def test_a_shadow_that_differs_from_records_is_counted_and_replaced_by_a_restore() -> None:
+    world = World(standby=STANDBY_ON)
+    former = await start_with_running_job(world)
+    for label in other_labels(former):
+        shadow = standby_of(world, label).shadow
+        assert shadow is not None
+        job_state = shadow.as_restored().job_queue.jobs["job-000001"]
+        del job_state.attempts[next(iter(job_state.attempts))]
+    world.kill(former)
+    successor = await wait_for_failover(world, former)
+    assert world.active(successor).proof.source is ProofSource.RECORDS
+    status = standby_of(world, successor).status
+    assert status.mismatches == 1
+    assert status.stale_reason == "it differs from the records"
+    await finish_each_task_once(world, 1)
+
+
+async def test_a_superseded_controller_keeps_its_shadow() -> None:
+    world = World(standby=STANDBY_ON)
+    former = await start_with_running_job(world)
+    follower = other_labels(former)[0]
+    node, standby = world.nodes[follower], standby_of(world, follower)
+    assert standby.shadow is not None
+    shadow, rebuilds = standby.shadow, standby.status.rebuilds
+    earlier = Term(0, node.watch_cache.revision(TERM_KEY) - 1, 0)
+    with pytest.raises(TermSupersededError):
+        await node._failover.run(earlier)
+    assert standby.shadow is shadow
+    assert standby.status.state is ShadowState.USABLE
+    assert (standby.status.rebuilds, standby.status.mismatches) == (rebuilds, 0)
+    await finish_each_task_once(world, 1)
--- a/tests/failover/test_standby_hints.py
+++ b/tests/failover/test_standby_hints.py
@@ -17,7 +17,6 @@
 from spoolcourse.control.failover.hint_query import MAX_IMAGES_PER_MACHINE, HintQuery
 from spoolcourse.wire.messages import MalformedError, parse
 from spoolcourse.wire.peers import Hint, HintPage
-from tests.fakes.clock import play
 from tests.fakes.failover import (
     STANDBY_ON,
     standby_of,
@@ -114,61 +113,52 @@
     assert images == (["old", "new"] if incarnation == 1 else [])
 
 
-def test_a_new_leader_learns_of_hinted_workers_before_the_cloud_lists_them() -> None:
-    async def story() -> None:
-        world = World(standby=STANDBY_ON)
-        former = await start_with_running_job(world)
-        await asyncio.sleep(3)
-        world.wire.filters.append(  # neither the list nor their own heartbeats tell of them
-            lambda src, dst, method, path, body: (
-                "cut" if path.startswith("/hosts") or path == "/v1/report" else None
-            )
+async def test_a_new_leader_learns_of_hinted_workers_before_the_cloud_lists_them() -> None:
+    world = World(standby=STANDBY_ON)
+    former = await start_with_running_job(world)
+    await asyncio.sleep(3)
+    world.wire.filters.append(  # neither the list nor their own heartbeats tell of them
+        lambda src, dst, method, path, body: (
+            "cut" if path.startswith("/hosts") or path == "/v1/report" else None
         )
-        world.kill(former)
-        successor = await wait_for_failover(world, former)
-        await asyncio.sleep(0.5)
-        machines = world.active(successor).registry.machines.values()
-        assert [m.id for m in machines if m.confirmed]
-        assert world.cloud.broken == []
-
-    play(story())
-
-
-def test_a_hint_of_a_deleted_machine_makes_no_machine_known() -> None:
-    async def story() -> None:
-        world = World(standby=STANDBY_ON)
-        former = await start_with_running_job(world, tasks=4)
-        idle = world.cloud.add()
-        await asyncio.sleep(6)
-        world.kill(former)
-        world.cloud.take(idle)
-        successor = await wait_for_failover(world, former)
-        hints = standby_of(world, successor).hints.for_term(1)
-        assert idle in [hint.machine for hint in hints]
-        await asyncio.sleep(3)
-        assert idle not in world.active(successor).registry.machines
-
-    play(story())
-
-
-def test_a_failover_succeeds_if_peers_of_an_older_version_know_no_hints() -> None:
-    async def story() -> None:
-        world = World(standby=STANDBY_ON)
-        requested_by: list[str] = []
-
-        def know_no_hints(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
-            if path.startswith("/hints"):
-                requested_by.append(src)
-                return "404"
-            return None
-
-        world.wire.filters.append(know_no_hints)
-        former = await start_with_running_job(world)
-        await asyncio.sleep(10)
-        assert 1 <= len(requested_by) <= 4, "asked again after a long while only"
-        world.kill(former)
-        await wait_for_failover(world, former)
-        await world.finish(1)
-        assert world.cloud.broken == []
-
-    play(story())
+    )
+    world.kill(former)
+    successor = await wait_for_failover(world, former)
+    await asyncio.sleep(0.5)
+    machines = world.active(successor).registry.machines.values()
+    assert [m.id for m in machines if m.confirmed]
+    assert world.cloud.broken == []
+
+
+async def test_a_hint_of_a_deleted_machine_makes_no_machine_known() -> None:
+    world = World(standby=STANDBY_ON)
+    former = await start_with_running_job(world, tasks=4)
+    idle = world.cloud.add()
+    await asyncio.sleep(6)
+    world.kill(former)
+    world.cloud.take(idle)
+    successor = await wait_for_failover(world, former)
+    hints = standby_of(world, successor).hints.for_term(1)
+    assert idle in [hint.machine for hint in hints]
+    await asyncio.sleep(3)
+    assert idle not in world.active(successor).registry.machines
+
+
+async def test_a_failover_succeeds_if_peers_of_an_older_version_know_no_hints() -> None:
+    world = World(standby=STANDBY_ON)
+    requested_by: list[str] = []
+
+    def know_no_hints(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
+        if path.startswith("/hints"):
+            requested_by.append(src)
+            return "404"
+        return None
+
+    world.wire.filters.append(know_no_hints)
+    former = await start_with_running_job(world)
+    await asyncio.sleep(10)
+    assert 1 <= len(requested_by) <= 4, "asked again after a long while only"
+    world.kill(former)
+    await wait_for_failover(world, former)
+    await world.finish(1)
+    assert world.cloud.broken == []
--- a/tests/jobs/test_progress_writer.py
+++ b/tests/jobs/test_progress_writer.py
@@ -19,7 +19,6 @@
 from spoolcourse.wire.key_value_store import Put
 from spoolcourse.wire.messages import Submission, parse
 from spoolcourse.wire.settings import NextLimits, State
-from tests.fakes.clock import play
 from tests.fakes.net import FakeWire
 from tests.fakes.state import FakeKeyValueStore
 from tests.fakes.world import job
@@ -63,109 +62,97 @@
         return asyncio.get_running_loop().time()
 
 
-def test_starts_are_written_by_rank_and_before_results() -> None:
-    async def story() -> None:
-        harness = WriterHarness(State(rps=200.0, write_rps=6.0, value_kb=8.0, txn_ops=12))
-        queue = harness.job_queue
-        term_revision = await harness.write(TERM_KEY, {"term": 1})
-        ranks = ["standard"] * 20 + ["best_effort", "high"]
-        jobs = [await harness.add_job(number, rank=rank) for number, rank in enumerate(ranks, 1)]
-        await asyncio.sleep(10)
-        running = await harness.start(term_revision)
-        for job_state in jobs[:20]:
-            queue.complete(job_state, 0)
-        low = queue.assign(jobs[20], 0, "m-1", 1, 0.0)
-        high = queue.assign(jobs[21], 0, "m-1", 2, 0.0)
-        began = harness.now()
-        while not (low.is_persisted and high.is_persisted):
-            await asyncio.sleep(0.02)
-        assert harness.now() - began < 1.0
-        written = [op["set"] for t in harness.store.transactions[-1:] for op in t["apply"]]
-        assert [key.split("/")[3] for key in written[:2]] == [jobs[21].id, jobs[20].id]
-        # One that comes while results wait for the budget does not wait for them.
-        began = harness.now()
-        late = queue.assign(jobs[21], 1, "m-1", 3, 0.0)
-        while not late.is_persisted:
-            await asyncio.sleep(0.02)
-        assert harness.now() - began < 1.0
-        while queue.pending_writes:  # the results follow
-            await asyncio.sleep(0.1)
-        running.cancel()
-
-    play(story())
-
-
-def test_a_value_that_fits_no_more_is_not_tried_again_and_again() -> None:
-    async def story() -> None:
-        harness = WriterHarness(State(200.0, 100.0, 8.0, 24, NextLimits(value_kb=1.0)))
-        store, queue = harness.store, harness.job_queue
-        term_revision = await harness.write(TERM_KEY, {"term": 1})
-        job_state = await harness.add_job(pieces=170)
-        running = await harness.start(term_revision)
-        attempts = [queue.assign(job_state, task, "m-000001", task, 0.0) for task in range(100)]
-        await asyncio.sleep(2)
-        assert attempts[0].is_persisted, "the former limit still holds"
-        store.value_bytes = 1024
-        queue.complete(job_state, 150)
-        await asyncio.sleep(10)
-        assert store.refused == 1
-        assert not running.done()
-        for attempt in attempts[:80]:
-            queue.drop(attempt)  # they end gradually
-        await asyncio.sleep(2)
-        assert store.refused == 1
-        assert job_state.chunk(0).is_persisted
-        running.cancel()
-
-    play(story())
-
-
-def test_a_start_held_back_by_a_conflict_waits_first_in_line_again() -> None:
-    async def story() -> None:
-        harness = WriterHarness(State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24))
-        queue = harness.job_queue
-        term_revision = await harness.write(TERM_KEY, {"term": 1})
-        job_state = await harness.add_job(pieces=2)
-        running = await harness.start(term_revision)
-        # A cancellation that the leader has not heard of: the start must not become durable.
-        await harness.write(job_key(job_state.id), job_state.record.value() | {"aborted": 2.0})
-        attempt = queue.assign(job_state, 0, "m-1", 1, 0.0)
-        await asyncio.sleep(5)
-        assert not attempt.is_persisted
-        assert not running.done()
-        assert not harness.step_downs
-        assert harness.store.value(progress_key(job_state.id, 0)) is None
-        chunk = job_state.chunk(0)
-        assert queue.pending_writes == queue.pending_start_writes == {chunk.id: chunk}
-        # Its word comes: what was never sent is dropped, and the job ends.
-        job_state.record.cancelled_at = 2.0
-        job_state.record.revision = harness.watch_cache.revision(job_key(job_state.id))
-        queue.drop(attempt)
-        await asyncio.sleep(5)
-        assert harness.store.value(final_key(job_state.id))["stage"] == "aborted"
-        assert not queue.jobs
-        assert not queue.pending_writes
-        assert not queue.pending_start_writes
-        running.cancel()
-
-    play(story())
-
-
-def test_a_writer_whose_term_has_passed_changes_nothing_and_steps_down() -> None:
-    async def story() -> None:
-        harness = WriterHarness(State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24))
-        term_revision = await harness.write(TERM_KEY, {"term": 1})
-        job_state = await harness.add_job(pieces=2)
-        running = await harness.start(term_revision)
-        await harness.write(TERM_KEY, {"term": 2})
-        attempt = harness.job_queue.assign(job_state, 0, "m-1", 1, 0.0)
-        await asyncio.sleep(5)
-        assert harness.step_downs
-        assert not attempt.is_persisted
-        assert harness.store.value(progress_key(job_state.id, 0)) is None
-        running.cancel()
-
-    play(story())
+async def test_starts_are_written_by_rank_and_before_results() -> None:
+    harness = WriterHarness(State(rps=200.0, write_rps=6.0, value_kb=8.0, txn_ops=12))
+    queue = harness.job_queue
+    term_revision = await harness.write(TERM_KEY, {"term": 1})
+    ranks = ["standard"] * 20 + ["best_effort", "high"]
+    jobs = [await harness.add_job(number, rank=rank) for number, rank in enumerate(ranks, 1)]
+    await asyncio.sleep(10)
+    running = await harness.start(term_revision)
+    for job_state in jobs[:20]:
+        queue.complete(job_state, 0)
+    low = queue.assign(jobs[20], 0, "m-1", 1, 0.0)
+    high = queue.assign(jobs[21], 0, "m-1", 2, 0.0)
+    began = harness.now()
+    while not (low.is_persisted and high.is_persisted):
+        await asyncio.sleep(0.02)
+    assert harness.now() - began < 1.0
+    written = [op["set"] for t in harness.store.transactions[-1:] for op in t["apply"]]
+    assert [key.split("/")[3] for key in written[:2]] == [jobs[21].id, jobs[20].id]
+    # One that comes while results wait for the budget does not wait for them.
+    began = harness.now()
+    late = queue.assign(jobs[21], 1, "m-1", 3, 0.0)
+    while not late.is_persisted:
+        await asyncio.sleep(0.02)
+    assert harness.now() - began < 1.0
+    while queue.pending_writes:  # the results follow
+        await asyncio.sleep(0.1)
+    running.cancel()
+
+
+async def test_a_value_that_fits_no_more_is_not_tried_again_and_again() -> None:
+    harness = WriterHarness(State(200.0, 100.0, 8.0, 24, NextLimits(value_kb=1.0)))
+    store, queue = harness.store, harness.job_queue
+    term_revision = await harness.write(TERM_KEY, {"term": 1})
+    job_state = await harness.add_job(pieces=170)
+    running = await harness.start(term_revision)
+    attempts = [queue.assign(job_state, task, "m-000001", task, 0.0) for task in range(100)]
+    await asyncio.sleep(2)
+    assert attempts[0].is_persisted, "the former limit still holds"
+    store.value_bytes = 1024
+    queue.complete(job_state, 150)
+    await asyncio.sleep(10)
+    assert store.refused == 1
+    assert not running.done()
+    for attempt in attempts[:80]:
+        queue.drop(attempt)  # they end gradually
+    await asyncio.sleep(2)
+    assert store.refused == 1
+    assert job_state.chunk(0).is_persisted
+    running.cancel()
+
+
+async def test_a_start_held_back_by_a_conflict_waits_first_in_line_again() -> None:
+    harness = WriterHarness(State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24))
+    queue = harness.job_queue
+    term_revision = await harness.write(TERM_KEY, {"term": 1})
+    job_state = await harness.add_job(pieces=2)
+    running = await harness.start(term_revision)
+    # A cancellation that the leader has not heard of: the start must not become durable.
+    await harness.write(job_key(job_state.id), job_state.record.value() | {"aborted": 2.0})
+    attempt = queue.assign(job_state, 0, "m-1", 1, 0.0)
+    await asyncio.sleep(5)
+    assert not attempt.is_persisted
+    assert not running.done()
+    assert not harness.step_downs
+    assert harness.store.value(progress_key(job_state.id, 0)) is None
+    chunk = job_state.chunk(0)
+    assert queue.pending_writes == queue.pending_start_writes == {chunk.id: chunk}
+    # Its word comes: what was never sent is dropped, and the job ends.
+    job_state.record.cancelled_at = 2.0
+    job_state.record.revision = harness.watch_cache.revision(job_key(job_state.id))
+    queue.drop(attempt)
+    await asyncio.sleep(5)
+    assert harness.store.value(final_key(job_state.id))["stage"] == "aborted"
+    assert not queue.jobs
+    assert not queue.pending_writes
+    assert not queue.pending_start_writes
+    running.cancel()
+
+
+async def test_a_writer_whose_term_has_passed_changes_nothing_and_steps_down() -> None:
+    harness = WriterHarness(State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24))
+    term_revision = await harness.write(TERM_KEY, {"term": 1})
+    job_state = await harness.add_job(pieces=2)
+    running = await harness.start(term_revision)
+    await harness.write(TERM_KEY, {"term": 2})
+    attempt = harness.job_queue.assign(job_state, 0, "m-1", 1, 0.0)
+    await asyncio.sleep(5)
+    assert harness.step_downs
+    assert not attempt.is_persisted
+    assert harness.store.value(progress_key(job_state.id, 0)) is None
+    running.cancel()
 
 
 def test_a_batch_holds_what_one_transaction_takes_and_its_conditions() -> None:
--- a/tests/leadership/test_election_and_peers.py
+++ b/tests/leadership/test_election_and_peers.py
@@ -20,7 +20,6 @@
 from spoolcourse.wire.messages import MalformedError
 from spoolcourse.wire.peers import CancellationReply, LevelReply, parse_since_revision
 from spoolcourse.wire.settings import Seed
-from tests.fakes.clock import play
 from tests.fakes.net import FakeWire
 from tests.fakes.proof import LIMITS
 from tests.fakes.state import FakeKeyValueStore
@@ -49,128 +48,110 @@
         self.calls.append("stepped down")
 
 
-def test_a_wait_for_an_event_ends_with_the_event_or_the_timeout() -> None:
-    async def story() -> None:
-        loop, event = asyncio.get_running_loop(), asyncio.Event()
-        began = loop.time()
-        assert not await wait_for_event(event, 2.0)
-        assert loop.time() - began == pytest.approx(2.0)
-        loop.call_later(0.5, event.set)
-        assert await wait_for_event(event, 2.0)
-        assert loop.time() - began == pytest.approx(2.5)
-        assert await wait_for_event(event, 0.0), "an event that is set needs no time"
-
-    play(story())
-
-
-def test_a_cancelled_wait_is_not_taken_for_a_timeout() -> None:
-    async def story() -> None:
-        task = asyncio.create_task(wait_for_event(asyncio.Event(), 2.0))
-        await asyncio.sleep(0.1)
-        task.cancel()
-        with pytest.raises(asyncio.CancelledError):
-            await task
-
-    play(story())
-
-
-def test_the_listener_is_called_for_each_election_and_step_down_once() -> None:
-    async def story() -> None:
-        store, listener = Store(), Listener()
-        leadership = Leadership(store.client, store.watch_cache, "n0", "run-0", listener=listener)
-        await store.watch_cache.reload()
-        assert not leadership.holds_lease()
-        await leadership._stand_for_election()
-        assert leadership.holds_lease()
-        assert leadership.elections_won == 1
-        await leadership.step_down_and_release_lease("test")
-        leadership.step_down("again")
-        assert not leadership.holds_lease()
-        assert listener.calls == [1, "stepped down"]
-        assert leadership.leader_label == "n0", "the watch has not shown the release yet"
-        assert known_term_number(store.watch_cache) == 1
-
-    play(story())
-
-
-def test_a_fenced_write_of_a_superseded_term_changes_nothing() -> None:
-    async def story() -> None:
-        store = Store()
-        first = Leadership(store.client, store.watch_cache, "n0", "run-0")
-        await store.watch_cache.reload()
-        await first._stand_for_election()
-        old = first.term
-        assert old is not None
-
-        async def write(term: Term, level: int, revision: int) -> bool:
-            return await write_fenced(
-                store.client,
-                store.watch_cache,
-                term,
-                FEATURE_LEVEL_KEY,
-                {"level": level},
-                {FEATURE_LEVEL_KEY: revision},
-            )
-
-        assert await write(old, 1, 0)
-        written = store.watch_cache.revision(FEATURE_LEVEL_KEY)
-        assert not await write(old, 2, 0), "the key has another revision than expected"
-        await first.step_down_and_release_lease("test")
-        successor = Leadership(store.client, store.watch_cache, "n1", "run-1")
-        await store.watch_cache.read_barrier()
-        await successor._stand_for_election()
-        assert successor.term is not None
-        assert successor.term.number == old.number + 1
-        assert not await write(old, 2, written)
-        assert store.state.value(FEATURE_LEVEL_KEY) == {"level": 1}
-        assert await write(successor.term, 2, written)
-        assert store.state.value(FEATURE_LEVEL_KEY) == {"level": 2}
-
-    play(story())
-
-
-def test_a_fenced_write_of_unknown_outcome_counts_as_not_written() -> None:
-    async def story() -> None:
-        store = Store()
-        leadership = Leadership(store.client, store.watch_cache, "n0", "run-0")
-        await store.watch_cache.reload()
-        await leadership._stand_for_election()
-        assert leadership.term is not None
-        store.wire.filters.append(
-            lambda src, dst, method, path, body: "hold" if path == "/multi" else None
-        )
-        assert not await write_fenced(
+async def test_a_wait_for_an_event_ends_with_the_event_or_the_timeout() -> None:
+    loop, event = asyncio.get_running_loop(), asyncio.Event()
+    began = loop.time()
+    assert not await wait_for_event(event, 2.0)
+    assert loop.time() - began == pytest.approx(2.0)
+    loop.call_later(0.5, event.set)
+    assert await wait_for_event(event, 2.0)
+    assert loop.time() - began == pytest.approx(2.5)
+    assert await wait_for_event(event, 0.0), "an event that is set needs no time"
+
+
+async def test_a_cancelled_wait_is_not_taken_for_a_timeout() -> None:
+    task = asyncio.create_task(wait_for_event(asyncio.Event(), 2.0))
+    await asyncio.sleep(0.1)
+    task.cancel()
+    with pytest.raises(asyncio.CancelledError):
+        await task
+
+
+async def test_the_listener_is_called_for_each_election_and_step_down_once() -> None:
+    store, listener = Store(), Listener()
+    leadership = Leadership(store.client, store.watch_cache, "n0", "run-0", listener=listener)
+    await store.watch_cache.reload()
+    assert not leadership.holds_lease()
+    await leadership._stand_for_election()
+    assert leadership.holds_lease()
+    assert leadership.elections_won == 1
+    await leadership.step_down_and_release_lease("test")
+    leadership.step_down("again")
+    assert not leadership.holds_lease()
+    assert listener.calls == [1, "stepped down"]
+    assert leadership.leader_label == "n0", "the watch has not shown the release yet"
+    assert known_term_number(store.watch_cache) == 1
+
+
+async def test_a_fenced_write_of_a_superseded_term_changes_nothing() -> None:
+    store = Store()
+    first = Leadership(store.client, store.watch_cache, "n0", "run-0")
+    await store.watch_cache.reload()
+    await first._stand_for_election()
+    old = first.term
+    assert old is not None
+
+    async def write(term: Term, level: int, revision: int) -> bool:
+        return await write_fenced(
             store.client,
             store.watch_cache,
-            leadership.term,
+            term,
             FEATURE_LEVEL_KEY,
-            {"level": 2},
-            {FEATURE_LEVEL_KEY: 0},
+            {"level": level},
+            {FEATURE_LEVEL_KEY: revision},
         )
-        assert store.watch_cache.get(FEATURE_LEVEL_KEY) is None
-
-    play(story())
-
-
-def test_peers_reply_in_order_and_one_that_does_not_know_the_query_counts_as_silent() -> None:
-    async def story() -> None:
-        store = Store()
-
-        def host(status: int, data: Any) -> Any:
-            async def serve(method: str, path: str, body: Any) -> Response:
-                return Response(status, data)
-
-            return serve
-
-        peers = [Seed(label, f"{label}:81") for label in ("n1", "n2", "n3", "n4")]
-        store.wire.hosts["n1:81"] = host(200, {"level": 1})
-        store.wire.hosts["n2:81"] = host(404, {"error": "no such resource"})
-        store.wire.hosts["n3:81"] = host(200, {"level": "x"})
-        store.wire.hosts["n4:81"] = host(200, {"level": 2})
-        replies = await query_peers(store.wire.end_of("n0"), peers, LEVEL_QUERY)
-        assert replies == [LevelReply(1), None, None, LevelReply(2)]
 
-    play(story())
+    assert await write(old, 1, 0)
+    written = store.watch_cache.revision(FEATURE_LEVEL_KEY)
+    assert not await write(old, 2, 0), "the key has another revision than expected"
+    await first.step_down_and_release_lease("test")
+    successor = Leadership(store.client, store.watch_cache, "n1", "run-1")
+    await store.watch_cache.read_barrier()
+    await successor._stand_for_election()
+    assert successor.term is not None
+    assert successor.term.number == old.number + 1
+    assert not await write(old, 2, written)
+    assert store.state.value(FEATURE_LEVEL_KEY) == {"level": 1}
+    assert await write(successor.term, 2, written)
+    assert store.state.value(FEATURE_LEVEL_KEY) == {"level": 2}
+
+
+async def test_a_fenced_write_of_unknown_outcome_counts_as_not_written() -> None:
+    store = Store()
+    leadership = Leadership(store.client, store.watch_cache, "n0", "run-0")
+    await store.watch_cache.reload()
+    await leadership._stand_for_election()
+    assert leadership.term is not None
+    store.wire.filters.append(
+        lambda src, dst, method, path, body: "hold" if path == "/multi" else None
+    )
+    assert not await write_fenced(
+        store.client,
+        store.watch_cache,
+        leadership.term,
+        FEATURE_LEVEL_KEY,
+        {"level": 2},
+        {FEATURE_LEVEL_KEY: 0},
+    )
+    assert store.watch_cache.get(FEATURE_LEVEL_KEY) is None
+
+
+async def test_peers_reply_in_order_and_one_that_does_not_know_the_query_counts_as_silent() -> None:
+    store = Store()
+
+    def host(status: int, data: Any) -> Any:
+        async def serve(method: str, path: str, body: Any) -> Response:
+            return Response(status, data)
+
+        return serve
+
+    peers = [Seed(label, f"{label}:81") for label in ("n1", "n2", "n3", "n4")]
+    store.wire.hosts["n1:81"] = host(200, {"level": 1})
+    store.wire.hosts["n2:81"] = host(404, {"error": "no such resource"})
+    store.wire.hosts["n3:81"] = host(200, {"level": "x"})
+    store.wire.hosts["n4:81"] = host(200, {"level": 2})
+    replies = await query_peers(store.wire.end_of("n0"), peers, LEVEL_QUERY)
+    assert replies == [LevelReply(1), None, None, LevelReply(2)]
 
 
 def test_the_query_for_cancellations_keeps_its_spelling_on_the_wire() -> None:
--- a/tests/recorded/test_stored_forms.py
+++ b/tests/recorded/test_stored_forms.py
@@ -16,7 +16,6 @@
 from spoolcourse.control.store.keys import CATALOG_KEY
 from spoolcourse.control.store.records import JobRecord, Progress
 from spoolcourse.wire.peers import Cancellation
-from tests.fakes.clock import play
 from tests.fakes.isolated_leader import IsolatedLeader
 from tests.fakes.services import service
 from tests.fakes.world import World, job
@@ -188,151 +187,139 @@
                 assert Progress.from_value(value).value() == value
 
 
-def test_what_317b652b_stored_is_taken_over() -> None:
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda task: 5.0
-        store(world, STORED_317B652B)
-        world.jobs["job-000001"] = job()
-        world.jobs["job-000002"] = job(2)
-        world.cloud.add()
-        await world.up()
-        assert world.state.value("spoolcourse/live/term")["term"] == 4
-        await world.finish(1, 60)
-        assert len(world.cloud.starts) == 2, "two of four were done before"
-        reply = await world.poll(2, "n1")
-        assert (reply.data["stage"], reply.data["done"]) == ("done", 4)
-        assert world.active().initial_machine_names() == {"m-000000"}
-        assert world.cloud.broken == []
-
-    play(story())
-
-
-def test_what_b0e3a7b_stored_is_taken_over_with_services_running() -> None:
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda task: 10_000.0
-        store(world, STORED_B0E3A7B)
-        world.jobs["job-000003"] = service(3)
-        world.cloud.add()
-        # The catalog is read from the key-value store, for the cloud does not say it.
-        world.wire.filters.append(
-            lambda src, dst, method, path, body: "503" if path == "/catalog" else None
-        )
-        await world.up()
-        await world.until(lambda: len(world.cloud.on_machines("job-000003")) == 2, 60)
-        reply = await world.submit(service(4), "n2")
-        assert reply.status == 201, "the note of `live/level` still holds"
-        assert (await world.cancel(3)).data["stage"] == "aborted"
-        await world.until(lambda: not world.cloud.on_machines("job-000003"), 40)
-        assert world.cloud.broken == []
-
-    play(story())
-
-
-def test_what_is_written_and_asked_has_the_forms_that_older_versions_know() -> None:
+async def test_what_317b652b_stored_is_taken_over() -> None:
+    world = World()
+    world.cloud.run_s = lambda task: 5.0
+    store(world, STORED_317B652B)
+    world.jobs["job-000001"] = job()
+    world.jobs["job-000002"] = job(2)
+    world.cloud.add()
+    await world.up()
+    assert world.state.value("spoolcourse/live/term")["term"] == 4
+    await world.finish(1, 60)
+    assert len(world.cloud.starts) == 2, "two of four were done before"
+    reply = await world.poll(2, "n1")
+    assert (reply.data["stage"], reply.data["done"]) == ("done", 4)
+    assert world.active().initial_machine_names() == {"m-000000"}
+    assert world.cloud.broken == []
+
+
+async def test_what_b0e3a7b_stored_is_taken_over_with_services_running() -> None:
+    world = World()
+    world.cloud.run_s = lambda task: 10_000.0
+    store(world, STORED_B0E3A7B)
+    world.jobs["job-000003"] = service(3)
+    world.cloud.add()
+    # The catalog is read from the key-value store, for the cloud does not say it.
+    world.wire.filters.append(
+        lambda src, dst, method, path, body: "503" if path == "/catalog" else None
+    )
+    await world.up()
+    await world.until(lambda: len(world.cloud.on_machines("job-000003")) == 2, 60)
+    reply = await world.submit(service(4), "n2")
+    assert reply.status == 201, "the note of `live/level` still holds"
+    assert (await world.cancel(3)).data["stage"] == "aborted"
+    await world.until(lambda: not world.cloud.on_machines("job-000003"), 40)
+    assert world.cloud.broken == []
+
+
+async def test_what_is_written_and_asked_has_the_forms_that_older_versions_know() -> None:
     """The leader is refused by the key-value store, loses workers, and peers relay and testify."""
 
-    async def story() -> None:
-        isolated = await IsolatedLeader.with_running_jobs()
-        world, seen = isolated.world, dict[tuple[str, str], tuple[Any, Response]]()
-        call = world.wire.call
-
-        async def record(
-            src: str, dst: str, method: str, path: str, body: Any, timeout: float
-        ) -> Response:
-            reply = await call(src, dst, method, path, body, timeout)
-            if dst.endswith(":81"):
-                kind = path.partition("?")[0].replace("job-000002", "job-000001")
-                if reply.status in (200, 201) or (method, kind) not in seen:
-                    seen[method, kind] = (body, reply)
-            return reply
-
-        world.wire.call = record  # type: ignore[method-assign]
-        assert (await world.submit(service(3))).status == 201
-        away = isolated.partition(isolated.leader, "m-")
-        await asyncio.sleep(8)
-        refusal = isolated.refuse_store_requests_of(isolated.others[0])
-        await asyncio.sleep(2)
-        for ask in (world.poll(2, isolated.others[0]), world.cancel(2, isolated.others[0])):
-            assert (await ask).status == 200
-        assert (await world.submit(job(4), isolated.others[0])).status == 201
-        world.wire.filters.remove(refusal)
-        world.wire.filters.remove(away)
-        world.state.in_outage = True
-        await asyncio.sleep(6)
-        world.state.end_outage()
-        world.kill(str(world.leader))
-        await world.until(lambda: world.leader, 20)
-        await world.until(lambda: world.state.value(CATALOG_KEY), 90)
-
-        written = [
-            (op["set"], op["v"])
-            for body in world.state.transactions
-            for op in body["apply"]
-            if "set" in op
-        ]
-        stems = {key.rpartition("job-")[0] or key for key, _ in written}
-        assert stems == {key.rpartition("job-")[0] or key for key in STORED_B0E3A7B}
-        for key, value in written:
-            assert_stored_form(key, value)
-
-        asked = {(m, p.partition("?")[0]): forms for (m, p), forms in PEERS_B0E3A7B.items()}
-        # With the warm standby on one more question is asked; older versions answer it by 404.
-        hints = seen.pop(("GET", "/hints"), None)
-        assert (hints is not None) == world.standby.enabled
-        if hints is not None and hints[1].status == 200:
-            assert set(hints[1].data) == {"term", "leader", "revision", "hints", "has_next"}
-        # `/level` was asked before the recording began; its answer is in the test below.
-        assert set(seen) == set(asked) - {("GET", "/level")}
-        for kind, (body, reply) in seen.items():
-            sample_body, sample_reply = asked[kind]
-            assert reply.status in (200, 201), kind
-            if kind == ("POST", "/v1/report"):
-                assert set(body) == set(HEARTBEAT)
-                assert set(reply.data) == set(sample_reply)
-                continue
-            # A user's request is passed on as it came: fields may be null.
-            given = {field: v for field, v in (body or {}).items() if v is not None}
-            assert_form(given, sample_body or {}, str(kind))
-            assert_form(reply.data, sample_reply, str(kind))
-
-    play(story())
-
-
-def test_questions_of_older_versions_are_answered_in_their_forms() -> None:
-    async def story() -> None:
-        isolated = await IsolatedLeader.with_running_jobs()
-        world = isolated.world
-        await world.cancel(1)
-        await asyncio.sleep(1)
-        follower = world.nodes[isolated.others[0]]
-        leader = world.nodes[isolated.leader]
-
-        async def ask(method: str, path: str, body: Any) -> Response:
-            if path == "/v1/report":
-                body = body | {"baton": world.state.value("spoolcourse/live/term")["term"]}
-            raw = b"" if body is None else orjson.dumps(body)
-            node = leader if path == "/v1/report" else follower
-            found = node.peers(Request(method, path, raw))
-            return found if isinstance(found, Response) else await found
-
-        for (method, recorded_path), (body, answer) in PEERS_B0E3A7B.items():
-            asks_for_cancellations = recorded_path.startswith("/cancellations")
-            path = "/cancellations?beyond=0" if asks_for_cancellations else recorded_path
-            reply = await ask(method, path, body)
-            assert reply.status == 200, path
-            if path == "/v1/report":
-                assert {"baton", "orders", "deaf"} >= set(reply.data) >= {"orders", "deaf"}
-                continue
-            told = orjson.loads(orjson.dumps(reply.data))
-            stage_only = {k: told[k] for k in answer} if path.startswith("/submissions") else told
-            assert_form(stage_only, answer, path)
-        assert (await ask("GET", "/cancellations?beyond=x", None)).status == 400
-        # One that may have forgotten some says so by null, and vouches for nothing.
-        follower.job_index.cancellations = Cancellations(0)
-        follower.job_index.cancellations.add(Cancellation("job-000001", 1000.5, 18))
-        reply = await ask("GET", "/cancellations?beyond=0", None)
-        assert reply.data["cancelled"] is None
-
-    play(story())
+    isolated = await IsolatedLeader.with_running_jobs()
+    world, seen = isolated.world, dict[tuple[str, str], tuple[Any, Response]]()
+    call = world.wire.call
+
+    async def record(
+        src: str, dst: str, method: str, path: str, body: Any, timeout: float
+    ) -> Response:
+        reply = await call(src, dst, method, path, body, timeout)
+        if dst.endswith(":81"):
+            kind = path.partition("?")[0].replace("job-000002", "job-000001")
+            if reply.status in (200, 201) or (method, kind) not in seen:
+                seen[method, kind] = (body, reply)
+        return reply
+
+    world.wire.call = record  # type: ignore[method-assign]
+    assert (await world.submit(service(3))).status == 201
+    away = isolated.partition(isolated.leader, "m-")
+    await asyncio.sleep(8)
+    refusal = isolated.refuse_store_requests_of(isolated.others[0])
+    await asyncio.sleep(2)
+    for ask in (world.poll(2, isolated.others[0]), world.cancel(2, isolated.others[0])):
+        assert (await ask).status == 200
+    assert (await world.submit(job(4), isolated.others[0])).status == 201
+    world.wire.filters.remove(refusal)
+    world.wire.filters.remove(away)
+    world.state.in_outage = True
+    await asyncio.sleep(6)
+    world.state.end_outage()
+    world.kill(str(world.leader))
+    await world.until(lambda: world.leader, 20)
+    await world.until(lambda: world.state.value(CATALOG_KEY), 90)
+
+    written = [
+        (op["set"], op["v"])
+        for body in world.state.transactions
+        for op in body["apply"]
+        if "set" in op
+    ]
+    stems = {key.rpartition("job-")[0] or key for key, _ in written}
+    assert stems == {key.rpartition("job-")[0] or key for key in STORED_B0E3A7B}
+    for key, value in written:
+        assert_stored_form(key, value)
+
+    asked = {(m, p.partition("?")[0]): forms for (m, p), forms in PEERS_B0E3A7B.items()}
+    # With the warm standby on one more question is asked; older versions answer it by 404.
+    hints = seen.pop(("GET", "/hints"), None)
+    assert (hints is not None) == world.standby.enabled
+    if hints is not None and hints[1].status == 200:
+        assert set(hints[1].data) == {"term", "leader", "revision", "hints", "has_next"}
+    # `/level` was asked before the recording began; its answer is in the test below.
+    assert set(seen) == set(asked) - {("GET", "/level")}
+    for kind, (body, reply) in seen.items():
+        sample_body, sample_reply = asked[kind]
+        assert reply.status in (200, 201), kind
+        if kind == ("POST", "/v1/report"):
+            assert set(body) == set(HEARTBEAT)
+            assert set(reply.data) == set(sample_reply)
+            continue
+        # A user's request is passed on as it came: fields may be null.
+        given = {field: v for field, v in (body or {}).items() if v is not None}
+        assert_form(given, sample_body or {}, str(kind))
+        assert_form(reply.data, sample_reply, str(kind))
+
+
+async def test_questions_of_older_versions_are_answered_in_their_forms() -> None:
+    isolated = await IsolatedLeader.with_running_jobs()
+    world = isolated.world
+    await world.cancel(1)
+    await asyncio.sleep(1)
+    follower = world.nodes[isolated.others[0]]
+    leader = world.nodes[isolated.leader]
+
+    async def ask(method: str, path: str, body: Any) -> Response:
+        if path == "/v1/report":
+            body = body | {"baton": world.state.value("spoolcourse/live/term")["term"]}
+        raw = b"" if body is None else orjson.dumps(body)
+        node = leader if path == "/v1/report" else follower
+        found = node.peers(Request(method, path, raw))
+        return found if isinstance(found, Response) else await found
+
+    for (method, recorded_path), (body, answer) in PEERS_B0E3A7B.items():
+        asks_for_cancellations = recorded_path.startswith("/cancellations")
+        path = "/cancellations?beyond=0" if asks_for_cancellations else recorded_path
+        reply = await ask(method, path, body)
+        assert reply.status == 200, path
+        if path == "/v1/report":
+            assert {"baton", "orders", "deaf"} >= set(reply.data) >= {"orders", "deaf"}
+            continue
+        told = orjson.loads(orjson.dumps(reply.data))
+        stage_only = {k: told[k] for k in answer} if path.startswith("/submissions") else told
+        assert_form(stage_only, answer, path)
+    assert (await ask("GET", "/cancellations?beyond=x", None)).status == 400
+    # One that may have forgotten some says so by null, and vouches for nothing.
+    follower.job_index.cancellations = Cancellations(0)
+    follower.job_index.cancellations.add(Cancellation("job-000001", 1000.5, 18))
+    reply = await ask("GET", "/cancellations?beyond=0", None)
+    assert reply.data["cancelled"] is None
--- a/tests/scenarios/test_isolated_leader.py
+++ b/tests/scenarios/test_isolated_leader.py
@@ -12,190 +12,159 @@
 from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
 from spoolcourse.wire.peers import Cancellation
 from spoolcourse.wire.settings import Workers
-from tests.fakes.clock import play
 from tests.fakes.half_open import half_open
 from tests.fakes.isolated_leader import CANCEL_S, IsolatedLeader
 from tests.fakes.world import LABELS
 
 
-def test_only_cancelled_tasks_end_when_the_leader_alone_was_refused() -> None:
-    async def story() -> None:
-        isolated = await IsolatedLeader.with_running_jobs()
-        await isolated.cancel_behind_leader()
-        await isolated.wait_until_tasks_gone_in_time()
-        await isolated.sleep_after_cancellation(60)
-        isolated.end_outage()
-        await asyncio.sleep(10)
-        cloud = isolated.world.cloud
-        assert len(cloud.on_machines("job-000002")) == 4
-        assert len(cloud.starts) == 8
-        for label in LABELS:
-            assert (await isolated.world.poll(1, label)).data["stage"] == "aborted"
-        assert cloud.broken == []
-
-    play(story())
-
-
-def test_a_leader_cut_off_from_its_peers_lets_all_leases_expire() -> None:
-    async def story() -> None:
-        isolated = await IsolatedLeader.with_running_jobs()
-        cut = isolated.partition(isolated.leader, *isolated.others)
-        await isolated.cancel_behind_leader()
-        # No peer can reply to the leader: it lets all leases expire, the cancelled job's too.
-        await isolated.sleep_after_cancellation(20)
-        assert len(isolated.world.cloud.on_machines("job-000002")) == 4, "not sooner than needed"
-        await isolated.wait_until_tasks_gone_in_time()
-        await isolated.sleep_after_cancellation(60)
-        isolated.end_outage()
-        isolated.world.wire.filters.remove(cut)
-        world = isolated.world
-        await world.until(lambda: len(world.cloud.on_machines("job-000002")) == 4, 60)
-        assert world.cloud.on_machines("job-000001") == []
-        assert world.cloud.broken == []
-
-    play(story())
+async def test_only_cancelled_tasks_end_when_the_leader_alone_was_refused() -> None:
+    isolated = await IsolatedLeader.with_running_jobs()
+    await isolated.cancel_behind_leader()
+    await isolated.wait_until_tasks_gone_in_time()
+    await isolated.sleep_after_cancellation(60)
+    isolated.end_outage()
+    await asyncio.sleep(10)
+    cloud = isolated.world.cloud
+    assert len(cloud.on_machines("job-000002")) == 4
+    assert len(cloud.starts) == 8
+    for label in LABELS:
+        assert (await isolated.world.poll(1, label)).data["stage"] == "aborted"
+    assert cloud.broken == []
+
+
+async def test_a_leader_cut_off_from_its_peers_lets_all_leases_expire() -> None:
+    isolated = await IsolatedLeader.with_running_jobs()
+    cut = isolated.partition(isolated.leader, *isolated.others)
+    await isolated.cancel_behind_leader()
+    # No peer can reply to the leader: it lets all leases expire, the cancelled job's too.
+    await isolated.sleep_after_cancellation(20)
+    assert len(isolated.world.cloud.on_machines("job-000002")) == 4, "not sooner than needed"
+    await isolated.wait_until_tasks_gone_in_time()
+    await isolated.sleep_after_cancellation(60)
+    isolated.end_outage()
+    isolated.world.wire.filters.remove(cut)
+    world = isolated.world
+    await world.until(lambda: len(world.cloud.on_machines("job-000002")) == 4, 60)
+    assert world.cloud.on_machines("job-000001") == []
+    assert world.cloud.broken == []
 
 
 @pytest.mark.parametrize("after", [0.3, 20.0])
-def test_cancelled_tasks_end_when_the_only_peer_that_knows_restarts(after: float) -> None:
-    async def story() -> None:
-        isolated = await IsolatedLeader.with_running_jobs()
-        informed, uninformed = isolated.others
-        isolated.refuse_store_requests_of(uninformed)  # it has not seen the cancellation itself
-        cut = isolated.partition(isolated.leader, informed)
-        await isolated.cancel_behind_leader(through=informed)
-        await asyncio.sleep(after)
-        isolated.world.kill(informed)
-        await asyncio.sleep(0.4)
-        isolated.world.start(informed)
-        isolated.world.wire.filters.remove(cut)
-        await isolated.wait_until_tasks_gone_in_time()
-
-    play(story())
-
-
-def test_cancelled_tasks_end_with_a_peer_too_old_to_know_the_query() -> None:
-    async def story() -> None:
-        isolated = await IsolatedLeader.with_running_jobs()
-        isolated.world.wire.filters.append(
-            lambda src, dst, method, path, body: (
-                "404" if dst == f"{isolated.others[0]}:81" and path.startswith("/cancel") else None
-            )
+async def test_cancelled_tasks_end_when_the_only_peer_that_knows_restarts(after: float) -> None:
+    isolated = await IsolatedLeader.with_running_jobs()
+    informed, uninformed = isolated.others
+    isolated.refuse_store_requests_of(uninformed)  # it has not seen the cancellation itself
+    cut = isolated.partition(isolated.leader, informed)
+    await isolated.cancel_behind_leader(through=informed)
+    await asyncio.sleep(after)
+    isolated.world.kill(informed)
+    await asyncio.sleep(0.4)
+    isolated.world.start(informed)
+    isolated.world.wire.filters.remove(cut)
+    await isolated.wait_until_tasks_gone_in_time()
+
+
+async def test_cancelled_tasks_end_with_a_peer_too_old_to_know_the_query() -> None:
+    isolated = await IsolatedLeader.with_running_jobs()
+    isolated.world.wire.filters.append(
+        lambda src, dst, method, path, body: (
+            "404" if dst == f"{isolated.others[0]}:81" and path.startswith("/cancel") else None
         )
-        isolated.refuse_store_requests_of(isolated.others[1])
-        await isolated.cancel_behind_leader(through=isolated.others[0])
-        await isolated.wait_until_tasks_gone_in_time()
-
-    play(story())
+    )
+    isolated.refuse_store_requests_of(isolated.others[1])
+    await isolated.cancel_behind_leader(through=isolated.others[0])
+    await isolated.wait_until_tasks_gone_in_time()
 
 
-def test_relayed_heartbeats_renew_no_longer_than_direct_ones() -> None:
-    async def story() -> None:
-        isolated = await IsolatedLeader.with_running_jobs()
-        isolated.partition(isolated.leader, "m-")
-        # The followers pass heartbeats on; what they know of cancellations doesn't get through.
-        isolated.world.wire.filters.append(
-            lambda src, dst, method, path, body: "cut" if path.startswith("/cancel") else None
-        )
-        await asyncio.sleep(20)
-        assert len(isolated.world.cloud.on_machines("job-000001")) == 4
-        await isolated.cancel_behind_leader()
-        await isolated.wait_until_tasks_gone_in_time()
-
-    play(story())
-
-
-def test_a_leader_is_isolated_twice_in_a_row() -> None:
-    async def story() -> None:
-        isolated = await IsolatedLeader.with_running_jobs(3)
-        for number in (1, 2):
-            await isolated.cancel_behind_leader(number)
-            await isolated.wait_until_tasks_gone_in_time(number)
-            await isolated.sleep_after_cancellation(50)
-            isolated.end_outage()
-            await asyncio.sleep(3)
-            isolated = IsolatedLeader(isolated.world)
-        assert len(isolated.world.cloud.on_machines("job-000003")) == 4
-        assert len(isolated.world.cloud.starts) == 12
-        assert isolated.world.cloud.broken == []
-
-    play(story())
-
-
-def test_a_suspended_leader_renews_no_lease_before_it_is_caught_up() -> None:
-    async def story() -> None:
-        isolated = await IsolatedLeader.with_running_jobs()
-        world = isolated.world
-        _, worker = next(iter(world.cloud.workers.items()))
-        old = world.nodes[isolated.leader]
-        assert old.leader_term is not None
-        assert old.leader_term.active is not None
-        assert worker.fencing_token == old.leader_term.active.registry.fencing_token
-        isolated.partition(isolated.leader, *isolated.others, "state", "cloud", "m-")
-        world.wire.stalled.add((isolated.leader, "state:1"))
-        await isolated.confirm_cancellation()
-        await isolated.sleep_after_cancellation(35)
-        # A worker's heartbeat that its successor's baton has not reached comes before anything
-        # else.
-        body = worker.heartbeat() | {"baton": old.leader_term.active.registry.fencing_token}
-        reply = await world.ask(isolated.leader, "POST", "/v1/report", body)
-        assert (reply.status, "baton" in (reply.data or {})) == (503, False)
-        assert int(reply.headers["Retry-After"]) >= 1
-
-    play(story())
-
-
-def test_running_work_survives_an_outage_longer_than_cancel_s() -> None:
-    async def story() -> None:
-        isolated = await IsolatedLeader.with_running_jobs()
-        isolated.world.state.in_outage = True
-        await asyncio.sleep(3 * CANCEL_S)
+async def test_relayed_heartbeats_renew_no_longer_than_direct_ones() -> None:
+    isolated = await IsolatedLeader.with_running_jobs()
+    isolated.partition(isolated.leader, "m-")
+    # The followers pass heartbeats on; what they know of cancellations doesn't get through.
+    isolated.world.wire.filters.append(
+        lambda src, dst, method, path, body: "cut" if path.startswith("/cancel") else None
+    )
+    await asyncio.sleep(20)
+    assert len(isolated.world.cloud.on_machines("job-000001")) == 4
+    await isolated.cancel_behind_leader()
+    await isolated.wait_until_tasks_gone_in_time()
+
+
+async def test_a_leader_is_isolated_twice_in_a_row() -> None:
+    isolated = await IsolatedLeader.with_running_jobs(3)
+    for number in (1, 2):
+        await isolated.cancel_behind_leader(number)
+        await isolated.wait_until_tasks_gone_in_time(number)
+        await isolated.sleep_after_cancellation(50)
         isolated.end_outage()
-        await asyncio.sleep(5)
-        for number in (1, 2):
-            assert len(isolated.world.cloud.on_machines(f"job-{number:06d}")) == 4
-        assert len(isolated.world.cloud.starts) == 8
-        assert {w.incarnation for w in isolated.world.cloud.workers.values()} == {1}
-
-    play(story())
+        await asyncio.sleep(3)
+        isolated = IsolatedLeader(isolated.world)
+    assert len(isolated.world.cloud.on_machines("job-000003")) == 4
+    assert len(isolated.world.cloud.starts) == 12
+    assert isolated.world.cloud.broken == []
+
+
+async def test_a_suspended_leader_renews_no_lease_before_it_is_caught_up() -> None:
+    isolated = await IsolatedLeader.with_running_jobs()
+    world = isolated.world
+    _, worker = next(iter(world.cloud.workers.items()))
+    old = world.nodes[isolated.leader]
+    assert old.leader_term is not None
+    assert old.leader_term.active is not None
+    assert worker.fencing_token == old.leader_term.active.registry.fencing_token
+    isolated.partition(isolated.leader, *isolated.others, "state", "cloud", "m-")
+    world.wire.stalled.add((isolated.leader, "state:1"))
+    await isolated.confirm_cancellation()
+    await isolated.sleep_after_cancellation(35)
+    # A worker's heartbeat that its successor's baton has not reached comes before anything
+    # else.
+    body = worker.heartbeat() | {"baton": old.leader_term.active.registry.fencing_token}
+    reply = await world.ask(isolated.leader, "POST", "/v1/report", body)
+    assert (reply.status, "baton" in (reply.data or {})) == (503, False)
+    assert int(reply.headers["Retry-After"]) >= 1
+
+
+async def test_running_work_survives_an_outage_longer_than_cancel_s() -> None:
+    isolated = await IsolatedLeader.with_running_jobs()
+    isolated.world.state.in_outage = True
+    await asyncio.sleep(3 * CANCEL_S)
+    isolated.end_outage()
+    await asyncio.sleep(5)
+    for number in (1, 2):
+        assert len(isolated.world.cloud.on_machines(f"job-{number:06d}")) == 4
+    assert len(isolated.world.cloud.starts) == 8
+    assert {w.incarnation for w in isolated.world.cloud.workers.values()} == {1}
 
 
 @pytest.mark.parametrize("way", ["deaf", "mute", "hung"])
-def test_a_late_cancellation_ends_tasks_on_an_unreachable_machine(way: str) -> None:
-    async def story() -> None:
-        isolated = await IsolatedLeader.with_running_jobs()
-        world = isolated.world
-        cut = isolated.partition(isolated.leader, *isolated.others)
-        await isolated.cancel_behind_leader()
-        await isolated.sleep_after_cancellation(31)
-        for name in list(world.cloud.workers):
-            if way == "hung":
-                world.cut_off(name)
-            elif way == "mute":
-                world.wire.filters.append(
-                    lambda src, dst, *rest, name=name: "cut" if src == name else None
-                )
-            else:
-                world.wire.filters.append(half_open(name))
-        await asyncio.sleep(1)
-        world.wire.filters.remove(cut)  # now it learns of it
-        await isolated.wait_until_tasks_gone_in_time()
-        await asyncio.sleep(20)
-        assert world.cloud.on_machines("job-000001") == []
-
-    play(story())
-
-
-def test_a_leader_refused_alone_learns_of_its_successor_from_a_peer() -> None:
-    async def story() -> None:
-        isolated = await IsolatedLeader.with_running_jobs()
-        old = isolated.world.nodes[isolated.leader]
-        isolated.refuse_store_requests_of(isolated.leader)
-        isolated.partition(isolated.leader, "m-")  # no worker tells it
-        await isolated.world.until(lambda: old.leader_term is None, 10)
-        assert any(isolated.world.nodes[n].leader_term for n in isolated.others)
-
-    play(story())
+async def test_a_late_cancellation_ends_tasks_on_an_unreachable_machine(way: str) -> None:
+    isolated = await IsolatedLeader.with_running_jobs()
+    world = isolated.world
+    cut = isolated.partition(isolated.leader, *isolated.others)
+    await isolated.cancel_behind_leader()
+    await isolated.sleep_after_cancellation(31)
+    for name in list(world.cloud.workers):
+        if way == "hung":
+            world.cut_off(name)
+        elif way == "mute":
+            world.wire.filters.append(
+                lambda src, dst, *rest, name=name: "cut" if src == name else None
+            )
+        else:
+            world.wire.filters.append(half_open(name))
+    await asyncio.sleep(1)
+    world.wire.filters.remove(cut)  # now it learns of it
+    await isolated.wait_until_tasks_gone_in_time()
+    await asyncio.sleep(20)
+    assert world.cloud.on_machines("job-000001") == []
+
+
+async def test_a_leader_refused_alone_learns_of_its_successor_from_a_peer() -> None:
+    isolated = await IsolatedLeader.with_running_jobs()
+    old = isolated.world.nodes[isolated.leader]
+    isolated.refuse_store_requests_of(isolated.leader)
+    isolated.partition(isolated.leader, "m-")  # no worker tells it
+    await isolated.world.until(lambda: old.leader_term is None, 10)
+    assert any(isolated.world.nodes[n].leader_term for n in isolated.others)
 
 
 def test_renewal_ends_early_enough_for_an_unknown_cancellation() -> None:
--- a/tests/scenarios/test_late_messages.py
+++ b/tests/scenarios/test_late_messages.py
@@ -23,7 +23,7 @@
 )
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.settings import State
-from tests.fakes.clock import play, spawn
+from tests.fakes.clock import spawn
 from tests.fakes.meetings import ended, insist, shift_leader
 from tests.fakes.net import FakeWire
 from tests.fakes.registry import TERM, RegistryHarness, on
@@ -90,42 +90,37 @@
     assert not harness.job_state.attempts
 
 
-def test_a_claim_that_is_carried_out_late_is_not_taken_for_the_next_one() -> None:
+async def test_a_claim_that_is_carried_out_late_is_not_taken_for_the_next_one() -> None:
     # Both are of the same run and for the same term, but each has its own lease. The key is
     # attached to the first one's, which nobody renews.
-    async def story() -> None:
-        store, wire = FakeKeyValueStore(), FakeWire()
-        wire.hosts["state:1"] = store.serve
-        limits = State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
-        client = StoreClient(wire.end_of("n0"), "state:1", limits, controllers=2)
-        watch_cache = WatchCache(client, PREFIX)
-        leadership = Leadership(client, watch_cache, "n0", "run-0")
-        await watch_cache.reload()
-        wire.filters.append(
-            lambda src, dst, method, path, body: "hold" if path == "/multi" else None
-        )
-        for _ in range(2):
-            try:
-                await leadership._stand_for_election()
-            except OutcomeUnknownError:
-                if len(wire.held) == 2:
-                    break
-                # The first claim is carried out while the second one is under way.
-                get = client.get
-
-                async def late(key: str, get: Any = get) -> Any:
-                    _, method, path, body = wire.held[0]
-                    await store.serve(method, path, body)
-                    return await get(key)
-
-                client.get = late  # type: ignore[method-assign]
-        assert leadership.term is None
-        assert len(wire.held) == 2
-        assert store.value(LEADER_KEY) is not None
-        await asyncio.sleep(4)
-        assert store.value(LEADER_KEY) is None, "nobody renews it, so others may stand"
-
-    play(story())
+    store, wire = FakeKeyValueStore(), FakeWire()
+    wire.hosts["state:1"] = store.serve
+    limits = State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
+    client = StoreClient(wire.end_of("n0"), "state:1", limits, controllers=2)
+    watch_cache = WatchCache(client, PREFIX)
+    leadership = Leadership(client, watch_cache, "n0", "run-0")
+    await watch_cache.reload()
+    wire.filters.append(lambda src, dst, method, path, body: "hold" if path == "/multi" else None)
+    for _ in range(2):
+        try:
+            await leadership._stand_for_election()
+        except OutcomeUnknownError:
+            if len(wire.held) == 2:
+                break
+            # The first claim is carried out while the second one is under way.
+            get = client.get
+
+            async def late(key: str, get: Any = get) -> Any:
+                _, method, path, body = wire.held[0]
+                await store.serve(method, path, body)
+                return await get(key)
+
+            client.get = late  # type: ignore[method-assign]
+    assert leadership.term is None
+    assert len(wire.held) == 2
+    assert store.value(LEADER_KEY) is not None
+    await asyncio.sleep(4)
+    assert store.value(LEADER_KEY) is None, "nobody renews it, so others may stand"
 
 
 def keys_that_guard(key: str) -> set[str]:
@@ -174,114 +169,104 @@
 
 
 @pytest.mark.parametrize("every", [2, 3])
-def test_transactions_carried_out_late_change_nothing_that_is_newer(every: int) -> None:
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda task: 6.0 + int(task[-1]) * 3.0
-        await world.up()
-        world.wire.filters.append(delay_transactions(world, every))
-        for number in range(1, 9):
-            body = job(number, pieces=3, crew="blue" if number % 2 else "red")
-            await insist(world, lambda label, body=body: world.submit(body, label))
-            if number % 3 == 0:
-                spawn(insist(world, lambda label, n=number: world.cancel(n, label)))
-            if number == 5:
-                await shift_leader(world, 0.3)
-        await asyncio.sleep(60)
-        world.wire.filters.clear()
-        await asyncio.sleep(15)
-        await ended(world, range(1, 9))
-
-    play(story())
-
-
-def test_a_heartbeat_that_arrives_after_a_new_leader_has_acted_gets_no_commands() -> None:
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda task: 25.0
-        world.cloud.capacity = 3
-        name = await world.up_with_machine()
-        world.cloud.add("b")
-        await world.submit(job(pieces=6))
-        await world.until(lambda: len(world.cloud.starts) == 6, 60)
-        held: list[Any] = []
-
-        def hold(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
-            if src == name and path == "/v1/report":
-                held.append(body)
-                return "cut"
-            return None
-
-        world.wire.filters.append(hold)
-        await asyncio.sleep(2)
-        await shift_leader(world, 0.5)
-        await asyncio.sleep(20)  # its lease has run out, and its work goes on elsewhere
-        for body in held:
-            for label in LABELS:
-                reply = await world.ask(label, "POST", "/v1/report", body)
-                assert not (reply.status == 200 and reply.data.get("orders"))
-        world.wire.filters.clear()
-        await ended(world, (1,))
-
-    play(story())
-
-
-def test_commands_that_arrive_late_at_a_machine_that_hung_break_no_rule() -> None:
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda task: 15.0
-        world.cloud.capacity = 3
-        name = await world.up_with_machine()
-
-        def hold(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
-            return "hold" if dst == f"{name}:9000" and path == "/orders" else None
-
-        world.wire.filters.append(hold)
-        await world.submit(job(1, pieces=4))
-        await world.submit(job(2, pieces=4))
-        await asyncio.sleep(3)
-        await world.cancel(2)
-        world.cut_off(name)  # it hangs for a while
-        await asyncio.sleep(6)
-        world.wire.filters.clear()
-        await world.wire.release()
-        await asyncio.sleep(12)
-        await world.wire.release()
-        await ended(world, (1, 2))
-
-    play(story())
+async def test_transactions_carried_out_late_change_nothing_that_is_newer(every: int) -> None:
+    world = World()
+    world.cloud.run_s = lambda task: 6.0 + int(task[-1]) * 3.0
+    await world.up()
+    world.wire.filters.append(delay_transactions(world, every))
+    for number in range(1, 9):
+        body = job(number, pieces=3, crew="blue" if number % 2 else "red")
+        await insist(world, lambda label, body=body: world.submit(body, label))
+        if number % 3 == 0:
+            spawn(insist(world, lambda label, n=number: world.cancel(n, label)))
+        if number == 5:
+            await shift_leader(world, 0.3)
+    await asyncio.sleep(60)
+    world.wire.filters.clear()
+    await asyncio.sleep(15)
+    await ended(world, range(1, 9))
+
+
+async def test_a_heartbeat_that_arrives_after_a_new_leader_has_acted_gets_no_commands() -> None:
+    world = World()
+    world.cloud.run_s = lambda task: 25.0
+    world.cloud.capacity = 3
+    name = await world.up_with_machine()
+    world.cloud.add("b")
+    await world.submit(job(pieces=6))
+    await world.until(lambda: len(world.cloud.starts) == 6, 60)
+    held: list[Any] = []
+
+    def hold(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
+        if src == name and path == "/v1/report":
+            held.append(body)
+            return "cut"
+        return None
+
+    world.wire.filters.append(hold)
+    await asyncio.sleep(2)
+    await shift_leader(world, 0.5)
+    await asyncio.sleep(20)  # its lease has run out, and its work goes on elsewhere
+    for body in held:
+        for label in LABELS:
+            reply = await world.ask(label, "POST", "/v1/report", body)
+            assert not (reply.status == 200 and reply.data.get("orders"))
+    world.wire.filters.clear()
+    await ended(world, (1,))
+
+
+async def test_commands_that_arrive_late_at_a_machine_that_hung_break_no_rule() -> None:
+    world = World()
+    world.cloud.run_s = lambda task: 15.0
+    world.cloud.capacity = 3
+    name = await world.up_with_machine()
+
+    def hold(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
+        return "hold" if dst == f"{name}:9000" and path == "/orders" else None
+
+    world.wire.filters.append(hold)
+    await world.submit(job(1, pieces=4))
+    await world.submit(job(2, pieces=4))
+    await asyncio.sleep(3)
+    await world.cancel(2)
+    world.cut_off(name)  # it hangs for a while
+    await asyncio.sleep(6)
+    world.wire.filters.clear()
+    await world.wire.release()
+    await asyncio.sleep(12)
+    await world.wire.release()
+    await ended(world, (1, 2))
 
 
 @pytest.mark.parametrize("meanwhile", ["cancelled", "another leader", "ended"])
-def test_a_write_under_way_is_refused_once_what_it_depends_on_has_changed(meanwhile: str) -> None:
+async def test_a_write_under_way_is_refused_once_what_it_depends_on_has_changed(
+    meanwhile: str,
+) -> None:
     # The key itself has not changed, but another that the write depends on has.
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda task: 4.0
-        await world.up_with_machine()
-        kind = FINAL_PREFIX if meanwhile == "ended" else PROGRESS_PREFIX
-
-        def hold(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
-            puts = [op.get("set", "") for op in (body or {}).get("apply", [])]
-            return "hold" if any(key.startswith(kind) for key in puts) else None
-
-        world.wire.filters.append(hold)
-        await world.submit(job(pieces=2))
-        await asyncio.sleep(14 if meanwhile == "ended" else 3)
-        of_first = len(world.wire.held)  # a quick successor's own writes are held after these
-        assert of_first
-        if meanwhile == "another leader":
-            first = str(world.leader)
-            world.kill(first)
-            await world.until(lambda: world.leader not in (None, first), 10)
-        else:
-            assert (await world.cancel(1, "n1")).data["stage"] == "aborted"
-        late = await world.wire.release()
-        assert {reply.status for reply in late[:of_first]} == {409}
-        assert of_first == len(late) or meanwhile == "another leader"
-        world.wire.filters.clear()
-        if meanwhile == "another leader":
-            world.start(first)
-        await ended(world, (1,))
-
-    play(story())
+    world = World()
+    world.cloud.run_s = lambda task: 4.0
+    await world.up_with_machine()
+    kind = FINAL_PREFIX if meanwhile == "ended" else PROGRESS_PREFIX
+
+    def hold(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
+        puts = [op.get("set", "") for op in (body or {}).get("apply", [])]
+        return "hold" if any(key.startswith(kind) for key in puts) else None
+
+    world.wire.filters.append(hold)
+    await world.submit(job(pieces=2))
+    await asyncio.sleep(14 if meanwhile == "ended" else 3)
+    of_first = len(world.wire.held)  # a quick successor's own writes are held after these
+    assert of_first
+    if meanwhile == "another leader":
+        first = str(world.leader)
+        world.kill(first)
+        await world.until(lambda: world.leader not in (None, first), 10)
+    else:
+        assert (await world.cancel(1, "n1")).data["stage"] == "aborted"
+    late = await world.wire.release()
+    assert {reply.status for reply in late[:of_first]} == {409}
+    assert of_first == len(late) or meanwhile == "another leader"
+    world.wire.filters.clear()
+    if meanwhile == "another leader":
+        world.start(first)
+    await ended(world, (1,))
--- a/tests/scenarios/test_meetings.py
+++ b/tests/scenarios/test_meetings.py
@@ -7,294 +7,258 @@
 
 import pytest
 
-from tests.fakes.clock import play
 from tests.fakes.meetings import ended, insist, shift_leader
 from tests.fakes.world import LABELS, World, job
 
 
 @pytest.mark.parametrize("out", [False, True])
-def test_ten_changes_of_leader_in_two_minutes(out: bool) -> None:
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda task: 45.0 if task.endswith("/0") else 12.0
-        await world.up()
-        for number in range(1, 7):
-            await world.submit(job(number, pieces=3, crew="blue"))
-        await asyncio.sleep(12)
-        for turn in range(10):
-            if out and turn in (3, 4, 5):
-                world.state.in_outage = True
-            first = str(world.leader) if world.leader else LABELS[turn % 3]
-            world.kill(first)
-            await asyncio.sleep((0.3, 0.9, 6.0)[turn % 3])
-            world.start(first)
-            await asyncio.sleep(5.0)
-            if out and turn == 5:
-                world.state.end_outage()
-            if turn == 7:
-                await insist(world, lambda label: world.cancel(2, label))
-            await asyncio.sleep(1.0)
-        await world.until(lambda: world.leader, 30)
-        await ended(world, range(1, 7))
-
-    play(story())
-
-
-def test_a_team_at_its_limit_whose_machines_cannot_be_asked_by_the_new_leader() -> None:
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda task: 300.0
-        world.cloud.capacity = 12
-        world.cloud.lease_s = 25.0  # long, so that unproven work is on for long
-        await world.up()
-        for number in (1, 2):
-            await world.submit(job(number, crew="blue", pieces=8))
-        await world.until(lambda: len(world.cloud.starts) == 16, 60)
-        silent = sorted({machine for _, _, machine in world.cloud.starts})[:2]
-        for name in silent:
-            world.cut_off(name)
-        world.kill(str(world.leader))
-        await insist(world, lambda label: world.cancel(1, label))
-        await insist(world, lambda label: world.submit(job(3, crew="blue", pieces=16), label))
-        await world.until(lambda: world.leader, 30)
-        await asyncio.sleep(120)
-        assert world.cloud.broken == []
-        on = len(world.cloud.on_machines("job-000002")) + len(world.cloud.on_machines("job-000003"))
-        assert on == 16, "and its limit is used again"
-
-    play(story())
-
-
-def test_tasks_that_end_far_apart_across_a_change_of_leader() -> None:
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda task: (3.0, 18.0, 60.0)[int(task[-1])]
-        await world.up()
-        for number in (1, 2, 3):
-            await world.submit(job(number, pieces=3))
-        await world.until(lambda: len(world.cloud.starts) == 9, 60)
-        await asyncio.sleep(4)
-        await shift_leader(world, 0.2)
-        await asyncio.sleep(18)
-        await shift_leader(world, 8.0)
-        await ended(world, (1, 2, 3))
-        assert len(world.cloud.starts) == 9, "what was done stays done"
-
-    play(story())
-
-
-def test_jobs_bound_to_a_zone_lose_machines() -> None:
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda task: 20.0
-        await world.up()
-        for yard in ("a", "b"):  # each has room for half of the first job
-            world.cloud.add(yard)
-        await asyncio.sleep(4)
-        await world.submit(job(1, pieces=8, oneZone=True))
-        await world.submit(job(2, pieces=8, scatter=True))
-        await world.submit(job(3, pieces=4, oneZone=True, yard="b", crew="blue"))
-        await world.until(lambda: len(world.cloud.starts) >= 16, 90)
-        for name in ("job-000001", "job-000002", "job-000003"):
-            machine = next(m for _, n, m in world.cloud.starts if n.startswith(name))
-            if machine in world.cloud.hosts:
-                world.cloud.take(machine)
-        silent = next(m for _, n, m in reversed(world.cloud.starts) if m in world.cloud.hosts)
-        world.cut_off(silent)
-        await shift_leader(world, 0.5)
-        await ended(world, (1, 2, 3))
-
-    play(story())
+async def test_ten_changes_of_leader_in_two_minutes(out: bool) -> None:
+    world = World()
+    world.cloud.run_s = lambda task: 45.0 if task.endswith("/0") else 12.0
+    await world.up()
+    for number in range(1, 7):
+        await world.submit(job(number, pieces=3, crew="blue"))
+    await asyncio.sleep(12)
+    for turn in range(10):
+        if out and turn in (3, 4, 5):
+            world.state.in_outage = True
+        first = str(world.leader) if world.leader else LABELS[turn % 3]
+        world.kill(first)
+        await asyncio.sleep((0.3, 0.9, 6.0)[turn % 3])
+        world.start(first)
+        await asyncio.sleep(5.0)
+        if out and turn == 5:
+            world.state.end_outage()
+        if turn == 7:
+            await insist(world, lambda label: world.cancel(2, label))
+        await asyncio.sleep(1.0)
+    await world.until(lambda: world.leader, 30)
+    await ended(world, range(1, 7))
+
+
+async def test_a_team_at_its_limit_whose_machines_cannot_be_asked_by_the_new_leader() -> None:
+    world = World()
+    world.cloud.run_s = lambda task: 300.0
+    world.cloud.capacity = 12
+    world.cloud.lease_s = 25.0  # long, so that unproven work is on for long
+    await world.up()
+    for number in (1, 2):
+        await world.submit(job(number, crew="blue", pieces=8))
+    await world.until(lambda: len(world.cloud.starts) == 16, 60)
+    silent = sorted({machine for _, _, machine in world.cloud.starts})[:2]
+    for name in silent:
+        world.cut_off(name)
+    world.kill(str(world.leader))
+    await insist(world, lambda label: world.cancel(1, label))
+    await insist(world, lambda label: world.submit(job(3, crew="blue", pieces=16), label))
+    await world.until(lambda: world.leader, 30)
+    await asyncio.sleep(120)
+    assert world.cloud.broken == []
+    on = len(world.cloud.on_machines("job-000002")) + len(world.cloud.on_machines("job-000003"))
+    assert on == 16, "and its limit is used again"
+
+
+async def test_tasks_that_end_far_apart_across_a_change_of_leader() -> None:
+    world = World()
+    world.cloud.run_s = lambda task: (3.0, 18.0, 60.0)[int(task[-1])]
+    await world.up()
+    for number in (1, 2, 3):
+        await world.submit(job(number, pieces=3))
+    await world.until(lambda: len(world.cloud.starts) == 9, 60)
+    await asyncio.sleep(4)
+    await shift_leader(world, 0.2)
+    await asyncio.sleep(18)
+    await shift_leader(world, 8.0)
+    await ended(world, (1, 2, 3))
+    assert len(world.cloud.starts) == 9, "what was done stays done"
+
+
+async def test_jobs_bound_to_a_zone_lose_machines() -> None:
+    world = World()
+    world.cloud.run_s = lambda task: 20.0
+    await world.up()
+    for yard in ("a", "b"):  # each has room for half of the first job
+        world.cloud.add(yard)
+    await asyncio.sleep(4)
+    await world.submit(job(1, pieces=8, oneZone=True))
+    await world.submit(job(2, pieces=8, scatter=True))
+    await world.submit(job(3, pieces=4, oneZone=True, yard="b", crew="blue"))
+    await world.until(lambda: len(world.cloud.starts) >= 16, 90)
+    for name in ("job-000001", "job-000002", "job-000003"):
+        machine = next(m for _, n, m in world.cloud.starts if n.startswith(name))
+        if machine in world.cloud.hosts:
+            world.cloud.take(machine)
+    silent = next(m for _, n, m in reversed(world.cloud.starts) if m in world.cloud.hosts)
+    world.cut_off(silent)
+    await shift_leader(world, 0.5)
+    await ended(world, (1, 2, 3))
 
 
 @pytest.mark.parametrize("wait", [x / 8 for x in range(16)])
-def test_the_end_of_the_last_task_meets_everything_that_users_ask(wait: float) -> None:
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda task: 5.0
-        world.wire.delay = 0.08  # so that what meets is under way for a while
-        await world.up_with_machine()
-        await world.submit(job(pieces=2))
-        await world.until(lambda: len(world.cloud.starts) == 2, 60)
-        await asyncio.sleep(4.5 + wait)
-        await asyncio.gather(
-            world.cancel(1, "n0"),
-            world.poll(1, "n1"),
-            world.submit(job(pieces=2), "n2"),
-            world.cancel(1, "n2"),
-            world.poll(1, "n0"),
-        )
-        for _ in range(12):
-            for label in LABELS:
-                await world.poll(1, label)
-                await world.submit(job(pieces=2), label)
-            await asyncio.sleep(0.5)
-        assert world.told["job-000001"] in ("done", "aborted")
-        assert world.cloud.broken == []
-
-    play(story())
+async def test_the_end_of_the_last_task_meets_everything_that_users_ask(wait: float) -> None:
+    world = World()
+    world.cloud.run_s = lambda task: 5.0
+    world.wire.delay = 0.08  # so that what meets is under way for a while
+    await world.up_with_machine()
+    await world.submit(job(pieces=2))
+    await world.until(lambda: len(world.cloud.starts) == 2, 60)
+    await asyncio.sleep(4.5 + wait)
+    await asyncio.gather(
+        world.cancel(1, "n0"),
+        world.poll(1, "n1"),
+        world.submit(job(pieces=2), "n2"),
+        world.cancel(1, "n2"),
+        world.poll(1, "n0"),
+    )
+    for _ in range(12):
+        for label in LABELS:
+            await world.poll(1, label)
+            await world.submit(job(pieces=2), label)
+        await asyncio.sleep(0.5)
+    assert world.told["job-000001"] in ("done", "aborted")
+    assert world.cloud.broken == []
 
 
 @pytest.mark.parametrize("leader_inside", [False, True])
-def test_a_zone_with_workers_and_a_controller_is_cut_off_for_longer_than_a_lease(
+async def test_a_zone_with_workers_and_a_controller_is_cut_off_for_longer_than_a_lease(
     leader_inside: bool,
 ) -> None:
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda task: 40.0
-        await world.up()
-        await world.submit(job(1, pieces=8, scatter=True))
-        await world.submit(job(2, pieces=4, oneZone=True))
-        await world.until(lambda: len(world.cloud.starts) == 12, 90)
-        leader = str(world.leader)
-        node = leader if leader_inside else next(n for n in LABELS if n != leader)
-
-        def inside(end: str) -> bool:
-            worker = world.cloud.workers.get(end)
-            return end == node or (worker is not None and worker.host["yard"] == "b")
-
-        world.wire.filters.append(
-            lambda src, dst, *rest: (
-                "hold" if inside(src) != inside(dst.split(":")[0]) and src != "user" else None
-            )
+    world = World()
+    world.cloud.run_s = lambda task: 40.0
+    await world.up()
+    await world.submit(job(1, pieces=8, scatter=True))
+    await world.submit(job(2, pieces=4, oneZone=True))
+    await world.until(lambda: len(world.cloud.starts) == 12, 90)
+    leader = str(world.leader)
+    node = leader if leader_inside else next(n for n in LABELS if n != leader)
+
+    def inside(end: str) -> bool:
+        worker = world.cloud.workers.get(end)
+        return end == node or (worker is not None and worker.host["yard"] == "b")
+
+    world.wire.filters.append(
+        lambda src, dst, *rest: (
+            "hold" if inside(src) != inside(dst.split(":")[0]) and src != "user" else None
         )
-        world.wire.stalled.add((node, "state:1"))
-        await asyncio.sleep(3)
-        other = next(n for n in LABELS if n != node)
-        await world.cancel(2, other)
-        await asyncio.sleep(30)
-        world.wire.filters.clear()
-        world.wire.stalled.clear()
-        for dst, method, path, body in world.wire.held:
-            if dst in world.wire.hosts:
-                await world.wire.hosts[dst](method, path, body)
-        await ended(world, (1, 2))
-
-    play(story())
-
-
-def test_all_controllers_are_away_for_longer_than_a_lease() -> None:
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda task: 30.0
-        await world.up()
-        await world.submit(job(1, pieces=6))
-        await world.submit(job(2, pieces=6, crew="blue"))
-        await world.until(lambda: len(world.cloud.starts) == 12, 60)
-        for label in LABELS:
-            world.kill(label)
-        await asyncio.sleep(25)
-        await world.up()
-        await insist(world, lambda label: world.cancel(2, label))
-        await ended(world, (1, 2))
-
-    play(story())
-
-
-def test_a_state_service_that_answers_slowly_while_users_cancel_and_ask() -> None:
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda task: 20.0
-        await world.up()
-        serve = world.state.serve
-
-        async def slow(method: str, path: str, body: Any) -> Any:
-            if not path.startswith("/watch") or "blockMs=0" in path:
-                await asyncio.sleep(0.7)
-            return await serve(method, path, body)
-
-        world.wire.hosts["state:1"] = slow
+    )
+    world.wire.stalled.add((node, "state:1"))
+    await asyncio.sleep(3)
+    other = next(n for n in LABELS if n != node)
+    await world.cancel(2, other)
+    await asyncio.sleep(30)
+    world.wire.filters.clear()
+    world.wire.stalled.clear()
+    for dst, method, path, body in world.wire.held:
+        if dst in world.wire.hosts:
+            await world.wire.hosts[dst](method, path, body)
+    await ended(world, (1, 2))
+
+
+async def test_all_controllers_are_away_for_longer_than_a_lease() -> None:
+    world = World()
+    world.cloud.run_s = lambda task: 30.0
+    await world.up()
+    await world.submit(job(1, pieces=6))
+    await world.submit(job(2, pieces=6, crew="blue"))
+    await world.until(lambda: len(world.cloud.starts) == 12, 60)
+    for label in LABELS:
+        world.kill(label)
+    await asyncio.sleep(25)
+    await world.up()
+    await insist(world, lambda label: world.cancel(2, label))
+    await ended(world, (1, 2))
+
+
+async def test_a_state_service_that_answers_slowly_while_users_cancel_and_ask() -> None:
+    world = World()
+    world.cloud.run_s = lambda task: 20.0
+    await world.up()
+    serve = world.state.serve
+
+    async def slow(method: str, path: str, body: Any) -> Any:
+        if not path.startswith("/watch") or "blockMs=0" in path:
+            await asyncio.sleep(0.7)
+        return await serve(method, path, body)
+
+    world.wire.hosts["state:1"] = slow
+    for number in range(1, 9):
+        body = job(number, pieces=2)
+        await insist(world, lambda label, body=body: world.submit(body, label))
+    for number in (2, 5):
+        await insist(world, lambda label, n=number: world.cancel(n, label))
+    for _ in range(10):
         for number in range(1, 9):
-            body = job(number, pieces=2)
-            await insist(world, lambda label, body=body: world.submit(body, label))
-        for number in (2, 5):
-            await insist(world, lambda label, n=number: world.cancel(n, label))
-        for _ in range(10):
-            for number in range(1, 9):
-                began = world.now()
-                reply = await world.poll(number, LABELS[number % 3])
-                assert reply.status in (200, 503)
-                assert world.now() - began < 5.0
-            await asyncio.sleep(2)
-        world.wire.hosts["state:1"] = serve
-        await ended(world, range(1, 9))
-
-    play(story())
-
-
-def test_more_work_than_room_over_slow_links() -> None:
-    async def story() -> None:
-        world = World()
-        world.wire.delay = 0.25
-        world.cloud.capacity = 3
-        world.cloud.run_s = lambda task: 8.0
-        await world.up()
-        numbers = range(1, 13)
-        for number in numbers:
-            rank = "high" if number % 3 == 0 else "standard"
-            body = job(number, pieces=4, rank=rank, crew="blue" if number % 2 else "red")
-            await insist(world, lambda label, body=body: world.submit(body, label))
-        await ended(world, numbers, 300)
-        for name in world.jobs:
-            began = min(at for at, n, _ in world.cloud.starts if n.startswith(name))
-            assert began - 1000.0 < 240
-
-    play(story())
-
-
-def test_jobs_cancelled_through_the_new_leader_while_workers_reach_only_the_old_one() -> None:
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda task: 300.0
-        await world.up()
-        await world.submit(job(1))
-        await world.submit(job(2))
-        await world.until(lambda: len(world.cloud.starts) == 8, 60)
-        old = str(world.leader)
-        machines = tuple(world.cloud.workers)
-
-        def alone(src: str, dst: str, *rest: Any) -> str | None:
-            ends = {src, dst.split(":", maxsplit=1)[0]}
-            if old in ends:
-                return "cut" if ends & ({"state", "cloud", *LABELS} - {old}) else None
-            return "cut" if ends & set(machines) and ends & set(LABELS) else None
-
-        world.wire.filters.append(alone)
-        world.wire.stalled.add((old, "state:1"))
-        other = next(n for n in LABELS if n != old)
-        await world.until(
-            lambda: any(n != old and c.leader_term for n, c in world.nodes.items()), 10
-        )
-        assert (await world.cancel(1, other)).data["stage"] == "aborted"
-        assert (await world.cancel(1, old)).status == 503
-        await asyncio.sleep(60)
-        world.wire.filters.clear()
-        world.wire.stalled.clear()
-        await asyncio.sleep(30)
-        assert world.cloud.broken == []
-        assert world.cloud.on_machines("job-000001") == []
-        assert len(world.cloud.on_machines("job-000002")) == 4
-
-    play(story())
-
-
-def test_a_job_that_failed_on_every_machine_there_is_tries_them_again() -> None:
+            began = world.now()
+            reply = await world.poll(number, LABELS[number % 3])
+            assert reply.status in (200, 503)
+            assert world.now() - began < 5.0
+        await asyncio.sleep(2)
+    world.wire.hosts["state:1"] = serve
+    await ended(world, range(1, 9))
+
+
+async def test_more_work_than_room_over_slow_links() -> None:
+    world = World()
+    world.wire.delay = 0.25
+    world.cloud.capacity = 3
+    world.cloud.run_s = lambda task: 8.0
+    await world.up()
+    numbers = range(1, 13)
+    for number in numbers:
+        rank = "high" if number % 3 == 0 else "standard"
+        body = job(number, pieces=4, rank=rank, crew="blue" if number % 2 else "red")
+        await insist(world, lambda label, body=body: world.submit(body, label))
+    await ended(world, numbers, 300)
+    for name in world.jobs:
+        began = min(at for at, n, _ in world.cloud.starts if n.startswith(name))
+        assert began - 1000.0 < 240
+
+
+async def test_jobs_cancelled_through_the_new_leader_while_workers_reach_only_the_old_one() -> None:
+    world = World()
+    world.cloud.run_s = lambda task: 300.0
+    await world.up()
+    await world.submit(job(1))
+    await world.submit(job(2))
+    await world.until(lambda: len(world.cloud.starts) == 8, 60)
+    old = str(world.leader)
+    machines = tuple(world.cloud.workers)
+
+    def alone(src: str, dst: str, *rest: Any) -> str | None:
+        ends = {src, dst.split(":", maxsplit=1)[0]}
+        if old in ends:
+            return "cut" if ends & ({"state", "cloud", *LABELS} - {old}) else None
+        return "cut" if ends & set(machines) and ends & set(LABELS) else None
+
+    world.wire.filters.append(alone)
+    world.wire.stalled.add((old, "state:1"))
+    other = next(n for n in LABELS if n != old)
+    await world.until(lambda: any(n != old and c.leader_term for n, c in world.nodes.items()), 10)
+    assert (await world.cancel(1, other)).data["stage"] == "aborted"
+    assert (await world.cancel(1, old)).status == 503
+    await asyncio.sleep(60)
+    world.wire.filters.clear()
+    world.wire.stalled.clear()
+    await asyncio.sleep(30)
+    assert world.cloud.broken == []
+    assert world.cloud.on_machines("job-000001") == []
+    assert len(world.cloud.on_machines("job-000002")) == 4
+
+
+async def test_a_job_that_failed_on_every_machine_there_is_tries_them_again() -> None:
     # Machines it failed on were avoided forever, though a fault may pass: no other could be had.
-    async def story() -> None:
-        world = World()
-        world.cloud.capacity = 1
-        await world.up_with_machine()
-        failed: list[str] = []
-
-        def cause(worker: Any, task: Any) -> str:
-            if task.name not in failed:
-                failed.append(task.name)
-                return "error"
-            return "done"
-
-        world.cloud.cause = cause
-        await world.submit(job(pieces=1))
-        assert await world.finish(1, 110) < 10 + 90
-        assert failed == ["job-000001/0"]
-
-    play(story())
+    world = World()
+    world.cloud.capacity = 1
+    await world.up_with_machine()
+    failed: list[str] = []
+
+    def cause(worker: Any, task: Any) -> str:
+        if task.name not in failed:
+            failed.append(task.name)
+            return "error"
+        return "done"
+
+    world.cloud.cause = cause
+    await world.submit(job(pieces=1))
+    assert await world.finish(1, 110) < 10 + 90
+    assert failed == ["job-000001/0"]
--- a/tests/scenarios/test_scale.py
+++ b/tests/scenarios/test_scale.py
@@ -27,7 +27,6 @@
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.control.workers.machine_table import DELETED_NAMES_KEPT_S
 from spoolcourse.wire.settings import Seed
-from tests.fakes.clock import play
 from tests.fakes.registry import RegistryHarness
 from tests.fakes.world import World, job
 
@@ -51,27 +50,24 @@
     return names
 
 
-def test_a_fleet_of_thousands_found_at_the_start_is_kept_by_name() -> None:
+async def test_a_fleet_of_thousands_found_at_the_start_is_kept_by_name() -> None:
     # What one value holds is a few hundred names; of a larger fleet none was noted, and machines
     # of the operators were returned as idle.
-    async def story() -> None:
-        small = {"rps": 200.0, "write_rps": 100.0, "value_kb": 2.0, "txn_ops": 4}
-        world = World(params={"state": small, "teams": TEAMS})
-        world.state.value_bytes, world.state.txn_ops = 2048, 4
-        names = frozenset(listed(world, FLEET, "running"))
-        await world.up()
+    small = {"rps": 200.0, "write_rps": 100.0, "value_kb": 2.0, "txn_ops": 4}
+    world = World(params={"state": small, "teams": TEAMS})
+    world.state.value_bytes, world.state.txn_ops = 2048, 4
+    names = frozenset(listed(world, FLEET, "running"))
+    await world.up()
 
-        def base() -> Any:
-            term = world.nodes[str(world.leader)].leader_term if world.leader else None
-            return term.active.initial_machine_names() if term is not None and term.active else None
+    def base() -> Any:
+        term = world.nodes[str(world.leader)].leader_term if world.leader else None
+        return term.active.initial_machine_names() if term is not None and term.active else None
 
-        await world.until(lambda: base() == names, 30)
-        world.kill(str(world.leader))
-        await world.until(lambda: base() is not None, 30)
-        assert base() == names, "the next leader knows them too"
-        assert world.state.refused == 0
-
-    play(story())
+    await world.until(lambda: base() == names, 30)
+    world.kill(str(world.leader))
+    await world.until(lambda: base() is not None, 30)
+    assert base() == names, "the next leader knows them too"
+    assert world.state.refused == 0
 
 
 def test_parts_of_the_base_fleet_hold_each_name_once_in_the_known_form() -> None:
@@ -99,39 +95,33 @@
     assert list(world.registry.deleted_names) == ["m-999999"]
 
 
-def test_a_follower_remembers_all_workers_that_come_to_it_of_late() -> None:
+async def test_a_follower_remembers_all_workers_that_come_to_it_of_late() -> None:
     # All were forgotten at 10,000 names, gone ones among them.
     class LeaderNet:
         async def call(self, *args: Any, **options: Any) -> Response:
             return Response(200, {"baton": 1, "orders": []})
 
-    async def story() -> None:
-        relay = HeartbeatRelay(LeaderNet(), "n0", [Seed("n1", "n1:81")], heartbeat_interval_s=1.5)
-        statuses = []
-        for _ in range(2):
-            for number in range(3 * FLEET):
-                reply = await relay.handle(f"m-{number:06d}", b"{}", "n1", informed=True)
-                statuses.append(reply.status)
-        assert statuses == [200] * (3 * FLEET) + [421] * (3 * FLEET), "then sent to the leader"
-
-    play(story())
+    relay = HeartbeatRelay(LeaderNet(), "n0", [Seed("n1", "n1:81")], heartbeat_interval_s=1.5)
+    statuses = []
+    for _ in range(2):
+        for number in range(3 * FLEET):
+            reply = await relay.handle(f"m-{number:06d}", b"{}", "n1", informed=True)
+            statuses.append(reply.status)
+    assert statuses == [200] * (3 * FLEET) + [421] * (3 * FLEET), "then sent to the leader"
 
 
-def test_machines_are_rented_and_deleted_at_the_clouds_pace() -> None:
+async def test_machines_are_rented_and_deleted_at_the_clouds_pace() -> None:
     # 50 machines a pass and 100 deletions a second, whatever the cloud takes: a fleet of 4,000
     # would have come up, and been replaced, at the service's pace.
-    async def story() -> None:
-        world = World(params={"teams": TEAMS})
-        world.cloud.capacity = 1700
-        await world.up()
-        failed = listed(world, 1200, "failed")
-        world.cloud._made = len(failed)
-        await world.submit(job(pieces=300, vcpus=8.0))
-        await world.until(lambda: len(world.cloud.provisions) >= 6, 3)
-        assert sum(len(names) for names in world.cloud.provisions.values()) >= 300
-        await world.until(lambda: not set(failed) & set(world.cloud.hosts), 8)
-
-    play(story())
+    world = World(params={"teams": TEAMS})
+    world.cloud.capacity = 1700
+    await world.up()
+    failed = listed(world, 1200, "failed")
+    world.cloud._made = len(failed)
+    await world.submit(job(pieces=300, vcpus=8.0))
+    await world.until(lambda: len(world.cloud.provisions) >= 6, 3)
+    assert sum(len(names) for names in world.cloud.provisions.values()) >= 300
+    await world.until(lambda: not set(failed) & set(world.cloud.hosts), 8)
 
 
 def test_a_plan_for_thousands_of_machines_asks_for_whole_batches() -> None:
@@ -155,61 +145,55 @@
     assert concurrent_call_limit(64, FLEET, 700) == 140
 
 
-def test_a_term_that_has_used_up_its_attempt_numbers_is_followed_by_another() -> None:
+async def test_a_term_that_has_used_up_its_attempt_numbers_is_followed_by_another() -> None:
     # Beyond 2**24 they would have been the numbers of the next term: one number for two attempts.
-    async def story() -> None:
-        world = World()
-        await world.up()
-        first = world.nodes[str(world.leader)].leader_term
-        world.active().scheduling._attempt_numbers._used = ATTEMPTS_MOST - 2
-        await world.submit(job(pieces=6))
-        await world.finish()
-        assert all(node.leader_term is not first for node in world.nodes.values())
-        assert sorted(n for _, n, _ in world.cloud.starts) == [f"job-000001/{i}" for i in range(6)]
-        assert world.cloud.broken == []
-
-    play(story())
-
-
-def test_a_node_far_behind_reads_all_keys_instead_of_every_change() -> None:
+    world = World()
+    await world.up()
+    first = world.nodes[str(world.leader)].leader_term
+    world.active().scheduling._attempt_numbers._used = ATTEMPTS_MOST - 2
+    await world.submit(job(pieces=6))
+    await world.finish()
+    assert all(node.leader_term is not first for node in world.nodes.values())
+    assert sorted(n for _, n, _ in world.cloud.starts) == [f"job-000001/{i}" for i in range(6)]
+    assert world.cloud.broken == []
+
+
+async def test_a_node_far_behind_reads_all_keys_instead_of_every_change() -> None:
     # A watch answers with every change since: after two minutes behind a cut that was 4,000
     # changes and 55 MB, and twice as many would have ended the controller for memory.
-    async def story() -> None:
-        world = World()
-        largest = 0
-        serve = world.state.serve
-
-        async def counted(method: str, path: str, body: Any) -> Response:
-            nonlocal largest
-            reply = await serve(method, path, body)
-            if path.startswith("/watch") and reply.status == 200:
-                largest = max(largest, len(reply.data["log"]))
-            return reply
-
-        world.wire.hosts["state:1"] = counted
-        await world.up()
-        away = next(label for label in world.nodes if label != world.leader)
-        apart = "cut"
-        world.wire.filters.append(
-            lambda src, dst, *rest: apart or None if (src, dst) == (away, "state:1") else None
-        )
-        await world.submit(job(1), str(world.leader))
-        for number in range(3 * FLEET):
-            world.state._apply([{"set": f"spoolcourse/other/{number}", "v": {}}])
-            if number % 100 == 0:
-                await asyncio.sleep(0.25)  # the other nodes keep up
-        await world.finish(1)
-        await world.submit(job(2, expectS=500.0), str(world.leader))
-        apart = ""
-        cache = world.nodes[away].watch_cache
-        await world.until(lambda: cache.store_revision >= 3 * FLEET, 30)
-        await world.until(lambda: world.nodes[away].health.healthy, 30)
-        assert largest <= MAX_CHANGES_BEHIND
-        assert (await world.poll(1, away)).data["stage"] == "done"
-        assert (await world.poll(2, away)).status == 200
-        assert world.cloud.broken == []
-
-    play(story())
+    world = World()
+    largest = 0
+    serve = world.state.serve
+
+    async def counted(method: str, path: str, body: Any) -> Response:
+        nonlocal largest
+        reply = await serve(method, path, body)
+        if path.startswith("/watch") and reply.status == 200:
+            largest = max(largest, len(reply.data["log"]))
+        return reply
+
+    world.wire.hosts["state:1"] = counted
+    await world.up()
+    away = next(label for label in world.nodes if label != world.leader)
+    apart = "cut"
+    world.wire.filters.append(
+        lambda src, dst, *rest: apart or None if (src, dst) == (away, "state:1") else None
+    )
+    await world.submit(job(1), str(world.leader))
+    for number in range(3 * FLEET):
+        world.state._apply([{"set": f"spoolcourse/other/{number}", "v": {}}])
+        if number % 100 == 0:
+            await asyncio.sleep(0.25)  # the other nodes keep up
+    await world.finish(1)
+    await world.submit(job(2, expectS=500.0), str(world.leader))
+    apart = ""
+    cache = world.nodes[away].watch_cache
+    await world.until(lambda: cache.store_revision >= 3 * FLEET, 30)
+    await world.until(lambda: world.nodes[away].health.healthy, 30)
+    assert largest <= MAX_CHANGES_BEHIND
+    assert (await world.poll(1, away)).data["stage"] == "done"
+    assert (await world.poll(2, away)).status == 200
+    assert world.cloud.broken == []
 
 
 def test_a_pass_with_a_backlog_looks_at_each_full_machine_a_few_times() -> None:
--- a/tests/scenarios/test_services.py
+++ b/tests/scenarios/test_services.py
@@ -16,7 +16,6 @@
     Snapshot,
     TeamBudget,
 )
-from tests.fakes.clock import play
 from tests.fakes.registry import RegistryHarness, on
 from tests.fakes.services import served, service
 from tests.fakes.world import LABELS, World, job
@@ -35,51 +34,45 @@
     return world
 
 
-def test_a_service_runs_until_it_is_cancelled_and_costs_no_writes() -> None:
-    async def story() -> None:
-        world = await running_service(scatter=True)
-        await asyncio.sleep(3)
-        written = len(world.state.transactions)
-        await asyncio.sleep(100)
-        assert len(world.state.transactions) <= written + 1
-        for label in LABELS:
-            reply = await world.poll(1, label)
-            assert (reply.data["stage"], reply.data["done"]) == ("running", 0)
-        leader = world.nodes[str(world.leader)]
-        text = leader.peers(Request("GET", "/metrics")).data.decode()  # type: ignore[union-attr]
-        assert "spoolcourse_services 1.0" in text
-        assert "spoolcourse_replicas_missing 0.0" in text
-        assert len(world.cloud.starts) == 2
-        assert (await world.cancel(1, "n1")).data["stage"] == "aborted"
-        await world.until(lambda: not world.cloud.on_machines("job-000001"), 40)
-        await asyncio.sleep(5)
-        for label in LABELS:
-            assert (await world.poll(1, label)).data["stage"] == "aborted"
-        assert world.cloud.broken == []
-
-    play(story())
-
+async def test_a_service_runs_until_it_is_cancelled_and_costs_no_writes() -> None:
+    world = await running_service(scatter=True)
+    await asyncio.sleep(3)
+    written = len(world.state.transactions)
+    await asyncio.sleep(100)
+    assert len(world.state.transactions) <= written + 1
+    for label in LABELS:
+        reply = await world.poll(1, label)
+        assert (reply.data["stage"], reply.data["done"]) == ("running", 0)
+    leader = world.nodes[str(world.leader)]
+    text = leader.peers(Request("GET", "/metrics")).data.decode()  # type: ignore[union-attr]
+    assert "spoolcourse_services 1.0" in text
+    assert "spoolcourse_replicas_missing 0.0" in text
+    assert len(world.cloud.starts) == 2
+    assert (await world.cancel(1, "n1")).data["stage"] == "aborted"
+    await world.until(lambda: not world.cloud.on_machines("job-000001"), 40)
+    await asyncio.sleep(5)
+    for label in LABELS:
+        assert (await world.poll(1, label)).data["stage"] == "aborted"
+    assert world.cloud.broken == []
 
-def test_a_service_that_can_never_run_is_refused() -> None:
-    async def story() -> None:
-        world = World()
-        await world.up()
-        await asyncio.sleep(3)
-        for body, status in (
-            (service(pieces=17, crew="blue"), 422),  # 34 CPUs at once
-            (service(pieces=16, crew="blue"), 201),
-            (service(2, pieces=1, gpus=1.0), 422),
-            (service(3, scatter=True, yard="a"), 422),
-            (service(3, scatter=True, oneZone=True), 422),
-            (service(3, scatter=True, oneZone=True, pieces=1), 201),
-            (service(4, vcpus=9.0), 422),
-            (service(5, shape="group"), 400),
-            ({k: v for k, v in service(6).items() if k != "expectS"}, 400),
-            (job(7, scatter=True, yard="a"), 201),  # an array takes one half after the other
-        ):
-            assert (await world.submit(body)).status == status, body
 
-    play(story())
+async def test_a_service_that_can_never_run_is_refused() -> None:
+    world = World()
+    await world.up()
+    await asyncio.sleep(3)
+    for body, status in (
+        (service(pieces=17, crew="blue"), 422),  # 34 CPUs at once
+        (service(pieces=16, crew="blue"), 201),
+        (service(2, pieces=1, gpus=1.0), 422),
+        (service(3, scatter=True, yard="a"), 422),
+        (service(3, scatter=True, oneZone=True), 422),
+        (service(3, scatter=True, oneZone=True, pieces=1), 201),
+        (service(4, vcpus=9.0), 422),
+        (service(5, shape="group"), 400),
+        ({k: v for k, v in service(6).items() if k != "expectS"}, 400),
+        (job(7, scatter=True, yard="a"), 201),  # an array takes one half after the other
+    ):
+        assert (await world.submit(body)).status == status, body
 
 
 @pytest.mark.parametrize("cause", ["done", "error", "halted"])
@@ -150,131 +143,113 @@
     assert plan.shadow_time == 50.0
 
 
-def test_a_lost_replica_runs_elsewhere_and_its_zones_hold() -> None:
-    async def story() -> None:
-        world = await running_service(pieces=4, scatter=True)
-        for _ in range(3):
-            world.cloud.take(world.cloud.starts[-1][2])
-            assert await served(world, 1, 4, 60) < 25
-            assert world.cloud.broken == []
-
-    play(story())
-
-
-def test_on_a_preemption_notice_one_replica_moves_at_a_time() -> None:
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda task: 10_000.0
-        world.cloud.capacity = 6
-        await world.up()
-        for zone in ("a", "a", "b", "b"):
-            world.cloud.add(zone, loaner=True)
-        await asyncio.sleep(5)
-        assert (await world.submit(service(pieces=4, loaners=True, vcpus=4.0))).status == 201
-        await served(world, 1, 4)
-        await asyncio.sleep(3)
-        noticed = sorted({machine for _, _, machine in world.cloud.starts})
-        fewest_running = 4
-        for name in noticed:
-            world.cloud.workers[name].recall = 25.0
-            world.cloud.workers[name]._changed.set()
-        for _ in range(250):
-            await asyncio.sleep(0.1)
-            for name in noticed:
-                if name in world.cloud.workers:
-                    world.cloud.workers[name].recall = 24.0
-            fewest_running = min(fewest_running, len(world.cloud.on_machines("job-000001")))
-            if {m for _, n, m in world.cloud.starts[4:]} and len(world.cloud.starts) >= 8:
-                break
-        assert fewest_running >= 3, "never more than one of them is missing"
-        assert len(world.cloud.starts) >= 6
-        assert world.cloud.broken == []
-
-    play(story())
-
-
-def test_on_a_preemption_notice_a_replica_stays_until_it_has_somewhere_to_go() -> None:
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda task: 10_000.0
-        world.cloud.capacity = 2
-        for zone in ("a", "b"):
-            world.cloud.add(zone)
-        await asyncio.sleep(1)
-        await world.up()
-        await asyncio.sleep(5)
-        # Each machine is taken by one replica: there is no room for a second one.
-        assert (await world.submit(service(vcpus=8.0))).status == 201
-        await served(world)
-        worker = world.cloud.workers[world.cloud.starts[0][2]]
-        began = world.now()
-
-        def give_notice(left_s: float) -> None:
-            worker.recall = left_s
-            worker._changed.set()
-
-        while world.now() - began < 20.0:
-            give_notice(25.0 - (world.now() - began))
-            await asyncio.sleep(0.5)
-            assert len(world.cloud.on_machines("job-000001")) == 2
-        world.cloud.capacity = 3
-        world.cloud.add("a")
-        await world.until(lambda: len(world.cloud.starts) == 3, 20)
-        assert world.cloud.broken == []
-
-    play(story())
-
-
-def test_a_service_survives_a_failover_and_a_store_outage() -> None:
-    async def story() -> None:
-        world = await running_service()
-        world.kill(str(world.leader))
-        await world.until(lambda: world.leader, 10)
-        await asyncio.sleep(5)
-        world.state.in_outage = True
-        await asyncio.sleep(25)
-        world.state.end_outage()
-        await asyncio.sleep(10)
-        assert len(world.cloud.starts) == 2
+async def test_a_lost_replica_runs_elsewhere_and_its_zones_hold() -> None:
+    world = await running_service(pieces=4, scatter=True)
+    for _ in range(3):
+        world.cloud.take(world.cloud.starts[-1][2])
+        assert await served(world, 1, 4, 60) < 25
         assert world.cloud.broken == []
 
-    play(story())
 
+async def test_on_a_preemption_notice_one_replica_moves_at_a_time() -> None:
+    world = World()
+    world.cloud.run_s = lambda task: 10_000.0
+    world.cloud.capacity = 6
+    await world.up()
+    for zone in ("a", "a", "b", "b"):
+        world.cloud.add(zone, loaner=True)
+    await asyncio.sleep(5)
+    assert (await world.submit(service(pieces=4, loaners=True, vcpus=4.0))).status == 201
+    await served(world, 1, 4)
+    await asyncio.sleep(3)
+    noticed = sorted({machine for _, _, machine in world.cloud.starts})
+    fewest_running = 4
+    for name in noticed:
+        world.cloud.workers[name].recall = 25.0
+        world.cloud.workers[name]._changed.set()
+    for _ in range(250):
+        await asyncio.sleep(0.1)
+        for name in noticed:
+            if name in world.cloud.workers:
+                world.cloud.workers[name].recall = 24.0
+        fewest_running = min(fewest_running, len(world.cloud.on_machines("job-000001")))
+        if {m for _, n, m in world.cloud.starts[4:]} and len(world.cloud.starts) >= 8:
+            break
+    assert fewest_running >= 3, "never more than one of them is missing"
+    assert len(world.cloud.starts) >= 6
+    assert world.cloud.broken == []
 
-def test_a_service_survives_a_zone_that_is_cut_off() -> None:
-    async def story() -> None:
-        world = await running_service(pieces=4, scatter=True)
-        names = [n for n, w in world.cloud.workers.items() if w.host["yard"] == "b"]
-        for name in names:
-            world.cut_off(name)
-        await asyncio.sleep(25)
-        assert len(world.cloud.on_machines("job-000001")) >= 2
-        world.wire.filters.clear()
-        await served(world, 1, 4, 40)
-        assert world.cloud.broken == []
 
-    play(story())
+async def test_on_a_preemption_notice_a_replica_stays_until_it_has_somewhere_to_go() -> None:
+    world = World()
+    world.cloud.run_s = lambda task: 10_000.0
+    world.cloud.capacity = 2
+    for zone in ("a", "b"):
+        world.cloud.add(zone)
+    await asyncio.sleep(1)
+    await world.up()
+    await asyncio.sleep(5)
+    # Each machine is taken by one replica: there is no room for a second one.
+    assert (await world.submit(service(vcpus=8.0))).status == 201
+    await served(world)
+    worker = world.cloud.workers[world.cloud.starts[0][2]]
+    began = world.now()
+
+    def give_notice(left_s: float) -> None:
+        worker.recall = left_s
+        worker._changed.set()
+
+    while world.now() - began < 20.0:
+        give_notice(25.0 - (world.now() - began))
+        await asyncio.sleep(0.5)
+        assert len(world.cloud.on_machines("job-000001")) == 2
+    world.cloud.capacity = 3
+    world.cloud.add("a")
+    await world.until(lambda: len(world.cloud.starts) == 3, 20)
+    assert world.cloud.broken == []
+
+
+async def test_a_service_survives_a_failover_and_a_store_outage() -> None:
+    world = await running_service()
+    world.kill(str(world.leader))
+    await world.until(lambda: world.leader, 10)
+    await asyncio.sleep(5)
+    world.state.in_outage = True
+    await asyncio.sleep(25)
+    world.state.end_outage()
+    await asyncio.sleep(10)
+    assert len(world.cloud.starts) == 2
+    assert world.cloud.broken == []
+
+
+async def test_a_service_survives_a_zone_that_is_cut_off() -> None:
+    world = await running_service(pieces=4, scatter=True)
+    names = [n for n, w in world.cloud.workers.items() if w.host["yard"] == "b"]
+    for name in names:
+        world.cut_off(name)
+    await asyncio.sleep(25)
+    assert len(world.cloud.on_machines("job-000001")) >= 2
+    world.wire.filters.clear()
+    await served(world, 1, 4, 40)
+    assert world.cloud.broken == []
 
 
 @pytest.mark.parametrize("wait", [0.0, 0.3, 0.8, 1.5, 3.0])
-def test_a_cancellation_wins_over_the_end_or_the_move_of_a_replica(wait: float) -> None:
-    async def story() -> None:
-        world = await running_service()
-        world.cloud.run_s = lambda task: 0.5
-        name = world.cloud.starts[0][2]
-        world.cloud.workers[name].recall = 25.0
-        world.cloud.workers[name]._changed.set()
-        other = world.cloud.workers[world.cloud.starts[1][2]]
-        for task in other.tasks.values():
-            task.stage, task.cause = "ended", "done"
-        other._changed.set()
-        await asyncio.sleep(wait)
-        assert (await world.cancel(1, "n2")).data["stage"] == "aborted"
-        await world.until(lambda: not world.cloud.on_machines("job-000001"), 40)
-        await asyncio.sleep(20)
-        assert world.cloud.on_machines("job-000001") == []
-        for label in LABELS:
-            assert (await world.poll(1, label)).data["stage"] == "aborted"
-        assert world.cloud.broken == []
-
-    play(story())
+async def test_a_cancellation_wins_over_the_end_or_the_move_of_a_replica(wait: float) -> None:
+    world = await running_service()
+    world.cloud.run_s = lambda task: 0.5
+    name = world.cloud.starts[0][2]
+    world.cloud.workers[name].recall = 25.0
+    world.cloud.workers[name]._changed.set()
+    other = world.cloud.workers[world.cloud.starts[1][2]]
+    for task in other.tasks.values():
+        task.stage, task.cause = "ended", "done"
+    other._changed.set()
+    await asyncio.sleep(wait)
+    assert (await world.cancel(1, "n2")).data["stage"] == "aborted"
+    await world.until(lambda: not world.cloud.on_machines("job-000001"), 40)
+    await asyncio.sleep(20)
+    assert world.cloud.on_machines("job-000001") == []
+    for label in LABELS:
+        assert (await world.poll(1, label)).data["stage"] == "aborted"
+    assert world.cloud.broken == []
--- a/tests/scenarios/test_troubles.py
+++ b/tests/scenarios/test_troubles.py
@@ -13,7 +13,6 @@
 from spoolcourse.control.store.keys import PREFIX, TERM_KEY
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.settings import State
-from tests.fakes.clock import play
 from tests.fakes.net import FakeWire
 from tests.fakes.state import FakeKeyValueStore
 from tests.fakes.world import LABELS, World, job
@@ -41,304 +40,277 @@
     return reply.status == 200 and "baton" in reply.data
 
 
-def test_late_copies_are_no_sign_of_life_and_get_nothing() -> None:
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda task: 60.0
-        name = await world.up_with_machine()
-        copies = Copies(world)
-        await world.submit(job(pieces=4))
-        await world.until(lambda: len(world.cloud.starts) == 4)
-        await asyncio.sleep(8)
-        leader = str(world.leader)
-        machine = world.active(leader).registry.machines[name]
-        # From a second to several leases late, while it lives: its attempts go on.
-        for reply in await copies.repeat(leader, name):
-            assert not renews(reply)
-            assert reply.data["orders"] == []
-        assert len(machine.attempts) == 4
-        # It dies. Copies through any node don't put off the proof by its lease.
-        world.cloud.take(name)
-        died = world.now()
-        for _ in range(30):
-            for label in LABELS:
-                for reply in await copies.repeat(label, name, died - 9):
-                    assert not renews(reply)
-            await asyncio.sleep(1)
-        assert not machine.attempts, "proven gone by its lease"
-        assert machine.last_heartbeat_at is not None
-        assert machine.last_heartbeat_at <= died
-        again = [at for at, _, _ in world.cloud.starts[4:]]
-        assert len(again) == 4
-        assert max(again) < died + 30
-        assert world.cloud.broken == []
-
-    play(story())
-
-
-def test_copies_from_earlier_sessions_and_terms_change_nothing() -> None:
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda task: 200.0
-        name = await world.up_with_machine()
-        copies = Copies(world)
-        await world.submit(job(pieces=2))
-        await world.until(lambda: len(world.cloud.starts) == 2)
-        await asyncio.sleep(3)
-        first = world.now()
-        world.cut_off(name)
-        await asyncio.sleep(15)
-        world.wire.filters[:] = world.wire.filters[:1]  # a new incarnation
-        await world.until(lambda: len(world.cloud.starts) == 4, 60)
-        leader = str(world.leader)
-        await asyncio.sleep(3)
-        early = [b for at, b in copies.unacknowledged if at <= first]
-        for body in early:
-            assert not renews(await world.ask(leader, "POST", "/v1/report", body))
-        world.kill(leader)
-        await world.until(lambda: world.leader not in (None, leader), 10)
-        for body in early:
-            await world.ask(str(world.leader), "POST", "/v1/report", body)
-        await asyncio.sleep(20)
-        assert len(world.cloud.starts) == 4
-        assert world.cloud.broken == []
-
-    play(story())
-
-
-def test_a_leader_partitioned_with_its_workers_answers_nothing_and_releases_them_in_time() -> None:
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda task: 60.0
-        await world.up()
-        names = [world.cloud.add() for _ in range(3)]
-        await asyncio.sleep(5)
-        await world.submit(job(pieces=12))
-        await world.until(lambda: len(world.cloud.starts) == 12)
-        old = str(world.leader)
-        others = [n for n in LABELS if n != old]
-
-        def alone(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
-            ends = {src, dst.split(":", maxsplit=1)[0]}
-            if old not in ends:
-                return None
-            return "cut" if "state" in ends or "cloud" in ends or ends & set(others) else None
-
-        world.wire.filters.append(alone)
-        await world.until(lambda: any(world.nodes[n].leader_term for n in others), 10)
-        await asyncio.sleep(4)
-        assert (await world.ask(old, "GET", "/healthz")).status == 503
-        assert (await world.poll(1, old)).status == 503
-        assert (await world.submit(job(2), old)).status == 503
-        assert (await world.poll(1, others[0])).status == 200
-        # Its workers see the new baton, are let go, and lose no lease over it.
-        new = next(world.active(n) for n in others if world.nodes[n].leader_term)
-        await world.until(lambda: all(new.registry.machines[n].confirmed for n in names), 10)
-        assert world.nodes[old].leader_term is None
-        # Whoever comes to the old one now is sent to nobody that may be out of office.
-        stale = world.cloud.workers[names[0]].heartbeat()
-        reply = await world.ask(old, "POST", "/v1/report", stale)
-        assert reply.status == 421
-        assert "foreman" not in reply.data
-        await asyncio.sleep(12)
-        assert {w.incarnation for w in world.cloud.workers.values()} == {1}
-        assert len(world.cloud.starts) == 12
-        assert world.cloud.broken == []
-
-    play(story())
-
-
-def test_a_follower_partitioned_for_long_names_no_leader() -> None:
-    async def story() -> None:
-        world = World()
-        name = world.cloud.add()
-        await world.up()
-        await asyncio.sleep(5)
-        node = next(n for n in LABELS if n != world.leader)
-
-        def alone(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
-            ends = {src, dst.split(":", maxsplit=1)[0]}
-            return "cut" if node in ends and ends & {"state", *LABELS} - {node} else None
-
-        world.wire.filters.append(alone)
-        await asyncio.sleep(15)
-        world.kill(str(world.leader))
-        body = world.cloud.workers[name].heartbeat()
-        reply = await world.ask(node, "POST", "/v1/report", body)
-        assert (reply.status, reply.data) == (421, {})
-
-    play(story())
+async def test_late_copies_are_no_sign_of_life_and_get_nothing() -> None:
+    world = World()
+    world.cloud.run_s = lambda task: 60.0
+    name = await world.up_with_machine()
+    copies = Copies(world)
+    await world.submit(job(pieces=4))
+    await world.until(lambda: len(world.cloud.starts) == 4)
+    await asyncio.sleep(8)
+    leader = str(world.leader)
+    machine = world.active(leader).registry.machines[name]
+    # From a second to several leases late, while it lives: its attempts go on.
+    for reply in await copies.repeat(leader, name):
+        assert not renews(reply)
+        assert reply.data["orders"] == []
+    assert len(machine.attempts) == 4
+    # It dies. Copies through any node don't put off the proof by its lease.
+    world.cloud.take(name)
+    died = world.now()
+    for _ in range(30):
+        for label in LABELS:
+            for reply in await copies.repeat(label, name, died - 9):
+                assert not renews(reply)
+        await asyncio.sleep(1)
+    assert not machine.attempts, "proven gone by its lease"
+    assert machine.last_heartbeat_at is not None
+    assert machine.last_heartbeat_at <= died
+    again = [at for at, _, _ in world.cloud.starts[4:]]
+    assert len(again) == 4
+    assert max(again) < died + 30
+    assert world.cloud.broken == []
+
+
+async def test_copies_from_earlier_sessions_and_terms_change_nothing() -> None:
+    world = World()
+    world.cloud.run_s = lambda task: 200.0
+    name = await world.up_with_machine()
+    copies = Copies(world)
+    await world.submit(job(pieces=2))
+    await world.until(lambda: len(world.cloud.starts) == 2)
+    await asyncio.sleep(3)
+    first = world.now()
+    world.cut_off(name)
+    await asyncio.sleep(15)
+    world.wire.filters[:] = world.wire.filters[:1]  # a new incarnation
+    await world.until(lambda: len(world.cloud.starts) == 4, 60)
+    leader = str(world.leader)
+    await asyncio.sleep(3)
+    early = [b for at, b in copies.unacknowledged if at <= first]
+    for body in early:
+        assert not renews(await world.ask(leader, "POST", "/v1/report", body))
+    world.kill(leader)
+    await world.until(lambda: world.leader not in (None, leader), 10)
+    for body in early:
+        await world.ask(str(world.leader), "POST", "/v1/report", body)
+    await asyncio.sleep(20)
+    assert len(world.cloud.starts) == 4
+    assert world.cloud.broken == []
+
+
+async def test_a_leader_partitioned_with_its_workers_stays_silent_and_frees_them_in_time() -> None:
+    world = World()
+    world.cloud.run_s = lambda task: 60.0
+    await world.up()
+    names = [world.cloud.add() for _ in range(3)]
+    await asyncio.sleep(5)
+    await world.submit(job(pieces=12))
+    await world.until(lambda: len(world.cloud.starts) == 12)
+    old = str(world.leader)
+    others = [n for n in LABELS if n != old]
+
+    def alone(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
+        ends = {src, dst.split(":", maxsplit=1)[0]}
+        if old not in ends:
+            return None
+        return "cut" if "state" in ends or "cloud" in ends or ends & set(others) else None
+
+    world.wire.filters.append(alone)
+    await world.until(lambda: any(world.nodes[n].leader_term for n in others), 10)
+    await asyncio.sleep(4)
+    assert (await world.ask(old, "GET", "/healthz")).status == 503
+    assert (await world.poll(1, old)).status == 503
+    assert (await world.submit(job(2), old)).status == 503
+    assert (await world.poll(1, others[0])).status == 200
+    # Its workers see the new baton, are let go, and lose no lease over it.
+    new = next(world.active(n) for n in others if world.nodes[n].leader_term)
+    await world.until(lambda: all(new.registry.machines[n].confirmed for n in names), 10)
+    assert world.nodes[old].leader_term is None
+    # Whoever comes to the old one now is sent to nobody that may be out of office.
+    stale = world.cloud.workers[names[0]].heartbeat()
+    reply = await world.ask(old, "POST", "/v1/report", stale)
+    assert reply.status == 421
+    assert "foreman" not in reply.data
+    await asyncio.sleep(12)
+    assert {w.incarnation for w in world.cloud.workers.values()} == {1}
+    assert len(world.cloud.starts) == 12
+    assert world.cloud.broken == []
+
+
+async def test_a_follower_partitioned_for_long_names_no_leader() -> None:
+    world = World()
+    name = world.cloud.add()
+    await world.up()
+    await asyncio.sleep(5)
+    node = next(n for n in LABELS if n != world.leader)
+
+    def alone(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
+        ends = {src, dst.split(":", maxsplit=1)[0]}
+        return "cut" if node in ends and ends & {"state", *LABELS} - {node} else None
+
+    world.wire.filters.append(alone)
+    await asyncio.sleep(15)
+    world.kill(str(world.leader))
+    body = world.cloud.workers[name].heartbeat()
+    reply = await world.ask(node, "POST", "/v1/report", body)
+    assert (reply.status, reply.data) == (421, {})
 
 
 @pytest.mark.parametrize("after", [0.0, 0.02, 0.2, 0.6, 1.1, 2.4, 2.6])
-def test_controllers_restarted_during_an_election_elect_one_leader(after: float) -> None:
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda task: 25.0
-        await world.up()
-        await world.submit(job(pieces=6))
-        await world.until(lambda: len(world.cloud.starts) == 6)
-        first = str(world.leader)
-        carried_out: list[Any] = []
-
-        def note(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
-            if path in ("/multi", "/hosts"):
-                carried_out.append((dst, method, path, body))
-            return None
+async def test_controllers_restarted_during_an_election_elect_one_leader(after: float) -> None:
+    world = World()
+    world.cloud.run_s = lambda task: 25.0
+    await world.up()
+    await world.submit(job(pieces=6))
+    await world.until(lambda: len(world.cloud.starts) == 6)
+    first = str(world.leader)
+    carried_out: list[Any] = []
+
+    def note(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
+        if path in ("/multi", "/hosts"):
+            carried_out.append((dst, method, path, body))
+        return None
 
-        world.wire.filters.append(note)
-        held = len(world.wire.held)
-
-        def hold(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
-            puts = [op.get("set", "") for op in (body or {}).get("apply", [])]
-            return "hold" if any(key.endswith("/leader") for key in puts) else None
-
-        # Its own election's write stays on the way while it is restarted; then another's.
-        world.wire.filters.append(hold)
-        world.kill(first)
-        await asyncio.sleep(0.3)
-        world.start(first)
-        await asyncio.sleep(after)
-        for label in list(LABELS):
-            world.kill(label)
-            await asyncio.sleep(0.1)
-            world.start(label)
-            await asyncio.sleep(0.05)
-        world.wire.filters.remove(hold)
-        assert len(world.wire.held) > held or after < 0.2
-        for dst, method, path, body in world.wire.held:
-            await world.wire.hosts[dst](method, path, body)
-        await world.until(lambda: world.leader, 10)
-        await world.finish(1, 60)
-        # Repeats of what was carried out, all of it, change nothing.
-        hosts, keys = set(world.cloud.hosts), dict(world.state.keys)
-        for dst, method, path, body in carried_out:
-            await world.wire.hosts[dst](method, path, body)
-        assert set(world.cloud.hosts) == hosts
-        changed = {k for k in keys if world.state.keys.get(k, (0, 0))[:2] != keys[k][:2]}
-        assert changed == set()
-        assert len(world.cloud.starts) == 6
-        assert world.cloud.broken == []
-        leaders = [n for n, c in world.nodes.items() if c.leader_term is not None]
-        assert len(leaders) == 1
-
-    play(story())
-
-
-def test_a_claim_fails_if_another_was_elected_while_its_lease_was_granted() -> None:
+    world.wire.filters.append(note)
+    held = len(world.wire.held)
+
+    def hold(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
+        puts = [op.get("set", "") for op in (body or {}).get("apply", [])]
+        return "hold" if any(key.endswith("/leader") for key in puts) else None
+
+    # Its own election's write stays on the way while it is restarted; then another's.
+    world.wire.filters.append(hold)
+    world.kill(first)
+    await asyncio.sleep(0.3)
+    world.start(first)
+    await asyncio.sleep(after)
+    for label in list(LABELS):
+        world.kill(label)
+        await asyncio.sleep(0.1)
+        world.start(label)
+        await asyncio.sleep(0.05)
+    world.wire.filters.remove(hold)
+    assert len(world.wire.held) > held or after < 0.2
+    for dst, method, path, body in world.wire.held:
+        await world.wire.hosts[dst](method, path, body)
+    await world.until(lambda: world.leader, 10)
+    await world.finish(1, 60)
+    # Repeats of what was carried out, all of it, change nothing.
+    hosts, keys = set(world.cloud.hosts), dict(world.state.keys)
+    for dst, method, path, body in carried_out:
+        await world.wire.hosts[dst](method, path, body)
+    assert set(world.cloud.hosts) == hosts
+    changed = {k for k in keys if world.state.keys.get(k, (0, 0))[:2] != keys[k][:2]}
+    assert changed == set()
+    assert len(world.cloud.starts) == 6
+    assert world.cloud.broken == []
+    leaders = [n for n, c in world.nodes.items() if c.leader_term is not None]
+    assert len(leaders) == 1
+
+
+async def test_a_claim_fails_if_another_was_elected_while_its_lease_was_granted() -> None:
     # Seen on a recorded day: two controllers that started together were both elected for
     # term 1, the second over the first.
-    async def story() -> None:
-        state, wire = FakeKeyValueStore(), FakeWire()
-        wire.hosts["state:1"] = state.serve
-        limits = State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
-        candidates = []
-        for label in ("n0", "n1"):
-            client = StoreClient(wire.end_of(label), "state:1", limits, controllers=2)
-            watch_cache = WatchCache(client, PREFIX)
-            candidates.append(Leadership(client, watch_cache, label, f"run-{label}"))
-            await watch_cache.reload()
-        slow, quick = candidates
-        grant = slow._client.grant_lease
-
-        async def overtaken(ttl_s: float) -> int:
-            await quick._stand_for_election()
-            await slow._watch_cache.read_barrier()  # as the watch does all the time
-            return await grant(ttl_s)
-
-        slow._client.grant_lease = overtaken  # type: ignore[method-assign]
-        await slow._stand_for_election()
-        assert quick.term is not None
-        assert slow.term is None
-        assert state.value(TERM_KEY) == {"term": 1, "run": "run-n1", "hold": quick.term.lease_id}
-
-    play(story())
-
-
-def test_after_all_troubles_every_job_is_answered_for_on_every_node() -> None:
-    async def story() -> None:
-        world = World()
-        world.cloud.capacity = 2
-        world.cloud.run_s = lambda task: 20.0
-        await world.up()
-        accepted: set[int] = set()
-
-        async def user(number: int) -> None:
-            for _ in range(20):
-                reply = await world.submit(job(number, pieces=2), LABELS[number % 3])
-                if reply.status in (200, 201):
-                    accepted.add(number)
-                    return
-                await asyncio.sleep(2.0)
-
-        users = [asyncio.create_task(user(n)) for n in range(1, 151)]
-        await asyncio.sleep(1.0)
-        world.state.in_outage = True
-        await asyncio.sleep(8)
-        for label in LABELS:
-            world.kill(label)
-        await asyncio.sleep(2)
-        world.start()
-        await asyncio.sleep(4)
-        world.state.end_outage()
-        over = world.now()
-        await asyncio.gather(*users)
-        assert len(accepted) == 150
-        for label in LABELS:
-            for number in sorted(accepted):
-                began = world.now()
-                reply = await world.poll(number, label)
-                assert reply.status == 200
-                assert world.now() - began < 2.0
-        assert world.now() - over < 75
-        assert world.cloud.broken == []
-
-    play(story())
-
-
-def test_the_largest_jobs_begin_while_urgent_work_keeps_arriving() -> None:
-    async def story() -> None:
-        world = World({"begin_s": 60})
-        world.cloud.capacity = 2
-        world.cloud.run_s = lambda task: 15.0
-        await world.up()
-        for yard in ("a", "b"):
-            world.cloud.add(yard)
-        await asyncio.sleep(5)
-        number = 10
-
-        async def rush() -> None:
-            nonlocal number
-            while True:
-                number += 1
-                await world.submit(job(number, rank="high", crew="red", pieces=8, expectS=15.0))
-                await asyncio.sleep(10)
-
-        flood = asyncio.create_task(rush())
-        await asyncio.sleep(15)
-        began = world.now()
-        await world.submit(job(1, pieces=40, vcpus=8.0, crew="blue", expectS=15.0))
-        await world.submit(job(2, pieces=1, crew="blue", rank="best_effort"))
-        for wanted in ("job-000001/0", "job-000002/0"):
-            await world.until(lambda w=wanted: any(n == w for _, n, _ in world.cloud.starts), 240)
-        assert world.now() - began < 240
-        # One task goes before rank, not the whole job: the urgent work went on.
-        since = [name for at, name, _ in world.cloud.starts if at > began]
-        assert sum(n.startswith("job-000001/") for n in since) <= 3
-        assert len(since) > 30
-        flood.cancel()
-
-    play(story())
-
-
-def test_a_fleet_found_at_the_start_is_kept_by_name_as_far_as_a_value_holds() -> None:
+    state, wire = FakeKeyValueStore(), FakeWire()
+    wire.hosts["state:1"] = state.serve
+    limits = State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
+    candidates = []
+    for label in ("n0", "n1"):
+        client = StoreClient(wire.end_of(label), "state:1", limits, controllers=2)
+        watch_cache = WatchCache(client, PREFIX)
+        candidates.append(Leadership(client, watch_cache, label, f"run-{label}"))
+        await watch_cache.reload()
+    slow, quick = candidates
+    grant = slow._client.grant_lease
+
+    async def overtaken(ttl_s: float) -> int:
+        await quick._stand_for_election()
+        await slow._watch_cache.read_barrier()  # as the watch does all the time
+        return await grant(ttl_s)
+
+    slow._client.grant_lease = overtaken  # type: ignore[method-assign]
+    await slow._stand_for_election()
+    assert quick.term is not None
+    assert slow.term is None
+    assert state.value(TERM_KEY) == {"term": 1, "run": "run-n1", "hold": quick.term.lease_id}
+
+
+async def test_after_all_troubles_every_job_is_answered_for_on_every_node() -> None:
+    world = World()
+    world.cloud.capacity = 2
+    world.cloud.run_s = lambda task: 20.0
+    await world.up()
+    accepted: set[int] = set()
+
+    async def user(number: int) -> None:
+        for _ in range(20):
+            reply = await world.submit(job(number, pieces=2), LABELS[number % 3])
+            if reply.status in (200, 201):
+                accepted.add(number)
+                return
+            await asyncio.sleep(2.0)
+
+    users = [asyncio.create_task(user(n)) for n in range(1, 151)]
+    await asyncio.sleep(1.0)
+    world.state.in_outage = True
+    await asyncio.sleep(8)
+    for label in LABELS:
+        world.kill(label)
+    await asyncio.sleep(2)
+    world.start()
+    await asyncio.sleep(4)
+    world.state.end_outage()
+    over = world.now()
+    await asyncio.gather(*users)
+    assert len(accepted) == 150
+    for label in LABELS:
+        for number in sorted(accepted):
+            began = world.now()
+            reply = await world.poll(number, label)
+            assert reply.status == 200
+            assert world.now() - began < 2.0
+    assert world.now() - over < 75
+    assert world.cloud.broken == []
+
+
+async def test_the_largest_jobs_begin_while_urgent_work_keeps_arriving() -> None:
+    world = World({"begin_s": 60})
+    world.cloud.capacity = 2
+    world.cloud.run_s = lambda task: 15.0
+    await world.up()
+    for yard in ("a", "b"):
+        world.cloud.add(yard)
+    await asyncio.sleep(5)
+    number = 10
+
+    async def rush() -> None:
+        nonlocal number
+        while True:
+            number += 1
+            await world.submit(job(number, rank="high", crew="red", pieces=8, expectS=15.0))
+            await asyncio.sleep(10)
+
+    flood = asyncio.create_task(rush())
+    await asyncio.sleep(15)
+    began = world.now()
+    await world.submit(job(1, pieces=40, vcpus=8.0, crew="blue", expectS=15.0))
+    await world.submit(job(2, pieces=1, crew="blue", rank="best_effort"))
+    for wanted in ("job-000001/0", "job-000002/0"):
+        await world.until(lambda w=wanted: any(n == w for _, n, _ in world.cloud.starts), 240)
+    assert world.now() - began < 240
+    # One task goes before rank, not the whole job: the urgent work went on.
+    since = [name for at, name, _ in world.cloud.starts if at > began]
+    assert sum(n.startswith("job-000001/") for n in since) <= 3
+    assert len(since) > 30
+    flood.cancel()
+
+
+async def test_a_fleet_found_at_the_start_is_kept_by_name_as_far_as_a_value_holds() -> None:
     # 40 bytes were reckoned for each name: a fleet half as large again as the largest known
     # was not noted, and would have been returned as idle.
-    async def story() -> None:
-        world = World()
-        names = [world.cloud.add() for _ in range(300)]
-        await world.up()
-        await asyncio.sleep(5)
-        assert world.active().initial_machine_names() == frozenset(names)
-
-    play(story())
+    world = World()
+    names = [world.cloud.add() for _ in range(300)]
+    await world.up()
+    await asyncio.sleep(5)
+    assert world.active().initial_machine_names() == frozenset(names)
