--- a/tests/scenarios/test_unresponsive_machines.py
+++ b/tests/scenarios/test_unresponsive_machines.py
@@ -8,230 +8,201 @@
 import pytest
 
 from spoolcourse.control.workers import command_dispatcher
-from tests.fakes.clock import play
 from tests.fakes.half_open import half_open
 from tests.fakes.world import World, job
 
 
-def test_no_task_stays_bound_to_a_machine_that_gets_no_answers() -> None:
-    async def story() -> None:
-        world = World()
-        world.cloud.capacity = 2
-        name = await world.up_with_machine()
-        world.wire.filters.append(half_open(name))
-        await world.submit(job(pieces=4))
-        await world.finish(1, 60)
-        assert {machine for _, _, machine in world.cloud.starts} != {name}
-        # It is not given anything later either, and is replaced in the end.
-        before = len(world.cloud.starts)
-        await world.submit(job(2, pieces=4))
-        await world.finish(2, 60)
-        assert all(machine != name for _, _, machine in world.cloud.starts[before:])
-        await world.until(lambda: name not in world.cloud.hosts, 60)
-        assert world.cloud.broken == []
-
-    play(story())
-
-
-def test_a_machine_that_gets_commands_but_no_answers_is_not_tried_forever() -> None:
+async def test_no_task_stays_bound_to_a_machine_that_gets_no_answers() -> None:
+    world = World()
+    world.cloud.capacity = 2
+    name = await world.up_with_machine()
+    world.wire.filters.append(half_open(name))
+    await world.submit(job(pieces=4))
+    await world.finish(1, 60)
+    assert {machine for _, _, machine in world.cloud.starts} != {name}
+    # It is not given anything later either, and is replaced in the end.
+    before = len(world.cloud.starts)
+    await world.submit(job(2, pieces=4))
+    await world.finish(2, 60)
+    assert all(machine != name for _, _, machine in world.cloud.starts[before:])
+    await world.until(lambda: name not in world.cloud.hosts, 60)
+    assert world.cloud.broken == []
+
+
+async def test_a_machine_that_gets_commands_but_no_answers_is_not_tried_forever() -> None:
     # What is started there by direct commands dies with each lease, for that renews nothing.
-    async def story() -> None:
-        world = World({"silent_leases": 100})
-        world.cloud.run_s = lambda task: 15.0
-        world.cloud.capacity = 2
-        name = await world.up_with_machine()
-        world.wire.filters.append(lambda src, dst, *rest: "lose" if src == name else None)
-        await world.submit(job(pieces=4))
-        await asyncio.sleep(60)
-        before = len(world.cloud.starts)
-        await world.submit(job(2, pieces=4))
-        await world.finish(2, 60)
-        assert all(machine != name for _, _, machine in world.cloud.starts[before:])
-        assert world.cloud.broken == []
-
-    play(story())
-
-
-def test_a_machine_that_gets_answers_again_gets_work_again() -> None:
-    async def story() -> None:
-        world = World({"silent_leases": 100})
-        world.cloud.capacity = 1
-        name = await world.up_with_machine()
-        world.wire.filters.append(half_open(name))
-        await world.submit(job(pieces=4))
-        await asyncio.sleep(60)
-        assert world.cloud.starts == []
-        assert world.active().registry.machines[name].unresponsive_since is not None
-        world.wire.filters.clear()
-        await world.finish(1, 60)
-        assert world.cloud.broken == []
-        assert len(world.cloud.starts) == 4
-
-    play(story())
-
-
-def test_work_on_a_machine_that_gets_no_answers_outlives_no_leader_unproven() -> None:
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda task: 30.0
-        name = await world.up_with_machine()
-        await world.submit(job(pieces=4))
-        await world.until(lambda: len(world.cloud.starts) == 4)
-        world.wire.filters.append(half_open(name))
-        world.kill(str(world.leader))
-        # The new leader's fencing token never reaches it: its heartbeats prove nothing.
-        await world.finish(1, 120)
-        assert world.cloud.broken == []
-
-    play(story())
-
-
-def test_a_cancelled_job_is_gone_in_time_where_answers_do_not_arrive() -> None:
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda task: 500.0
-        world.cloud.lease_s = 300.0
-        name = await world.up_with_machine()
-        await world.submit(job())
-        await world.until(lambda: len(world.cloud.starts) == 4)
-        world.wire.filters.append(half_open(name))
-        assert (await world.cancel()).data["stage"] == "aborted"
-        await world.until(lambda: not world.cloud.on_machines("job-000001"), 40)
-
-    play(story())
-
-
-def test_a_machine_that_boots_for_long_is_given_the_time_to_see_our_fencing_token() -> None:
+    world = World({"silent_leases": 100})
+    world.cloud.run_s = lambda task: 15.0
+    world.cloud.capacity = 2
+    name = await world.up_with_machine()
+    world.wire.filters.append(lambda src, dst, *rest: "lose" if src == name else None)
+    await world.submit(job(pieces=4))
+    await asyncio.sleep(60)
+    before = len(world.cloud.starts)
+    await world.submit(job(2, pieces=4))
+    await world.finish(2, 60)
+    assert all(machine != name for _, _, machine in world.cloud.starts[before:])
+    assert world.cloud.broken == []
+
+
+async def test_a_machine_that_gets_answers_again_gets_work_again() -> None:
+    world = World({"silent_leases": 100})
+    world.cloud.capacity = 1
+    name = await world.up_with_machine()
+    world.wire.filters.append(half_open(name))
+    await world.submit(job(pieces=4))
+    await asyncio.sleep(60)
+    assert world.cloud.starts == []
+    assert world.active().registry.machines[name].unresponsive_since is not None
+    world.wire.filters.clear()
+    await world.finish(1, 60)
+    assert world.cloud.broken == []
+    assert len(world.cloud.starts) == 4
+
+
+async def test_work_on_a_machine_that_gets_no_answers_outlives_no_leader_unproven() -> None:
+    world = World()
+    world.cloud.run_s = lambda task: 30.0
+    name = await world.up_with_machine()
+    await world.submit(job(pieces=4))
+    await world.until(lambda: len(world.cloud.starts) == 4)
+    world.wire.filters.append(half_open(name))
+    world.kill(str(world.leader))
+    # The new leader's fencing token never reaches it: its heartbeats prove nothing.
+    await world.finish(1, 120)
+    assert world.cloud.broken == []
+
+
+async def test_a_cancelled_job_is_gone_in_time_where_answers_do_not_arrive() -> None:
+    world = World()
+    world.cloud.run_s = lambda task: 500.0
+    world.cloud.lease_s = 300.0
+    name = await world.up_with_machine()
+    await world.submit(job())
+    await world.until(lambda: len(world.cloud.starts) == 4)
+    world.wire.filters.append(half_open(name))
+    assert (await world.cancel()).data["stage"] == "aborted"
+    await world.until(lambda: not world.cloud.on_machines("job-000001"), 40)
+
+
+async def test_a_machine_that_boots_for_long_is_given_the_time_to_see_our_fencing_token() -> None:
     # Measured: with the time since the rental counted, 88 machines that took longer to boot
     # than the patience with unproven ones went back at their first heartbeat.
-    async def story() -> None:
-        world = World()
-        world.cloud.boot_s = 36.0
-        world.cloud.run_s = lambda task: 100.0
-        for _ in range(6):  # most machines do hear us: the new ones are the exception
-            world.cloud.add()
-        await world.up()
-        world.wire.filters.append(
-            lambda src, dst, method, path, body: (
-                "lose" if src.startswith("m-") and body["tick"] <= 1 else None
-            )
-        )
-        await world.submit(job(1, pieces=24))
-        await world.submit(job(2, crew="blue", pieces=8))
-        await world.until(lambda: len(world.cloud.starts) == 32, 60)
-        assert world.cloud.broken == []
-
-    play(story())
-
-
-def test_a_new_leader_returns_no_machine_that_it_has_only_not_heard_yet() -> None:
-    async def story() -> None:
-        world = World({"idle_min_s": 600})
-        await world.up()
-        await world.submit(job(pieces=24))
-        await world.finish()
-        await asyncio.sleep(60)  # far longer than any boot takes
-        machines = set(world.cloud.hosts)
-        assert len(machines) > 3
-        # For a while the workers' heartbeats don't get through to the new leader.
-        world.wire.filters.append(
-            lambda src, dst, *rest: "cut" if "m-" in src or dst.startswith("m-") else None
+    world = World()
+    world.cloud.boot_s = 36.0
+    world.cloud.run_s = lambda task: 100.0
+    for _ in range(6):  # most machines do hear us: the new ones are the exception
+        world.cloud.add()
+    await world.up()
+    world.wire.filters.append(
+        lambda src, dst, method, path, body: (
+            "lose" if src.startswith("m-") and body["tick"] <= 1 else None
         )
-        world.kill(str(world.leader))
-        await world.until(lambda: world.leader, 10)
-        await asyncio.sleep(5)
-        world.wire.filters.clear()
-        await asyncio.sleep(20)
-        assert set(world.cloud.hosts) >= machines
-
-    play(story())
-
-
-def test_many_silent_machines_are_called_a_few_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    )
+    await world.submit(job(1, pieces=24))
+    await world.submit(job(2, crew="blue", pieces=8))
+    await world.until(lambda: len(world.cloud.starts) == 32, 60)
+    assert world.cloud.broken == []
+
+
+async def test_a_new_leader_returns_no_machine_that_it_has_only_not_heard_yet() -> None:
+    world = World({"idle_min_s": 600})
+    await world.up()
+    await world.submit(job(pieces=24))
+    await world.finish()
+    await asyncio.sleep(60)  # far longer than any boot takes
+    machines = set(world.cloud.hosts)
+    assert len(machines) > 3
+    # For a while the workers' heartbeats don't get through to the new leader.
+    world.wire.filters.append(
+        lambda src, dst, *rest: "cut" if "m-" in src or dst.startswith("m-") else None
+    )
+    world.kill(str(world.leader))
+    await world.until(lambda: world.leader, 10)
+    await asyncio.sleep(5)
+    world.wire.filters.clear()
+    await asyncio.sleep(20)
+    assert set(world.cloud.hosts) >= machines
+
+
+async def test_many_silent_machines_are_called_a_few_at_a_time(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     # A zone cut off: every call there hangs until it times out. Guards against a call for
     # each machine at once, and against connections to all machines kept open beside those
     # that the heartbeats come on.
     monkeypatch.setattr(command_dispatcher, "MIN_CALL_LIMIT", 6)
 
-    async def story() -> None:
-        world = World()
-        await world.up()
-        for _ in range(20):
-            world.cloud.add()
-        await asyncio.sleep(5)
-        leader = str(world.leader)
-        active = world.active(leader)
-        seen: list[int] = []
-
-        def cut(src: str, dst: str, *rest: Any) -> str | None:
-            if src != leader or not dst.endswith(":9000"):
-                return None
-            seen.append(len(active.command_dispatcher._calls))
-            return "cut"
-
-        world.wire.filters.append(cut)
-        await world.submit(job(1, pieces=80, cpus=1.0))
-        await world.finish(1)
-        assert len(seen) > 6
-        assert max(seen) == 6
-        machines = len(active.registry.machines)
-        assert command_dispatcher.CommandDispatcher(
-            active.command_dispatcher._http_client, active.registry, 4 * machines
-        ).may_keep_connections()
-        assert not command_dispatcher.CommandDispatcher(
-            active.command_dispatcher._http_client, active.registry, 2 * machines
-        ).may_keep_connections()
-
-    play(story())
-
-
-def test_a_leader_that_may_have_been_replaced_returns_nothing_for_being_idle() -> None:
+    world = World()
+    await world.up()
+    for _ in range(20):
+        world.cloud.add()
+    await asyncio.sleep(5)
+    leader = str(world.leader)
+    active = world.active(leader)
+    seen: list[int] = []
+
+    def cut(src: str, dst: str, *rest: Any) -> str | None:
+        if src != leader or not dst.endswith(":9000"):
+            return None
+        seen.append(len(active.command_dispatcher._calls))
+        return "cut"
+
+    world.wire.filters.append(cut)
+    await world.submit(job(1, pieces=80, cpus=1.0))
+    await world.finish(1)
+    assert len(seen) > 6
+    assert max(seen) == 6
+    machines = len(active.registry.machines)
+    assert command_dispatcher.CommandDispatcher(
+        active.command_dispatcher._http_client, active.registry, 4 * machines
+    ).may_keep_connections()
+    assert not command_dispatcher.CommandDispatcher(
+        active.command_dispatcher._http_client, active.registry, 2 * machines
+    ).may_keep_connections()
+
+
+async def test_a_leader_that_may_have_been_replaced_returns_nothing_for_being_idle() -> None:
     # A leader that stood still, or lost the key-value store alone, sees machines idle or silent
     # that its successor has put to work. A deletion asks for no fencing token: it would end
     # that work.
-    async def story() -> None:
-        world = World()
-        await world.up()
-        await world.submit(job(pieces=12))
-        await world.finish()
-        leader = str(world.leader)
-        active = world.active(leader)
-        assert world.cloud.hosts
-        before = set(world.cloud.hosts)
-        world.state.in_outage = True
-        await asyncio.sleep(300)  # idle for long, and above the peak recently
-        assert not active.holds_lease()
-        assert before
-        assert set(world.cloud.hosts) == before
-        world.state.in_outage = False
-        await world.until(lambda: not world.cloud.hosts, 300)
-
-    play(story())
-
-
-def test_a_machine_that_missed_its_heartbeats_gets_no_new_work_while_its_lease_runs() -> None:
+    world = World()
+    await world.up()
+    await world.submit(job(pieces=12))
+    await world.finish()
+    leader = str(world.leader)
+    active = world.active(leader)
+    assert world.cloud.hosts
+    before = set(world.cloud.hosts)
+    world.state.in_outage = True
+    await asyncio.sleep(300)  # idle for long, and above the peak recently
+    assert not active.holds_lease()
+    assert before
+    assert set(world.cloud.hosts) == before
+    world.state.in_outage = False
+    await world.until(lambda: not world.cloud.hosts, 300)
+
+
+async def test_a_machine_that_missed_its_heartbeats_gets_no_new_work_while_its_lease_runs() -> None:
     # A zone cut off: the machines there look free until their leases have run out. Work put
     # there would be bound so long, and calls there would keep those to the rest waiting.
-    async def story() -> None:
-        world = World()
-        world.cloud.capacity = 2
-        await world.up()
-        names = [world.cloud.add(), world.cloud.add()]
-        await asyncio.sleep(5)
-        leader = str(world.leader)
-        active = world.active(leader)
-        world.cut_off(names[0])
-        await asyncio.sleep(active._context.params.workers.quiet_s + 0.5)
-        assert not active.registry.machines[names[0]].lease_expired
-        calls: list[str] = []
-
-        def watched(src: str, dst: str, *rest: Any) -> None:
-            calls.append(dst)
-
-        world.wire.filters.insert(0, watched)
-        await world.submit(job(1, pieces=3))
-        assert await world.finish(1) < 9 + world.cloud.run_s("job-000001/0")
-        assert not any(d.startswith(names[0]) for d in calls)
-        assert {m for _, n, m in world.cloud.starts if n.startswith("job-000001")} == {names[1]}
-
-    play(story())
+    world = World()
+    world.cloud.capacity = 2
+    await world.up()
+    names = [world.cloud.add(), world.cloud.add()]
+    await asyncio.sleep(5)
+    leader = str(world.leader)
+    active = world.active(leader)
+    world.cut_off(names[0])
+    await asyncio.sleep(active._context.params.workers.quiet_s + 0.5)
+    assert not active.registry.machines[names[0]].lease_expired
+    calls: list[str] = []
+
+    def watched(src: str, dst: str, *rest: Any) -> None:
+        calls.append(dst)
+
+    world.wire.filters.insert(0, watched)
+    await world.submit(job(1, pieces=3))
+    assert await world.finish(1) < 9 + world.cloud.run_s("job-000001/0")
+    assert not any(d.startswith(names[0]) for d in calls)
+    assert {m for _, n, m in world.cloud.starts if n.startswith("job-000001")} == {names[1]}
--- a/tests/scenarios/test_upgrade.py
+++ b/tests/scenarios/test_upgrade.py
@@ -11,7 +11,6 @@
 from spoolcourse.control.store.records import JobRecord, Progress
 from spoolcourse.errors import UserError
 from spoolcourse.wire.settings import parse_settings
-from tests.fakes.clock import play
 from tests.fakes.services import service
 from tests.fakes.upgrade import (
     OLD_JOB,
@@ -26,7 +25,7 @@
 from tests.fakes.world import LABELS, World, job, settings
 
 
-def test_the_new_version_reads_what_the_old_one_stored() -> None:
+async def test_the_new_version_reads_what_the_old_one_stored() -> None:
     record = JobRecord.from_value(OLD_JOB, 3)
     assert record.submission.task_count == 200
     assert not record.submission.is_service
@@ -35,63 +34,57 @@
     assert progress.done == 6
     assert progress.value() == OLD_PROGRESS
 
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda task: 5.0
-        name = world.cloud.add()
-        state = world.state
-        state._apply(
-            [
-                {"set": TERM_KEY, "v": OLD_TERM},
-                {"set": job_key("job-000001"), "v": OLD_JOB},
-                {"set": progress_key("job-000001", 0), "v": OLD_PROGRESS},
-            ]
-        )
-        world.jobs["job-000001"] = job(pieces=200, vcpus=1.0)
-        await world.up()
-        await world.finish(1, 300)
-        assert state.value(TERM_KEY)["term"] == 2
-        started = [n for _, n, _ in world.cloud.starts]
-        assert len(started) == 198, "two were done before"
-        assert "job-000001/1" not in started, "two were done before"
-        assert name
-        assert world.cloud.broken == []
-
-    play(story())
-
-
-def test_the_old_version_reads_what_the_new_one_writes_before_all_are_new() -> None:
-    async def story() -> None:
-        world = World()
-        await world.up()
-        old = next(n for n in LABELS if n != world.leader)
-        turn = old_peers(world, old)
-        world.state._apply([{"delete": FEATURE_LEVEL_KEY}])
-        for label in LABELS:
-            world.kill(label)
-        await world.up()
-        await world.submit(job(1, pieces=60, vcpus=1.0))
-        await world.submit(job(2))
-        refused = await world.submit(service(3))
-        assert refused.status == 503
-        assert refused.headers["Retry-After"]
-        await world.cancel(2)
-        await world.finish(1, 200)
-        assert world.state.value(FEATURE_LEVEL_KEY) is None
-        for key, value in written(world):
-            old_can_read(key, value)
-        # Its turn has come: now services are taken, and that stays so whoever leads.
-        world.wire.filters.remove(turn)
-        await world.until(lambda: world.state.value(FEATURE_LEVEL_KEY), 30)
-        await asyncio.sleep(1)
-        assert (await world.submit(service(3))).status == 201
-        old_peers(world, *LABELS)
-        world.kill(str(world.leader))
-        await world.until(lambda: world.leader, 10)
-        node = str(world.leader)
-        assert (await world.submit(service(4), node)).status == 201
-
-    play(story())
+    world = World()
+    world.cloud.run_s = lambda task: 5.0
+    name = world.cloud.add()
+    state = world.state
+    state._apply(
+        [
+            {"set": TERM_KEY, "v": OLD_TERM},
+            {"set": job_key("job-000001"), "v": OLD_JOB},
+            {"set": progress_key("job-000001", 0), "v": OLD_PROGRESS},
+        ]
+    )
+    world.jobs["job-000001"] = job(pieces=200, vcpus=1.0)
+    await world.up()
+    await world.finish(1, 300)
+    assert state.value(TERM_KEY)["term"] == 2
+    started = [n for _, n, _ in world.cloud.starts]
+    assert len(started) == 198, "two were done before"
+    assert "job-000001/1" not in started, "two were done before"
+    assert name
+    assert world.cloud.broken == []
+
+
+async def test_the_old_version_reads_what_the_new_one_writes_before_all_are_new() -> None:
+    world = World()
+    await world.up()
+    old = next(n for n in LABELS if n != world.leader)
+    turn = old_peers(world, old)
+    world.state._apply([{"delete": FEATURE_LEVEL_KEY}])
+    for label in LABELS:
+        world.kill(label)
+    await world.up()
+    await world.submit(job(1, pieces=60, vcpus=1.0))
+    await world.submit(job(2))
+    refused = await world.submit(service(3))
+    assert refused.status == 503
+    assert refused.headers["Retry-After"]
+    await world.cancel(2)
+    await world.finish(1, 200)
+    assert world.state.value(FEATURE_LEVEL_KEY) is None
+    for key, value in written(world):
+        old_can_read(key, value)
+    # Its turn has come: now services are taken, and that stays so whoever leads.
+    world.wire.filters.remove(turn)
+    await world.until(lambda: world.state.value(FEATURE_LEVEL_KEY), 30)
+    await asyncio.sleep(1)
+    assert (await world.submit(service(3))).status == 201
+    old_peers(world, *LABELS)
+    world.kill(str(world.leader))
+    await world.until(lambda: world.leader, 10)
+    node = str(world.leader)
+    assert (await world.submit(service(4), node)).status == 201
 
 
 def test_limits_to_come_are_read_and_checked() -> None:
@@ -107,82 +100,71 @@
 
 
 @pytest.mark.parametrize("drop_after", [0.5, 6.0, 30.0])
-def test_limits_drop_while_an_old_jobs_chunks_are_larger(drop_after: float) -> None:
-    async def story() -> None:
-        world = World(params=with_next(value_kb=1.0, txn_ops=3, write_rps=40.0))
-        world.cloud.run_s = lambda task: 12.0
-        world.cloud.capacity = 30
-        store_large_job(world)
-        await world.up()
-        await world.submit(job(2, pieces=60, vcpus=1.0, crew="blue"))
-        await asyncio.sleep(drop_after)
-        world.state.value_bytes, world.state.txn_ops = 1024, 3
-        await world.finish(1, 300)
-        await world.finish(2, 300)
-        assert world.state.refused < 5, "nothing is tried again and again"
-        largest = max(len(orjson.dumps(v)) for k, v in written(world) if "/job-000002" in k)
-        assert largest <= 1024
-        assert world.cloud.broken == []
-
-    play(story())
-
-
-def test_a_job_too_long_to_be_stored_is_refused() -> None:
-    async def story() -> None:
-        world = World(params=with_next(value_kb=0.5))
-        await world.up()
-        assert (await world.submit(job(1, bundle="i" * 200, lane="l" * 100))).status == 422
-        assert (await world.submit(job(2))).status == 201
-
-    play(story())
+async def test_limits_drop_while_an_old_jobs_chunks_are_larger(drop_after: float) -> None:
+    world = World(params=with_next(value_kb=1.0, txn_ops=3, write_rps=40.0))
+    world.cloud.run_s = lambda task: 12.0
+    world.cloud.capacity = 30
+    store_large_job(world)
+    await world.up()
+    await world.submit(job(2, pieces=60, vcpus=1.0, crew="blue"))
+    await asyncio.sleep(drop_after)
+    world.state.value_bytes, world.state.txn_ops = 1024, 3
+    await world.finish(1, 300)
+    await world.finish(2, 300)
+    assert world.state.refused < 5, "nothing is tried again and again"
+    largest = max(len(orjson.dumps(v)) for k, v in written(world) if "/job-000002" in k)
+    assert largest <= 1024
+    assert world.cloud.broken == []
+
+
+async def test_a_job_too_long_to_be_stored_is_refused() -> None:
+    world = World(params=with_next(value_kb=0.5))
+    await world.up()
+    assert (await world.submit(job(1, bundle="i" * 200, lane="l" * 100))).status == 422
+    assert (await world.submit(job(2))).status == 201
 
 
 @pytest.mark.parametrize("lost", [False, True])
-def test_leadership_goes_from_old_to_new_and_back_with_work_under_way(lost: bool) -> None:
+async def test_leadership_goes_from_old_to_new_and_back_with_work_under_way(lost: bool) -> None:
     # What an old leader does in between is written in its stored forms, as of its commit.
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda task: 60.0
-        await world.up()
-        for number in (1, 2):
-            await world.submit(job(number))
-        await world.until(lambda: len(world.cloud.starts) == 8, 60)
-        await asyncio.sleep(3)
-        for turn in range(2):
-            for label in LABELS:
-                world.kill(label)
-            await asyncio.sleep(0.5)
-            state = world.state
-            term = state.value(TERM_KEY)["term"] + 1
-            changes = [{"set": TERM_KEY, "v": {"term": term, "run": f"old{turn}", "hold": 1}}]
-            if turn == 0:  # the old leader takes a cancellation
-                value = dict(state.value(job_key("job-000002")))
-                changes.append(
-                    {"set": job_key("job-000002"), "v": value | {"aborted": world.now()}}
-                )
-                world.cancelled["job-000002"] = world.now()
-                world.told["job-000002"] = "aborted"
-            # It writes progress again, as it does after a failover.
-            key = progress_key("job-000001", 0)
-            progress = state.value(key)
-            old_can_read(key, progress)
-            changes.append({"set": key, "v": {"held": progress["held"], "done": progress["done"]}})
-            state._apply(changes)
-            if lost:
-                world.wire.filters.append(
-                    lambda src, dst, method, path, body: (
-                        "lose" if path == "/multi" and (body or {}).get("apply") else None
-                    )
+    world = World()
+    world.cloud.run_s = lambda task: 60.0
+    await world.up()
+    for number in (1, 2):
+        await world.submit(job(number))
+    await world.until(lambda: len(world.cloud.starts) == 8, 60)
+    await asyncio.sleep(3)
+    for turn in range(2):
+        for label in LABELS:
+            world.kill(label)
+        await asyncio.sleep(0.5)
+        state = world.state
+        term = state.value(TERM_KEY)["term"] + 1
+        changes = [{"set": TERM_KEY, "v": {"term": term, "run": f"old{turn}", "hold": 1}}]
+        if turn == 0:  # the old leader takes a cancellation
+            value = dict(state.value(job_key("job-000002")))
+            changes.append({"set": job_key("job-000002"), "v": value | {"aborted": world.now()}})
+            world.cancelled["job-000002"] = world.now()
+            world.told["job-000002"] = "aborted"
+        # It writes progress again, as it does after a failover.
+        key = progress_key("job-000001", 0)
+        progress = state.value(key)
+        old_can_read(key, progress)
+        changes.append({"set": key, "v": {"held": progress["held"], "done": progress["done"]}})
+        state._apply(changes)
+        if lost:
+            world.wire.filters.append(
+                lambda src, dst, method, path, body: (
+                    "lose" if path == "/multi" and (body or {}).get("apply") else None
                 )
-            await world.up()
-            assert world.state.value(TERM_KEY)["term"] > term
-            await asyncio.sleep(6)
-            world.wire.filters.clear()
-            await world.until(lambda: not world.cloud.on_machines("job-000002"), 40)
-        await world.finish(1, 120)
-        assert len(world.cloud.starts) == 8
-        assert world.cloud.broken == []
-        for key, value in written(world):
-            old_can_read(key, value)
-
-    play(story())
+            )
+        await world.up()
+        assert world.state.value(TERM_KEY)["term"] > term
+        await asyncio.sleep(6)
+        world.wire.filters.clear()
+        await world.until(lambda: not world.cloud.on_machines("job-000002"), 40)
+    await world.finish(1, 120)
+    assert len(world.cloud.starts) == 8
+    assert world.cloud.broken == []
+    for key, value in written(world):
+        old_can_read(key, value)
--- a/tests/scenarios/test_upgrade_troubles.py
+++ b/tests/scenarios/test_upgrade_troubles.py
@@ -9,7 +9,6 @@
 import pytest
 
 from spoolcourse.control.store.keys import FEATURE_LEVEL_KEY
-from tests.fakes.clock import play
 from tests.fakes.services import served, service
 from tests.fakes.upgrade import old_peers, store_large_job, with_next, written
 from tests.fakes.world import LABELS, World, job
@@ -51,143 +50,126 @@
         await asyncio.sleep(1.0)
 
 
-def test_a_service_comes_as_the_last_controller_turns_new_and_a_peer_is_cut_off() -> None:
-    async def story() -> None:
-        world, turn, _ = await upgraded_but_one()
-        leader = str(world.leader)
-        peer = next(n for n in LABELS[:2] if n != leader)
-        world.cut_off(peer)
-        cut = world.wire.filters[-1]
-        world.wire.filters.remove(turn)
-        await refused_at_once(world, leader)
-        await asyncio.sleep(15)
-        await refused_at_once(world, leader)  # nobody can say of the one cut off what it is
-        assert world.state.value(FEATURE_LEVEL_KEY) is None
-        world.wire.filters.remove(cut)
-        await taken(world, leader)
-        await served(world)
-        assert world.cloud.broken == []
-
-    play(story())
-
-
-def test_a_service_comes_as_the_last_controller_turns_new_and_the_leader_is_refused() -> None:
-    async def story() -> None:
-        world, turn, _ = await upgraded_but_one()
-        leader = str(world.leader)
-        world.wire.filters.append(
-            lambda src, dst, *rest: "503" if (src, dst) == (leader, "state:1") else None
-        )
-        world.wire.stalled.add((leader, "state:1"))
-        world.wire.filters.remove(turn)
-        other = next(n for n in LABELS if n != leader)
-        await refused_at_once(world, other)
-        # The others elect one of them, which asks all three again: the refused one still answers.
-        await taken(world, other, 2 * SOON_S)
-        await served(world)
-        assert (
-            world.leader != leader or len([n for n in world.nodes.values() if n.leader_term]) == 2
+async def test_a_service_comes_as_the_last_controller_turns_new_and_a_peer_is_cut_off() -> None:
+    world, turn, _ = await upgraded_but_one()
+    leader = str(world.leader)
+    peer = next(n for n in LABELS[:2] if n != leader)
+    world.cut_off(peer)
+    cut = world.wire.filters[-1]
+    world.wire.filters.remove(turn)
+    await refused_at_once(world, leader)
+    await asyncio.sleep(15)
+    await refused_at_once(world, leader)  # nobody can say of the one cut off what it is
+    assert world.state.value(FEATURE_LEVEL_KEY) is None
+    world.wire.filters.remove(cut)
+    await taken(world, leader)
+    await served(world)
+    assert world.cloud.broken == []
+
+
+async def test_a_service_comes_as_the_last_controller_turns_new_and_the_leader_is_refused() -> None:
+    world, turn, _ = await upgraded_but_one()
+    leader = str(world.leader)
+    world.wire.filters.append(
+        lambda src, dst, *rest: "503" if (src, dst) == (leader, "state:1") else None
+    )
+    world.wire.stalled.add((leader, "state:1"))
+    world.wire.filters.remove(turn)
+    other = next(n for n in LABELS if n != leader)
+    await refused_at_once(world, other)
+    # The others elect one of them, which asks all three again: the refused one still answers.
+    await taken(world, other, 2 * SOON_S)
+    await served(world)
+    assert world.leader != leader or len([n for n in world.nodes.values() if n.leader_term]) == 2
+    assert world.cloud.broken == []
+
+
+async def test_the_note_that_all_are_new_is_carried_out_late_under_another_leader() -> None:
+    world, turn, _ = await upgraded_but_one()
+    leader = str(world.leader)
+
+    def held(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
+        noted = path == "/multi" and any(
+            op.get("set") == FEATURE_LEVEL_KEY for op in body.get("apply", ())
         )
-        assert world.cloud.broken == []
+        return "hold" if noted and src == leader else None
+
+    world.wire.filters.append(held)
+    world.wire.filters.remove(turn)
+    await world.until(lambda: world.wire.held, 10)
+    assert (await world.submit(service(1), leader)).status == 503
+    world.kill(leader)
+    await world.until(lambda: world.leader, 20)
+    # The successor can't ask the one that has ended; then the late note arrives.
+    assert [reply.status for reply in await world.wire.release()] == [409]
+    assert world.state.value(FEATURE_LEVEL_KEY) is None
+    other = str(world.leader)
+    assert (await world.submit(service(1), other)).status == 503
+    world.start(leader)
+    await taken(world, other, 2 * SOON_S)
+    assert world.state.value(FEATURE_LEVEL_KEY) == {"level": 2}
+
+
+async def test_all_controllers_restart_right_after_the_note() -> None:
+    world, turn, _ = await upgraded_but_one()
+    world.wire.filters.remove(turn)
+    await taken(world, str(world.leader))
+    for label in LABELS:
+        world.kill(label)
+    # They can't ask one another, nor need they: what is noted stays true.
+    world.wire.filters.append(
+        lambda src, dst, *rest: "cut" if dst.endswith(":81") and src in LABELS else None
+    )
+    await asyncio.sleep(1)
+    await world.up()
+    for number, label in enumerate(LABELS, 2):
+        assert (await world.submit(service(number), label)).status == 201
+        assert (await world.poll(1, label)).status == 200
+    await world.until(lambda: len(world.cloud.on_machines("job-00000")) == 0, 1)
+    for number in range(1, 5):
+        await served(world, number)
+    assert world.cloud.broken == []
 
-    play(story())
 
+@pytest.mark.parametrize("moment", ["before the note", "in an outage", "after a change of leader"])
+async def test_limits_drop(moment: str) -> None:
+    """A large job of the old version runs all the while; new jobs and services go on."""
 
-def test_the_note_that_all_are_new_is_carried_out_late_under_another_leader() -> None:
-    async def story() -> None:
-        world, turn, _ = await upgraded_but_one()
-        leader = str(world.leader)
+    lower = with_next(value_kb=1.0, txn_ops=3, write_rps=40.0)
+    world = World(params=lower)
+    world.cloud.run_s = lambda task: 10_000.0 if "job-000009" in task else 8.0
+    world.cloud.capacity = 30
+    store_large_job(world)
+    turn = old_peers(world, LABELS[2])
+    await world.up()
 
-        def held(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
-            noted = path == "/multi" and any(
-                op.get("set") == FEATURE_LEVEL_KEY for op in body.get("apply", ())
-            )
-            return "hold" if noted and src == leader else None
+    def drop() -> None:
+        world.state.value_bytes, world.state.txn_ops = 1024, 3
 
-        world.wire.filters.append(held)
-        world.wire.filters.remove(turn)
-        await world.until(lambda: world.wire.held, 10)
-        assert (await world.submit(service(1), leader)).status == 503
-        world.kill(leader)
-        await world.until(lambda: world.leader, 20)
-        # The successor can't ask the one that has ended; then the late note arrives.
-        assert [reply.status for reply in await world.wire.release()] == [409]
+    await world.submit(job(2, pieces=40, vcpus=1.0, crew="blue"))
+    await asyncio.sleep(3)
+    if moment == "before the note":
+        drop()
         assert world.state.value(FEATURE_LEVEL_KEY) is None
-        other = str(world.leader)
-        assert (await world.submit(service(1), other)).status == 503
-        world.start(leader)
-        await taken(world, other, 2 * SOON_S)
-        assert world.state.value(FEATURE_LEVEL_KEY) == {"level": 2}
-
-    play(story())
-
-
-def test_all_controllers_restart_right_after_the_note() -> None:
-    async def story() -> None:
-        world, turn, _ = await upgraded_but_one()
-        world.wire.filters.remove(turn)
-        await taken(world, str(world.leader))
-        for label in LABELS:
-            world.kill(label)
-        # They can't ask one another, nor need they: what is noted stays true.
-        world.wire.filters.append(
-            lambda src, dst, *rest: "cut" if dst.endswith(":81") and src in LABELS else None
-        )
-        await asyncio.sleep(1)
-        await world.up()
-        for number, label in enumerate(LABELS, 2):
-            assert (await world.submit(service(number), label)).status == 201
-            assert (await world.poll(1, label)).status == 200
-        await world.until(lambda: len(world.cloud.on_machines("job-00000")) == 0, 1)
-        for number in range(1, 5):
-            await served(world, number)
-        assert world.cloud.broken == []
-
-    play(story())
-
-
-@pytest.mark.parametrize("moment", ["before the note", "in an outage", "after a change of leader"])
-def test_limits_drop(moment: str) -> None:
-    """A large job of the old version runs all the while; new jobs and services go on."""
-
-    async def story() -> None:
-        lower = with_next(value_kb=1.0, txn_ops=3, write_rps=40.0)
-        world = World(params=lower)
-        world.cloud.run_s = lambda task: 10_000.0 if "job-000009" in task else 8.0
-        world.cloud.capacity = 30
-        store_large_job(world)
-        turn = old_peers(world, LABELS[2])
-        await world.up()
-
-        def drop() -> None:
-            world.state.value_bytes, world.state.txn_ops = 1024, 3
-
-        await world.submit(job(2, pieces=40, vcpus=1.0, crew="blue"))
-        await asyncio.sleep(3)
-        if moment == "before the note":
-            drop()
-            assert world.state.value(FEATURE_LEVEL_KEY) is None
-        world.wire.filters.remove(turn)
-        await world.until(lambda: world.state.value(FEATURE_LEVEL_KEY), 20)
-        assert (await world.submit(service(9, pieces=3))).status == 201
-        if moment == "in an outage":
-            world.state.in_outage = True
-            await asyncio.sleep(4)
-            drop()
-            await asyncio.sleep(4)
-            world.state.end_outage()
-        if moment == "after a change of leader":
-            world.kill(str(world.leader))
-            await world.until(lambda: world.leader, 20)
-            drop()
-        await served(world, 9, 3, 90)
-        await world.finish(1, 300)
-        await world.finish(2, 300)
-        assert world.state.refused < 5, "nothing is tried again and again"
-        fresh = [v for k, v in written(world) if "job-000001" not in k]
-        assert max(len(orjson.dumps(v)) for v in fresh) <= 1024
-        assert (await world.cancel(9, str(world.leader))).data["stage"] == "aborted"
-        await world.until(lambda: not world.cloud.on_machines("job-000009"), 40)
-        assert world.cloud.broken == []
-
-    play(story())
+    world.wire.filters.remove(turn)
+    await world.until(lambda: world.state.value(FEATURE_LEVEL_KEY), 20)
+    assert (await world.submit(service(9, pieces=3))).status == 201
+    if moment == "in an outage":
+        world.state.in_outage = True
+        await asyncio.sleep(4)
+        drop()
+        await asyncio.sleep(4)
+        world.state.end_outage()
+    if moment == "after a change of leader":
+        world.kill(str(world.leader))
+        await world.until(lambda: world.leader, 20)
+        drop()
+    await served(world, 9, 3, 90)
+    await world.finish(1, 300)
+    await world.finish(2, 300)
+    assert world.state.refused < 5, "nothing is tried again and again"
+    fresh = [v for k, v in written(world) if "job-000001" not in k]
+    assert max(len(orjson.dumps(v)) for v in fresh) <= 1024
+    assert (await world.cancel(9, str(world.leader))).data["stage"] == "aborted"
+    await world.until(lambda: not world.cloud.on_machines("job-000009"), 40)
+    assert world.cloud.broken == []
--- a/tests/scheduling/test_snapshot_cache.py
+++ b/tests/scheduling/test_snapshot_cache.py
@@ -12,7 +12,6 @@
 from spoolcourse.control.store.records import JobRecord
 from spoolcourse.policy.keys import check_policy
 from spoolcourse.wire.messages import MachineType, Submission, parse
-from tests.fakes.clock import play
 from tests.fakes.registry import RegistryHarness, on
 from tests.fakes.world import World, job, settings
 
@@ -59,49 +58,46 @@
     return views
 
 
-def test_what_is_kept_of_a_machine_is_what_a_new_look_shows() -> None:
+async def test_what_is_kept_of_a_machine_is_what_a_new_look_shows() -> None:
     # Guards against a change that is not noticed: room that is not there any more would be
     # given away, and room that is there never used.
-    async def story() -> None:
-        world = World()
-        world.cloud.run_s = lambda name: 3.0 + sum(name.encode()) % 7
-        await world.up()
-        compared = 0
-
-        def compare(active: ActiveLeader) -> None:
-            nonlocal compared
-            now, machine_types = world.now(), active._context.machine_types()
-            fresh = snapshot_builder(active.job_queue, active.registry)
-            kept = machine_views(active.snapshot_builder, now, machine_types)
-            assert kept == machine_views(fresh, now, machine_types)
-            compared += sum(len(row[3]) for row in kept.values())
-
-        for number in range(1, 13):
-            crew = "red" if number % 3 else "blue"
-            rank = "high" if number % 4 == 0 else "standard"
-            saves = {"markEveryS": 2.0, "markCostS": 1.0} if number % 2 else {}
-            await world.submit(
-                job(number, pieces=9, crew=crew, rank=rank, bundle=f"img{number % 5}", **saves)
-            )
-            for _ in range(5):
-                await asyncio.sleep(0.7)
-                leader = world.nodes.get(str(world.leader))
-                if (
-                    leader is not None
-                    and leader.leader_term is not None
-                    and leader.leader_term.active is not None
-                    and leader.leader_term.active.scheduling.passes
-                ):
-                    compare(leader.leader_term.active)
-            if number == 4:
-                await world.cancel(3)
-            if number == 6:
-                next(iter(world.cloud.workers.values())).die()
-            if number == 9:
-                world.kill(str(world.leader))
-        assert compared > 200
-
-    play(story())
+    world = World()
+    world.cloud.run_s = lambda name: 3.0 + sum(name.encode()) % 7
+    await world.up()
+    compared = 0
+
+    def compare(active: ActiveLeader) -> None:
+        nonlocal compared
+        now, machine_types = world.now(), active._context.machine_types()
+        fresh = snapshot_builder(active.job_queue, active.registry)
+        kept = machine_views(active.snapshot_builder, now, machine_types)
+        assert kept == machine_views(fresh, now, machine_types)
+        compared += sum(len(row[3]) for row in kept.values())
+
+    for number in range(1, 13):
+        crew = "red" if number % 3 else "blue"
+        rank = "high" if number % 4 == 0 else "standard"
+        saves = {"markEveryS": 2.0, "markCostS": 1.0} if number % 2 else {}
+        await world.submit(
+            job(number, pieces=9, crew=crew, rank=rank, bundle=f"img{number % 5}", **saves)
+        )
+        for _ in range(5):
+            await asyncio.sleep(0.7)
+            leader = world.nodes.get(str(world.leader))
+            if (
+                leader is not None
+                and leader.leader_term is not None
+                and leader.leader_term.active is not None
+                and leader.leader_term.active.scheduling.passes
+            ):
+                compare(leader.leader_term.active)
+        if number == 4:
+            await world.cancel(3)
+        if number == 6:
+            next(iter(world.cloud.workers.values())).die()
+        if number == 9:
+            world.kill(str(world.leader))
+    assert compared > 200
 
 
 def test_an_attempt_that_outlives_its_job_still_counts_and_stops_no_pass() -> None:
--- a/tests/store/test_store_client.py
+++ b/tests/store/test_store_client.py
@@ -25,7 +25,6 @@
 from spoolcourse.control.store.watch_cache import WatchCache, WatchGap
 from spoolcourse.wire.key_value_store import Delete, Operation, Put
 from spoolcourse.wire.settings import NextLimits, State
-from tests.fakes.clock import play
 from tests.fakes.net import FakeWire
 from tests.fakes.state import FakeKeyValueStore
 
@@ -61,135 +60,111 @@
 
 
 @pytest.mark.parametrize("name", REQUESTS)
-def test_refusals_and_unknown_outcomes_are_told_apart_by_status(name: str) -> None:
-    async def story() -> None:
-        for status, kind in ((429, RequestRefusedError), (503, RequestRefusedError)):
-            error = await failure(status, REQUESTS[name])
-            assert type(error) is kind
-            assert isinstance(error, StoreUnavailableError)
-            assert f"status {status}" in str(error)
-            assert error.answer == f"status {status}"
-        error = await failure(500, REQUESTS[name])
-        assert type(error) is OutcomeUnknownError
-        assert "status 500" in str(error)
-
-    play(story())
+async def test_refusals_and_unknown_outcomes_are_told_apart_by_status(name: str) -> None:
+    for status, kind in ((429, RequestRefusedError), (503, RequestRefusedError)):
+        error = await failure(status, REQUESTS[name])
+        assert type(error) is kind
+        assert isinstance(error, StoreUnavailableError)
+        assert f"status {status}" in str(error)
+        assert error.answer == f"status {status}"
+    error = await failure(500, REQUESTS[name])
+    assert type(error) is OutcomeUnknownError
+    assert "status 500" in str(error)
 
 
 @pytest.mark.parametrize("name", ["get", "list", "latest", "watch", "renew", "revoke"])
-def test_an_unexpected_status_leaves_the_outcome_unknown(name: str) -> None:
-    async def story() -> None:
-        assert type(await failure(418, REQUESTS[name])) is OutcomeUnknownError
-
-    play(story())
+async def test_an_unexpected_status_leaves_the_outcome_unknown(name: str) -> None:
+    assert type(await failure(418, REQUESTS[name])) is OutcomeUnknownError
 
 
 @pytest.mark.parametrize("name", ["swap", "grant"])
-def test_an_unexpected_status_of_a_write_is_a_refusal(name: str) -> None:
-    async def story() -> None:
-        assert type(await failure(418, REQUESTS[name])) is RequestRefusedError
-
-    play(story())
-
-
-def test_what_is_no_matter_of_availability_is_outside_the_pair() -> None:
-    async def story() -> None:
-        expired = await failure(404, REQUESTS["renew"])
-        assert isinstance(expired, LeaseExpiredError)
-        assert expired.leases == (7,)
-        operations: list[Operation] = [Put("a", {}, 5), Put("b", {}, 5), Delete("c")]
-        refused = await failure(
-            400, lambda client: client.compare_and_swap({}, operations), {"error": "no such lease"}
-        )
-        assert isinstance(refused, LeaseExpiredError)
-        assert refused.leases == (5,)
-        compacted = await failure(410, REQUESTS["watch"])
-        assert isinstance(compacted, RevisionCompactedError)
-        assert (compacted.prefix, compacted.since) == ("a", 3)
-        for error in (expired, refused, compacted, TooFarBehindError("a", 3, 5000)):
-            assert not isinstance(error, StoreUnavailableError)
-        assert issubclass(TooFarBehindError, RevisionCompactedError)
-
-    play(story())
-
-
-def test_a_value_refused_after_the_limit_dropped_says_what_fits_now() -> None:
-    async def story() -> None:
-        async def serve(method: str, path: str, body: Any) -> Response:
-            return Response(400, {"error": "too large"})
-
-        client = client_of(serve, State(200.0, 100.0, 8.0, 24, NextLimits(value_kb=1.0)))
-        assert client.value_bytes == 8192
-        with pytest.raises(ValueTooLargeError) as caught:
-            await client.compare_and_swap({"a": 0}, [Put("a", {})])
-        assert caught.value.value_bytes == client.value_bytes == 1024
-        with pytest.raises(RequestRefusedError) as again:
-            await client.compare_and_swap({"a": 0}, [Put("a", {})])
-        assert type(again.value) is RequestRefusedError, "it is lowered once"
-
-    play(story())
-
-
-def test_compare_and_swap_succeeds_or_names_the_keys_in_conflict() -> None:
-    async def story() -> None:
-        state = FakeKeyValueStore()
-        client = client_of(state.serve)
-        first = await client.compare_and_swap({"a": 0}, [Put("a", {"n": 1})])
-        assert first.succeeded
-        assert first.conflicting_keys == ()
-        second = await client.compare_and_swap({"a": 0, "b": 0}, [Put("b", {"n": 1})])
-        assert not second.succeeded
-        assert second.conflicting_keys == ("a",)
-        listing = await client.list_entries("a")
-        assert [entry.key for entry in listing.entries] == ["a"]
-        assert listing.store_revision == first.store_revision == second.store_revision
-        watched = await client.watch("a", 0, 0.0)
-        assert [change.key for change in watched.changes] == ["a"]
-
-    play(story())
-
-
-def test_a_used_up_budget_refuses_at_once_and_says_until_when() -> None:
-    async def story() -> None:
-        state = FakeKeyValueStore()
-        client = client_of(state.serve, State(200.0, 4.0, 8.0, 24))
-        puts = [Put("a", {}), Put("b", {}), Put("c", {})]
-
-        async def use_up_budget() -> None:
-            for _ in range(9):
-                await client.compare_and_swap({}, puts, urgent=True)
-                await client.compare_and_swap({}, puts)
-
-        with pytest.raises(RequestRefusedError) as caught:
-            await use_up_budget()
-        assert caught.value.retry_after_s > 1.0
-        assert client.requests_failed == 0, "the store did not refuse"
-
-    play(story())
-
-
-def test_a_token_bucket_refuses_what_would_wait_too_long_and_takes_nothing() -> None:
-    async def story() -> None:
-        now = asyncio.get_running_loop().time
-        bucket = TokenBucket(rate=2.0, burst=2.0, max_wait_s=1.0)
-        assert bucket.has_spare_capacity()
-        began = now()
-        await bucket.acquire(2)
-        assert now() == began
-        assert not bucket.has_spare_capacity()
-        with pytest.raises(RateLimitExceededError) as caught:
-            await bucket.acquire(3)
-        assert caught.value.retry_after_s == pytest.approx(1.5)
-        await bucket.acquire(2)
-        assert now() - began == pytest.approx(1.0, abs=0.05), "the refused call took no tokens"
-        bucket.empty()
-        await bucket.acquire(9, urgent=True)
-        assert now() - began == pytest.approx(1.0, abs=0.05), "urgent calls do not wait"
-
-    play(story())
-
-
-def test_observers_hear_of_reloads_and_gaps_in_order() -> None:
+async def test_an_unexpected_status_of_a_write_is_a_refusal(name: str) -> None:
+    assert type(await failure(418, REQUESTS[name])) is RequestRefusedError
+
+
+async def test_what_is_no_matter_of_availability_is_outside_the_pair() -> None:
+    expired = await failure(404, REQUESTS["renew"])
+    assert isinstance(expired, LeaseExpiredError)
+    assert expired.leases == (7,)
+    operations: list[Operation] = [Put("a", {}, 5), Put("b", {}, 5), Delete("c")]
+    refused = await failure(
+        400, lambda client: client.compare_and_swap({}, operations), {"error": "no such lease"}
+    )
+    assert isinstance(refused, LeaseExpiredError)
+    assert refused.leases == (5,)
+    compacted = await failure(410, REQUESTS["watch"])
+    assert isinstance(compacted, RevisionCompactedError)
+    assert (compacted.prefix, compacted.since) == ("a", 3)
+    for error in (expired, refused, compacted, TooFarBehindError("a", 3, 5000)):
+        assert not isinstance(error, StoreUnavailableError)
+    assert issubclass(TooFarBehindError, RevisionCompactedError)
+
+
+async def test_a_value_refused_after_the_limit_dropped_says_what_fits_now() -> None:
+    async def serve(method: str, path: str, body: Any) -> Response:
+        return Response(400, {"error": "too large"})
+
+    client = client_of(serve, State(200.0, 100.0, 8.0, 24, NextLimits(value_kb=1.0)))
+    assert client.value_bytes == 8192
+    with pytest.raises(ValueTooLargeError) as caught:
+        await client.compare_and_swap({"a": 0}, [Put("a", {})])
+    assert caught.value.value_bytes == client.value_bytes == 1024
+    with pytest.raises(RequestRefusedError) as again:
+        await client.compare_and_swap({"a": 0}, [Put("a", {})])
+    assert type(again.value) is RequestRefusedError, "it is lowered once"
+
+
+async def test_compare_and_swap_succeeds_or_names_the_keys_in_conflict() -> None:
+    state = FakeKeyValueStore()
+    client = client_of(state.serve)
+    first = await client.compare_and_swap({"a": 0}, [Put("a", {"n": 1})])
+    assert first.succeeded
+    assert first.conflicting_keys == ()
+    second = await client.compare_and_swap({"a": 0, "b": 0}, [Put("b", {"n": 1})])
+    assert not second.succeeded
+    assert second.conflicting_keys == ("a",)
+    listing = await client.list_entries("a")
+    assert [entry.key for entry in listing.entries] == ["a"]
+    assert listing.store_revision == first.store_revision == second.store_revision
+    watched = await client.watch("a", 0, 0.0)
+    assert [change.key for change in watched.changes] == ["a"]
+
+
+async def test_a_used_up_budget_refuses_at_once_and_says_until_when() -> None:
+    state = FakeKeyValueStore()
+    client = client_of(state.serve, State(200.0, 4.0, 8.0, 24))
+    puts = [Put("a", {}), Put("b", {}), Put("c", {})]
+
+    async def use_up_budget() -> None:
+        for _ in range(9):
+            await client.compare_and_swap({}, puts, urgent=True)
+            await client.compare_and_swap({}, puts)
+
+    with pytest.raises(RequestRefusedError) as caught:
+        await use_up_budget()
+    assert caught.value.retry_after_s > 1.0
+    assert client.requests_failed == 0, "the store did not refuse"
+
+
+async def test_a_token_bucket_refuses_what_would_wait_too_long_and_takes_nothing() -> None:
+    now = asyncio.get_running_loop().time
+    bucket = TokenBucket(rate=2.0, burst=2.0, max_wait_s=1.0)
+    assert bucket.has_spare_capacity()
+    began = now()
+    await bucket.acquire(2)
+    assert now() == began
+    assert not bucket.has_spare_capacity()
+    with pytest.raises(RateLimitExceededError) as caught:
+        await bucket.acquire(3)
+    assert caught.value.retry_after_s == pytest.approx(1.5)
+    await bucket.acquire(2)
+    assert now() - began == pytest.approx(1.0, abs=0.05), "the refused call took no tokens"
+    bucket.empty()
+    await bucket.acquire(9, urgent=True)
+    assert now() - began == pytest.approx(1.0, abs=0.05), "urgent calls do not wait"
+
+
+async def test_observers_hear_of_reloads_and_gaps_in_order() -> None:
     class Observer:
         def __init__(self) -> None:
             self.seen: list[WatchGap | str] = []
@@ -200,20 +175,17 @@
         def on_reload(self) -> None:
             self.seen.append("reload")
 
-    async def story() -> None:
-        state = FakeKeyValueStore()
-        client = client_of(state.serve)
-        cache = WatchCache(client, PREFIX)
-        first, second = Observer(), Observer()
-        cache.add_observer(first)
-        cache.add_observer(second)
-        await cache.reload()
-        await client.compare_and_swap({}, [Put(TERM_KEY, {"term": 1})])
-        state.forget_changes()
-        assert not await cache.catch_up_to(state.store_revision)
-        assert not cache.loaded.is_set()
-        await cache.reload()
-        assert await cache.read_barrier()
-        assert first.seen == second.seen == ["reload", WatchGap.COMPACTED, "reload"]
-
-    play(story())
+    state = FakeKeyValueStore()
+    client = client_of(state.serve)
+    cache = WatchCache(client, PREFIX)
+    first, second = Observer(), Observer()
+    cache.add_observer(first)
+    cache.add_observer(second)
+    await cache.reload()
+    await client.compare_and_swap({}, [Put(TERM_KEY, {"term": 1})])
+    state.forget_changes()
+    assert not await cache.catch_up_to(state.store_revision)
+    assert not cache.loaded.is_set()
+    await cache.reload()
+    assert await cache.read_barrier()
+    assert first.seen == second.seen == ["reload", WatchGap.COMPACTED, "reload"]
--- a/tests/user_api/test_user_api.py
+++ b/tests/user_api/test_user_api.py
@@ -6,217 +6,184 @@
 from typing import Any
 
 from spoolcourse.control.http_client import Request, Response
-from tests.fakes.clock import play
 from tests.fakes.world import LABELS, World, job
 
 
-def test_a_job_runs_and_every_controller_says_so() -> None:
-    async def story() -> None:
-        world = World()
-        await world.up()
-        first = await world.submit(job(), "n1")
-        assert (first.status, first.data) == (201, {"id": "job-000001", "stage": "queued"})
-        again = await world.submit(job(pieces=9), "n2")
-        assert again.status == 200
-        assert again.data["stage"] in ("queued", "running")
-        await world.finish()
-        for label in LABELS:
-            reply = await world.poll(1, label)
-            assert (reply.status, reply.data["stage"], reply.data["done"]) == (200, "done", 4)
-            assert (await world.poll(7, label)).status == 404
-            assert (await world.cancel(7, label)).status == 404
-            assert (await world.cancel(1, label)).data["stage"] == "done"
-        # A repeat long after, malformed at that, is still the same job.
-        assert (await world.submit(job(pieces=-1), "n2")).data["stage"] == "done"
-        assert sorted(n for _, n, _ in world.cloud.starts) == [f"job-000001/{i}" for i in range(4)]
-
-    play(story())
-
-
-def test_malformed_submissions_get_400_and_impossible_ones_422() -> None:
-    async def story() -> None:
-        world = World()
-        await world.up()
-        bodies: tuple[Any, ...] = (
-            [],
-            "x",
-            {k: v for k, v in job().items() if k != "pieces"},
-            job(pieces="4"),
-            job(pieces=-1),
-            job(pieces=100_001),
-            job(vcpus=-1.0),
-            job(shape="ring"),
-            job(rank="urgent"),
-            job(id="job 1"),
-            job(loaners=1),
+async def test_a_job_runs_and_every_controller_says_so() -> None:
+    world = World()
+    await world.up()
+    first = await world.submit(job(), "n1")
+    assert (first.status, first.data) == (201, {"id": "job-000001", "stage": "queued"})
+    again = await world.submit(job(pieces=9), "n2")
+    assert again.status == 200
+    assert again.data["stage"] in ("queued", "running")
+    await world.finish()
+    for label in LABELS:
+        reply = await world.poll(1, label)
+        assert (reply.status, reply.data["stage"], reply.data["done"]) == (200, "done", 4)
+        assert (await world.poll(7, label)).status == 404
+        assert (await world.cancel(7, label)).status == 404
+        assert (await world.cancel(1, label)).data["stage"] == "done"
+    # A repeat long after, malformed at that, is still the same job.
+    assert (await world.submit(job(pieces=-1), "n2")).data["stage"] == "done"
+    assert sorted(n for _, n, _ in world.cloud.starts) == [f"job-000001/{i}" for i in range(4)]
+
+
+async def test_malformed_submissions_get_400_and_impossible_ones_422() -> None:
+    world = World()
+    await world.up()
+    bodies: tuple[Any, ...] = (
+        [],
+        "x",
+        {k: v for k, v in job().items() if k != "pieces"},
+        job(pieces="4"),
+        job(pieces=-1),
+        job(pieces=100_001),
+        job(vcpus=-1.0),
+        job(shape="ring"),
+        job(rank="urgent"),
+        job(id="job 1"),
+        job(loaners=1),
+    )
+    for malformed in bodies:
+        assert (await world.submit(malformed)).status == 400, malformed
+    for body in (
+        job(crew="green"),
+        job(vcpus=9.0),
+        job(memoryGb=33.0),
+        job(gpus=1.0),
+        job(crew="blue", vcpus=33.0),
+        job(builds=["c9"]),
+        job(yard="c"),
+    ):
+        assert (await world.submit(body)).status == 422, body
+    assert not world.state.value("spoolcourse/live/job/job-000001")
+
+
+async def test_a_write_whose_answer_is_lost_is_read_back() -> None:
+    world = World()
+    await world.up()
+
+    def lose(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
+        puts = [op.get("set", "") for op in (body or {}).get("apply", [])]
+        return "lose" if any("/job/" in key for key in puts) else None
+
+    world.wire.filters.append(lose)
+    assert (await world.submit(job())).status == 201
+    assert (await world.cancel()).data["stage"] == "aborted"
+    world.wire.filters.clear()
+    assert (await world.poll(1, "n2")).data["stage"] == "aborted"
+
+
+async def test_a_controller_that_alone_lost_the_key_value_store_asks_a_peer() -> None:
+    world = World()
+    await world.up()
+    world.wire.filters.append(
+        lambda src, dst, *rest: "503" if (src, dst) == ("n0", "state:1") else None
+    )
+    assert (await world.submit(job(), "n0")).status == 201
+    await asyncio.sleep(5)
+    assert (await world.poll(1, "n0")).status == 200
+    assert (await world.poll(2, "n0")).status == 404
+    assert (await world.ask("n0", "GET", "/healthz")).status == 200
+    await world.finish()
+
+
+async def test_a_follower_never_answers_older_than_a_cancellation() -> None:
+    world = World()
+    await world.up()
+    await world.submit(job(), "n0")
+    assert (await world.poll(1, "n1")).status == 200
+    # n1's watch hangs; it can still ask.
+    world.wire.filters.append(
+        lambda src, dst, method, path, body: (
+            "cut" if src == "n1" and path.startswith("/watch") and "blockMs=0" not in path else None
         )
-        for malformed in bodies:
-            assert (await world.submit(malformed)).status == 400, malformed
-        for body in (
-            job(crew="green"),
-            job(vcpus=9.0),
-            job(memoryGb=33.0),
-            job(gpus=1.0),
-            job(crew="blue", vcpus=33.0),
-            job(builds=["c9"]),
-            job(yard="c"),
-        ):
-            assert (await world.submit(body)).status == 422, body
-        assert not world.state.value("spoolcourse/live/job/job-000001")
-
-    play(story())
-
-
-def test_a_write_whose_answer_is_lost_is_read_back() -> None:
-    async def story() -> None:
-        world = World()
-        await world.up()
-
-        def lose(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
-            puts = [op.get("set", "") for op in (body or {}).get("apply", [])]
-            return "lose" if any("/job/" in key for key in puts) else None
-
-        world.wire.filters.append(lose)
-        assert (await world.submit(job())).status == 201
-        assert (await world.cancel()).data["stage"] == "aborted"
-        world.wire.filters.clear()
-        assert (await world.poll(1, "n2")).data["stage"] == "aborted"
-
-    play(story())
-
-
-def test_a_controller_that_alone_lost_the_key_value_store_asks_a_peer() -> None:
-    async def story() -> None:
-        world = World()
-        await world.up()
-        world.wire.filters.append(
-            lambda src, dst, *rest: "503" if (src, dst) == ("n0", "state:1") else None
-        )
-        assert (await world.submit(job(), "n0")).status == 201
-        await asyncio.sleep(5)
-        assert (await world.poll(1, "n0")).status == 200
-        assert (await world.poll(2, "n0")).status == 404
-        assert (await world.ask("n0", "GET", "/healthz")).status == 200
-        await world.finish()
-
-    play(story())
-
-
-def test_a_follower_never_answers_older_than_a_cancellation() -> None:
-    async def story() -> None:
-        world = World()
-        await world.up()
-        await world.submit(job(), "n0")
-        assert (await world.poll(1, "n1")).status == 200
-        # n1's watch hangs; it can still ask.
-        world.wire.filters.append(
-            lambda src, dst, method, path, body: (
-                "cut"
-                if src == "n1" and path.startswith("/watch") and "blockMs=0" not in path
-                else None
-            )
-        )
-        assert (await world.cancel(1, "n2")).status == 200
-        assert (await world.poll(1, "n1")).data["stage"] == "aborted"
-        world.wire.filters.append(lambda src, dst, *rest: "cut" if src == "n1" else None)
-        assert (await world.poll(1, "n1")).data["stage"] == "aborted"
-
-    play(story())
-
-
-def test_a_controller_whose_key_value_store_hangs_asks_a_peer_before_waiting_again() -> None:
-    async def story() -> None:
-        world = World()
-        await world.up()
-        follower = next(n for n in LABELS if n != world.leader)
-        world.wire.filters.append(
-            lambda src, dst, *rest: "cut" if (src, dst) == (follower, "state:1") else None
-        )
-        await asyncio.sleep(14)
-        began = world.now()
-        assert (await world.submit(job(), follower)).status == 201
-        assert world.now() - began < 0.2
-
-    play(story())
-
-
-def test_a_burst_beyond_the_budget_gets_retry_after_and_leaves_no_debt() -> None:
-    async def story() -> None:
-        world = World()
-        await world.up()
-        replies = await asyncio.gather(*(world.submit(job(n), "n1") for n in range(1, 600)))
-        accepted = [r for r in replies if r.status == 201]
-        refused = [r for r in replies if r.status == 503]
-        assert len(accepted) > 20
-        assert len(refused) > 20
-        assert len(accepted) + len(refused) == 599
-        assert all(1 <= int(r.headers["Retry-After"]) <= 30 for r in refused)
-        await asyncio.sleep(3)
-        began = world.now()
-        assert (await world.submit(job(700), "n1")).status == 201
-        assert world.now() - began < 0.5
-
-    play(story())
-
-
-def test_a_controller_without_a_certain_answer_says_so_within_the_time_that_users_wait() -> None:
+    )
+    assert (await world.cancel(1, "n2")).status == 200
+    assert (await world.poll(1, "n1")).data["stage"] == "aborted"
+    world.wire.filters.append(lambda src, dst, *rest: "cut" if src == "n1" else None)
+    assert (await world.poll(1, "n1")).data["stage"] == "aborted"
+
+
+async def test_a_controller_whose_key_value_store_hangs_asks_a_peer_before_waiting_again() -> None:
+    world = World()
+    await world.up()
+    follower = next(n for n in LABELS if n != world.leader)
+    world.wire.filters.append(
+        lambda src, dst, *rest: "cut" if (src, dst) == (follower, "state:1") else None
+    )
+    await asyncio.sleep(14)
+    began = world.now()
+    assert (await world.submit(job(), follower)).status == 201
+    assert world.now() - began < 0.2
+
+
+async def test_a_burst_beyond_the_budget_gets_retry_after_and_leaves_no_debt() -> None:
+    world = World()
+    await world.up()
+    replies = await asyncio.gather(*(world.submit(job(n), "n1") for n in range(1, 600)))
+    accepted = [r for r in replies if r.status == 201]
+    refused = [r for r in replies if r.status == 503]
+    assert len(accepted) > 20
+    assert len(refused) > 20
+    assert len(accepted) + len(refused) == 599
+    assert all(1 <= int(r.headers["Retry-After"]) <= 30 for r in refused)
+    await asyncio.sleep(3)
+    began = world.now()
+    assert (await world.submit(job(700), "n1")).status == 201
+    assert world.now() - began < 0.5
+
+
+async def test_a_controller_without_a_certain_answer_says_so_while_users_still_wait() -> None:
     # Its peers hang, as behind a cut: each of them was given a second, and users had left.
-    async def story() -> None:
-        world = World()
-        await world.up()
-        await world.submit(job(), "n1")
-        await asyncio.sleep(3)
-        world.wire.filters.append(lambda src, dst, *rest: "cut" if src == "n0" else None)
-        await asyncio.sleep(12)
-        for ask, limit in ((world.submit(job(2)), 5.0), (world.poll(1), 2.0)):
-            began = world.now()
-            reply = await ask
-            assert (reply.status, world.now() - began < limit) == (503, True)
-            assert 1 <= int(reply.headers["Retry-After"]) <= 30
-
-    play(story())
-
-
-def test_operators_see_what_waits_and_why() -> None:
-    async def story() -> None:
-        world = World()
-        world.cloud.capacity = 1
-        await world.up()
-        await world.submit(job(1, pieces=9))
-        await world.submit(job(2, pieces=20, crew="blue", vcpus=8.0))
-        await asyncio.sleep(12)
-        leader = str(world.leader)
-        status = await world.wire.call("op", f"{leader}:81", "GET", "/status", None, 2.0)
-        assert status.data["role"] == "leader"
-        assert status.data["lease"] == "valid"
-        assert [e["id"] for e in status.data["waiting"]] == ["job-000001", "job-000002"]
-        assert {e["why"] for e in status.data["waiting"]} == {"machines"}
-        other = next(n for n in LABELS if n != leader)
-        status = await world.wire.call("op", f"{other}:81", "GET", "/status", None, 2.0)
-        assert (status.data["role"], status.data["leader"]) == ("follower", leader)
-        reply = world.nodes[leader].peers(Request("GET", "/metrics"))
-        assert isinstance(reply, Response)
-        text = reply.data.decode()
-        assert "spoolcourse_leader 1.0" in text
-        assert "spoolcourse_waiting_jobs 2.0" in text
-        # Not on the users' address.
-        assert (await world.ask(leader, "GET", "/status")).status == 404
-
-    play(story())
-
-
-def test_a_team_without_a_limit_runs_as_much_as_it_asks_for() -> None:
+    world = World()
+    await world.up()
+    await world.submit(job(), "n1")
+    await asyncio.sleep(3)
+    world.wire.filters.append(lambda src, dst, *rest: "cut" if src == "n0" else None)
+    await asyncio.sleep(12)
+    for ask, limit in ((world.submit(job(2)), 5.0), (world.poll(1), 2.0)):
+        began = world.now()
+        reply = await ask
+        assert (reply.status, world.now() - began < limit) == (503, True)
+        assert 1 <= int(reply.headers["Retry-After"]) <= 30
+
+
+async def test_operators_see_what_waits_and_why() -> None:
+    world = World()
+    world.cloud.capacity = 1
+    await world.up()
+    await world.submit(job(1, pieces=9))
+    await world.submit(job(2, pieces=20, crew="blue", vcpus=8.0))
+    await asyncio.sleep(12)
+    leader = str(world.leader)
+    status = await world.wire.call("op", f"{leader}:81", "GET", "/status", None, 2.0)
+    assert status.data["role"] == "leader"
+    assert status.data["lease"] == "valid"
+    assert [e["id"] for e in status.data["waiting"]] == ["job-000001", "job-000002"]
+    assert {e["why"] for e in status.data["waiting"]} == {"machines"}
+    other = next(n for n in LABELS if n != leader)
+    status = await world.wire.call("op", f"{other}:81", "GET", "/status", None, 2.0)
+    assert (status.data["role"], status.data["leader"]) == ("follower", leader)
+    reply = world.nodes[leader].peers(Request("GET", "/metrics"))
+    assert isinstance(reply, Response)
+    text = reply.data.decode()
+    assert "spoolcourse_leader 1.0" in text
+    assert "spoolcourse_waiting_jobs 2.0" in text
+    # Not on the users' address.
+    assert (await world.ask(leader, "GET", "/status")).status == 404
+
+
+async def test_a_team_without_a_limit_runs_as_much_as_it_asks_for() -> None:
     # A limit of 0 means none. Read as a limit of nothing, every submission was answered 422 and
     # no task of a deployment with such a team ever started.
-    async def story() -> None:
-        world = World(params={"teams": [{"name": "red", "cpus": 0.0, "cpus_max": 0.0}]})
-        await world.up()
-        assert (await world.submit(job(pieces=40))).status == 201
-        assert (await world.submit(job(2, vcpus=9.0))).status == 422, "it fits no machine"
-        service = job(3, shape="standing", expectS=0.0, loaners=False)
-        assert (await world.submit(service)).status == 201
-        await world.finish()
-        assert (await world.poll(3)).data["running"] == 4
-        assert not world.cloud.broken
-
-    play(story())
+    world = World(params={"teams": [{"name": "red", "cpus": 0.0, "cpus_max": 0.0}]})
+    await world.up()
+    assert (await world.submit(job(pieces=40))).status == 201
+    assert (await world.submit(job(2, vcpus=9.0))).status == 422, "it fits no machine"
+    service = job(3, shape="standing", expectS=0.0, loaners=False)
+    assert (await world.submit(service)).status == 201
+    await world.finish()
+    assert (await world.poll(3)).data["running"] == 4
+    assert not world.cloud.broken
--- a/tests/workers/test_fencing_token_announcer.py
+++ b/tests/workers/test_fencing_token_announcer.py
@@ -11,7 +11,6 @@
 from spoolcourse.control.http_client import Response
 from spoolcourse.control.workers import fencing_token_announcer
 from spoolcourse.control.workers.fencing_token_announcer import FencingTokenAnnouncer
-from tests.fakes.clock import play
 from tests.fakes.net import FakeWire
 from tests.fakes.registry import TERM, RegistryHarness
 
@@ -66,43 +65,34 @@
     return data | {"shift": 1, "tick": 1, "baton": TERM, "pieces": []}
 
 
-def test_all_workers_are_called_once_in_order_by_a_bounded_number_of_calls(
+async def test_all_workers_are_called_once_in_order_by_a_bounded_number_of_calls(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(fencing_token_announcer, "MIN_CONCURRENT_CALLS", 2)
 
-    async def story() -> None:
-        fleet = Fleet(24)  # a call for eight workers
-        await fleet.announce()
-        assert fleet.called == [worker.address for worker in fleet.workers]
-        assert fleet.most_calls == 3
-        assert fleet.confirmed() == [worker.id for worker in fleet.workers]
+    fleet = Fleet(24)  # a call for eight workers
+    await fleet.announce()
+    assert fleet.called == [worker.address for worker in fleet.workers]
+    assert fleet.most_calls == 3
+    assert fleet.confirmed() == [worker.id for worker in fleet.workers]
 
-    play(story())
 
-
-def test_a_worker_whose_heartbeat_arrives_while_it_waits_is_not_called(
+async def test_a_worker_whose_heartbeat_arrives_while_it_waits_is_not_called(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(fencing_token_announcer, "MIN_CONCURRENT_CALLS", 1)
 
-    async def story() -> None:
-        fleet = Fleet(3)
-        announcing = asyncio.create_task(fleet.announce())
-        await asyncio.sleep(0.2)
-        fleet.workers[1].confirmed = True
-        await announcing
-        assert fleet.called == ["m-0:9", "m-2:9"]
-
-    play(story())
-
+    fleet = Fleet(3)
+    announcing = asyncio.create_task(fleet.announce())
+    await asyncio.sleep(0.2)
+    fleet.workers[1].confirmed = True
+    await announcing
+    assert fleet.called == ["m-0:9", "m-2:9"]
 
-def test_a_silent_worker_and_one_at_the_address_of_another_leave_the_rest_as_they_are() -> None:
-    async def story() -> None:
-        fleet = Fleet(3)
-        del fleet.wire.hosts["m-0:9"]
-        fleet.serve("m-1:9", machine="m-9")
-        await fleet.announce()
-        assert fleet.confirmed() == ["m-2"]
 
-    play(story())
+async def test_a_silent_worker_and_one_at_the_address_of_another_do_not_affect_the_rest() -> None:
+    fleet = Fleet(3)
+    del fleet.wire.hosts["m-0:9"]
+    fleet.serve("m-1:9", machine="m-9")
+    await fleet.announce()
+    assert fleet.confirmed() == ["m-2"]
