--- a/tests/autoscaling/test_early_deletion.py
+++ b/tests/autoscaling/test_early_deletion.py
@@ -46,7 +46,7 @@
         if path == "/hosts/delete":
             requested.extend(body["spindles"])
 
-    world.wire.filters.insert(0, note)
+    world.network.filters.insert(0, note)
     return requested
 
 
@@ -59,7 +59,7 @@
             return "503"
         return "cut" if dst.startswith(name) else None
 
-    world.wire.filters.append(check)
+    world.network.filters.append(check)
     return check
 
 
@@ -88,9 +88,9 @@
         return "cut" if src == name else None
 
     for _ in range(3):
-        world.wire.filters.append(lose_reports)
+        world.network.filters.append(lose_reports)
         await asyncio.sleep(1.9)  # one heartbeat falls into it
-        world.wire.filters.remove(lose_reports)
+        world.network.filters.remove(lose_reports)
         await asyncio.sleep(12)
     assert requested == []
     assert len(world.cloud.starts) == 2
@@ -99,9 +99,9 @@
 async def test_a_machine_that_answers_calls_is_kept_while_no_controller_takes_heartbeats() -> None:
     world = await running_service()
     requested, name = requested_deletions(world), machine_of(world)
-    world.wire.filters.append(lambda src, dst, *rest: "503" if src == name else None)
+    world.network.filters.append(lambda src, dst, *rest: "503" if src == name else None)
     await asyncio.sleep(8.5)
-    world.wire.filters.pop()
+    world.network.filters.pop()
     await asyncio.sleep(12)
     assert requested == [], "it came back within its lease"
     assert len(world.cloud.starts) == 2, "it came back within its lease"
@@ -116,10 +116,10 @@
     for name, worker in world.cloud.workers.items():
         if worker.host["yard"] == zone:
             world.cut_off(name)
-    cuts = list(world.wire.filters[1:])
+    cuts = list(world.network.filters[1:])
     await asyncio.sleep(9)
     for cut in cuts:
-        world.wire.filters.remove(cut)
+        world.network.filters.remove(cut)
     await asyncio.sleep(10)
     # A worker that lost two heartbeats in a row has lost its lease as well; nothing is deleted.
     assert requested == []
@@ -129,13 +129,13 @@
 async def test_a_leader_that_gets_no_heartbeats_deletes_no_machine() -> None:
     world = await running_service()
     requested, leader = requested_deletions(world), str(world.leader)
-    world.wire.filters.append(
+    world.network.filters.append(
         lambda src, dst, *rest: (
             "cut" if dst == f"{leader}:80" or (src == leader and dst.startswith("m-")) else None
         )
     )
     await asyncio.sleep(9)
-    world.wire.filters.pop()
+    world.network.filters.pop()
     await asyncio.sleep(10)
     assert requested == []
     assert len(world.cloud.starts) == 2
@@ -148,13 +148,13 @@
     def cut_leader_off(src: str, dst: str, *rest: Any) -> str | None:
         return "cut" if dst == f"{leader}:80" or (src == leader and dst[:2] == "m-") else None
 
-    world.wire.filters.append(cut_leader_off)
+    world.network.filters.append(cut_leader_off)
     await asyncio.sleep(4)
-    world.wire.filters.remove(cut_leader_off)
+    world.network.filters.remove(cut_leader_off)
     cut = make_unreachable(world, name)
     await asyncio.sleep(6)
     assert requested == []
-    world.wire.filters.remove(cut)
+    world.network.filters.remove(cut)
     await asyncio.sleep(10)
     assert world.cloud.broken == []
 
@@ -171,7 +171,7 @@
 
 async def test_the_number_of_early_deletions_in_progress_is_bounded() -> None:
     world = await running_service("aaaaaaaabbbbbbbb", pieces=8, vcpus=4.0)
-    world.wire.filters.append(
+    world.network.filters.append(
         lambda src, dst, method, path, body: "hold" if path == "/hosts/delete" else None
     )
     requested = requested_deletions(world)
@@ -186,7 +186,7 @@
         world.cloud.workers[name].die()
     await asyncio.sleep(LEASE_PROOF_S - 1.0)
     assert len(set(requested)) == 2
-    world.wire.filters.clear()
+    world.network.filters.clear()
     await served(world, 1, 8, 60)
     assert world.cloud.broken == []
 
@@ -197,16 +197,16 @@
     world = await running_service()
     requested, name = requested_deletions(world), machine_of(world)
     cut = make_unreachable(world, name)
-    world.wire.filters.append(
+    world.network.filters.append(
         lambda src, dst, method, path, body: "hold" if path == "/hosts/delete" else None
     )
     await world.until(lambda: requested, 12)
-    world.wire.filters.remove(cut)
+    world.network.filters.remove(cut)
     await world.submit(job(2, pieces=12))  # more than the other machines take
     await asyncio.sleep(6)
     assert len([s for s in world.cloud.starts if s[1] == "job-000001/0"]) == 1
     assert not [s for s in world.cloud.starts if s[1].startswith("job-000002") and s[2] == name]
-    await world.wire.release()
+    await world.network.release()
     assert name not in world.cloud.workers
     await world.until(lambda: len(world.cloud.on_machines("job-000001")) == 2, 30)
     assert world.cloud.broken == []
@@ -221,16 +221,16 @@
     def hold(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
         return "hold" if path == "/hosts/delete" else None
 
-    world.wire.filters.append(hold)
+    world.network.filters.append(hold)
     await world.until(lambda: requested, 12)
     world.kill(str(world.leader))
-    world.wire.filters.remove(cut)
-    world.wire.filters.remove(hold)
+    world.network.filters.remove(cut)
+    world.network.filters.remove(hold)
     await world.until(lambda: world.leader, 20)
     await world.submit(job(2, pieces=12), str(world.leader))
     await asyncio.sleep(8)  # the machine came back within its lease and is given work
     assert name in world.cloud.workers
-    await world.wire.release()
+    await world.network.release()
     assert name not in world.cloud.workers
     await served(world, 1, 2, 60)
     await world.finish(2, 120)
@@ -243,12 +243,12 @@
         names = [n for n, w in world.cloud.workers.items() if w.host["yard"] == zone]
         for name in names:
             world.cut_off(name)
-        cuts = world.wire.filters[-len(names) :]
+        cuts = world.network.filters[-len(names) :]
         dead = next(n for n, w in world.cloud.workers.items() if w.host["yard"] != zone)
         world.cloud.workers[dead].die()
         await asyncio.sleep(14)
         for cut in cuts:
-            world.wire.filters.remove(cut)
+            world.network.filters.remove(cut)
         await asyncio.sleep(1)
     await served(world, 1, 4, 60)
     assert world.cloud.broken == []
--- a/tests/cloud/test_cloud_client.py
+++ b/tests/cloud/test_cloud_client.py
@@ -11,7 +11,7 @@
 from spoolcourse.control.cloud.errors import CloudError, CloudRequestFailedError, NoCapacityError
 from spoolcourse.control.http_client import NoResponseError, Response
 from spoolcourse.wire.cloud import MachineKind
-from tests.fakes.net import FakeWire
+from tests.fakes.network import FakeNetwork
 from tests.fakes.proof import proven
 
 PROOF = proven(3)
@@ -20,7 +20,7 @@
 
 def client(response: Response | None) -> tuple[CloudClient, list[tuple[str, str, Any]]]:
     """A client of a cloud that always answers so, or never; and the requests that it got."""
-    wire = FakeWire()
+    network = FakeNetwork()
     requests: list[tuple[str, str, Any]] = []
 
     async def serve(method: str, path: str, body: Any) -> Response:
@@ -29,8 +29,8 @@
             raise NoResponseError("no answer")
         return response
 
-    wire.hosts["cloud:80"] = serve
-    return CloudClient(wire.end_of("n1"), "cloud:80", 20.0), requests
+    network.hosts["cloud:80"] = serve
+    return CloudClient(network.end_of("n1"), "cloud:80", 20.0), requests
 
 
 @pytest.mark.parametrize(
--- a/tests/failover/test_leadership_transfer.py
+++ b/tests/failover/test_leadership_transfer.py
@@ -14,7 +14,7 @@
 
 
 async def request_transfer(world: World, label: str) -> Response:
-    return await world.wire.call("user", f"{label}:81", "POST", "/handover", None, 5.0)
+    return await world.network.call("user", f"{label}:81", "POST", "/handover", None, 5.0)
 
 
 async def test_leadership_goes_to_a_caught_up_standby_without_waiting_for_the_lease() -> None:
--- a/tests/failover/test_standby_failover.py
+++ b/tests/failover/test_standby_failover.py
@@ -97,7 +97,7 @@
     world.cloud.run_s = lambda task: 15.0
     await world.up_with_machine()
     former = str(world.leader)
-    world.wire.stalled |= {(label, "state:1") for label in other_labels(former)}
+    world.network.stalled |= {(label, "state:1") for label in other_labels(former)}
     await world.submit(job(1, pieces=8, vcpus=1.0), former)
     await world.until(lambda: len(world.cloud.starts) >= 8)
     for number in range(1000):
@@ -107,7 +107,7 @@
     if watch == "broken":
         world.state.forget_changes()
     world.kill(former)
-    world.wire.stalled.clear()
+    world.network.stalled.clear()
     stored, taken_over = record_placements_at_claim(world), record_placements_of_failover(world)
     successor = await wait_for_failover(world, former, 30)
     assert len(stored) == 8
@@ -157,7 +157,7 @@
 
     if claim == "outage":
         run_after_request(world, "state:1", sets_key_below(TERM_KEY), go_out)
-    world.wire.filters.append(unclear)
+    world.network.filters.append(unclear)
     world.kill(former)
     if claim == "outage":
         await world.until(lambda: world.state.in_outage, 20)
@@ -168,7 +168,7 @@
     if claim == "lose":
         assert world.active(successor).proof.fencing_token == 2, "it reads that it was elected"
     await asyncio.sleep(3)
-    await world.wire.release()
+    await world.network.release()
     await finish_each_task_once(world, 1)
 
 
@@ -201,7 +201,7 @@
     former = str(world.leader)
     await world.submit(job(1, pieces=8, vcpus=1.0))
     await world.until(lambda: len(world.cloud.starts) >= 4)
-    world.wire.filters.append(  # heartbeats and results reach it no more, its starts go out
+    world.network.filters.append(  # heartbeats and results reach it no more, its starts go out
         lambda src, dst, method, path, body: (
             "cut" if dst == f"{former}:80" and path == "/v1/report" else None
         )
@@ -210,7 +210,7 @@
     await asyncio.sleep(0.5)
     world.kill(former)
     second = await wait_for_failover(world, former)
-    world.wire.filters.append(  # it hears the results, and can't write them down
+    world.network.filters.append(  # it hears the results, and can't write them down
         lambda src, dst, method, path, body: "cut" if src == second and path == "/multi" else None
     )
     await asyncio.sleep(3)
@@ -259,7 +259,7 @@
             return "503"
         return None
 
-    world.wire.filters.append(refuse)
+    world.network.filters.append(refuse)
 
 
 async def test_a_stale_follower_defers_its_candidacy_and_leads_if_all_are_stale() -> None:
--- a/tests/failover/test_standby_hints.py
+++ b/tests/failover/test_standby_hints.py
@@ -117,7 +117,7 @@
     world = World(standby=STANDBY_ON)
     former = await start_with_running_job(world)
     await asyncio.sleep(3)
-    world.wire.filters.append(  # neither the list nor their own heartbeats tell of them
+    world.network.filters.append(  # neither the list nor their own heartbeats tell of them
         lambda src, dst, method, path, body: (
             "cut" if path.startswith("/hosts") or path == "/v1/report" else None
         )
@@ -154,7 +154,7 @@
             return "404"
         return None
 
-    world.wire.filters.append(know_no_hints)
+    world.network.filters.append(know_no_hints)
     former = await start_with_running_job(world)
     await asyncio.sleep(10)
     assert 1 <= len(requested_by) <= 4, "asked again after a long while only"
--- a/tests/failover/test_standby_status.py
+++ b/tests/failover/test_standby_status.py
@@ -17,11 +17,11 @@
     world = World(standby=StandbySettings())
     former = await start_with_running_job(world)
     for path in ("/hints?after=&most=1", "/standby"):
-        assert (await world.wire.call("u", f"{former}:81", "GET", path, None, 1)).status == 404
+        assert (await world.network.call("u", f"{former}:81", "GET", path, None, 1)).status == 404
     assert (
-        await world.wire.call("user", f"{former}:81", "POST", "/handover", None, 5.0)
+        await world.network.call("user", f"{former}:81", "POST", "/handover", None, 5.0)
     ).status == 409
-    status = await world.wire.call("u", f"{former}:81", "GET", "/status", None, 1)
+    status = await world.network.call("u", f"{former}:81", "GET", "/status", None, 1)
     assert "standby" not in status.data
     assert "storeWrites" in status.data
 
@@ -35,18 +35,18 @@
     timeline = world.nodes[successor].last_failover_timeline
     assert timeline is not None
     await world.until(lambda: len(timeline.intervals()) == len(FailoverPhase) - 1, 20)
-    status = await world.wire.call("u", f"{successor}:81", "GET", "/status", None, 1)
+    status = await world.network.call("u", f"{successor}:81", "GET", "/status", None, 1)
     assert status.data["lastTakeover"]["proof"] == "shadow"
     assert status.data["standby"]["state"] == "leading"
     follower = next(label for label in world.nodes if label != successor)
-    status = await world.wire.call("u", f"{follower}:81", "GET", "/status", None, 1)
+    status = await world.network.call("u", f"{follower}:81", "GET", "/status", None, 1)
     assert status.data["standby"]["caughtUp"]
     assert status.data["standby"]["jobs"] == 2
     jobs = world.active(successor).job_queue.jobs.values()
     held = sum(len(job_state.attempts) for job_state in jobs)
     assert held
     assert status.data["standby"]["teamCpus"] == {"red": float(held)}
-    text = await world.wire.call("u", f"{follower}:81", "GET", "/metrics", None, 1)
+    text = await world.network.call("u", f"{follower}:81", "GET", "/metrics", None, 1)
     assert b"spoolcourse_standby_caught_up 1.0" in text.data
     out = StringIO()
     FailoverTracer(successor, world.now, world.now, out).write(timeline)
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -9,7 +9,7 @@
 
 from spoolcourse.control.http_client import NoResponseError, Response
 from tests.fakes.clock import spawn
-from tests.fakes.net import Endpoint, FakeWire, HostNet
+from tests.fakes.network import Endpoint, FakeHttpClient, FakeNetwork
 
 BUILD = {
     "name": "c8",
@@ -54,15 +54,15 @@
         self.recall: float | None = None
         self.node = 0
         self.alive = True
-        self.http_client: HostNet = cloud.wire.end_of(name)
+        self.http_client: FakeHttpClient = cloud.network.end_of(name)
         self._changed = asyncio.Event()
-        cloud.wire.hosts[host["address"]] = cloud.wrap(self.serve)
+        cloud.network.hosts[host["address"]] = cloud.wrap(self.serve)
         self.loops = [asyncio.create_task(self._heartbeat()), asyncio.create_task(self._tick())]
 
     def die(self) -> None:
         self.alive = False
         self._lose_tasks()
-        self.cloud.wire.hosts.pop(self.host["address"], None)
+        self.cloud.network.hosts.pop(self.host["address"], None)
         for loop in self.loops:
             loop.cancel()
 
@@ -177,11 +177,11 @@
 class FakeCloud:
     def __init__(
         self,
-        wire: FakeWire,
+        network: FakeNetwork,
         nodes: list[tuple[str, str]],
         address_of: Callable[[str], str] = lambda name: f"{name}:9000",
     ) -> None:
-        self.wire, self.nodes, self.address_of = wire, nodes, address_of
+        self.network, self.nodes, self.address_of = network, nodes, address_of
         self.wrap: Callable[[Endpoint], Endpoint] = lambda serve: serve
         self.on_end: Callable[[FakeWorker, Task], None] = lambda worker, task: None
         self.workers: dict[str, FakeWorker] = {}
--- a/tests/fakes/failover.py
+++ b/tests/fakes/failover.py
@@ -32,7 +32,7 @@
     world: World, host: str, matches: RequestMatcher, action: Callable[[], Awaitable[Any]]
 ) -> None:
     """Run the action once, after the host has executed such a request and before it answers."""
-    serve = world.wire.hosts[host]
+    serve = world.network.hosts[host]
     requests: list[str] = []
 
     async def serve_and_run(method: str, path: str, body: Any) -> Response:
@@ -42,7 +42,7 @@
             await action()
         return reply
 
-    world.wire.hosts[host] = serve_and_run
+    world.network.hosts[host] = serve_and_run
 
 
 class PausedController:
@@ -51,7 +51,7 @@
     def __init__(self, world: World, label: str) -> None:
         self.world, self.label, self.is_resumed = world, label, False
         self.late_placements: list[Response] = []  # replies to its writes that were held
-        world.wire.filters.append(self._verdict)
+        world.network.filters.append(self._verdict)
 
     def _verdict(self, src: str, dst: str, method: str, path: str, body: Any) -> str | None:
         if self.is_resumed or self.label not in (src, dst.split(":", maxsplit=1)[0]):
@@ -60,8 +60,8 @@
 
     async def resume(self) -> None:
         self.is_resumed = True
-        held = [(path, body) for _, _, path, body in self.world.wire.held]
-        replies = await self.world.wire.release()
+        held = [(path, body) for _, _, path, body in self.world.network.held]
+        replies = await self.world.network.release()
         for (path, body), reply in zip(held, replies, strict=True):
             if sets_key_below(PROGRESS_PREFIX)("POST", path, body):
                 self.late_placements.append(reply)
--- a/tests/fakes/half_open.py
+++ b/tests/fakes/half_open.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from tests.fakes.net import Filter
+from tests.fakes.network import Filter
 
 
 def half_open(name: str) -> Filter:
--- a/tests/fakes/isolated_leader.py
+++ b/tests/fakes/isolated_leader.py
@@ -38,7 +38,7 @@
             ends = {src, dst.split(":", maxsplit=1)[0]}
             return "cut" if controller in ends and any(e.startswith(others) for e in ends) else None
 
-        self.world.wire.filters.append(check)
+        self.world.network.filters.append(check)
         return check
 
     def refuse_store_requests_of(self, controller: str) -> Any:
@@ -47,8 +47,8 @@
         def check(src: str, dst: str, *rest: Any) -> str | None:
             return "503" if (src, dst) == (controller, "state:1") else None
 
-        self.world.wire.filters.append(check)
-        self.world.wire.stalled.add((controller, "state:1"))
+        self.world.network.filters.append(check)
+        self.world.network.stalled.add((controller, "state:1"))
         return check
 
     async def confirm_cancellation(self, number: int = 1, through: str | None = None) -> None:
@@ -62,11 +62,11 @@
         await asyncio.sleep(0.5)
         await self.confirm_cancellation(number, through)
         self.world.state.in_outage = True
-        self.world.wire.filters.remove(refusal)
+        self.world.network.filters.remove(refusal)
 
     def end_outage(self) -> None:
         self.world.state.end_outage()
-        self.world.wire.stalled.clear()
+        self.world.network.stalled.clear()
 
     async def wait_until_tasks_gone_in_time(self, number: int = 1) -> None:
         name = f"job-{number:06d}"
--- a/tests/fakes/net.py
+++ b/tests/fakes/network.py
@@ -16,7 +16,7 @@
 Filter = Callable[[str, str, str, str, Any], str | None]
 
 
-class FakeWire:
+class FakeNetwork:
     """All hosts. A filter may answer `cut`, `lose` (carried out, answer lost), `hold`
     (delivered when `release` is called, long after the caller gave up), `late` (the same by
     itself, after one of `late_s` in turn), `404` or `503`."""
@@ -79,15 +79,15 @@
         held, self.held = self.held, []
         return [await self.hosts[dst](method, path, body) for dst, method, path, body in held]
 
-    def end_of(self, src: str) -> HostNet:
-        return HostNet(self, src)
+    def end_of(self, src: str) -> FakeHttpClient:
+        return FakeHttpClient(self, src)
 
 
-class HostNet:
+class FakeHttpClient:
     """The network as one host sees it."""
 
-    def __init__(self, wire: FakeWire, src: str) -> None:
-        self._wire = wire
+    def __init__(self, network: FakeNetwork, src: str) -> None:
+        self._network = network
         self._src = src
 
     async def call(
@@ -101,5 +101,5 @@
     ) -> Response:
         raw = body if isinstance(body, bytes) else orjson.dumps(body)
         data = None if body is None else orjson.loads(raw)
-        reply = await self._wire.call(self._src, address, method, path, data, timeout_s)
+        reply = await self._network.call(self._src, address, method, path, data, timeout_s)
         return Response(reply.status, orjson.loads(orjson.dumps(reply.data)), reply.headers)
--- a/tests/fakes/proof.py
+++ b/tests/fakes/proof.py
@@ -8,14 +8,14 @@
 from spoolcourse.control.store.keys import PREFIX, TERM_KEY
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.settings import State
-from tests.fakes.net import FakeWire
+from tests.fakes.network import FakeNetwork
 
 LIMITS = State(rps=100.0, write_rps=30.0, value_kb=8.0, txn_ops=24)
 
 
 def cache_at(store_revision: int) -> WatchCache:
     """A watch cache that has applied every change up to a revision."""
-    client = StoreClient(FakeWire().end_of("n0"), "state:1", LIMITS, controllers=1)
+    client = StoreClient(FakeNetwork().end_of("n0"), "state:1", LIMITS, controllers=1)
     watch_cache = WatchCache(client, PREFIX)
     watch_cache.store_revision = store_revision
     return watch_cache
--- a/tests/fakes/upgrade.py
+++ b/tests/fakes/upgrade.py
@@ -81,7 +81,7 @@
     def check(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
         return "404" if dst[:-3] in labels and path.startswith("/level") else None
 
-    world.wire.filters.append(check)
+    world.network.filters.append(check)
     return check
 
 
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -15,8 +15,8 @@
 from spoolcourse.wire.settings import Settings, parse_settings
 from spoolcourse.wire.standby_settings import OFF, StandbySettings
 from tests.fakes.cloud import FakeCloud, FakeWorker, Task
-from tests.fakes.net import FakeWire
-from tests.fakes.state import FakeKeyValueStore
+from tests.fakes.key_value_store import FakeKeyValueStore
+from tests.fakes.network import FakeNetwork
 
 LABELS = ("n0", "n1", "n2")
 
@@ -82,11 +82,11 @@
         self.standby = STANDBY if standby is None else standby
         self.params = params or {}
         self.policy = check_policy(policy or {}, "test")
-        self.wire = FakeWire()
+        self.network = FakeNetwork()
         self.state = FakeKeyValueStore()
-        self.cloud = FakeCloud(self.wire, [(n, f"{n}:80") for n in LABELS])
-        self.wire.hosts["state:1"] = self.state.serve
-        self.wire.hosts["cloud:1"] = self.cloud.serve
+        self.cloud = FakeCloud(self.network, [(n, f"{n}:80") for n in LABELS])
+        self.network.hosts["state:1"] = self.state.serve
+        self.network.hosts["cloud:1"] = self.cloud.serve
         self.nodes: dict[str, Controller] = {}
         self.runs = 0
         self.jobs: dict[str, dict[str, Any]] = {}  # accepted ones
@@ -165,15 +165,15 @@
             self.runs += 1
             node = Controller(
                 settings(label, **self.params),
-                self.wire.end_of(label),
+                self.network.end_of(label),
                 self.policy,
                 wall_clock=self.now,
                 run_id=f"run{self.runs}",
                 standby=self.standby,
             )
             self.nodes[label] = node
-            self.wire.hosts[f"{label}:80"] = self._door(node.public)
-            self.wire.hosts[f"{label}:81"] = self._door(node.peers)
+            self.network.hosts[f"{label}:80"] = self._door(node.public)
+            self.network.hosts[f"{label}:81"] = self._door(node.peers)
             node.start()
 
     @staticmethod
@@ -188,13 +188,13 @@
 
     def cut_off(self, host: str) -> None:
         """Nothing reaches the host any more, and nothing comes from it."""
-        self.wire.filters.append(
+        self.network.filters.append(
             lambda src, dst, *rest: "cut" if host in (src, dst.split(":")[0]) else None
         )
 
     def kill(self, label: str) -> None:
         self.nodes.pop(label).stop()
-        del self.wire.hosts[f"{label}:80"], self.wire.hosts[f"{label}:81"]
+        del self.network.hosts[f"{label}:80"], self.network.hosts[f"{label}:81"]
 
     def active(self, label: str | None = None) -> ActiveLeader:
         """What decides on a node that leads, by default on the first one that does."""
@@ -233,7 +233,7 @@
 
     async def ask(self, label: str, method: str, path: str, body: Any = None) -> Response:
         try:
-            reply = await self.wire.call("user", f"{label}:80", method, path, body, 5.0)
+            reply = await self.network.call("user", f"{label}:80", method, path, body, 5.0)
         except NoResponseError:
             return Response(0)
         self._heard(method, path, body, reply)
--- a/tests/jobs/test_progress_writer.py
+++ b/tests/jobs/test_progress_writer.py
@@ -19,8 +19,8 @@
 from spoolcourse.wire.key_value_store import Put
 from spoolcourse.wire.messages import Submission, parse
 from spoolcourse.wire.settings import NextLimits, State
-from tests.fakes.net import FakeWire
-from tests.fakes.state import FakeKeyValueStore
+from tests.fakes.key_value_store import FakeKeyValueStore
+from tests.fakes.network import FakeNetwork
 from tests.fakes.world import job
 
 
@@ -28,9 +28,9 @@
     """A writer of a term, its job queue and its key-value store; made within `play`."""
 
     def __init__(self, limits: State) -> None:
-        self.store, wire = FakeKeyValueStore(), FakeWire()
-        wire.hosts["state:1"] = self.store.serve
-        self.client = StoreClient(wire.end_of("n0"), "state:1", limits, controllers=1)
+        self.store, network = FakeKeyValueStore(), FakeNetwork()
+        network.hosts["state:1"] = self.store.serve
+        self.client = StoreClient(network.end_of("n0"), "state:1", limits, controllers=1)
         self.client.set_leader(True)
         self.watch_cache = WatchCache(self.client, PREFIX)
         self.job_queue = JobQueue()
--- a/tests/leadership/test_election_and_peers.py
+++ b/tests/leadership/test_election_and_peers.py
@@ -20,18 +20,18 @@
 from spoolcourse.wire.messages import MalformedError
 from spoolcourse.wire.peers import CancellationReply, LevelReply, parse_since_revision
 from spoolcourse.wire.settings import Seed
-from tests.fakes.net import FakeWire
+from tests.fakes.key_value_store import FakeKeyValueStore
+from tests.fakes.network import FakeNetwork
 from tests.fakes.proof import LIMITS
-from tests.fakes.state import FakeKeyValueStore
 
 
 class Store:
     """A key-value store with one client of it."""
 
     def __init__(self) -> None:
-        self.state, self.wire = FakeKeyValueStore(), FakeWire()
-        self.wire.hosts["state:1"] = self.state.serve
-        self.client = StoreClient(self.wire.end_of("n0"), "state:1", LIMITS, controllers=1)
+        self.state, self.network = FakeKeyValueStore(), FakeNetwork()
+        self.network.hosts["state:1"] = self.state.serve
+        self.client = StoreClient(self.network.end_of("n0"), "state:1", LIMITS, controllers=1)
         self.watch_cache = WatchCache(self.client, PREFIX)
 
 
@@ -122,7 +122,7 @@
     await store.watch_cache.reload()
     await leadership._stand_for_election()
     assert leadership.term is not None
-    store.wire.filters.append(
+    store.network.filters.append(
         lambda src, dst, method, path, body: "hold" if path == "/multi" else None
     )
     assert not await write_fenced(
@@ -146,11 +146,11 @@
         return serve
 
     peers = [Seed(label, f"{label}:81") for label in ("n1", "n2", "n3", "n4")]
-    store.wire.hosts["n1:81"] = host(200, {"level": 1})
-    store.wire.hosts["n2:81"] = host(404, {"error": "no such resource"})
-    store.wire.hosts["n3:81"] = host(200, {"level": "x"})
-    store.wire.hosts["n4:81"] = host(200, {"level": 2})
-    replies = await query_peers(store.wire.end_of("n0"), peers, LEVEL_QUERY)
+    store.network.hosts["n1:81"] = host(200, {"level": 1})
+    store.network.hosts["n2:81"] = host(404, {"error": "no such resource"})
+    store.network.hosts["n3:81"] = host(200, {"level": "x"})
+    store.network.hosts["n4:81"] = host(200, {"level": 2})
+    replies = await query_peers(store.network.end_of("n0"), peers, LEVEL_QUERY)
     assert replies == [LevelReply(1), None, None, LevelReply(2)]
 
 
--- a/tests/loopback/play.py
+++ b/tests/loopback/play.py
@@ -152,7 +152,7 @@
                 bound.close()
             for worker in list(self.stage.cloud.workers.values()):
                 worker.die()
-            await self.stage.wire.close()
+            await self.stage.network.close()
         self.stage.history.ended = self.stage.now()
         self.outcome.broken += self.stage.cloud.broken
         self.outcome.broken += broken_rules(self.stage.history, self._cancel_s)
@@ -338,7 +338,7 @@
 
     async def _call(self, address: str, method: str, path: str, body: Any = None) -> Response:
         try:
-            return await self.stage.wire.call("user", address, method, path, body, 2.0)
+            return await self.stage.network.call("user", address, method, path, body, 2.0)
         except NoResponseError:
             return Response(0)
 
--- a/tests/loopback/standins.py
+++ b/tests/loopback/standins.py
@@ -14,8 +14,8 @@
 from spoolcourse.control.store.keys import FINAL_PREFIX
 from tests.fakes.clock import spawn
 from tests.fakes.cloud import FakeCloud, FakeWorker, Task
-from tests.fakes.net import Endpoint, FakeWire
-from tests.fakes.state import FakeKeyValueStore
+from tests.fakes.key_value_store import FakeKeyValueStore
+from tests.fakes.network import Endpoint, FakeNetwork
 from tests.loopback.history import FinalWritten, History, Run
 
 Hook = Callable[[str, Any], Awaitable[None]]  # path and body of a request
@@ -38,7 +38,7 @@
     return f"127.0.0.1:{bound.getsockname()[1]}"
 
 
-class LoopbackWire(FakeWire):
+class LoopbackNetwork(FakeNetwork):
     """Calls go over HTTP; what is put into `hosts` is served once its address is bound."""
 
     def __init__(self) -> None:
@@ -81,14 +81,14 @@
     """Key-value store, cloud and workers, with a history, and hooks before and after requests."""
 
     def __init__(self, controllers: list[tuple[str, str]], machines: int) -> None:
-        self.wire = LoopbackWire()
+        self.network = LoopbackNetwork()
         self.history = History()
         self.state = FakeKeyValueStore()
-        self.state_address = self.wire.bind("state")
-        self.wire.hosts[self.state_address] = self._serve_state
-        self.cloud = FakeCloud(self.wire, controllers, self.wire.bind)
-        self.cloud_address = self.wire.bind("cloud")
-        self.wire.hosts[self.cloud_address] = self.cloud.serve
+        self.state_address = self.network.bind("state")
+        self.network.hosts[self.state_address] = self._serve_state
+        self.cloud = FakeCloud(self.network, controllers, self.network.bind)
+        self.cloud_address = self.network.bind("cloud")
+        self.network.hosts[self.cloud_address] = self.cloud.serve
         self.cloud.pull_s, self.cloud.boot_s = 0.02, 0.1
         self.cloud.on_start = self._started
         self.cloud.on_end = self._ended
--- a/tests/recorded/forms/interfaces.py
+++ b/tests/recorded/forms/interfaces.py
@@ -580,7 +580,7 @@
     world = _world(variant)
     world.cloud.run_s = lambda task: 300.0
     world.cloud.capacity = 4
-    call = world.wire.call
+    call = world.network.call
 
     async def recorded_call(
         src: str, dst: str, method: str, path: str, body: Any, timeout: float
@@ -603,7 +603,7 @@
         seen[name] = merged(seen.get(name, "nothing"), sort)
         return reply
 
-    world.wire.call = recorded_call  # type: ignore[method-assign]
+    world.network.call = recorded_call  # type: ignore[method-assign]
     await world.up_with_machine()
     for number in (1, 2):
         await world.submit(job(number))
@@ -618,15 +618,15 @@
     for ask in (world.poll(2, isolated.others[0]), world.cancel(2, isolated.others[0])):
         assert (await ask).status == 200
     assert (await world.submit(job(4), isolated.others[0])).status == 201
-    world.wire.filters.remove(refusal)
-    world.wire.filters.remove(away)
+    world.network.filters.remove(refusal)
+    world.network.filters.remove(away)
     world.state.in_outage = True
     await asyncio.sleep(6)
     world.state.end_outage()
     await world.until(lambda: world.leader, 20)
     await asyncio.sleep(8)
     assert (await world.poll(99, str(world.leader))).status == 404
-    await world.wire.call("op", f"{world.leader}:81", "POST", "/handover", None, 5.0)
+    await world.network.call("op", f"{world.leader}:81", "POST", "/handover", None, 5.0)
     await world.until(lambda: world.leader, 20)
     await asyncio.sleep(8)
     world.kill(str(world.leader))
--- a/tests/recorded/test_stored_forms.py
+++ b/tests/recorded/test_stored_forms.py
@@ -211,7 +211,7 @@
     world.jobs["job-000003"] = service(3)
     world.cloud.add()
     # The catalog is read from the key-value store, for the cloud does not say it.
-    world.wire.filters.append(
+    world.network.filters.append(
         lambda src, dst, method, path, body: "503" if path == "/catalog" else None
     )
     await world.up()
@@ -228,7 +228,7 @@
 
     isolated = await IsolatedLeader.with_running_jobs()
     world, seen = isolated.world, dict[tuple[str, str], tuple[Any, Response]]()
-    call = world.wire.call
+    call = world.network.call
 
     async def record(
         src: str, dst: str, method: str, path: str, body: Any, timeout: float
@@ -240,7 +240,7 @@
                 seen[method, kind] = (body, reply)
         return reply
 
-    world.wire.call = record  # type: ignore[method-assign]
+    world.network.call = record  # type: ignore[method-assign]
     assert (await world.submit(service(3))).status == 201
     away = isolated.partition(isolated.leader, "m-")
     await asyncio.sleep(8)
@@ -249,8 +249,8 @@
     for ask in (world.poll(2, isolated.others[0]), world.cancel(2, isolated.others[0])):
         assert (await ask).status == 200
     assert (await world.submit(job(4), isolated.others[0])).status == 201
-    world.wire.filters.remove(refusal)
-    world.wire.filters.remove(away)
+    world.network.filters.remove(refusal)
+    world.network.filters.remove(away)
     world.state.in_outage = True
     await asyncio.sleep(6)
     world.state.end_outage()
--- a/tests/scenarios/test_isolated_leader.py
+++ b/tests/scenarios/test_isolated_leader.py
@@ -42,7 +42,7 @@
     await isolated.wait_until_tasks_gone_in_time()
     await isolated.sleep_after_cancellation(60)
     isolated.end_outage()
-    isolated.world.wire.filters.remove(cut)
+    isolated.world.network.filters.remove(cut)
     world = isolated.world
     await world.until(lambda: len(world.cloud.on_machines("job-000002")) == 4, 60)
     assert world.cloud.on_machines("job-000001") == []
@@ -60,13 +60,13 @@
     isolated.world.kill(informed)
     await asyncio.sleep(0.4)
     isolated.world.start(informed)
-    isolated.world.wire.filters.remove(cut)
+    isolated.world.network.filters.remove(cut)
     await isolated.wait_until_tasks_gone_in_time()
 
 
 async def test_cancelled_tasks_end_with_a_peer_too_old_to_know_the_query() -> None:
     isolated = await IsolatedLeader.with_running_jobs()
-    isolated.world.wire.filters.append(
+    isolated.world.network.filters.append(
         lambda src, dst, method, path, body: (
             "404" if dst == f"{isolated.others[0]}:81" and path.startswith("/cancel") else None
         )
@@ -80,7 +80,7 @@
     isolated = await IsolatedLeader.with_running_jobs()
     isolated.partition(isolated.leader, "m-")
     # The followers pass heartbeats on; what they know of cancellations doesn't get through.
-    isolated.world.wire.filters.append(
+    isolated.world.network.filters.append(
         lambda src, dst, method, path, body: "cut" if path.startswith("/cancel") else None
     )
     await asyncio.sleep(20)
@@ -112,7 +112,7 @@
     assert old.leader_term.active is not None
     assert worker.fencing_token == old.leader_term.active.registry.fencing_token
     isolated.partition(isolated.leader, *isolated.others, "state", "cloud", "m-")
-    world.wire.stalled.add((isolated.leader, "state:1"))
+    world.network.stalled.add((isolated.leader, "state:1"))
     await isolated.confirm_cancellation()
     await isolated.sleep_after_cancellation(35)
     # A worker's heartbeat that its successor's baton has not reached comes before anything
@@ -146,13 +146,13 @@
         if way == "hung":
             world.cut_off(name)
         elif way == "mute":
-            world.wire.filters.append(
+            world.network.filters.append(
                 lambda src, dst, *rest, name=name: "cut" if src == name else None
             )
         else:
-            world.wire.filters.append(half_open(name))
+            world.network.filters.append(half_open(name))
     await asyncio.sleep(1)
-    world.wire.filters.remove(cut)  # now it learns of it
+    world.network.filters.remove(cut)  # now it learns of it
     await isolated.wait_until_tasks_gone_in_time()
     await asyncio.sleep(20)
     assert world.cloud.on_machines("job-000001") == []
--- a/tests/scenarios/test_jobs_through_troubles.py
+++ b/tests/scenarios/test_jobs_through_troubles.py
@@ -19,12 +19,12 @@
         # The answers to heartbeats are lost: assignments get written, starts don't arrive.
         return "lose" if path == "/v1/report" and dst == f"{first}:80" else None
 
-    world.wire.filters.append(mute)
+    world.network.filters.append(mute)
     other = next(n for n in LABELS if n != first)
     assert (await world.submit(job(), other)).status == 201
     await world.until(lambda: world.state.value("spoolcourse/live/prog/job-000001/0"))
     world.kill(first)
-    world.wire.filters.clear()
+    world.network.filters.clear()
     await world.finish()
     assert world.cloud.broken == []
     assert len(world.cloud.starts) == 4
@@ -54,14 +54,14 @@
         return "hold" if path == "/multi" else "cut"
 
     other, _ = (n for n in LABELS if n != first)
-    world.wire.filters.append(hold)
+    world.network.filters.append(hold)
     world.cloud.add()
     await world.submit(job(), other)
     await world.until(lambda: world.leader not in (None, first), 30)
-    world.wire.filters.clear()
+    world.network.filters.clear()
     await world.finish()
     before = dict(world.state.keys)
-    late = await world.wire.release()
+    late = await world.network.release()
     assert all(reply.status in (400, 409) for reply in late)
     assert {k: v[:2] for k, v in world.state.keys.items()} == {k: v[:2] for k, v in before.items()}
     assert world.cloud.broken == []
@@ -170,14 +170,14 @@
         worker = any(end.startswith("m-") for end in ends)
         return "cut" if worker and leader in ends else None
 
-    world.wire.filters.append(apart)
+    world.network.filters.append(apart)
     await asyncio.sleep(20)
     await world.submit(job(2, pieces=2))
     await world.until(lambda: len(world.cloud.starts) == 6, 20)
     await world.finish(1)
     assert len(world.cloud.starts) == 6, "no lease ran out"
     assert world.leader == leader
-    world.wire.filters.clear()
+    world.network.filters.clear()
     await world.finish(2)
     await asyncio.sleep(40)
     assert not world.active(leader).heartbeat_handler.hears_no_worker(), "they are back"
--- a/tests/scenarios/test_late_messages.py
+++ b/tests/scenarios/test_late_messages.py
@@ -24,10 +24,10 @@
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.settings import State
 from tests.fakes.clock import spawn
+from tests.fakes.key_value_store import FakeKeyValueStore
 from tests.fakes.meetings import ended, insist, shift_leader
-from tests.fakes.net import FakeWire
+from tests.fakes.network import FakeNetwork
 from tests.fakes.registry import TERM, RegistryHarness, on
-from tests.fakes.state import FakeKeyValueStore
 from tests.fakes.world import LABELS, World, job
 
 
@@ -93,31 +93,33 @@
 async def test_a_claim_that_is_carried_out_late_is_not_taken_for_the_next_one() -> None:
     # Both are of the same run and for the same term, but each has its own lease. The key is
     # attached to the first one's, which nobody renews.
-    store, wire = FakeKeyValueStore(), FakeWire()
-    wire.hosts["state:1"] = store.serve
+    store, network = FakeKeyValueStore(), FakeNetwork()
+    network.hosts["state:1"] = store.serve
     limits = State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
-    client = StoreClient(wire.end_of("n0"), "state:1", limits, controllers=2)
+    client = StoreClient(network.end_of("n0"), "state:1", limits, controllers=2)
     watch_cache = WatchCache(client, PREFIX)
     leadership = Leadership(client, watch_cache, "n0", "run-0")
     await watch_cache.reload()
-    wire.filters.append(lambda src, dst, method, path, body: "hold" if path == "/multi" else None)
+    network.filters.append(
+        lambda src, dst, method, path, body: "hold" if path == "/multi" else None
+    )
     for _ in range(2):
         try:
             await leadership._stand_for_election()
         except OutcomeUnknownError:
-            if len(wire.held) == 2:
+            if len(network.held) == 2:
                 break
             # The first claim is carried out while the second one is under way.
             get = client.get
 
             async def late(key: str, get: Any = get) -> Any:
-                _, method, path, body = wire.held[0]
+                _, method, path, body = network.held[0]
                 await store.serve(method, path, body)
                 return await get(key)
 
             client.get = late  # type: ignore[method-assign]
     assert leadership.term is None
-    assert len(wire.held) == 2
+    assert len(network.held) == 2
     assert store.value(LEADER_KEY) is not None
     await asyncio.sleep(4)
     assert store.value(LEADER_KEY) is None, "nobody renews it, so others may stand"
@@ -152,7 +154,7 @@
         if changed and reply.status == 200:
             world.cloud.broken.append(f"late and carried out although {changed} changed")
 
-    world.wire.on_late = judge
+    world.network.on_late = judge
 
     def check(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
         nonlocal count
@@ -173,7 +175,7 @@
     world = World()
     world.cloud.run_s = lambda task: 6.0 + int(task[-1]) * 3.0
     await world.up()
-    world.wire.filters.append(delay_transactions(world, every))
+    world.network.filters.append(delay_transactions(world, every))
     for number in range(1, 9):
         body = job(number, pieces=3, crew="blue" if number % 2 else "red")
         await insist(world, lambda label, body=body: world.submit(body, label))
@@ -182,7 +184,7 @@
         if number == 5:
             await shift_leader(world, 0.3)
     await asyncio.sleep(60)
-    world.wire.filters.clear()
+    world.network.filters.clear()
     await asyncio.sleep(15)
     await ended(world, range(1, 9))
 
@@ -203,7 +205,7 @@
             return "cut"
         return None
 
-    world.wire.filters.append(hold)
+    world.network.filters.append(hold)
     await asyncio.sleep(2)
     await shift_leader(world, 0.5)
     await asyncio.sleep(20)  # its lease has run out, and its work goes on elsewhere
@@ -211,7 +213,7 @@
         for label in LABELS:
             reply = await world.ask(label, "POST", "/v1/report", body)
             assert not (reply.status == 200 and reply.data.get("orders"))
-    world.wire.filters.clear()
+    world.network.filters.clear()
     await ended(world, (1,))
 
 
@@ -224,17 +226,17 @@
     def hold(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
         return "hold" if dst == f"{name}:9000" and path == "/orders" else None
 
-    world.wire.filters.append(hold)
+    world.network.filters.append(hold)
     await world.submit(job(1, pieces=4))
     await world.submit(job(2, pieces=4))
     await asyncio.sleep(3)
     await world.cancel(2)
     world.cut_off(name)  # it hangs for a while
     await asyncio.sleep(6)
-    world.wire.filters.clear()
-    await world.wire.release()
+    world.network.filters.clear()
+    await world.network.release()
     await asyncio.sleep(12)
-    await world.wire.release()
+    await world.network.release()
     await ended(world, (1, 2))
 
 
@@ -252,10 +254,10 @@
         puts = [op.get("set", "") for op in (body or {}).get("apply", [])]
         return "hold" if any(key.startswith(kind) for key in puts) else None
 
-    world.wire.filters.append(hold)
+    world.network.filters.append(hold)
     await world.submit(job(pieces=2))
     await asyncio.sleep(14 if meanwhile == "ended" else 3)
-    of_first = len(world.wire.held)  # a quick successor's own writes are held after these
+    of_first = len(world.network.held)  # a quick successor's own writes are held after these
     assert of_first
     if meanwhile == "another leader":
         first = str(world.leader)
@@ -263,10 +265,10 @@
         await world.until(lambda: world.leader not in (None, first), 10)
     else:
         assert (await world.cancel(1, "n1")).data["stage"] == "aborted"
-    late = await world.wire.release()
+    late = await world.network.release()
     assert {reply.status for reply in late[:of_first]} == {409}
     assert of_first == len(late) or meanwhile == "another leader"
-    world.wire.filters.clear()
+    world.network.filters.clear()
     if meanwhile == "another leader":
         world.start(first)
     await ended(world, (1,))
--- a/tests/scenarios/test_meetings.py
+++ b/tests/scenarios/test_meetings.py
@@ -98,7 +98,7 @@
 async def test_the_end_of_the_last_task_meets_everything_that_users_ask(wait: float) -> None:
     world = World()
     world.cloud.run_s = lambda task: 5.0
-    world.wire.delay = 0.08  # so that what meets is under way for a while
+    world.network.delay = 0.08  # so that what meets is under way for a while
     await world.up_with_machine()
     await world.submit(job(pieces=2))
     await world.until(lambda: len(world.cloud.starts) == 2, 60)
@@ -136,21 +136,21 @@
         worker = world.cloud.workers.get(end)
         return end == node or (worker is not None and worker.host["yard"] == "b")
 
-    world.wire.filters.append(
+    world.network.filters.append(
         lambda src, dst, *rest: (
             "hold" if inside(src) != inside(dst.split(":")[0]) and src != "user" else None
         )
     )
-    world.wire.stalled.add((node, "state:1"))
+    world.network.stalled.add((node, "state:1"))
     await asyncio.sleep(3)
     other = next(n for n in LABELS if n != node)
     await world.cancel(2, other)
     await asyncio.sleep(30)
-    world.wire.filters.clear()
-    world.wire.stalled.clear()
-    for dst, method, path, body in world.wire.held:
-        if dst in world.wire.hosts:
-            await world.wire.hosts[dst](method, path, body)
+    world.network.filters.clear()
+    world.network.stalled.clear()
+    for dst, method, path, body in world.network.held:
+        if dst in world.network.hosts:
+            await world.network.hosts[dst](method, path, body)
     await ended(world, (1, 2))
 
 
@@ -180,7 +180,7 @@
             await asyncio.sleep(0.7)
         return await serve(method, path, body)
 
-    world.wire.hosts["state:1"] = slow
+    world.network.hosts["state:1"] = slow
     for number in range(1, 9):
         body = job(number, pieces=2)
         await insist(world, lambda label, body=body: world.submit(body, label))
@@ -193,13 +193,13 @@
             assert reply.status in (200, 503)
             assert world.now() - began < 5.0
         await asyncio.sleep(2)
-    world.wire.hosts["state:1"] = serve
+    world.network.hosts["state:1"] = serve
     await ended(world, range(1, 9))
 
 
 async def test_more_work_than_room_over_slow_links() -> None:
     world = World()
-    world.wire.delay = 0.25
+    world.network.delay = 0.25
     world.cloud.capacity = 3
     world.cloud.run_s = lambda task: 8.0
     await world.up()
@@ -230,15 +230,15 @@
             return "cut" if ends & ({"state", "cloud", *LABELS} - {old}) else None
         return "cut" if ends & set(machines) and ends & set(LABELS) else None
 
-    world.wire.filters.append(alone)
-    world.wire.stalled.add((old, "state:1"))
+    world.network.filters.append(alone)
+    world.network.stalled.add((old, "state:1"))
     other = next(n for n in LABELS if n != old)
     await world.until(lambda: any(n != old and c.leader_term for n, c in world.nodes.items()), 10)
     assert (await world.cancel(1, other)).data["stage"] == "aborted"
     assert (await world.cancel(1, old)).status == 503
     await asyncio.sleep(60)
-    world.wire.filters.clear()
-    world.wire.stalled.clear()
+    world.network.filters.clear()
+    world.network.stalled.clear()
     await asyncio.sleep(30)
     assert world.cloud.broken == []
     assert world.cloud.on_machines("job-000001") == []
--- a/tests/scenarios/test_scale.py
+++ b/tests/scenarios/test_scale.py
@@ -172,11 +172,11 @@
             largest = max(largest, len(reply.data["log"]))
         return reply
 
-    world.wire.hosts["state:1"] = counted
+    world.network.hosts["state:1"] = counted
     await world.up()
     away = next(label for label in world.nodes if label != world.leader)
     apart = "cut"
-    world.wire.filters.append(
+    world.network.filters.append(
         lambda src, dst, *rest: apart or None if (src, dst) == (away, "state:1") else None
     )
     await world.submit(job(1), str(world.leader))
--- a/tests/scenarios/test_services.py
+++ b/tests/scenarios/test_services.py
@@ -229,7 +229,7 @@
         world.cut_off(name)
     await asyncio.sleep(25)
     assert len(world.cloud.on_machines("job-000001")) >= 2
-    world.wire.filters.clear()
+    world.network.filters.clear()
     await served(world, 1, 4, 40)
     assert world.cloud.broken == []
 
--- a/tests/scenarios/test_troubles.py
+++ b/tests/scenarios/test_troubles.py
@@ -13,8 +13,8 @@
 from spoolcourse.control.store.keys import PREFIX, TERM_KEY
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.settings import State
-from tests.fakes.net import FakeWire
-from tests.fakes.state import FakeKeyValueStore
+from tests.fakes.key_value_store import FakeKeyValueStore
+from tests.fakes.network import FakeNetwork
 from tests.fakes.world import LABELS, World, job
 
 
@@ -24,7 +24,7 @@
     def __init__(self, world: World) -> None:
         self._world = world
         self.unacknowledged: list[tuple[float, dict[str, Any]]] = []
-        world.wire.filters.append(self._note)
+        world.network.filters.append(self._note)
 
     def _note(self, src: str, dst: str, method: str, path: str, body: Any) -> str | None:
         if path == "/v1/report" and src.startswith("m-"):
@@ -83,7 +83,7 @@
     first = world.now()
     world.cut_off(name)
     await asyncio.sleep(15)
-    world.wire.filters[:] = world.wire.filters[:1]  # a new incarnation
+    world.network.filters[:] = world.network.filters[:1]  # a new incarnation
     await world.until(lambda: len(world.cloud.starts) == 4, 60)
     leader = str(world.leader)
     await asyncio.sleep(3)
@@ -116,7 +116,7 @@
             return None
         return "cut" if "state" in ends or "cloud" in ends or ends & set(others) else None
 
-    world.wire.filters.append(alone)
+    world.network.filters.append(alone)
     await world.until(lambda: any(world.nodes[n].leader_term for n in others), 10)
     await asyncio.sleep(4)
     assert (await world.ask(old, "GET", "/healthz")).status == 503
@@ -149,7 +149,7 @@
         ends = {src, dst.split(":", maxsplit=1)[0]}
         return "cut" if node in ends and ends & {"state", *LABELS} - {node} else None
 
-    world.wire.filters.append(alone)
+    world.network.filters.append(alone)
     await asyncio.sleep(15)
     world.kill(str(world.leader))
     body = world.cloud.workers[name].heartbeat()
@@ -172,15 +172,15 @@
             carried_out.append((dst, method, path, body))
         return None
 
-    world.wire.filters.append(note)
-    held = len(world.wire.held)
+    world.network.filters.append(note)
+    held = len(world.network.held)
 
     def hold(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
         puts = [op.get("set", "") for op in (body or {}).get("apply", [])]
         return "hold" if any(key.endswith("/leader") for key in puts) else None
 
     # Its own election's write stays on the way while it is restarted; then another's.
-    world.wire.filters.append(hold)
+    world.network.filters.append(hold)
     world.kill(first)
     await asyncio.sleep(0.3)
     world.start(first)
@@ -190,16 +190,16 @@
         await asyncio.sleep(0.1)
         world.start(label)
         await asyncio.sleep(0.05)
-    world.wire.filters.remove(hold)
-    assert len(world.wire.held) > held or after < 0.2
-    for dst, method, path, body in world.wire.held:
-        await world.wire.hosts[dst](method, path, body)
+    world.network.filters.remove(hold)
+    assert len(world.network.held) > held or after < 0.2
+    for dst, method, path, body in world.network.held:
+        await world.network.hosts[dst](method, path, body)
     await world.until(lambda: world.leader, 10)
     await world.finish(1, 60)
     # Repeats of what was carried out, all of it, change nothing.
     hosts, keys = set(world.cloud.hosts), dict(world.state.keys)
     for dst, method, path, body in carried_out:
-        await world.wire.hosts[dst](method, path, body)
+        await world.network.hosts[dst](method, path, body)
     assert set(world.cloud.hosts) == hosts
     changed = {k for k in keys if world.state.keys.get(k, (0, 0))[:2] != keys[k][:2]}
     assert changed == set()
@@ -212,12 +212,12 @@
 async def test_a_claim_fails_if_another_was_elected_while_its_lease_was_granted() -> None:
     # Seen on a recorded day: two controllers that started together were both elected for
     # term 1, the second over the first.
-    state, wire = FakeKeyValueStore(), FakeWire()
-    wire.hosts["state:1"] = state.serve
+    state, network = FakeKeyValueStore(), FakeNetwork()
+    network.hosts["state:1"] = state.serve
     limits = State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
     candidates = []
     for label in ("n0", "n1"):
-        client = StoreClient(wire.end_of(label), "state:1", limits, controllers=2)
+        client = StoreClient(network.end_of(label), "state:1", limits, controllers=2)
         watch_cache = WatchCache(client, PREFIX)
         candidates.append(Leadership(client, watch_cache, label, f"run-{label}"))
         await watch_cache.reload()
--- a/tests/scenarios/test_unresponsive_machines.py
+++ b/tests/scenarios/test_unresponsive_machines.py
@@ -16,7 +16,7 @@
     world = World()
     world.cloud.capacity = 2
     name = await world.up_with_machine()
-    world.wire.filters.append(half_open(name))
+    world.network.filters.append(half_open(name))
     await world.submit(job(pieces=4))
     await world.finish(1, 60)
     assert {machine for _, _, machine in world.cloud.starts} != {name}
@@ -35,7 +35,7 @@
     world.cloud.run_s = lambda task: 15.0
     world.cloud.capacity = 2
     name = await world.up_with_machine()
-    world.wire.filters.append(lambda src, dst, *rest: "lose" if src == name else None)
+    world.network.filters.append(lambda src, dst, *rest: "lose" if src == name else None)
     await world.submit(job(pieces=4))
     await asyncio.sleep(60)
     before = len(world.cloud.starts)
@@ -49,12 +49,12 @@
     world = World({"silent_leases": 100})
     world.cloud.capacity = 1
     name = await world.up_with_machine()
-    world.wire.filters.append(half_open(name))
+    world.network.filters.append(half_open(name))
     await world.submit(job(pieces=4))
     await asyncio.sleep(60)
     assert world.cloud.starts == []
     assert world.active().registry.machines[name].unresponsive_since is not None
-    world.wire.filters.clear()
+    world.network.filters.clear()
     await world.finish(1, 60)
     assert world.cloud.broken == []
     assert len(world.cloud.starts) == 4
@@ -66,7 +66,7 @@
     name = await world.up_with_machine()
     await world.submit(job(pieces=4))
     await world.until(lambda: len(world.cloud.starts) == 4)
-    world.wire.filters.append(half_open(name))
+    world.network.filters.append(half_open(name))
     world.kill(str(world.leader))
     # The new leader's fencing token never reaches it: its heartbeats prove nothing.
     await world.finish(1, 120)
@@ -80,7 +80,7 @@
     name = await world.up_with_machine()
     await world.submit(job())
     await world.until(lambda: len(world.cloud.starts) == 4)
-    world.wire.filters.append(half_open(name))
+    world.network.filters.append(half_open(name))
     assert (await world.cancel()).data["stage"] == "aborted"
     await world.until(lambda: not world.cloud.on_machines("job-000001"), 40)
 
@@ -94,7 +94,7 @@
     for _ in range(6):  # most machines do hear us: the new ones are the exception
         world.cloud.add()
     await world.up()
-    world.wire.filters.append(
+    world.network.filters.append(
         lambda src, dst, method, path, body: (
             "lose" if src.startswith("m-") and body["tick"] <= 1 else None
         )
@@ -114,13 +114,13 @@
     machines = set(world.cloud.hosts)
     assert len(machines) > 3
     # For a while the workers' heartbeats don't get through to the new leader.
-    world.wire.filters.append(
+    world.network.filters.append(
         lambda src, dst, *rest: "cut" if "m-" in src or dst.startswith("m-") else None
     )
     world.kill(str(world.leader))
     await world.until(lambda: world.leader, 10)
     await asyncio.sleep(5)
-    world.wire.filters.clear()
+    world.network.filters.clear()
     await asyncio.sleep(20)
     assert set(world.cloud.hosts) >= machines
 
@@ -148,7 +148,7 @@
         seen.append(len(active.command_dispatcher._calls))
         return "cut"
 
-    world.wire.filters.append(cut)
+    world.network.filters.append(cut)
     await world.submit(job(1, pieces=80, cpus=1.0))
     await world.finish(1)
     assert len(seen) > 6
@@ -201,7 +201,7 @@
     def watched(src: str, dst: str, *rest: Any) -> None:
         calls.append(dst)
 
-    world.wire.filters.insert(0, watched)
+    world.network.filters.insert(0, watched)
     await world.submit(job(1, pieces=3))
     assert await world.finish(1) < 9 + world.cloud.run_s("job-000001/0")
     assert not any(d.startswith(names[0]) for d in calls)
--- a/tests/scenarios/test_upgrade.py
+++ b/tests/scenarios/test_upgrade.py
@@ -76,7 +76,7 @@
     for key, value in written(world):
         old_can_read(key, value)
     # Its turn has come: now services are taken, and that stays so whoever leads.
-    world.wire.filters.remove(turn)
+    world.network.filters.remove(turn)
     await world.until(lambda: world.state.value(FEATURE_LEVEL_KEY), 30)
     await asyncio.sleep(1)
     assert (await world.submit(service(3))).status == 201
@@ -153,7 +153,7 @@
         changes.append({"set": key, "v": {"held": progress["held"], "done": progress["done"]}})
         state._apply(changes)
         if lost:
-            world.wire.filters.append(
+            world.network.filters.append(
                 lambda src, dst, method, path, body: (
                     "lose" if path == "/multi" and (body or {}).get("apply") else None
                 )
@@ -161,7 +161,7 @@
         await world.up()
         assert world.state.value(TERM_KEY)["term"] > term
         await asyncio.sleep(6)
-        world.wire.filters.clear()
+        world.network.filters.clear()
         await world.until(lambda: not world.cloud.on_machines("job-000002"), 40)
     await world.finish(1, 120)
     assert len(world.cloud.starts) == 8
--- a/tests/scenarios/test_upgrade_troubles.py
+++ b/tests/scenarios/test_upgrade_troubles.py
@@ -55,13 +55,13 @@
     leader = str(world.leader)
     peer = next(n for n in LABELS[:2] if n != leader)
     world.cut_off(peer)
-    cut = world.wire.filters[-1]
-    world.wire.filters.remove(turn)
+    cut = world.network.filters[-1]
+    world.network.filters.remove(turn)
     await refused_at_once(world, leader)
     await asyncio.sleep(15)
     await refused_at_once(world, leader)  # nobody can say of the one cut off what it is
     assert world.state.value(FEATURE_LEVEL_KEY) is None
-    world.wire.filters.remove(cut)
+    world.network.filters.remove(cut)
     await taken(world, leader)
     await served(world)
     assert world.cloud.broken == []
@@ -70,11 +70,11 @@
 async def test_a_service_comes_as_the_last_controller_turns_new_and_the_leader_is_refused() -> None:
     world, turn, _ = await upgraded_but_one()
     leader = str(world.leader)
-    world.wire.filters.append(
+    world.network.filters.append(
         lambda src, dst, *rest: "503" if (src, dst) == (leader, "state:1") else None
     )
-    world.wire.stalled.add((leader, "state:1"))
-    world.wire.filters.remove(turn)
+    world.network.stalled.add((leader, "state:1"))
+    world.network.filters.remove(turn)
     other = next(n for n in LABELS if n != leader)
     await refused_at_once(world, other)
     # The others elect one of them, which asks all three again: the refused one still answers.
@@ -94,14 +94,14 @@
         )
         return "hold" if noted and src == leader else None
 
-    world.wire.filters.append(held)
-    world.wire.filters.remove(turn)
-    await world.until(lambda: world.wire.held, 10)
+    world.network.filters.append(held)
+    world.network.filters.remove(turn)
+    await world.until(lambda: world.network.held, 10)
     assert (await world.submit(service(1), leader)).status == 503
     world.kill(leader)
     await world.until(lambda: world.leader, 20)
     # The successor can't ask the one that has ended; then the late note arrives.
-    assert [reply.status for reply in await world.wire.release()] == [409]
+    assert [reply.status for reply in await world.network.release()] == [409]
     assert world.state.value(FEATURE_LEVEL_KEY) is None
     other = str(world.leader)
     assert (await world.submit(service(1), other)).status == 503
@@ -112,12 +112,12 @@
 
 async def test_all_controllers_restart_right_after_the_note() -> None:
     world, turn, _ = await upgraded_but_one()
-    world.wire.filters.remove(turn)
+    world.network.filters.remove(turn)
     await taken(world, str(world.leader))
     for label in LABELS:
         world.kill(label)
     # They can't ask one another, nor need they: what is noted stays true.
-    world.wire.filters.append(
+    world.network.filters.append(
         lambda src, dst, *rest: "cut" if dst.endswith(":81") and src in LABELS else None
     )
     await asyncio.sleep(1)
@@ -151,7 +151,7 @@
     if moment == "before the note":
         drop()
         assert world.state.value(FEATURE_LEVEL_KEY) is None
-    world.wire.filters.remove(turn)
+    world.network.filters.remove(turn)
     await world.until(lambda: world.state.value(FEATURE_LEVEL_KEY), 20)
     assert (await world.submit(service(9, pieces=3))).status == 201
     if moment == "in an outage":
--- a/tests/store/test_store_client.py
+++ b/tests/store/test_store_client.py
@@ -25,17 +25,17 @@
 from spoolcourse.control.store.watch_cache import WatchCache, WatchGap
 from spoolcourse.wire.key_value_store import Delete, Operation, Put
 from spoolcourse.wire.settings import NextLimits, State
-from tests.fakes.net import FakeWire
-from tests.fakes.state import FakeKeyValueStore
+from tests.fakes.key_value_store import FakeKeyValueStore
+from tests.fakes.network import FakeNetwork
 
 LIMITS = State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
 Request = Callable[[StoreClient], Awaitable[Any]]
 
 
 def client_of(serve: Any, limits: State = LIMITS) -> StoreClient:
-    wire = FakeWire()
-    wire.hosts["state:1"] = serve
-    return StoreClient(wire.end_of("n0"), "state:1", limits, controllers=1)
+    network = FakeNetwork()
+    network.hosts["state:1"] = serve
+    return StoreClient(network.end_of("n0"), "state:1", limits, controllers=1)
 
 
 async def failure(status: int, request: Request, data: Any = None) -> StoreError:
--- a/tests/user_api/test_user_api.py
+++ b/tests/user_api/test_user_api.py
@@ -68,17 +68,17 @@
         puts = [op.get("set", "") for op in (body or {}).get("apply", [])]
         return "lose" if any("/job/" in key for key in puts) else None
 
-    world.wire.filters.append(lose)
+    world.network.filters.append(lose)
     assert (await world.submit(job())).status == 201
     assert (await world.cancel()).data["stage"] == "aborted"
-    world.wire.filters.clear()
+    world.network.filters.clear()
     assert (await world.poll(1, "n2")).data["stage"] == "aborted"
 
 
 async def test_a_controller_that_alone_lost_the_key_value_store_asks_a_peer() -> None:
     world = World()
     await world.up()
-    world.wire.filters.append(
+    world.network.filters.append(
         lambda src, dst, *rest: "503" if (src, dst) == ("n0", "state:1") else None
     )
     assert (await world.submit(job(), "n0")).status == 201
@@ -95,14 +95,14 @@
     await world.submit(job(), "n0")
     assert (await world.poll(1, "n1")).status == 200
     # n1's watch hangs; it can still ask.
-    world.wire.filters.append(
+    world.network.filters.append(
         lambda src, dst, method, path, body: (
             "cut" if src == "n1" and path.startswith("/watch") and "blockMs=0" not in path else None
         )
     )
     assert (await world.cancel(1, "n2")).status == 200
     assert (await world.poll(1, "n1")).data["stage"] == "aborted"
-    world.wire.filters.append(lambda src, dst, *rest: "cut" if src == "n1" else None)
+    world.network.filters.append(lambda src, dst, *rest: "cut" if src == "n1" else None)
     assert (await world.poll(1, "n1")).data["stage"] == "aborted"
 
 
@@ -110,7 +110,7 @@
     world = World()
     await world.up()
     follower = next(n for n in LABELS if n != world.leader)
-    world.wire.filters.append(
+    world.network.filters.append(
         lambda src, dst, *rest: "cut" if (src, dst) == (follower, "state:1") else None
     )
     await asyncio.sleep(14)
@@ -141,7 +141,7 @@
     await world.up()
     await world.submit(job(), "n1")
     await asyncio.sleep(3)
-    world.wire.filters.append(lambda src, dst, *rest: "cut" if src == "n0" else None)
+    world.network.filters.append(lambda src, dst, *rest: "cut" if src == "n0" else None)
     await asyncio.sleep(12)
     for ask, limit in ((world.submit(job(2)), 5.0), (world.poll(1), 2.0)):
         began = world.now()
@@ -158,13 +158,13 @@
     await world.submit(job(2, pieces=20, crew="blue", vcpus=8.0))
     await asyncio.sleep(12)
     leader = str(world.leader)
-    status = await world.wire.call("op", f"{leader}:81", "GET", "/status", None, 2.0)
+    status = await world.network.call("op", f"{leader}:81", "GET", "/status", None, 2.0)
     assert status.data["role"] == "leader"
     assert status.data["lease"] == "valid"
     assert [e["id"] for e in status.data["waiting"]] == ["job-000001", "job-000002"]
     assert {e["why"] for e in status.data["waiting"]} == {"machines"}
     other = next(n for n in LABELS if n != leader)
-    status = await world.wire.call("op", f"{other}:81", "GET", "/status", None, 2.0)
+    status = await world.network.call("op", f"{other}:81", "GET", "/status", None, 2.0)
     assert (status.data["role"], status.data["leader"]) == ("follower", leader)
     reply = world.nodes[leader].peers(Request("GET", "/metrics"))
     assert isinstance(reply, Response)
--- a/tests/workers/test_fencing_token_announcer.py
+++ b/tests/workers/test_fencing_token_announcer.py
@@ -11,7 +11,7 @@
 from spoolcourse.control.http_client import Response
 from spoolcourse.control.workers import fencing_token_announcer
 from spoolcourse.control.workers.fencing_token_announcer import FencingTokenAnnouncer
-from tests.fakes.net import FakeWire
+from tests.fakes.network import FakeNetwork
 from tests.fakes.registry import TERM, RegistryHarness
 
 
@@ -30,7 +30,7 @@
 
     def __init__(self, count: int) -> None:
         self.harness = RegistryHarness()
-        self.wire = FakeWire()
+        self.network = FakeNetwork()
         self.workers = [Worker(f"m-{number}") for number in range(count)]
         self.called: list[str] = []
         self.calls = 0
@@ -48,10 +48,10 @@
             self.calls -= 1
             return Response(200, heartbeat(machine, address))
 
-        self.wire.hosts[address] = answer
+        self.network.hosts[address] = answer
 
     async def announce(self, sockets: int = 0) -> None:
-        http_client = self.wire.end_of("n0")
+        http_client = self.network.end_of("n0")
         announcer = FencingTokenAnnouncer(http_client, self.harness.registry, sockets)
         await announcer.announce(self.workers, fleet_size=len(self.workers))
 
@@ -92,7 +92,7 @@
 
 async def test_a_silent_worker_and_one_at_the_address_of_another_do_not_affect_the_rest() -> None:
     fleet = Fleet(3)
-    del fleet.wire.hosts["m-0:9"]
+    del fleet.network.hosts["m-0:9"]
     fleet.serve("m-1:9", machine="m-9")
     await fleet.announce()
     assert fleet.confirmed() == ["m-2"]
