--- a/spoolcourse/control/placement/__init__.py
+++ b/spoolcourse/control/placement/__init__.py
@@ -1,8 +1,8 @@
 """The placement model and its passes: pure functions of a snapshot.
 
 Nothing here does I/O or reads a clock, and of the control package only this package itself is
-imported. The same snapshot always gives the same plan: `tests/test_golden_plans.py` replays
-recorded ones.
+imported. The same snapshot always gives the same plan: `tests/recorded/test_recorded_plans.py`
+replays recorded ones.
 
 - `model`: the snapshot that a pass reads and the plan that it returns.
 - `backfill`: EASY backfilling with bin packing.
--- a/tests/failover/test_standby_properties.py
+++ b/tests/failover/test_standby_properties.py
@@ -125,8 +125,15 @@
 
     @rule(number=JOBS)
     def sweep(self, number: int) -> None:
-        job = f"job-{number:06d}"
-        self.write(*((progress_key(job, index), None) for index in range(3)))
+        """Progress is deleted; of a live job only what holds no result."""
+        keys = [progress_key(f"job-{number:06d}", index) for index in range(3)]
+        if self.record(number) is not None:
+            keys = [key for key in keys if not self.holds_result(key)]
+        self.write(*((key, None) for key in keys))
+
+    def holds_result(self, key: str) -> bool:
+        entry = self.keys.get(key)
+        return entry is not None and Progress.from_value(entry[0]).done != 0
 
     @rule()
     def elect(self) -> None:
@@ -229,3 +236,18 @@
     assert shadow is not None
     assert shadow.as_restored().leftover_keys == [progress_key("job-000001", 0)]
     machine.the_shadow_equals_a_restore()
+
+
+def test_a_shadow_that_sees_a_result_vanish_is_stale() -> None:
+    # The state machine must not do this: no controller does, so the shadow may not go on from it.
+    machine = ShadowMachine()
+    machine.accept(1, 18)
+    machine.end(1, 16, True)
+    machine.watch(6, 0)
+    key, _ = machine.progress(1, 16)
+    machine.write((key, None))
+    machine.end(1, 16, False)
+    machine.cache.apply(key, *machine.keys[key])  # as its own write, ahead of the deletion
+    assert machine.standby.shadow is None
+    assert machine.standby.status.state is ShadowState.STALE
+    assert "has lost results" in machine.standby.status.stale_reason
