--- a/spoolcourse/control/autoscaling/early_deletion.py
+++ b/spoolcourse/control/autoscaling/early_deletion.py
@@ -102,12 +102,7 @@
         return now - self._zone_disrupted_at.get(zone, float("-inf")) <= self._lease_s
 
     def _is_silent(self, machine: Machine) -> bool:
-        return (
-            machine.confirmed
-            and not machine.lease_expired
-            and not machine.deletion_requested
-            and self._probe.is_unreachable(machine)
-        )
+        return machine.is_in_service and self._probe.is_unreachable(machine)
 
     def _lateness(self, now: float) -> _Lateness:
         lateness = _Lateness()
--- a/spoolcourse/control/autoscaling/replica_probe.py
+++ b/spoolcourse/control/autoscaling/replica_probe.py
@@ -85,9 +85,7 @@
 
     def _is_late(self, machine: Machine) -> bool:
         return (
-            machine.confirmed
-            and not machine.lease_expired
-            and not machine.deletion_requested
+            machine.is_in_service
             and machine.is_overdue(self._clock(), self._late_after_s)
             and bool(machine.address)
             and bool(replicas_on(machine))
--- a/spoolcourse/control/jobs/cancellation_query.py
+++ b/spoolcourse/control/jobs/cancellation_query.py
@@ -10,14 +10,13 @@
 from collections.abc import Callable
 from typing import Any
 
-import msgspec
-
 from spoolcourse.control.http_client import HttpClient
 from spoolcourse.control.jobs.job_index import JobIndex
 from spoolcourse.control.leadership.peers import cancellations_query, query_peers
 from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
 from spoolcourse.control.leadership.term import Term, known_term_number
 from spoolcourse.control.store.watch_cache import WatchCache
+from spoolcourse.wire.commands import to_json_object
 from spoolcourse.wire.peers import CancellationReply, parse_since_revision
 from spoolcourse.wire.settings import Seed
 
@@ -36,8 +35,7 @@
         watch_cache.synced_at > float("-inf"),
         job_index.cancellations.after(since_revision),
     )
-    json_object: dict[str, Any] = msgspec.to_builtins(reply)
-    return json_object
+    return to_json_object(reply)
 
 
 class CancellationQuery:
--- a/spoolcourse/control/store/client.py
+++ b/spoolcourse/control/store/client.py
@@ -250,7 +250,7 @@
         self.requests_sent += 1
         sent_at = asyncio.get_running_loop().time()
         try:
-            reply = await self._send(method, path, body, self._timeout_s + block_s)
+            reply = await self._send(method, path, body, self._timeout_s + block_s, request)
         except StoreUnavailableError:
             self.requests_failed += 1
             if self._failing_since is None:
@@ -259,8 +259,9 @@
         self._failing_since = None
         return reply
 
-    async def _send(self, method: str, path: str, body: Any, timeout_s: float) -> Response:
-        request = f"{method} {path}"
+    async def _send(
+        self, method: str, path: str, body: Any, timeout_s: float, request: str
+    ) -> Response:
         try:
             reply = await self._http_client.call(
                 self._addr, method, path, body, timeout_s=timeout_s
--- a/spoolcourse/control/user_api/job_states.py
+++ b/spoolcourse/control/user_api/job_states.py
@@ -14,8 +14,6 @@
 from spoolcourse.wire.messages import JobStatus
 
 READ_BARRIER_S = 1.2  # a poll waits 2 s, and then a peer is asked
-
-
 RETRY_AFTER_S = 1.0
 
 
--- a/spoolcourse/control/user_api/submissions.py
+++ b/spoolcourse/control/user_api/submissions.py
@@ -18,6 +18,7 @@
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.control.user_api.checks import rejection_reason, usable_machine_types
 from spoolcourse.control.user_api.job_states import CannotAnswerError, JobStates
+from spoolcourse.wire.commands import to_json_object
 from spoolcourse.wire.messages import (
     JOB_ID,
     JobAnswer,
@@ -127,7 +128,7 @@
 
 def job_response(status: int, answer: JobStatus | JobAnswer) -> Response:
     """A response with a job's state."""
-    return Response(status, msgspec.to_builtins(answer))
+    return Response(status, to_json_object(answer))
 
 
 def _job_id_of(body: bytes) -> str | None:
--- a/spoolcourse/control/workers/machine.py
+++ b/spoolcourse/control/workers/machine.py
@@ -83,13 +83,16 @@
 
     # -- states ------------------------------------------------------------------------------
 
+    @property
+    def is_in_service(self) -> bool:
+        """Whether it is confirmed, its lease not known to be over, and it is not being deleted."""
+        return self.confirmed and not self.lease_expired and not self.deletion_requested
+
     @property
     def is_schedulable(self) -> bool:
         """Whether it may be given new work, apart from conditions that need a clock."""
         return (
-            self.confirmed
-            and not self.deletion_requested
-            and not self.lease_expired
+            self.is_in_service
             and self.unresponsive_since is None
             and self.terminates_at is None
             and self.machine_type is not None
