--- a/tests/recorded/external_names.py
+++ b/tests/recorded/external_names.py
@@ -23,6 +23,7 @@
 from spoolcourse.control.failover import hint_cache, leadership_transfer, shadow_status
 from spoolcourse.control.leadership import failover_proof, failover_timeline
 from spoolcourse.control.store import keys
+from spoolcourse.control.store.watch_cache import WatchGap
 from spoolcourse.policy import keys as policy_keys
 from spoolcourse.wire import commands, messages, paths, peers, settings, standby_settings
 from tests.recorded.forms.adapter import STORED, requests
@@ -51,6 +52,7 @@
         hint_cache.HintRejection,
         failover_proof.ProofSource,
         failover_timeline.FailoverPhase,
+        WatchGap,
     ),
     "error text": (leadership_transfer.PeerIneligibility, leadership_transfer.TransferRefusal),
     "deletion reason": (DeletionReason,),
