--- a/spoolcourse/control/jobs/__init__.py
+++ b/spoolcourse/control/jobs/__init__.py
@@ -1,6 +1,6 @@
-"""Jobs.
+"""Job state, on every controller and on the leader.
 
-Every controller keeps an index of them for users (`job_index`) and reads and writes their records
-(`job_records`). The leader keeps its working state (`model`, `job_queue`) and persists it
-(`progress_writer`).
+Every controller indexes the jobs for the user API (`job_index`) and reads and writes their records
+(`job_records`). The leader also keeps the job queue in memory (`model`, `job_queue`) and persists
+it (`progress_writer`).
 """
--- a/spoolcourse/control/jobs/backoff.py
+++ b/spoolcourse/control/jobs/backoff.py
@@ -1,29 +1,31 @@
-"""How long a job pauses after its tasks have failed several times in a row."""
+"""Exponential backoff of a job whose attempts fail several times in a row."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-EXPONENT_MAX = 16  # beyond it every pause is at its longest
+MAX_EXPONENT = 16  # bounds the power; every pause has reached `max_pause_s` by then
 
 
 @dataclass(frozen=True, slots=True)
 class Backoff:
-    """Some failures in a row cost no pause; from then on each doubles it, up to the longest."""
+    """After `free_failures` in a row, each further failure doubles the pause, up to a maximum."""
 
-    free_failures: int
-    first_s: float
-    longest_s: float
+    free_failures: int  # consecutive failures that cause no pause
+    initial_pause_s: float
+    max_pause_s: float
 
     def pause_s(self, failures: int) -> float:
-        """The pause after so many failures in a row."""
-        paused = failures - self.free_failures
-        if paused <= 0:
+        """Return the pause after that many consecutive failures."""
+        counted_failures = failures - self.free_failures
+        if counted_failures <= 0:
             return 0.0
-        return min(self.longest_s, self.first_s * 2.0 ** min(paused - 1, EXPONENT_MAX))
+        return min(
+            self.max_pause_s, self.initial_pause_s * 2.0 ** min(counted_failures - 1, MAX_EXPONENT)
+        )
 
 
-# A job with a mistake fails on every machine; it must not eat them up.
-ARRAY_BACKOFF = Backoff(free_failures=2, first_s=2.0, longest_s=60.0)
-# Neither must a service whose replicas keep ending; but people wait for it.
-REPLICA_BACKOFF = Backoff(free_failures=1, first_s=0.5, longest_s=10.0)
+# A job with a bug fails on every machine; without a pause it would occupy them all.
+ARRAY_BACKOFF = Backoff(free_failures=2, initial_pause_s=2.0, max_pause_s=60.0)
+# The same holds for a service whose replicas keep ending, but users wait for it: shorter pauses.
+REPLICA_BACKOFF = Backoff(free_failures=1, initial_pause_s=0.5, max_pause_s=10.0)
--- a/spoolcourse/control/jobs/cancellation_query.py
+++ b/spoolcourse/control/jobs/cancellation_query.py
@@ -1,7 +1,7 @@
-"""A leader's query to its peers for cancellations that it can't know of.
+"""A leader's query to its peers for cancellations that it has not read from the key-value store.
 
-It is sent while the key-value store does not answer. So work survives an outage in which nobody
-can confirm a cancellation, and one that somebody could confirm still ends its tasks in time.
+It is sent while the store does not answer. If no controller can confirm a cancellation, tasks
+survive the outage; if one could, the tasks of the cancelled job still end in time.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 from spoolcourse.wire.settings import Seed
 
 QUERY_PERIOD_S = 1.0
-STORE_SILENCE_MAX_S = 2.0  # without a read of the store: the health check makes one each second
+STORE_READ_AGE_MAX_S = 2.0  # peers are queried beyond it; the health check reads each second
 
 
 def answer_query(job_index: JobIndex, watch_cache: WatchCache, query: str) -> dict[str, Any]:
-    """Answer a leader that knows everything up to the revision it names.
+    """Answer a leader that has applied every change up to the revision in its query.
 
-    Raises `MalformedError` if the query names none.
+    Raises `MalformedError` if the query has no valid revision.
     """
     since_revision = parse_since_revision(query)
     reply = CancellationReply(
@@ -52,7 +52,7 @@
         renewal_deadline: RenewalDeadline,
         step_down: Callable[[str], None],
     ) -> None:
-        """`clock` is steady, in seconds; `step_down` ends the term for the reason given."""
+        """`clock` is monotonic, in seconds; `step_down` ends the term and takes the reason."""
         self._http_client = http_client
         self._peers = peers
         self._watch_cache = watch_cache
@@ -66,12 +66,12 @@
         """Run until cancelled."""
         while True:
             await asyncio.sleep(QUERY_PERIOD_S)
-            if self._clock() - self._watch_cache.synced_at > STORE_SILENCE_MAX_S:
-                await self._query_all()
+            if self._clock() - self._watch_cache.synced_at > STORE_READ_AGE_MAX_S:
+                await self._query_peers()
 
-    async def _query_all(self) -> None:
-        """Query every peer once. Step down if one knows a later term; else apply the replies."""
-        asked_at = self._clock()
+    async def _query_peers(self) -> None:
+        """Query every peer once; step down if one knows a later term, else apply the replies."""
+        queried_at = self._clock()
         query = cancellations_query(self._watch_cache.store_revision)
         replies = await query_peers(self._http_client, self._peers, query)
         for reply in replies:
@@ -81,12 +81,12 @@
         for reply in replies:
             for cancellation in (reply and reply.cancelled) or ():
                 self._job_index.apply_cancellation(cancellation)
-        # Only now: the cancellations are applied before any lease is renewed on their account.
+        # After the loop above: a lease may be renewed only once the cancellations are applied.
         self._renewal_deadline.record_peer_acknowledgements(
-            asked_at, [_acknowledges(reply) for reply in replies]
+            queried_at, [_acknowledges(reply) for reply in replies]
         )
 
 
 def _acknowledges(reply: CancellationReply | None) -> bool:
-    """Whether the peer's reply holds every cancellation that it can have confirmed."""
+    """Whether the reply contains every cancellation that the peer can have confirmed."""
     return reply is not None and reply.has_read_store and reply.cancelled is not None
--- a/spoolcourse/control/jobs/cancellations.py
+++ b/spoolcourse/control/jobs/cancellations.py
@@ -1,8 +1,9 @@
 """Cancellations that this controller has confirmed or seen.
 
-They are for a leader that can't ask the key-value store. Whatever a controller tells its users has
-come by its watch cache before: its own writes, and what it read. So to remember what the cache
-showed is to remember what was confirmed (docs/design.md, "What the leader may not know").
+A leader that can't read the key-value store queries them. A controller confirms to users only what
+its watch cache has shown before, be it its own write or a read. Remembering every cancellation that
+the cache showed therefore covers all that were confirmed (docs/design.md, "What the leader may not
+know").
 """
 
 from __future__ import annotations
@@ -20,19 +21,19 @@
     def __init__(self, max_count: int = CANCELLATIONS_MAX) -> None:
         self._max_count = max_count
         self._by_job: OrderedDict[str, Cancellation] = OrderedDict()
-        self._forgotten_up_to = 0  # some of the cancellations up to this revision may be missing
+        self._evicted_up_to_revision = 0  # cancellations up to here may have been evicted
 
     def add(self, cancellation: Cancellation) -> None:
-        """Remember a cancellation; the first one of a job counts."""
+        """Add a cancellation; only the first one of each job is kept."""
         if cancellation.job in self._by_job:
             return
         self._by_job[cancellation.job] = cancellation
         while len(self._by_job) > self._max_count:
             _, oldest = self._by_job.popitem(last=False)
-            self._forgotten_up_to = max(self._forgotten_up_to, oldest.revision)
+            self._evicted_up_to_revision = max(self._evicted_up_to_revision, oldest.revision)
 
     def after(self, store_revision: int) -> list[Cancellation] | None:
-        """Those after a revision of the store; None if some of them may have been forgotten."""
-        if store_revision < self._forgotten_up_to:
+        """Return those after a store revision; None if some of them may have been evicted."""
+        if store_revision < self._evicted_up_to_revision:
             return None
         return [c for c in self._by_job.values() if c.revision > store_revision]
--- a/spoolcourse/control/jobs/chunk_batch.py
+++ b/spoolcourse/control/jobs/chunk_batch.py
@@ -1,4 +1,4 @@
-"""Chunks of progress that are written with one transaction."""
+"""Batches of progress chunks, each written in one transaction."""
 
 from __future__ import annotations
 
@@ -13,34 +13,34 @@
 from spoolcourse.wire.identities import ChunkId
 from spoolcourse.wire.key_value_store import Operation, Put
 
-# Bytes that a change adds besides its value, at the most: its key, its expected revisions and their
-# spelling.
-CHANGE_OVERHEAD_BYTES = 300
-BATCH_MAX_BYTES = 48 * 1024  # of 64 KiB for a transaction: the rest: expected revisions, spelling
+# Upper bound of the bytes that a write adds besides its value: its key, its expected revisions and
+# their JSON syntax.
+WRITE_OVERHEAD_BYTES = 300
+BATCH_MAX_BYTES = 48 * 1024  # of 64 KiB per transaction; the rest: expected revisions, syntax
 
 
 @dataclass(frozen=True, slots=True)
 class BatchLimits:
-    """What the key-value store takes."""
+    """The limits of the key-value store."""
 
-    value_bytes: int  # of one value
-    operations: int  # in one transaction
+    max_value_bytes: int  # of one value
+    max_operations: int  # of one transaction
 
 
 @dataclass(frozen=True, slots=True)
 class ChunkWrite:
-    """A chunk as it was when its write was prepared; the chunk itself may change meanwhile."""
+    """A snapshot of a chunk for writing; the chunk itself may change before the commit."""
 
     chunk: Chunk
-    version: int  # of the chunk's content in `put`
+    chunk_version: int  # of the chunk's content in `put`
     put: Put
     value_bytes: int
-    job_revision: int  # of the job's record, which must not have been cancelled since
+    job_revision: int  # of the job's record; a cancellation since then makes the write fail
 
 
 @dataclass(slots=True)
 class ChunkBatch:
-    """Writes for one transaction, and the revisions that it is conditional on.
+    """The writes of one transaction, and the revisions that it is conditional on.
 
     Each write is conditional on the revisions of its key and of its job's record: no assignment
     becomes durable for a job that was cancelled before (docs/design.md, "Rules", `ran_cancelled`).
@@ -55,7 +55,7 @@
         return [write.put for write in self.writes]
 
     def add(self, write: ChunkWrite) -> None:
-        """Add a write with its expected revisions."""
+        """Add a write and its expected revisions."""
         chunk = write.chunk
         self.expected_revisions[write.put.key] = chunk.revision
         self.expected_revisions[job_key(chunk.id.job)] = write.job_revision
@@ -68,21 +68,22 @@
     limits: BatchLimits,
     expected_revisions: dict[str, int],
 ) -> ChunkBatch:
-    """As many of the chunks, in their order, as one transaction takes.
+    """Select as many of the chunks, in their order, as fit into one transaction.
 
-    Chunks that can't be written, or need not be, are no longer pending after that.
+    Chunks that can't or need not be written are removed from the pending writes.
     """
     batch = ChunkBatch(expected_revisions)
     size_bytes = 0
     for chunk_id in chunk_ids:
         write = _prepare_write(job_queue, chunk_id)
-        if write is None or write.value_bytes > limits.value_bytes:
-            # Too large is what was made for a limit that has dropped: the results stay with the
-            # workers until what it holds has ended and it fits. It comes back with its next change.
+        if write is None or write.value_bytes > limits.max_value_bytes:
+            # A value is too large if the store's limit was lowered after the chunk was created. The
+            # workers keep the results until enough of its held tasks have ended for it to fit; the
+            # next change of the chunk makes it pending again.
             job_queue.clear_pending_write(chunk_id)
             continue
-        size_bytes += write.value_bytes + CHANGE_OVERHEAD_BYTES
-        is_full = size_bytes > BATCH_MAX_BYTES or len(batch.writes) >= limits.operations
+        size_bytes += write.value_bytes + WRITE_OVERHEAD_BYTES
+        is_full = size_bytes > BATCH_MAX_BYTES or len(batch.writes) >= limits.max_operations
         if batch.writes and is_full:
             break
         batch.add(write)
@@ -90,7 +91,7 @@
 
 
 def _prepare_write(job_queue: JobQueue, chunk_id: ChunkId) -> ChunkWrite | None:
-    """The write of a chunk; None if its job is over or about to be, or nothing is pending."""
+    """Return the write of a chunk; None if its job is over or ending, or nothing is pending."""
     job, index = chunk_id
     job_state = job_queue.jobs.get(job)
     chunk = job_queue.pending_writes.get(chunk_id)
--- a/spoolcourse/control/jobs/final_state.py
+++ b/spoolcourse/control/jobs/final_state.py
@@ -13,13 +13,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FinalStateWrite:
-    """A job's final state, in exchange for its record and its progress."""
+    """Writes a job's final state and deletes its record and its progress."""
 
     stage: JobStage
     expected_revisions: dict[str, int]
     final_state: Put
-    deletions: list[Delete]  # the job's record, then progress
-    leftover_keys: list[str]  # of progress for which the transaction has no room
+    deletions: list[Delete]  # the job's record, then its progress keys
+    leftover_keys: list[str]  # progress keys that don't fit into the transaction
 
     @property
     def operations(self) -> list[Operation]:
@@ -32,11 +32,11 @@
 ) -> FinalStateWrite:
     """Prepare the transaction that ends a finished job.
 
-    A job of very many chunks would lose the first of them beforehand; with its record still there
-    the rest would be taken for undone after a crash. So the final state goes first, and what is
-    left of the progress is deleted later.
+    The progress of a job with many chunks does not fit into one transaction. If some of it were
+    deleted before the job's record, those tasks would count as not done after a crash. So this
+    transaction writes the final state, and the remaining progress is deleted later.
 
-    The transaction is conditional on the job's record, as a cancellation is: one of them wins
+    Like a cancellation, it is conditional on the job's record, so only one of the two succeeds
     (docs/design.md, "Rules", `ran_cancelled`).
     """
     record = job_state.record
@@ -48,11 +48,11 @@
         for chunk in job_state.chunks.values()
         if chunk.revision
     ]
-    room = operations_max - 2  # beside the final state and the record
+    max_progress_deletions = operations_max - 2  # less the final state and the record
     return FinalStateWrite(
         stage,
         expected_revisions | {record_key: record.revision, final_state_key: 0},
         Put(final_state_key, value),
-        [Delete(record_key), *map(Delete, progress_keys[:room])],
-        progress_keys[room:],
+        [Delete(record_key), *map(Delete, progress_keys[:max_progress_deletions])],
+        progress_keys[max_progress_deletions:],
     )
--- a/spoolcourse/control/jobs/job_index.py
+++ b/spoolcourse/control/jobs/job_index.py
@@ -1,4 +1,4 @@
-"""Every controller's index of the jobs, kept in line with the watch cache."""
+"""Each controller's index of jobs, updated from the watch cache."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class TaskCounts(NamedTuple):
-    """How many tasks of a chunk are done, and how many are held by an attempt."""
+    """The number of a chunk's tasks that are done, and that are held by an attempt."""
 
     done: int
     held: int
@@ -71,7 +71,7 @@
                 del self._task_counts[job]
 
     def apply_cancellation(self, cancellation: Cancellation) -> None:
-        """Apply a cancellation that a peer has read in the key-value store, and we have not."""
+        """Apply a cancellation that a peer has read from the store and this controller has not."""
         record = self.live.get(cancellation.job)
         if record is not None and not record.cancelled:
             cancelled = replace(record, cancelled_at=cancellation.at)
@@ -80,16 +80,16 @@
             )
 
     def remember_final(self, job: str, final_state: FinalState) -> None:
-        """Remember how a job ended; only the most recent ones are kept."""
+        """Cache the final state of a job; the oldest ones are evicted."""
         self._final_states[job] = final_state
         self._final_states.move_to_end(job)
         while len(self._final_states) > FINAL_STATES_MAX:
             self._final_states.popitem(last=False)
 
-    # -- questions ------------------------------------------------------------------------
+    # -- queries --------------------------------------------------------------------------
 
     def known_final_status(self, job: str) -> JobStatus | None:
-        """The final status, if it is known here; it never changes, so no sync is needed."""
+        """Return the final status if it is cached; it never changes, so no sync is needed."""
         record = self.live.get(job)
         if record is not None and record.cancelled:
             return self._status(job, JobStage.CANCELLED)
@@ -97,7 +97,7 @@
         return final_status(job, final_state) if final_state is not None else None
 
     def known_status(self, job: str) -> JobStatus | None:
-        """The status as of the last sync; None if this controller knows nothing of the job."""
+        """Return the status as of the last sync; None if this controller does not know the job."""
         final = self.known_final_status(job)
         if final is not None:
             return final
@@ -115,5 +115,5 @@
 
 
 def final_status(job: str, final_state: FinalState) -> JobStatus:
-    """The status that users see of a job that has ended."""
+    """Return the status that users see of a job that has ended."""
     return JobStatus(job, final_state.stage, final_state.done)
--- a/spoolcourse/control/jobs/job_queue.py
+++ b/spoolcourse/control/jobs/job_queue.py
@@ -1,7 +1,7 @@
-"""The leader's live jobs, and what of them waits to be written.
+"""The leader's live jobs and their pending writes.
 
-Progress is changed in memory first; `ProgressWriter` persists it. Whatever must not be said or
-sent before it is durable asks `is_persisted` first (docs/design.md, "Rules").
+Progress is changed in memory first; `ProgressWriter` persists it. Code that must not send or
+acknowledge a change before it is durable checks `is_persisted` first (docs/design.md, "Rules").
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Mapping
 
 from spoolcourse.control.jobs.model import (
-    UNBOUNDED,
+    UNLIMITED_HELD_TASKS,
     Attempt,
     AttemptStage,
     Chunk,
@@ -21,27 +21,27 @@
 
 
 class JobQueue:
-    """All live jobs of the term, with the chunks and final states that wait to be written."""
+    """All live jobs of the term, with their pending chunks and final states."""
 
-    def __init__(self, max_held_per_chunk: int = UNBOUNDED) -> None:
+    def __init__(self, max_held_per_chunk: int = UNLIMITED_HELD_TASKS) -> None:
         self._max_held_per_chunk = max_held_per_chunk
         self.jobs: dict[str, JobState] = {}
         self.pending_writes: dict[ChunkId, Chunk] = {}
-        # Those of the pending writes that hold back starts: they are written first. Results
-        # can wait, for the workers keep them until they are durable.
+        # The pending writes that starts wait for: they are written first. Results can wait, since
+        # the workers keep them until they are durable.
         self.pending_start_writes: dict[ChunkId, Chunk] = {}
         self.pending_final_states: dict[str, JobState] = {}
         self._write_listeners: list[Callable[[], None]] = []
-        # Attempts that outlive their job: a task that an earlier attempt completed elsewhere
-        # may still run. They count against their team until they are proven gone.
+        # Attempts that outlive their job: a task that an earlier attempt completed may still run
+        # on another machine. They count against their team until they are proven gone.
         self._attempts_of_finished_jobs: dict[TaskId, Attempt] = {}
 
     def add_write_listener(self, listener: Callable[[], None]) -> None:
-        """Call a function at each further change that must be written."""
+        """Register a function that is called at each change that must be written."""
         self._write_listeners.append(listener)
 
     def attempts_of_finished_jobs(self) -> list[Attempt]:
-        """Attempts that outlive their finished job and are not proven gone yet."""
+        """Return attempts that outlive their finished job and are not proven gone yet."""
         return list(self._attempts_of_finished_jobs.values())
 
     # -- jobs -----------------------------------------------------------------------------
@@ -55,9 +55,9 @@
     def restore(
         self, record: JobRecord, now: float, recorded_chunks: Mapping[int, RecordedProgress]
     ) -> JobState:
-        """Rebuild a job from its records: by chunk index, what is recorded.
+        """Rebuild a job from its record and its recorded chunks, which are keyed by chunk index.
 
-        Its attempts are open until their machines have been heard from.
+        Its attempts are in stage `OPEN` until a heartbeat of their machine arrives.
         """
         job_state = self._create(record, now)
         for index, (progress, revision) in recorded_chunks.items():
@@ -85,16 +85,16 @@
             self.clear_pending_write(chunk.id)
 
     def apply_recorded_chunk(self, job_state: JobState, recorded: Chunk, now: float) -> None:
-        """Bring a chunk in line with its record; the attempts that it names may be anywhere."""
-        former = job_state.chunks.get(recorded.index)
-        former_progress = former.progress if former is not None else Progress()
+        """Update a chunk from its record; the attempts in it may be in any stage."""
+        previous = job_state.chunks.get(recorded.index)
+        previous_progress = previous.progress if previous is not None else Progress()
         job_state.chunks[recorded.index] = recorded
         job_state.done_count += (
-            recorded.progress.done.bit_count() - former_progress.done.bit_count()
+            recorded.progress.done.bit_count() - previous_progress.done.bit_count()
         )
         held = recorded.progress.held
-        for task, holder in former_progress.held.items():
-            if held.get(task) != holder:
+        for task, assignment in previous_progress.held.items():
+            if held.get(task) != assignment:
                 del job_state.attempts[task]
         for task, (machine, number) in held.items():
             if task not in job_state.attempts:
@@ -105,13 +105,13 @@
     def assign(
         self, job_state: JobState, task: int, machine: str, number: int, now: float
     ) -> Attempt:
-        """Make a new attempt at a pending task on a machine.
+        """Create an attempt at a pending task on a machine.
 
-        Its start may be sent once the attempt is persisted. Raises ValueError if the task is
-        held or done, or if its job is cancelled.
+        Its start may be sent once the attempt is persisted. Raises ValueError if the task is held
+        or done, or if its job is cancelled.
         """
         if task in job_state.attempts or job_state.is_done(task) or job_state.record.cancelled:
-            raise ValueError(f"{job_state.id}/{task} is not free to start")
+            raise ValueError(f"{job_state.id}/{task} is held, done or cancelled")
         chunk = job_state.chunk(task)
         chunk.progress.held[task] = Assignment(machine, number)
         self.pending_start_writes[chunk.id] = chunk
@@ -124,7 +124,7 @@
     def adopt(
         self, job_state: JobState, task: int, machine: str, number: int, now: float
     ) -> Attempt:
-        """Add an attempt that the records or a heartbeat show; it may be anywhere."""
+        """Add an attempt found in a record or a heartbeat; it may be in any stage."""
         chunk = job_state.chunk(task)
         version = chunk.version
         if chunk.progress.held.get(task) != (machine, number):
@@ -136,7 +136,7 @@
         return attempt
 
     def drop(self, attempt: Attempt) -> None:
-        """Remove an attempt that is proven gone: its task may be tried again."""
+        """Remove an attempt that is proven gone; unless done, its task may be assigned again."""
         job_state = attempt.job_state
         if job_state.attempts.get(attempt.task) is not attempt:
             return
@@ -154,8 +154,8 @@
     def complete(self, job_state: JobState, task: int) -> None:
         """Record that a task has a result.
 
-        Its attempt, if it is the one that ended, is dropped by the caller. A replica of a service
-        has no result, however it ended.
+        If the result is of the task's current attempt, the caller drops that. A replica of a
+        service has no result, however it ended.
         """
         if job_state.record.submission.is_service or job_state.is_done(task):
             return
@@ -166,22 +166,22 @@
         self._add_pending_write(chunk)
         self.queue_final_state_if_finished(job_state)
 
-    # -- what waits to be written ---------------------------------------------------------
+    # -- pending writes -------------------------------------------------------------------
 
     def _add_pending_write(self, chunk: Chunk) -> int:
-        """Have a changed chunk written; its new version."""
+        """Queue a changed chunk for writing; return its new version."""
         chunk.version += 1
         self.pending_writes[chunk.id] = chunk
         self._notify_write_listeners()
         return chunk.version
 
     def clear_pending_write(self, chunk_id: ChunkId) -> None:
-        """The chunk, as it is now, needs no more writing."""
+        """Remove a chunk from the pending writes: its current version needs no write."""
         self.pending_writes.pop(chunk_id, None)
         self.pending_start_writes.pop(chunk_id, None)
 
     def queue_final_state_if_finished(self, job_state: JobState) -> None:
-        """Have the final state written if nothing else is left to do."""
+        """Queue the final state for writing if the job is finished."""
         if job_state.finished and not job_state.final_state_persisted:
             self.pending_final_states[job_state.id] = job_state
             self._notify_write_listeners()
--- a/spoolcourse/control/jobs/job_records.py
+++ b/spoolcourse/control/jobs/job_records.py
@@ -16,30 +16,30 @@
 from spoolcourse.wire.key_value_store import Put
 from spoolcourse.wire.messages import JobStatus, Submission
 
-CANCELLATION_BYTES = 64  # what a cancellation adds to a record
+CANCELLATION_BYTES = 64  # kept free in a record for its cancellation
 
 
 class RecordTooLargeError(Exception):
-    """A job's record fits into no value of the key-value store.
+    """A job's record exceeds the value size of the key-value store.
 
     Attributes:
         job: The job's id.
         record_bytes: The record's size.
-        max_bytes: What it may have.
+        max_bytes: The largest size that is accepted.
     """
 
     def __init__(self, job: str, record_bytes: int, max_bytes: int) -> None:
-        super().__init__("the job is too long to be stored")  # users are given this
+        super().__init__("the job is too long to be stored")  # shown to users
         self.job = job
         self.record_bytes = record_bytes
         self.max_bytes = max_bytes
 
 
 class JobRecords:
-    """Accepts and cancels jobs, and reads how they ended.
+    """Accepts and cancels jobs, and reads their final states.
 
     Every method raises RequestRefusedError if the key-value store has certainly not carried out
-    what was asked, and OutcomeUnknownError if that is not known.
+    the request, and OutcomeUnknownError if that is not known.
     """
 
     def __init__(self, client: StoreClient, watch_cache: WatchCache, job_index: JobIndex) -> None:
@@ -48,10 +48,10 @@
         self._job_index = job_index
 
     async def read_final_status(self, job: str) -> JobStatus | None:
-        """A consistent answer about a job that the synced cache does not hold live.
+        """Read the final status of a job that the synced cache does not show as live.
 
-        The sync comes first, then this read: a job that was final by the sync is found
-        here, and one that was not has never been accepted by then (docs/design.md, "Rules",
+        The caller syncs the cache before this read. A job that had ended by the sync is then found
+        here; one that is not found had not been accepted by the sync (docs/design.md, "Rules",
         `forgotten`, `invented`).
         """
         entry = await self._client.get(final_key(job))
@@ -62,9 +62,9 @@
         return final_status(job, final_state)
 
     async def accept(self, submission: Submission, accepted_at: float) -> bool:
-        """Write a new job, accepted at a time of day; False if the id is known already.
+        """Write a new job; `accepted_at` is wall-clock time. False if the id already exists.
 
-        Raises RecordTooLargeError, beside what every method raises.
+        Also raises RecordTooLargeError.
         """
         limit_kb = self._client.limits.value_kb
         record = JobRecord(submission, accepted_at, chunk_tasks(limit_kb), None, 0)
@@ -76,9 +76,10 @@
         return await self._put(key, value, {key: 0, final_key(submission.id): 0})
 
     async def cancel(self, job: str, cancelled_at: float) -> bool:
-        """Mark a live job cancelled at a time of day; False if it changed meanwhile (look again).
+        """Mark a live job cancelled; `cancelled_at` is wall-clock time.
 
-        Conditional on the record's revision, like the leader's final state: one of them wins
+        Returns False if the record has changed meanwhile: the caller reads it again. The write is
+        conditional on the record's revision, like the leader's final state, so only one succeeds
         (docs/design.md, "Rules", `ran_cancelled`).
         """
         record = self._job_index.live[job]
@@ -91,7 +92,7 @@
     async def _put(
         self, key: str, value: dict[str, Any], expected_revisions: dict[str, int]
     ) -> bool:
-        """Write a record; where the outcome is unknown, read back whether it is there."""
+        """Write a record; if the outcome is unknown, read back whether it was written."""
         try:
             outcome = await self._client.compare_and_swap(expected_revisions, [Put(key, value)])
         except OutcomeUnknownError:
--- a/spoolcourse/control/jobs/model.py
+++ b/spoolcourse/control/jobs/model.py
@@ -1,6 +1,6 @@
-"""What the leader knows of its jobs: attempts, chunks of progress and the state of each job.
+"""The leader's data model of jobs: attempts, chunks of progress and job states.
 
-These are plain data. `JobQueue` changes them and `ProgressWriter` persists them.
+`JobQueue` changes them and `ProgressWriter` persists them.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from spoolcourse.wire.identities import ChunkId, HeartbeatId
 from spoolcourse.wire.messages import TaskStage, task_name
 
-UNBOUNDED = sys.maxsize  # tasks that a chunk may hold, where its size alone bounds them
+UNLIMITED_HELD_TASKS = sys.maxsize  # held tasks per chunk are limited by the chunk size alone
 
 
 class AttemptStage(Enum):
-    """What is known of an attempt."""
+    """The stage of an attempt, as far as the leader knows."""
 
-    OPEN = "open"  # adopted from the records; it may be anywhere
-    ASSIGNED = "assigned"  # not seen on its machine
+    OPEN = "open"  # adopted from a record or a heartbeat; its actual stage is unknown
+    ASSIGNED = "assigned"  # not yet reported by its machine
     FETCHING = "fetching"
     RUNNING = "running"
     SAVING = "saving"
@@ -43,16 +43,16 @@
     task: int
     number: int
     machine: str
-    chunk_version: int  # of its chunk when it was assigned
-    since: float  # when `stage` began: steady, in seconds
+    chunk_version: int  # version of its chunk when the attempt was added
+    since: float  # when `stage` began, in seconds of the monotonic clock
     stage: AttemptStage = AttemptStage.ASSIGNED
     start_sent_with: HeartbeatId | None = None  # the heartbeat whose response carried the start
     sent_directly: bool = False  # the start was also sent to the machine's address
-    in_flight_incarnation: int | None = None  # the incarnation in which that may still arrive
-    # It was placed before rank, so that its job begins: no claim stops it.
+    in_flight_incarnation: int | None = None  # which the direct start may still reach
+    # Placed ahead of its rank so that its job begins; it is not preempted.
     exempt_from_preemption: bool = False
     stopping: bool = False
-    stop_sent: bool = False  # directly, to the machine's address
+    stop_sent: bool = False  # the stop was sent directly to the machine's address
 
     @property
     def name(self) -> str:
@@ -61,12 +61,12 @@
 
     @property
     def is_executing(self) -> bool:
-        """Whether it has its image: it runs, or saves its progress."""
+        """Whether its image is fetched: it runs or saves a checkpoint."""
         return self.stage is AttemptStage.RUNNING or self.stage is AttemptStage.SAVING
 
     @property
     def never_sent(self) -> bool:
-        """No start is under way, nor can have arrived."""
+        """Whether no start was sent that has arrived or may still arrive."""
         return (
             self.stage is AttemptStage.ASSIGNED
             and self.start_sent_with is None
@@ -77,31 +77,31 @@
     def is_persisted(self) -> bool:
         """Whether the record of the attempt is durable; no start may be sent before.
 
-        Line of safety: docs/design.md, "Rules", `ran_twice`.
+        Safety condition: docs/design.md, "Rules", `ran_twice`.
         """
         return self.job_state.chunk(self.task).persisted_version >= self.chunk_version
 
 
 @dataclass(slots=True, eq=False)
 class Chunk:
-    """A progress key: the wanted content, and how much of it is durable."""
+    """The in-memory content of a progress key, and which version of it is durable."""
 
-    id: ChunkId  # kept here, so that changes and look-ups make no key of their own
+    id: ChunkId  # stored, so that changes and lookups don't construct a key each time
     progress: Progress = field(default_factory=Progress)
     revision: int = 0  # of the key in the key-value store; 0 while there is none
-    version: int = 0  # counts the changes of `progress` in this term
-    persisted_version: int = 0  # the latest version that is known to be durable
+    version: int = 0  # number of changes of `progress` in this term
+    persisted_version: int = 0  # latest version known to be durable
 
     @property
     def index(self) -> int:
-        """Which chunk of its job it is."""
+        """The index of the chunk in its job."""
         return self.id.index
 
     @property
     def is_persisted(self) -> bool:
         """Whether the whole content is durable; no result may be acknowledged before.
 
-        Line of safety: docs/design.md, "Rules", `not_done`.
+        Safety condition: docs/design.md, "Rules", `not_done`.
         """
         return self.persisted_version == self.version
 
@@ -115,24 +115,24 @@
 
 @dataclass(slots=True, eq=False)
 class JobState:
-    """A live job while this controller leads; times are steady, in seconds."""
+    """A live job on the leader; times are in seconds of the monotonic clock."""
 
     record: JobRecord
     chunks: dict[int, Chunk] = field(default_factory=dict)
     attempts: dict[int, Attempt] = field(default_factory=dict)
     done_count: int = 0
-    requeued: set[int] = field(default_factory=set)  # tasks that lost an attempt
-    first_unassigned: int = 0  # tasks from here on were never assigned, but for those held or done
-    backoff_until: float = 0.0  # no task is placed before
+    requeued: set[int] = field(default_factory=set)  # tasks whose attempt was dropped
+    first_unassigned: int = 0  # from here on, tasks neither held nor done were never assigned
+    backoff_until: float = 0.0  # no task is placed before this time
     consecutive_failures: int = 0  # attempts in a row that ended in error
-    # Machines on which it failed, and until when they are avoided.
+    # Machines on which its attempts failed, and until when each is avoided.
     avoided_machines: dict[str, float] = field(default_factory=dict)
     final_state_persisted: bool = False
     waiting_since: float = 0.0
-    # Chunks made for a larger limit of the key-value store than the one to come never hold more
-    # than fits into that; what they hold beyond it ends gradually.
-    max_held_per_chunk: int = UNBOUNDED
-    cancelled_known_at: float = 0.0  # when this leader heard of it; only if it is cancelled
+    # Limits the held tasks of chunks that were sized for a larger value limit than the key-value
+    # store will have, so that they fit. Held tasks beyond it end one by one and are not replaced.
+    max_held_per_chunk: int = UNLIMITED_HELD_TASKS
+    cancelled_known_at: float = 0.0  # when this leader learned of the cancellation, if any
 
     @property
     def id(self) -> str:
@@ -141,24 +141,24 @@
 
     @property
     def arrival_order(self) -> tuple[float, str]:
-        """What jobs are ordered by: their arrival."""
+        """The sort key that orders jobs by arrival."""
         return (self.record.accepted_at, self.id)
 
     @property
     def pending_count(self) -> int:
-        """How many tasks are neither done nor held by an attempt."""
+        """The number of tasks that are neither done nor held by an attempt."""
         return self.record.submission.task_count - self.done_count - len(self.attempts)
 
     @property
     def all_running(self) -> bool:
-        """All its tasks run, and none is being stopped."""
+        """Whether every task runs and none is being stopped."""
         return self.pending_count == 0 and all(
             a.stage is AttemptStage.RUNNING and not a.stopping for a in self.attempts.values()
         )
 
     @property
     def assignable_count(self) -> int:
-        """How many pending tasks may be assigned now: see `max_held_per_chunk`."""
+        """The number of pending tasks that may be assigned now; see `max_held_per_chunk`."""
         if self.max_held_per_chunk >= self.record.tasks_per_chunk:
             return self.pending_count
         chunk_size, task_count = self.record.tasks_per_chunk, self.record.submission.task_count
@@ -176,15 +176,15 @@
 
     @property
     def finished(self) -> bool:
-        """Nothing is left to do but to write the final state."""
+        """Whether only the final state is left to be written."""
         if self.record.cancelled:
             return not self.attempts
         if self.record.submission.is_service:
-            return False  # only its user ends it
+            return False  # a service ends only when it is cancelled
         return self.done_count == self.record.submission.task_count
 
     def chunk(self, task: int) -> Chunk:
-        """The chunk that a task belongs to."""
+        """Return the chunk that a task belongs to, creating it if needed."""
         index = task // self.record.tasks_per_chunk
         chunk = self.chunks.get(index)
         if chunk is None:
@@ -199,7 +199,7 @@
         )
 
     def assignable_tasks(self) -> Iterator[int]:
-        """Pending tasks that may be assigned: those that lost an attempt first, then in order."""
+        """Yield pending tasks that may be assigned: requeued tasks first, then in task order."""
         if self.max_held_per_chunk >= self.record.tasks_per_chunk:
             yield from self._pending_tasks()
             return
@@ -211,7 +211,7 @@
                 yield task
 
     def _pending_tasks(self) -> Iterator[int]:
-        yield from sorted(p for p in self.requeued if p not in self.attempts)
+        yield from sorted(t for t in self.requeued if t not in self.attempts)
         task = self.first_unassigned
         while task < self.record.submission.task_count:
             if task not in self.attempts and task not in self.requeued:
--- a/spoolcourse/control/jobs/progress_writer.py
+++ b/spoolcourse/control/jobs/progress_writer.py
@@ -1,9 +1,9 @@
-"""Persists the leader's progress: one batched summary per changed chunk, final states too.
+"""Persists the leader's progress in batches of changed chunks, and the final states of jobs.
 
-Every write is conditional on the term's revision, on the job record's revision and on the
-revision of the key itself. So neither a deposed leader's write nor an earlier write of
-our own that arrives late can undo a newer one, and no assignment becomes durable for
-a job that was cancelled before (docs/design.md, "Rules": `ran_twice`, `ran_cancelled`).
+Every write is conditional on the revisions of the term, of the job's record and of the key itself.
+So no late write, of a deposed leader or of this one, can overwrite a newer one, and no assignment
+becomes durable for a job that was cancelled before (docs/design.md, "Rules": `ran_twice`,
+`ran_cancelled`).
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 
 log = logging.getLogger(__name__)
 
-BUDGET_POLL_S = 0.1  # between looks whether there is budget to spare
+BUDGET_POLL_PERIOD_S = 0.1  # between checks for spare write budget
 
 
 class ProgressWriter:
-    """Writes changed chunks and final states, within the budget for writes."""
+    """Writes changed chunks and final states within the write budget."""
 
     def __init__(
         self,
@@ -62,9 +62,9 @@
             self._wake.clear()
             try:
                 while queue.pending_writes or queue.pending_final_states:
-                    await self._write_starts()
+                    await self._write_pending_starts()
                     await self._write_next_final_state()
-                    if not self._others_wait():
+                    if not self._has_urgent_writes():
                         await self._write_results()
                     retry.reset()
             except StoreUnavailableError as exc:
@@ -72,40 +72,40 @@
                 self._wake.set()
                 await retry.wait()
 
-    def _others_wait(self) -> bool:
-        """Whether something waits that goes before results."""
+    def _has_urgent_writes(self) -> bool:
+        """Whether writes are pending that take precedence over results."""
         return bool(self._job_queue.pending_start_writes or self._job_queue.pending_final_states)
 
     # -- chunks ---------------------------------------------------------------------------
 
-    async def _write_starts(self) -> None:
-        """Write what holds back starts, by rank: people wait for it."""
+    async def _write_pending_starts(self) -> None:
+        """Write the chunks that starts wait for, by rank: users wait for these starts."""
         jobs = self._job_queue.jobs
         chunk_ids = [key for key in self._job_queue.pending_start_writes if key.job in jobs]
         chunk_ids.sort(key=lambda key: jobs[key.job].record.submission.rank_number)
         await self._write_chunks(chunk_ids)
 
     async def _write_results(self) -> None:
-        """Write results and ends, which nobody waits for: the workers keep them meanwhile.
+        """Write results and other changes that no start waits for; workers keep their results.
 
-        They take what is to spare, or starts would queue for the budget behind them.
+        They use only spare write budget; otherwise starts would queue behind them.
         """
         while self._job_queue.pending_writes and not self._client.has_spare_writes():
-            if self._others_wait():
+            if self._has_urgent_writes():
                 return
             self._wake.clear()
-            await wait_for_event(self._wake, BUDGET_POLL_S)
+            await wait_for_event(self._wake, BUDGET_POLL_PERIOD_S)
         await self._write_chunks(list(self._job_queue.pending_writes))
 
     async def _write_chunks(self, chunk_ids: list[ChunkId]) -> None:
-        """Write as many of the chunks, in their order, as one transaction takes."""
+        """Write as many of the chunks, in their order, as fit into one transaction."""
         limits = BatchLimits(self._client.value_bytes, self._client.max_operations)
         batch = select_batch(
             self._job_queue, chunk_ids, limits, self._transactions.expected_revisions()
         )
         if not batch.writes:
             return
-        start_writes = self._take_start_writes(batch)
+        start_writes = self._pop_start_writes(batch)
         committed = False
         try:
             outcome = await self._transactions.commit(batch.expected_revisions, batch.operations)
@@ -118,10 +118,10 @@
             return
         self._apply_committed(batch, outcome.store_revision)
 
-    def _take_start_writes(self, batch: ChunkBatch) -> dict[ChunkId, Chunk]:
-        """Those of the batch that hold back starts; they do no longer.
+    def _pop_start_writes(self, batch: ChunkBatch) -> dict[ChunkId, Chunk]:
+        """Remove the batch's chunks from the pending start writes; return those that were there.
 
-        Starts that are decided while the batch is on its way put their chunk back.
+        A start that is decided while the batch is being committed adds its chunk again.
         """
         pending = self._job_queue.pending_start_writes
         return {
@@ -134,8 +134,8 @@
         for write in batch.writes:
             chunk = write.chunk
             chunk.revision = store_revision
-            chunk.persisted_version = write.version
-            if chunk.version == write.version:
+            chunk.persisted_version = write.chunk_version
+            if chunk.version == write.chunk_version:
                 self._job_queue.clear_pending_write(chunk.id)
             self._watch_cache.apply(write.put.key, write.put.value, store_revision)
         self._on_persisted()
@@ -151,7 +151,7 @@
         )
         outcome = await self._transactions.commit(write.expected_revisions, write.operations)
         if not outcome.succeeded:
-            # The others first: one that goes on conflicting must not keep them waiting.
+            # Moved to the end: a job that keeps conflicting must not block the others.
             pending = self._job_queue.pending_final_states
             pending[job_state.id] = pending.pop(job_state.id)
             await self._transactions.reconcile_after_conflict(outcome)
@@ -160,7 +160,7 @@
         await self.delete_progress(write.leftover_keys)
 
     def _next_finished_job(self) -> JobState | None:
-        """The job whose final state is written next; those that have none any more are left out."""
+        """Return the job whose final state is next; drop jobs that no longer need one."""
         pending = self._job_queue.pending_final_states
         for job_state in list(pending.values()):
             if job_state.finished and self._job_queue.jobs.get(job_state.id) is job_state:
@@ -175,22 +175,22 @@
         self._watch_cache.apply(write.final_state.key, write.final_state.value, store_revision)
         for deleted in write.deletions:
             self._watch_cache.apply(deleted.key, None, store_revision)
-        log.info("job final: job=%s stage=%s", job_state.id, write.stage.value)
+        log.info("final state written: job=%s stage=%s", job_state.id, write.stage.value)
         self._on_persisted()
 
     async def delete_progress(self, keys: list[str]) -> None:
-        """Delete progress of jobs that are over.
+        """Delete progress of jobs that have ended.
 
-        Raises RequestRefusedError or OutcomeUnknownError: the next term deletes what is left.
+        Raises RequestRefusedError or OutcomeUnknownError; the next term deletes the remaining keys.
         """
-        step = self._client.max_operations
-        for start in range(0, len(keys), step):
-            part = keys[start : start + step]
+        batch_size = self._client.max_operations
+        for start in range(0, len(keys), batch_size):
+            batch_keys = keys[start : start + batch_size]
             outcome = await self._transactions.commit(
-                self._transactions.expected_revisions(), [Delete(key) for key in part]
+                self._transactions.expected_revisions(), [Delete(key) for key in batch_keys]
             )
             if not outcome.succeeded:
                 await self._transactions.reconcile_after_conflict(outcome)
                 return
-            for key in part:
+            for key in batch_keys:
                 self._watch_cache.apply(key, None, outcome.store_revision)
--- a/spoolcourse/control/jobs/term_transactions.py
+++ b/spoolcourse/control/jobs/term_transactions.py
@@ -1,4 +1,4 @@
-"""Transactions of the leader's term, and reconciliation where they fail."""
+"""Transactions of the leader's term, and reconciliation after they fail."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 class TermTransactions:
     """Commits transactions that are conditional on the term.
 
-    So a deposed leader's write changes nothing, however late it arrives (docs/design.md, "Rules",
-    `ran_twice`).
+    A deposed leader's write therefore changes nothing, however late it arrives (docs/design.md,
+    "Rules", `ran_twice`).
     """
 
     def __init__(
@@ -40,45 +40,45 @@
         self._on_persisted = on_persisted
 
     def expected_revisions(self) -> dict[str, int]:
-        """The revisions that every transaction of the term is conditional on."""
+        """Return the revisions that every transaction of the term is conditional on."""
         return {TERM_KEY: self._term.revision}
 
     async def commit(
         self, expected_revisions: dict[str, int], operations: list[Operation]
     ) -> CompareAndSwapResult:
-        """Carry out a transaction, or learn that one of its keys has another revision.
+        """Commit a transaction; the result names keys whose revision is not the expected one.
 
         Raises:
             RequestRefusedError: It was not carried out.
             OutcomeUnknownError: It may have been carried out, or may be later. The job queue has
-                been reconciled with the watch cache, if that could be synced.
+                been reconciled with the watch cache if that could be synced.
         """
         try:
             return await self._client.compare_and_swap(expected_revisions, operations)
         except OutcomeUnknownError:
-            # It may have been carried out, or may still be. Look; the same expected revisions
-            # make sure that it and the next try can't both be carried out.
+            # It may have been carried out, or may still be: check. The retry has the same expected
+            # revisions, so at most one of the two is carried out.
             if not await self._watch_cache.read_barrier():
                 raise
             self._reconcile_with_cache()
             raise
 
     async def reconcile_after_conflict(self, outcome: CompareAndSwapResult) -> None:
-        """Find out what a transaction conflicted with.
+        """Step down if a transaction conflicted with a later term, else reconcile the job queue.
 
         Raises:
-            RequestRefusedError: The term has passed, or the watch cache could not be synced.
+            RequestRefusedError: The term is superseded, or the watch cache could not be synced.
         """
         if TERM_KEY in outcome.conflicting_keys:
-            self._step_down("a write was refused: the term has passed")
-            raise RequestRefusedError("write", "the term has passed")
+            self._step_down("a write was refused: the term is superseded")
+            raise RequestRefusedError("write", "the term is superseded")
         log.debug("progress write conflict: keys=%s", outcome.conflicting_keys)
         if not await self._watch_cache.read_barrier():
             raise RequestRefusedError("read barrier after a conflict", "no answer")
         self._reconcile_with_cache()
 
     def _reconcile_with_cache(self) -> None:
-        """Bring revisions, and jobs that have ended, in line with the synced watch cache."""
+        """Update chunk revisions and remove ended jobs according to the synced watch cache."""
         for job, job_state in list(self._job_queue.jobs.items()):
             revision = self._watch_cache.revision(job_key(job))
             if revision == 0 and job in self._job_queue.pending_final_states:
--- a/tests/jobs/test_progress_writer.py
+++ b/tests/jobs/test_progress_writer.py
@@ -1,4 +1,4 @@
-"""What is written first, what is not written, and what a failed write leaves pending."""
+"""Order of writes, writes that are skipped, and what stays pending after a failed write."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class WriterHarness:
-    """A writer of a term, its job queue and its key-value store; made within `play`."""
+    """A term's progress writer, its job queue and its key-value store; created within `play`."""
 
     def __init__(self, limits: State) -> None:
         self.store, network = FakeKeyValueStore(), FakeNetwork()
@@ -80,7 +80,7 @@
     assert harness.now() - began < 1.0
     written = [op["set"] for t in harness.store.transactions[-1:] for op in t["apply"]]
     assert [key.split("/")[3] for key in written[:2]] == [jobs[21].id, jobs[20].id]
-    # One that comes while results wait for the budget does not wait for them.
+    # A start that is assigned while results wait for the budget does not wait for them.
     began = harness.now()
     late = queue.assign(jobs[21], 1, "m-1", 3, 0.0)
     while not late.is_persisted:
@@ -91,7 +91,7 @@
     running.cancel()
 
 
-async def test_a_value_that_fits_no_more_is_not_tried_again_and_again() -> None:
+async def test_a_value_above_a_lowered_limit_is_not_retried_repeatedly() -> None:
     harness = WriterHarness(State(200.0, 100.0, 8.0, 24, NextLimits(value_kb=1.0)))
     store, queue = harness.store, harness.job_queue
     term_revision = await harness.write(TERM_KEY, {"term": 1})
@@ -113,13 +113,13 @@
     running.cancel()
 
 
-async def test_a_start_held_back_by_a_conflict_waits_first_in_line_again() -> None:
+async def test_a_start_write_stays_pending_after_a_conflict() -> None:
     harness = WriterHarness(State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24))
     queue = harness.job_queue
     term_revision = await harness.write(TERM_KEY, {"term": 1})
     job_state = await harness.add_job(pieces=2)
     running = await harness.start(term_revision)
-    # A cancellation that the leader has not heard of: the start must not become durable.
+    # The leader has not seen this cancellation yet: the start must not become durable.
     await harness.write(job_key(job_state.id), job_state.record.value() | {"aborted": 2.0})
     attempt = queue.assign(job_state, 0, "m-1", 1, 0.0)
     await asyncio.sleep(5)
@@ -129,7 +129,7 @@
     assert harness.store.value(progress_key(job_state.id, 0)) is None
     chunk = job_state.chunk(0)
     assert queue.pending_writes == queue.pending_start_writes == {chunk.id: chunk}
-    # Its word comes: what was never sent is dropped, and the job ends.
+    # The leader sees the cancellation: the attempt, never sent, is dropped and the job ends.
     job_state.record.cancelled_at = 2.0
     job_state.record.revision = harness.watch_cache.revision(job_key(job_state.id))
     queue.drop(attempt)
@@ -141,7 +141,7 @@
     running.cancel()
 
 
-async def test_a_writer_whose_term_has_passed_changes_nothing_and_steps_down() -> None:
+async def test_a_writer_of_a_superseded_term_changes_nothing_and_steps_down() -> None:
     harness = WriterHarness(State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24))
     term_revision = await harness.write(TERM_KEY, {"term": 1})
     job_state = await harness.add_job(pieces=2)
@@ -155,7 +155,7 @@
     running.cancel()
 
 
-def test_a_batch_holds_what_one_transaction_takes_and_its_conditions() -> None:
+def test_a_batch_fits_one_transaction_and_has_its_expected_revisions() -> None:
     queue = JobQueue()
     job_states = [
         queue.add(JobRecord(parse(job(number), Submission), 1.0, 170, None, 40 + number), 0.0)
@@ -163,14 +163,14 @@
     ]
     for job_state in job_states:
         queue.assign(job_state, 0, "m-1", 1, 0.0)
-    over, *others = job_states
-    queue.remove(over)
+    ended, *live = job_states
+    queue.remove(ended)
     chunk_ids = [job_state.chunk(0).id for job_state in job_states]
-    batch = select_batch(queue, chunk_ids, BatchLimits(8192, operations=2), {TERM_KEY: 7})
+    batch = select_batch(queue, chunk_ids, BatchLimits(8192, max_operations=2), {TERM_KEY: 7})
     assert [write.chunk.id for write in batch.writes] == chunk_ids[1:3]
     assert batch.expected_revisions == {TERM_KEY: 7} | {
         key: revision
-        for job_state in others[:2]
+        for job_state in live[:2]
         for key, revision in (
             (progress_key(job_state.id, 0), 0),
             (job_key(job_state.id), job_state.record.revision),
@@ -178,12 +178,12 @@
     }
     # The others stay pending; one whose value is too large comes back with its next change.
     assert list(queue.pending_writes) == chunk_ids[1:]
-    assert not select_batch(queue, chunk_ids, BatchLimits(8, operations=2), {}).writes
+    assert not select_batch(queue, chunk_ids, BatchLimits(8, max_operations=2), {}).writes
     assert not queue.pending_writes
     assert not queue.pending_start_writes
 
 
-def test_a_job_of_many_chunks_ends_by_one_transaction_that_leaves_some_progress() -> None:
+def test_a_job_of_many_chunks_ends_in_one_transaction_that_leaves_some_progress() -> None:
     queue = JobQueue()
     record = JobRecord(parse(job(pieces=64), Submission), 1.0, 16, None, 5)
     job_state = queue.restore(
