--- a/spoolcourse/control/leadership/__init__.py
+++ b/spoolcourse/control/leadership/__init__.py
@@ -1,1 +1,1 @@
-"""Election, terms, fenced writes, and until when a leader may renew the leases of workers."""
+"""Election, terms, fenced writes, failover proofs and the deadline for renewing worker leases."""
--- a/spoolcourse/control/leadership/candidate.py
+++ b/spoolcourse/control/leadership/candidate.py
@@ -1,4 +1,4 @@
-"""The claim of the next term: one conditional write of the leader key and the term key."""
+"""Claims the next term with one conditional write of the leader key and the term key."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WonElection:
-    """A claim that was carried out."""
+    """A claim of a term that was carried out."""
 
     term: Term
-    lease_requested_at: float  # steady clock, seconds: the lease lasts its TTL from here at least
+    lease_requested_at: float  # monotonic, in seconds; the lease lasts its TTL from here at least
 
 
 class Candidate:
-    """Stands for election on behalf of one run of a controller."""
+    """Stands for election on behalf of one controller process (`run_id`)."""
 
     def __init__(
         self,
@@ -40,10 +40,10 @@
         self._run_id = run_id
         self._lease_ttl_s = lease_ttl_s
 
-    def may_stand(self) -> bool:
-        """Whether nobody is known to lead, or only an earlier run of this controller."""
-        # A restarted process need not wait for its own lease: the run that held it is
-        # dead, and the new term fences whatever it still has on the way.
+    def may_stand_for_election(self) -> bool:
+        """Whether no leader is known, or only an earlier process of this controller."""
+        # A restarted controller need not wait for its old lease to expire: the process that held
+        # it is dead, and the new term fences the requests that it may still have in flight.
         entry = self._watch_cache.get(LEADER_KEY)
         if entry is None:
             return True
@@ -51,25 +51,25 @@
         return same_label and LeaderRecord.run_id_of(entry.value) != self._run_id
 
     async def stand_for_election(self) -> WonElection | None:
-        """Claim the next term; None if another controller leads or was faster.
+        """Claim the next term; return None if another controller leads or claimed it first.
 
         Raises `OutcomeUnknownError` if the claim may or may not be carried out,
-        `RequestRefusedError` if it is not, and `LeaseExpiredError` if its lease ended before.
+        `RequestRefusedError` if it is not, and `LeaseExpiredError` if its lease expired first.
         """
         if not await self._watch_cache.read_barrier():
             raise OutcomeUnknownError("read barrier", "no answer in time")
-        if not self.may_stand():
+        if not self.may_stand_for_election():
             return None
         number = known_term_number(self._watch_cache) + 1
-        # The claim is conditional on what the number was taken from. The watch may bring
-        # another's election while the lease is granted: with the revisions of that, this claim
-        # would push it out under the very same number, and two would share a fencing token.
+        # Read the expected revisions before the lease request, together with the term number. If
+        # the watch delivers another controller's election meanwhile, later revisions would let this
+        # claim replace it under the same number, and two leaders would share a fencing token.
         expected_revisions = self._expected_revisions()
         lease_requested_at = asyncio.get_running_loop().time()
         lease_id = await self._client.grant_lease(self._lease_ttl_s)
-        # The lease is part of what the read-back compares. An earlier claim of this run that
-        # was carried out late has the same number, but its key hangs on another lease, and
-        # renewing the new one would keep alive nothing.
+        # The record includes the lease so that the read-back compares it. An earlier claim of this
+        # process that was carried out late has the same number, but its key is attached to another
+        # lease, and renewing the new lease would not keep that key.
         record = TermRecord(number, self._run_id, lease_id)
         revision = await self._claim(record, expected_revisions)
         if revision is None:
@@ -81,7 +81,7 @@
         return {key: self._watch_cache.revision(key) for key in (LEADER_KEY, TERM_KEY)}
 
     async def _claim(self, record: TermRecord, expected_revisions: dict[str, int]) -> int | None:
-        """Write the claim; returns the revision that it got, None if a condition did not hold."""
+        """Write the claim; return its revision, or None if a condition did not hold."""
         leader_value = LeaderRecord(record, self._label).value()
         term_value = record.value()
         try:
@@ -94,15 +94,15 @@
                 return None
             revision = outcome.store_revision
         except OutcomeUnknownError:
-            claimed_at = await self._read_back(term_value)
-            if claimed_at is None:
+            claim_revision = await self._read_back(term_value)
+            if claim_revision is None:
                 raise
-            revision = claimed_at
+            revision = claim_revision
         self._watch_cache.apply(LEADER_KEY, leader_value, revision)
         self._watch_cache.apply(TERM_KEY, term_value, revision)
         return revision
 
     async def _read_back(self, term_value: dict[str, Any]) -> int | None:
-        """The revision of a claim of unknown outcome; None unless the term key shows it."""
+        """Return the revision of a claim of unknown outcome; None if the term key differs."""
         entry = await self._client.get(TERM_KEY)
         return entry.revision if entry is not None and entry.value == term_value else None
--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -1,9 +1,9 @@
-"""One leader at a time: a leased key says who, a term key fences what it writes.
+"""Leader election: a leased key names the leader, and a term key fences its writes.
 
-The term is the workers' fencing token. Every write of a leader is conditional on the revision
-that the term key got when it was elected, so a deposed leader's writes fail however
-late they arrive. The lease only decides when others may stand for election; nothing
-is safe because of it alone.
+The term number is the workers' fencing token. Every write of a leader is conditional on the
+revision that the term key got when it was elected, so a deposed leader's writes fail however late
+they arrive. The lease only decides when others may stand for election; safety does not depend on
+it.
 """
 
 from __future__ import annotations
@@ -26,31 +26,31 @@
 
 log = logging.getLogger(__name__)
 
-LEASE_TTL_S = 2.5  # of the leader key; so long nobody else can lead
-RENEW_SHARE = 1 / 4  # of the TTL, between renewals
-RENEW_RETRY_SHARE = 1 / 12  # of the TTL, after a renewal that failed
-RELEASE_CANDIDACY_DELAY_S = 5.0  # for so long a leader that released its lease lets others stand
-ELECTION_PAUSE_S = (0.1, 0.4)  # at random, so that two candidates don't stand in step
-RECENT_VIEW_LEASES = 2  # a view of the key-value store is recent for so many TTLs
+LEASE_TTL_S = 2.5  # of the leader key's lease; until it expires no other controller can lead
+RENEW_PERIOD_TTL_FRACTION = 1 / 4  # between renewals
+RENEW_RETRY_TTL_FRACTION = 1 / 12  # after a failed renewal
+RELEASE_CANDIDACY_DELAY_S = 5.0  # a leader that released its lease lets others stand first
+ELECTION_RETRY_DELAY_RANGE_S = (0.1, 0.4)  # random, so that candidates don't retry in step
+RECENT_VIEW_MAX_TTLS = 2  # maximum age of a recent view of the key-value store, in lease TTLs
 
 
 class LeadershipListener(Protocol):
-    """Called at once when this controller's leadership begins or ends."""
+    """Callbacks that run at once when this controller's leadership begins or ends."""
 
     def on_elected(self, term: Term) -> None:
-        """This controller has been elected for the term."""
+        """Handle the election of this controller for the term."""
 
     def on_stepped_down(self) -> None:
-        """This controller does not lead any more."""
+        """Handle the end of this controller's leadership."""
 
 
 def no_candidacy_delay_s() -> float:
-    """Stand for election at once."""
+    """Return the default candidacy delay: none."""
     return 0.0
 
 
 class Leadership:
-    """Stands for election when nobody leads, and keeps the lease while leading."""
+    """Stands for election when there is no leader, and renews the lease while leading."""
 
     def __init__(
         self,
@@ -62,26 +62,26 @@
         listener: LeadershipListener | None = None,
         candidacy_delay_s: Callable[[], float] = no_candidacy_delay_s,
     ) -> None:
-        """`candidacy_delay_s`: for how long to let others stand first; one that is behind does."""
+        """`candidacy_delay_s` returns how long to let others stand first; used while behind."""
         self._client = client
         self._watch_cache = watch_cache
         self._label = label
-        self.run_id = run_id  # of this process of the controller
+        self.run_id = run_id  # identifies this process of the controller
         self._lease_ttl_s = lease_ttl_s
         self._listener = listener
         self._candidacy_delay_s = candidacy_delay_s
         self._candidate = Candidate(client, watch_cache, label, run_id, lease_ttl_s)
         self.term: Term | None = None
         self.elections_won = 0
-        # When this controller saw that nobody leads, in seconds of the steady clock.
+        # When this controller saw that there is no leader, in seconds of the monotonic clock.
         self.vacant_at: float | None = None
         self._lease_expires_at = float("-inf")
-        self._candidacy_from = float("-inf")
+        self._candidacy_allowed_at = float("-inf")
         self._leader_changed = asyncio.Event()
         self._stepped_down = asyncio.Event()
         watch_cache.add_listener(self._on_change)
 
-    # -- what is known ------------------------------------------------------------------
+    # -- current leader -----------------------------------------------------------------
 
     @property
     def leader_label(self) -> str | None:
@@ -91,14 +91,14 @@
 
     @property
     def has_recent_view(self) -> bool:
-        """Whether this controller would have seen a change of leader by now."""
-        return self._view_age_s() < RECENT_VIEW_LEASES * self._lease_ttl_s
+        """Whether the watch cache is recent enough to show any change of leader."""
+        return self._view_age_s() < RECENT_VIEW_MAX_TTLS * self._lease_ttl_s
 
     def _view_age_s(self) -> float:
         return asyncio.get_running_loop().time() - self._watch_cache.synced_at
 
     def holds_lease(self) -> bool:
-        """True while no other controller can have been elected."""
+        """Whether this controller leads and no other can have been elected."""
         return self.term is not None and (
             asyncio.get_running_loop().time() < self._lease_expires_at
             and not self._stepped_down.is_set()
@@ -119,11 +119,11 @@
             self._listener.on_stepped_down()
 
     async def step_down_and_release_lease(self, reason: str) -> None:
-        """Step down, and release the lease at once: others need not wait for its expiry."""
+        """Step down and revoke the lease, so that others need not wait until it expires."""
         term = self.term
         if term is None:
             return
-        self._candidacy_from = asyncio.get_running_loop().time() + RELEASE_CANDIDACY_DELAY_S
+        self._candidacy_allowed_at = asyncio.get_running_loop().time() + RELEASE_CANDIDACY_DELAY_S
         self.step_down(reason)
         try:
             await self._client.revoke_lease(term.lease_id)
@@ -142,20 +142,20 @@
         if leader_value is None:
             self.vacant_at = asyncio.get_running_loop().time()
         elif LeaderRecord.label_of(leader_value) != self._label:
-            # A failover of this controller's own is counted from the next vacancy.
+            # If this controller is elected later, its failover starts at the next vacancy.
             self.vacant_at = None
 
     # -- election -----------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Stand for election, lead, and stand again, until cancelled."""
+        """Alternate between standing for election and leading, until cancelled."""
         while True:
             await self._watch_cache.loaded.wait()
             if self.term is not None:
                 await self._lead()
                 continue
             self._leader_changed.clear()
-            if not self._candidate.may_stand():
+            if not self._candidate.may_stand_for_election():
                 await self._follow()
                 continue
             if await self._leader_changed_during_delay():
@@ -164,10 +164,10 @@
                 await self._stand_for_election()
             except (StoreUnavailableError, LeaseExpiredError) as exc:
                 log.debug("election failed: %s", exc)
-                await asyncio.sleep(random.uniform(*ELECTION_PAUSE_S))
+                await asyncio.sleep(random.uniform(*ELECTION_RETRY_DELAY_RANGE_S))
 
     async def _follow(self) -> None:
-        """Wait for a change of leader; read the store once in a while in case the watch hangs."""
+        """Wait for a change of leader; read the store if the watch seems to hang."""
         changed = await wait_for_event(self._leader_changed, self._lease_ttl_s)
         if not changed and self._view_age_s() > self._lease_ttl_s:
             await self._watch_cache.read_barrier()
@@ -175,9 +175,10 @@
     async def _leader_changed_during_delay(self) -> bool:
         """Let others stand first if this controller is behind or released its lease recently.
 
-        The wait is bounded: with all controllers behind, somebody still leads.
+        Returns whether the leader changed. The wait is bounded, so that a leader is elected even
+        if all controllers are behind.
         """
-        release_delay_s = self._candidacy_from - asyncio.get_running_loop().time()
+        release_delay_s = self._candidacy_allowed_at - asyncio.get_running_loop().time()
         delay_s = max(self._candidacy_delay_s(), release_delay_s)
         if delay_s <= 0:
             return False
@@ -202,30 +203,30 @@
     # -- leading ------------------------------------------------------------------------
 
     async def _lead(self) -> None:
-        """Renew until deposed. Without answers the term goes on, but the lease is not held."""
+        """Renew until deposed. If renewals fail the term continues, but the lease is not held."""
         while self.term is not None:
             pause_s = await self._renew_lease(self.term)
             await wait_for_event(self._stepped_down, pause_s)
 
     async def _renew_lease(self, term: Term) -> float:
-        """Renew the lease once, or step down; returns the pause until the next renewal."""
+        """Renew the lease once or step down; return the pause until the next renewal."""
         sent_at = asyncio.get_running_loop().time()
         try:
             await self._client.renew_lease(term.lease_id)
             if self.term is term:
                 if sent_at >= self._lease_expires_at and not await self._is_latest(term):
-                    self.step_down("the term has passed")
+                    self.step_down("the term is superseded")
                 else:
                     self._extend_lease(sent_at)
         except LeaseExpiredError:
-            self.step_down("the lease is gone")
+            self.step_down("the lease expired")
         except StoreUnavailableError as exc:
             log.debug("renewal failed, term=%d: %s", term.number, exc)
-            return self._lease_ttl_s * RENEW_RETRY_SHARE
-        return self._lease_ttl_s * RENEW_SHARE
+            return self._lease_ttl_s * RENEW_RETRY_TTL_FRACTION
+        return self._lease_ttl_s * RENEW_PERIOD_TTL_FRACTION
 
     async def _is_latest(self, term: Term) -> bool:
-        """Whether the term key is unchanged: after a gap it may have changed hands."""
+        """Whether the term key is unchanged; others may lead after a gap between renewals."""
         entry = await self._client.get(TERM_KEY)
         return entry is not None and entry.revision == term.revision
 
--- a/spoolcourse/control/leadership/failover_proof.py
+++ b/spoolcourse/control/leadership/failover_proof.py
@@ -1,10 +1,10 @@
-"""The proof that a new leader has seen every placement of the leaders before it.
+"""The proof that a new leader has seen every placement of earlier leaders.
 
-The claim of a term is a write at some revision of the key-value store, and it changes the revision
-of the term key. Every write of an earlier leader is conditional on the term key as that leader
-knew it, so none is carried out after the claim; and a placement is written before its start is
-sent. A controller that has applied every change up to the claim has therefore seen every placement
-that can ever have been sent.
+The claim of a term is a write at some revision of the key-value store that changes the revision of
+the term key. Every write of an earlier leader is conditional on the revision of the term key that
+it got at its own election, so none is carried out after the claim. A placement is written before
+its start is sent. A controller that has applied every change up to the claim has therefore seen
+every placement whose start can have been sent.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 
 class ProofSource(Enum):
-    """Where the job queue of a new leader came from."""
+    """The source of a new leader's job queue."""
 
     RECORDS = "records"  # rebuilt from the records after a read barrier
-    SHADOW = "shadow"  # kept current by the watch, and caught up to the claim
+    SHADOW = "shadow"  # the standby's shadow, updated by the watch and caught up to the claim
 
 
 class FailoverUnprovenError(Exception):
@@ -29,7 +29,7 @@
 
 
 class WatchCacheBehindError(FailoverUnprovenError):
-    """Changes before the claim may be missing from the watch cache: catch up and try again."""
+    """The watch cache may lack changes before the claim; retry after it has caught up."""
 
     def __init__(self, term: Term, applied_revision: int) -> None:
         super().__init__(
@@ -41,7 +41,7 @@
 
 
 class TermSupersededError(FailoverUnprovenError):
-    """The claim is not the latest one that is known: this term can never be proven."""
+    """A later claim is known; this term can never be proven."""
 
     def __init__(self, term: Term, latest_claim_revision: int) -> None:
         super().__init__(
@@ -54,10 +54,10 @@
 
 @final
 class FailoverProof:
-    """Required by every part that decides or commands for a term.
+    """Required by every component that makes decisions or sends commands in a term.
 
-    It can be made only from a watch cache that has reached the claim of the term, and it does not
-    change afterwards.
+    It can be created only from a watch cache that has reached the claim of the term, and is
+    immutable.
     """
 
     __slots__ = ("_applied_revision", "_source", "_term")
@@ -76,12 +76,12 @@
 
     @property
     def term(self) -> Term:
-        """The term that may be led."""
+        """The term that this controller may lead."""
         return self._term
 
     @property
     def fencing_token(self) -> int:
-        """The number that workers know the term by."""
+        """The term number, which workers use as the fencing token."""
         return self._term.number
 
     @property
@@ -91,10 +91,10 @@
 
     @property
     def applied_revision(self) -> int:
-        """The revision up to which every change had been applied; not below the claim."""
+        """The revision up to which all changes had been applied; at least that of the claim."""
         return self._applied_revision
 
     @property
     def source(self) -> ProofSource:
-        """Where the job queue came from."""
+        """The source of the job queue."""
         return self._source
--- a/spoolcourse/control/leadership/failover_timeline.py
+++ b/spoolcourse/control/leadership/failover_timeline.py
@@ -1,4 +1,4 @@
-"""When a failover reached each of its phases, in seconds of this controller's steady clock."""
+"""The times of a failover's phases, in seconds of this controller's monotonic clock."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 class FailoverPhase(Enum):
     """The phases of a failover, in this order."""
 
-    VACANT = "vacant"  # this controller saw that nobody leads
-    ELECTED = "elected"  # its claim was carried out
+    VACANT = "vacant"  # this controller saw that there is no leader
+    ELECTED = "elected"  # this controller's claim was carried out
     PROVEN = "proven"  # every change up to the claim is applied, and the job queue is built
     FIRST_WORKER = "first_worker"  # a worker has reported the new fencing token
-    FIRST_PASS = "first_pass"  # the first placement pass since
-    FIRST_START = "first_start"  # the first start of a task was handed to the network
+    FIRST_PASS = "first_pass"  # the first placement pass after that
+    FIRST_START = "first_start"  # the first start of a task was passed to the network
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,12 +34,12 @@
 
     @property
     def duration_s(self) -> float:
-        """How long the failover took from the previous phase to this one."""
+        """The duration of the interval in seconds."""
         return self.ended_at - self.began_at
 
 
 class FailoverTimeline:
-    """The phases of one failover; each is recorded once."""
+    """The phases of one failover, each recorded once."""
 
     def __init__(
         self, clock: Callable[[], float], on_complete: Callable[[FailoverTimeline], None]
@@ -51,7 +51,7 @@
         self.proof: FailoverProof | None = None
 
     def record(self, phase: FailoverPhase, at: float | None = None) -> None:
-        """Record that a phase was reached, now or at an earlier time; the first call counts."""
+        """Record that a phase was reached, now or at time `at`; later calls are ignored."""
         if phase in self._reached_at:
             return
         self._reached_at[phase] = self._clock() if at is None else at
@@ -64,7 +64,7 @@
         self.record(FailoverPhase.PROVEN)
 
     def intervals(self) -> list[PhaseInterval]:
-        """The phases reached so far, without the first: the others are counted from it."""
+        """Return the intervals between the phases reached so far, in order of time."""
         reached = sorted(self._reached_at.items(), key=lambda item: item[1])
         return [
             PhaseInterval(phase, began_at, ended_at)
--- a/spoolcourse/control/leadership/feature_level.py
+++ b/spoolcourse/control/leadership/feature_level.py
@@ -1,8 +1,9 @@
-"""Which stored forms every controller can read, while versions change one process at a time.
+"""The feature level: which stored formats all controllers can read during a rolling upgrade.
 
-A process that ends before its turn comes back as it was. So what the version before can't read
-is written only once every controller has said that it can. The leader asks, and records it in the
-key-value store, where it stays true: a controller of the new version comes back with it.
+A controller that exits before its upgrade restarts with the old version. So a format that the old
+version can't read is written only once every controller has reported support for it. The leader
+queries the peers and records the level in the key-value store. It stays valid there, since an
+upgraded controller restarts with the new version.
 """
 
 from __future__ import annotations
@@ -27,18 +28,18 @@
 
 
 def level_reply() -> dict[str, int]:
-    """What this version answers to the query for its level."""
+    """Return this version's reply to the level query."""
     return feature_level_value(SERVICES_LEVEL)
 
 
 def all_support_services(watch_cache: WatchCache) -> bool:
-    """Whether it is recorded that every controller can read the forms of services."""
+    """Whether the store records that every controller can read the formats of services."""
     entry = watch_cache.get(FEATURE_LEVEL_KEY)
     return entry is not None and feature_level_of(entry.value) >= SERVICES_LEVEL
 
 
 class FeatureLevel:
-    """The leader's loop; it ends once the level is recorded."""
+    """The leader's loop that records the feature level and then ends."""
 
     def __init__(
         self,
@@ -55,7 +56,7 @@
         self._term = term
 
     async def run(self) -> None:
-        """Query the peers until all of them have this version's level, and record that."""
+        """Query the peers until all of them have this version's level, then record it."""
         while not all_support_services(self._watch_cache):
             replies = await query_peers(self._http_client, self._peers, LEVEL_QUERY)
             if all(reply is not None and reply.level >= SERVICES_LEVEL for reply in replies):
--- a/spoolcourse/control/leadership/fenced_write.py
+++ b/spoolcourse/control/leadership/fenced_write.py
@@ -1,4 +1,4 @@
-"""Single values that a leader writes only while its term is the latest one."""
+"""Writes of a single key that succeed only while the leader's term is the latest one."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
     value: dict[str, Any],
     expected_revisions: dict[str, int],
 ) -> bool:
-    """Write a value if the term goes on and the keys have the expected revisions.
+    """Write a value if the term is the latest one and the keys have the expected revisions.
 
-    Returns whether it is known to be written. After False it may be written nevertheless, now or
-    later: the watch cache will show that.
+    Returns whether it is known to be written. After False it may still be written, now or later;
+    the watch cache then shows it.
     """
     expected_revisions = expected_revisions | {TERM_KEY: term.revision}
     try:
         outcome = await client.compare_and_swap(expected_revisions, [Put(key, value)])
     except StoreUnavailableError as exc:
-        log.info("key=%s not written yet, term=%d: %s", key, term.number, exc)
+        log.info("fenced write not confirmed, key=%s term=%d: %s", key, term.number, exc)
         return False
     if outcome.succeeded:
         watch_cache.apply(key, value, outcome.store_revision)
--- a/spoolcourse/control/leadership/peers.py
+++ b/spoolcourse/control/leadership/peers.py
@@ -1,4 +1,4 @@
-"""Queries to all other controllers at once."""
+"""Queries that are sent to all other controllers concurrently."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 Reply = TypeVar("Reply")
 Reply_co = TypeVar("Reply_co", covariant=True)
-TIMEOUT_S = 1.0
+QUERY_TIMEOUT_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class PeerQuery(Generic[Reply_co]):
-    """What a peer is asked for, and the form of its reply."""
+    """The path of a query, and the type of its reply."""
 
     path: str
     reply_type: type[Reply_co]
@@ -38,23 +38,25 @@
 
 
 def cancellations_query(since_revision: int) -> PeerQuery[CancellationReply]:
-    """The query for the cancellations that a peer knows of since a revision."""
+    """Return the query for the cancellations that a peer knows of since a revision."""
     return PeerQuery(cancellations_path(since_revision), CancellationReply)
 
 
 async def query_peers(
     http_client: HttpClient, peers: list[Seed], query: PeerQuery[Reply]
 ) -> list[Reply | None]:
-    """Query all peers at once; returns their replies in the order of the peers.
+    """Query all peers concurrently; return their replies in the order of the peers.
 
-    None for one that does not answer in time, or whose version does not know the query.
+    The reply is None if a peer does not answer in time or its version does not know the query.
     """
     return await asyncio.gather(*(_query_peer(http_client, peer, query) for peer in peers))
 
 
 async def _query_peer(http_client: HttpClient, peer: Seed, query: PeerQuery[Reply]) -> Reply | None:
     try:
-        response = await http_client.call(peer.endpoint, "GET", query.path, timeout_s=TIMEOUT_S)
+        response = await http_client.call(
+            peer.endpoint, "GET", query.path, timeout_s=QUERY_TIMEOUT_S
+        )
         return parse(response.data, query.reply_type) if response.status == 200 else None
     except (NoResponseError, MalformedError) as exc:
         log.debug("query failed, controller=%s path=%s: %s", peer.label, query.path, exc)
--- a/spoolcourse/control/leadership/renewal_deadline.py
+++ b/spoolcourse/control/leadership/renewal_deadline.py
@@ -1,13 +1,13 @@
-"""Until when a leader may renew the leases of workers.
+"""The deadline until which a leader may renew the leases of workers.
 
-The leader provably knows every cancellation that anyone has confirmed up to some moment. One that
-it doesn't know was confirmed after that moment, so the tasks of that job may stay until `cancel_s`
-later and no longer. A worker that is answered now may keep its tasks for `lease_s`. So there is a
-last moment at which an answer may renew a lease. This guards against a leader that the key-value
-store alone refuses, or that is cut off, and that would keep alive what others have confirmed as
-cancelled.
+The leader provably knows every cancellation that any controller confirmed up to some time. One that
+it doesn't know was confirmed later, and the tasks of that job must end within `cancel_s` of the
+confirmation. A worker whose heartbeat is answered now may keep its tasks for `lease_s`. This gives
+the last time at which an answer may renew a lease. It guards against a leader that is cut off, or
+that only the key-value store refuses, and that would keep tasks alive whose cancellation other
+controllers have confirmed.
 
-Pure: times are passed in, in seconds of one steady clock.
+No I/O and no clock: times are passed in, in seconds of one monotonic clock.
 """
 
 from __future__ import annotations
@@ -16,43 +16,43 @@
 
 from spoolcourse.wire.settings import Workers
 
-CLOCK_DRIFT = 0.001  # two clocks, each up to 0.05% off
-MARGIN_S = 1.5  # for the worker to end its tasks, and for delays on the way
+CLOCK_DRIFT = 0.001  # relative, between two clocks that are each up to 0.05% off
+TASK_END_MARGIN_S = 1.5  # for the worker to end its tasks, and for network delays
 
 
 class RenewalDeadline:
-    """Until when workers may be answered."""
+    """Tracks until when heartbeats of workers may be answered."""
 
     def __init__(self, workers: Workers) -> None:
         cancel_s = workers.cancel_s * (1 - CLOCK_DRIFT)
-        self.renewal_window_s = cancel_s - workers.lease_s * (1 + CLOCK_DRIFT) - MARGIN_S
-        # Every cancellation confirmed up to this moment is known here.
+        self.renewal_window_s = cancel_s - workers.lease_s * (1 + CLOCK_DRIFT) - TASK_END_MARGIN_S
+        # Every cancellation confirmed up to this time is known to this controller.
         self.caught_up_at = float("-inf")
 
     def record_store_read(self, sent_at: float) -> None:
-        """A read of the key-value store, sent at that time, has been answered and applied."""
+        """Record that a store read that was sent at `sent_at` was answered and applied."""
         self.caught_up_at = max(self.caught_up_at, sent_at)
 
-    def record_peer_acknowledgements(self, asked_at: float, acknowledged: Iterable[bool]) -> bool:
-        """All other controllers were asked, and their replies have been applied.
+    def record_peer_acknowledgements(self, queried_at: float, acknowledged: Iterable[bool]) -> bool:
+        """Record that all other controllers were queried and their replies applied.
 
-        The first of them was asked at `asked_at`. `acknowledged` says of each whether it replied
-        with all cancellations it knows, and has read the key-value store since its process began.
+        The first of them was queried at `queried_at`. `acknowledged` holds for each whether it
+        replied with all cancellations it knows and has read the key-value store since it started.
         Returns whether all of them acknowledged; only then is the leader caught up.
 
-        Every confirmation was given by one of them, or by this controller. A controller that gave
-        one remembers it; one that restarted since knows from the key-value store what was
-        confirmed before. One that is silent, too old to know the query, or has read nothing since
-        it began may have confirmed what nobody here knows of.
+        Every cancellation was confirmed by one of them or by this controller. A controller
+        remembers those it confirmed; after a restart it reads the earlier ones from the key-value
+        store. One that does not answer, is too old to know the query, or has read nothing since it
+        started may have confirmed a cancellation that this controller does not know.
         """
         if not all(acknowledged):
             return False
-        self.caught_up_at = max(self.caught_up_at, asked_at)
+        self.caught_up_at = max(self.caught_up_at, queried_at)
         return True
 
     def may_renew(self, now: float) -> bool:
         """Whether a worker may be answered now.
 
-        An unknown confirmed cancellation would still be gone within `cancel_s`.
+        If so, the tasks of an unknown confirmed cancellation still end within `cancel_s`.
         """
         return now <= self.caught_up_at + self.renewal_window_s
--- a/spoolcourse/control/leadership/term.py
+++ b/spoolcourse/control/leadership/term.py
@@ -1,4 +1,4 @@
-"""Terms: each is led by the one controller that was elected for it."""
+"""Terms, each led by the one controller that was elected for it."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 class Term:
     """A term that this controller was elected for."""
 
-    number: int  # the fencing token that workers know the term by
-    revision: int  # of the term key: the fencing condition of every leader write
+    number: int  # the fencing token for workers
+    revision: int  # of the term key; every write of the leader is conditional on it
     lease_id: int
 
 
 def known_term_number(watch_cache: WatchCache) -> int:
-    """The number of the latest term that the watch cache shows; 0 if there is none."""
+    """Return the number of the latest term in the watch cache; 0 if there is none."""
     entry = watch_cache.get(TERM_KEY)
     return TermRecord.number_of(entry.value if entry is not None else None)
--- a/tests/leadership/test_election_and_peers.py
+++ b/tests/leadership/test_election_and_peers.py
@@ -1,4 +1,4 @@
-"""Leadership in its parts: waits, fenced writes, and queries to peers on the wire."""
+"""Election, waits for events, fenced writes, and queries to peers."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Store:
-    """A key-value store with one client of it."""
+    """A key-value store with one client."""
 
     def __init__(self) -> None:
         self.state, self.network = FakeKeyValueStore(), FakeNetwork()
@@ -36,7 +36,7 @@
 
 
 class Listener:
-    """Records what it is called for."""
+    """Records the calls it gets."""
 
     def __init__(self) -> None:
         self.calls: list[Any] = []
@@ -88,8 +88,8 @@
     first = Leadership(store.client, store.watch_cache, "n0", "run-0")
     await store.watch_cache.reload()
     await first._stand_for_election()
-    old = first.term
-    assert old is not None
+    superseded_term = first.term
+    assert superseded_term is not None
 
     async def write(term: Term, level: int, revision: int) -> bool:
         return await write_fenced(
@@ -101,18 +101,18 @@
             {FEATURE_LEVEL_KEY: revision},
         )
 
-    assert await write(old, 1, 0)
-    written = store.watch_cache.revision(FEATURE_LEVEL_KEY)
-    assert not await write(old, 2, 0), "the key has another revision than expected"
+    assert await write(superseded_term, 1, 0)
+    written_revision = store.watch_cache.revision(FEATURE_LEVEL_KEY)
+    assert not await write(superseded_term, 2, 0), "the key has another revision than expected"
     await first.step_down_and_release_lease("test")
     successor = Leadership(store.client, store.watch_cache, "n1", "run-1")
     await store.watch_cache.read_barrier()
     await successor._stand_for_election()
     assert successor.term is not None
-    assert successor.term.number == old.number + 1
-    assert not await write(old, 2, written)
+    assert successor.term.number == superseded_term.number + 1
+    assert not await write(superseded_term, 2, written_revision)
     assert store.state.value(FEATURE_LEVEL_KEY) == {"level": 1}
-    assert await write(successor.term, 2, written)
+    assert await write(successor.term, 2, written_revision)
     assert store.state.value(FEATURE_LEVEL_KEY) == {"level": 2}
 
 
@@ -136,7 +136,7 @@
     assert store.watch_cache.get(FEATURE_LEVEL_KEY) is None
 
 
-async def test_peers_reply_in_order_and_one_that_does_not_know_the_query_counts_as_silent() -> None:
+async def test_peers_reply_in_order_and_one_that_does_not_know_the_query_has_no_reply() -> None:
     store = Store()
 
     def host(status: int, data: Any) -> Any:
