--- a/spoolcourse/control/failover/warm_standby.py
+++ b/spoolcourse/control/failover/warm_standby.py
@@ -60,7 +60,7 @@
         if self.status.state is ShadowState.LEADING:
             return
         self._mark_stale(gap.value)
-        if gap is WatchGap.WENT_BACK:
+        if gap is WatchGap.REVISION_DECREASED:
             self._reload_loop.request()  # after other gaps the watch cache reads all keys by itself
 
     def _mark_stale(self, reason: str) -> None:
--- a/spoolcourse/control/store/client.py
+++ b/spoolcourse/control/store/client.py
@@ -1,7 +1,7 @@
-"""The key-value store's client.
+"""Client of the key-value store.
 
-An answer that leaves open whether a request was carried out is never taken for a yes or a no: it
-raises `OutcomeUnknownError`. Source: PROTOCOL, the key-value store.
+A response that does not show whether a request was carried out counts as neither success nor
+failure: it raises `OutcomeUnknownError`. Source: PROTOCOL, the key-value store.
 """
 
 from __future__ import annotations
@@ -36,20 +36,20 @@
 
 log = logging.getLogger(__name__)
 
-PAGE_SIZE = 1000  # keys, as many as one response may have
-FAILING_S = 0.5  # without a success, after which other controllers may be served better
-TIMEOUT_S = 1.0
-KEYS_IN_ERRORS = 3  # of a transaction, named in an error's message
+MAX_PAGE_KEYS = 1000  # the most keys that one response may hold
+FAILING_AFTER_S = 0.5  # without a success; other controllers may then be served better
+REQUEST_TIMEOUT_S = 1.0
+MAX_KEYS_IN_ERROR = 3  # keys of a transaction that an error message names
 
 
 @dataclass(frozen=True, slots=True)
 class EntryList:
-    """All keys below a prefix.
+    """All entries below a prefix.
 
     Attributes:
         entries: The entries, in key order.
         store_revision: The store's revision when the first page was read. Later pages may show
-            later changes; a watch from this revision brings them again.
+            later changes; a watch from this revision delivers them again.
     """
 
     entries: list[Entry]
@@ -63,11 +63,11 @@
     `StoreUnavailableError` is either of them.
 
     Attributes:
-        limits: The store's limits; where they are going to be lowered, the lower ones.
-        value_bytes: The largest value that may still be written, in bytes.
-        requests_sent: Requests made, with or without success.
-        requests_failed: Of these, the ones refused by the store or of unknown outcome.
-        operations_sent: Puts and deletes in the transactions made.
+        limits: The store's limits; where a change is announced, the lower of both values.
+        value_bytes: The largest value that may be written at present, in bytes.
+        requests_sent: Requests sent, successful or not.
+        requests_failed: Those of them that were refused by the store or whose outcome is unknown.
+        operations_sent: Puts and deletes in the transactions sent.
     """
 
     def __init__(
@@ -76,21 +76,21 @@
         addr: str,
         state: State,
         controllers: int,
-        timeout_s: float = TIMEOUT_S,
+        timeout_s: float = REQUEST_TIMEOUT_S,
     ):
-        """Share the limits with the other controllers.
+        """Divide the limits among the controllers.
 
         Args:
-            http_client: Makes the HTTP calls.
+            http_client: Sends the HTTP requests.
             addr: The store's address, host and port.
-            state: The store's limits, and those to come.
-            controllers: How many controllers share them.
-            timeout_s: For each request, beyond the time that it asks the store to wait.
+            state: The store's current limits, and the announced ones.
+            controllers: The number of controllers that share the limits.
+            timeout_s: Timeout of each request, in addition to the time that the store may block it.
         """
         self._http_client = http_client
         self._addr = addr
-        # Limits may drop at any moment: all that is new keeps to the smaller ones. Only values
-        # written before may still be larger, as long as the store is seen to allow that.
+        # Announced lower limits may take effect at any moment, so new data keeps to them. Only
+        # values written before may be larger, until the store refuses one.
         self.limits = state.least
         self.value_bytes = int(state.value_kb * 1024)
         self._timeout_s = timeout_s
@@ -106,17 +106,17 @@
 
     @property
     def max_operations(self) -> int:
-        """Puts and deletes in one transaction: no more than can be had at once."""
+        """The most puts and deletes in one transaction: what the budget can grant at once."""
         return self._budget.max_operations
 
     def has_spare_writes(self) -> bool:
-        """Whether at least half of the budget for writes is left."""
+        """Whether at least half of the write budget is left."""
         return self._budget.has_spare_writes()
 
     def is_failing(self) -> bool:
-        """Whether nothing has succeeded for a while: other controllers may be served better."""
+        """Whether requests have failed for a while: other controllers may be served better."""
         since = self._failing_since
-        return since is not None and asyncio.get_running_loop().time() - since > FAILING_S
+        return since is not None and asyncio.get_running_loop().time() - since > FAILING_AFTER_S
 
     # -- reads ----------------------------------------------------------------------------
 
@@ -131,15 +131,15 @@
 
     async def list_entries(self, prefix: str) -> EntryList:
         """Read all keys below a prefix, page by page."""
-        page = await self._read_page(prefix, PAGE_SIZE)
+        page = await self._read_page(prefix, MAX_PAGE_KEYS)
         entries, store_revision = page.entries, page.store_revision
         while page.has_next:
-            page = await self._read_page(prefix, PAGE_SIZE, entries[-1].key)
+            page = await self._read_page(prefix, MAX_PAGE_KEYS, entries[-1].key)
             entries += page.entries
         return EntryList(entries, store_revision)
 
     async def latest_revision(self, prefix: str) -> int:
-        """The revision that the store has reached; the protocol needs some prefix for it."""
+        """The store's current revision; the protocol requires a prefix to ask for it."""
         return (await self._read_page(prefix, 1)).store_revision
 
     async def _read_page(self, prefix: str, page_size: int, after_key: str = "") -> wire.Page:
@@ -154,7 +154,7 @@
         """Wait, for `block_s` at most, for changes below a prefix after the revision `since`.
 
         Raises:
-            RevisionCompactedError: The store no longer keeps all of these changes.
+            RevisionCompactedError: The store no longer has all of these changes.
         """
         path = wire.watch_path(prefix, since, block_s)
         reply = await self._call("GET", path, block_s=block_s, urgent=urgent)
@@ -175,18 +175,18 @@
         *,
         urgent: bool = False,
     ) -> CompareAndSwapResult:
-        """Carry out all operations at once if every key has the revision expected of it.
+        """Apply all operations atomically if every key has its expected revision.
 
         Args:
-            expected_revisions: Revisions by key; 0: the key must not exist.
+            expected_revisions: Revisions by key; 0 means that the key must not exist.
             operations: Puts and deletes, `max_operations` at most.
             urgent: Don't wait for the budget.
 
         Raises:
-            LeaseExpiredError: A put names a lease that has ended.
+            LeaseExpiredError: A put names a lease that has expired.
             ValueTooLargeError: The store's limits were lowered; `value_bytes` is lower now.
         """
-        request = _name_of_transaction(expected_revisions)
+        request = _describe_transaction(expected_revisions)
         if operations:
             await self._budget.acquire_operations(len(operations), request, urgent)
             self.operations_sent += len(operations)
@@ -202,26 +202,26 @@
         self, request: str, operations: Sequence[Operation], reply: Response
     ) -> StoreError:
         if reply.status == 400 and reply.data and reply.data.get("error") == wire.NO_SUCH_LEASE:
-            return LeaseExpiredError(request, _leases(operations))
-        answer = f"status {reply.status}: {reply.data}"
+            return LeaseExpiredError(request, _lease_ids(operations))
+        detail = f"status {reply.status}: {reply.data}"
         if reply.status == 400 and self.value_bytes > self.limits.value_kb * 1024:
-            # What was written while the former limit held may be larger than the one to come.
-            log.info("the key-value store's lower limits hold from now on")
+            # A value written under the former limit may exceed the announced one.
+            log.info("the key-value store now applies its lower limits")
             self.value_bytes = int(self.limits.value_kb * 1024)
-            return ValueTooLargeError(request, answer, self.value_bytes)
-        return RequestRefusedError(request, answer)
+            return ValueTooLargeError(request, detail, self.value_bytes)
+        return RequestRefusedError(request, detail)
 
     # -- leases ---------------------------------------------------------------------------
 
     async def grant_lease(self, ttl_s: float) -> int:
-        """A new lease, which expires `ttl_s` after its last renewal."""
+        """Grant a lease, which expires `ttl_s` after its last renewal."""
         reply = await self._call("POST", paths.LEASES, wire.grant_body(ttl_s), urgent=True)
         if reply.status != 200:
             raise RequestRefusedError(f"grant of a lease of {ttl_s} s", f"status {reply.status}")
         return wire.read_lease(reply.data)
 
     async def renew_lease(self, lease: int) -> None:
-        """Renew a lease; raises `LeaseExpiredError` if it has ended."""
+        """Renew a lease; raises `LeaseExpiredError` if it has expired."""
         reply = await self._call("POST", wire.renew_path(lease), urgent=True)
         if reply.status == 404:
             raise LeaseExpiredError("renewal", (lease,))
@@ -229,7 +229,7 @@
             raise OutcomeUnknownError(f"renewal of lease {lease}", f"status {reply.status}")
 
     async def revoke_lease(self, lease: int) -> None:
-        """End a lease, and with it the keys attached to it; one that has ended is no error."""
+        """Revoke a lease, which deletes its keys; an expired lease is not an error."""
         reply = await self._call("DELETE", wire.lease_path(lease), urgent=True)
         if reply.status not in (200, 404):
             raise OutcomeUnknownError(f"revocation of lease {lease}", f"status {reply.status}")
@@ -277,13 +277,15 @@
         return reply
 
 
-def _name_of_transaction(expected_revisions: Mapping[str, int]) -> str:
+def _describe_transaction(expected_revisions: Mapping[str, int]) -> str:
     keys = list(expected_revisions)
-    names = ", ".join(keys[:KEYS_IN_ERRORS])
-    further = len(keys) - KEYS_IN_ERRORS
-    return f"compare-and-swap of {names}" + (f" and {further} more keys" if further > 0 else "")
+    named_keys = ", ".join(keys[:MAX_KEYS_IN_ERROR])
+    omitted = len(keys) - MAX_KEYS_IN_ERROR
+    return f"compare-and-swap of {named_keys}" + (
+        f" and {omitted} more keys" if omitted > 0 else ""
+    )
 
 
-def _leases(operations: Iterable[Operation]) -> tuple[int, ...]:
+def _lease_ids(operations: Iterable[Operation]) -> tuple[int, ...]:
     leases = (op.lease for op in operations if isinstance(op, Put) and op.lease is not None)
     return tuple(dict.fromkeys(leases))
--- a/spoolcourse/control/store/errors.py
+++ b/spoolcourse/control/store/errors.py
@@ -1,20 +1,20 @@
-"""Errors of the key-value store's client. Each names what was asked and what came back.
+"""Errors of the key-value store's client. Each names the request and the response.
 
     StoreError
-        StoreUnavailableError       no answer to go on with; the caller may try again
-            RequestRefusedError     certainly not carried out
-                ValueTooLargeError  and never will be
-            OutcomeUnknownError     perhaps carried out, perhaps later
-        LeaseExpiredError           the lease has ended
-        RevisionCompactedError      the changes since a revision are no longer to be had
-            TooFarBehindError       they are too many for one answer
+        StoreUnavailableError       no usable response; the caller may retry
+            RequestRefusedError     not carried out
+                ValueTooLargeError  a retry without a change will be refused too
+            OutcomeUnknownError     may have been carried out, or may be later
+        LeaseExpiredError           the lease has expired
+        RevisionCompactedError      the changes since a revision are not available
+            TooFarBehindError       there are too many of them for one response
 
 Source: PROTOCOL, the key-value store.
 """
 
 from __future__ import annotations
 
-REFUSED_RETRY_AFTER_S = 1.0
+DEFAULT_RETRY_AFTER_S = 1.0
 
 
 class StoreError(Exception):
@@ -25,39 +25,39 @@
     """The request was refused, or its outcome is unknown.
 
     Attributes:
-        request: What was asked.
-        answer: What came back, or why nothing did.
+        request: Describes the request.
+        detail: The response, or why there was none.
     """
 
-    def __init__(self, request: str, answer: str) -> None:
-        super().__init__(f"{request}: {answer}")
+    def __init__(self, request: str, detail: str) -> None:
+        super().__init__(f"{request}: {detail}")
         self.request = request
-        self.answer = answer
+        self.detail = detail
 
 
 class RequestRefusedError(StoreUnavailableError):
-    """The request was not carried out: 429, 503, or this controller's own share is used up.
+    """The request was not carried out: 429, 503, or this controller's budget is used up.
 
     Attributes:
-        retry_after_s: Seconds until another try is worth it.
+        retry_after_s: Seconds to wait before a retry.
     """
 
     def __init__(
-        self, request: str, answer: str, retry_after_s: float = REFUSED_RETRY_AFTER_S
+        self, request: str, detail: str, retry_after_s: float = DEFAULT_RETRY_AFTER_S
     ) -> None:
-        super().__init__(request, answer)
+        super().__init__(request, detail)
         self.retry_after_s = retry_after_s
 
 
 class ValueTooLargeError(RequestRefusedError):
-    """The transaction will never be carried out as it is: a limit was lowered.
+    """A limit was lowered: the store will not accept the transaction as it is.
 
     Attributes:
         value_bytes: The largest value that is accepted from now on, in bytes.
     """
 
-    def __init__(self, request: str, answer: str, value_bytes: int) -> None:
-        super().__init__(request, answer)
+    def __init__(self, request: str, detail: str, value_bytes: int) -> None:
+        super().__init__(request, detail)
         self.value_bytes = value_bytes
 
 
@@ -69,36 +69,36 @@
     """The key-value store no longer knows a lease that the request names.
 
     Attributes:
-        request: What was asked.
-        leases: The leases named; one of them at least has ended.
+        request: Describes the request.
+        leases: The leases that the request names; at least one has expired.
     """
 
     def __init__(self, request: str, leases: tuple[int, ...]) -> None:
-        names = ", ".join(map(str, leases))
-        super().__init__(f"{request}: the store does not know a lease of: {names}")
+        lease_ids = ", ".join(map(str, leases))
+        super().__init__(f"{request}: at least one of these leases has expired: {lease_ids}")
         self.request = request
         self.leases = leases
 
 
 class RevisionCompactedError(StoreError):
-    """The changes since a revision can't be had one by one: all keys are to be read again.
+    """The changes since a revision are not available: all keys must be read again.
 
     Attributes:
-        prefix: What was watched.
-        since: The last revision that is known here.
+        prefix: The watched prefix.
+        since: The last revision that the watch cache has applied.
     """
 
-    def __init__(self, prefix: str, since: int, answer: str = "status 410") -> None:
-        super().__init__(f"watch {prefix} since revision {since}: {answer}")
+    def __init__(self, prefix: str, since: int, detail: str = "status 410") -> None:
+        super().__init__(f"watch {prefix} since revision {since}: {detail}")
         self.prefix = prefix
         self.since = since
 
 
 class TooFarBehindError(RevisionCompactedError):
-    """There are more changes than one watch should bring.
+    """There are more changes than one watch response should hold.
 
     Attributes:
-        latest: The revision that the store has reached.
+        latest: The store's current revision.
     """
 
     def __init__(self, prefix: str, since: int, latest: int) -> None:
--- a/spoolcourse/control/store/keys.py
+++ b/spoolcourse/control/store/keys.py
@@ -1,8 +1,7 @@
 """Keys in the key-value store.
 
-The spelling is stored, and shared with versions that run side by side: it stays as it is. Keys
-below `LIVE_PREFIX` are held by every controller's watch cache; final states are only read one by
-one.
+Key names must not change: they are stored, and versions that run side by side share them. Every
+controller's watch cache holds the keys below `LIVE_PREFIX`; final states are only read one by one.
 """
 
 from __future__ import annotations
@@ -14,7 +13,7 @@
 LEADER_KEY = LIVE_PREFIX + "leader"
 TERM_KEY = LIVE_PREFIX + "term"
 INITIAL_MACHINES_KEY = LIVE_PREFIX + "base"
-FEATURE_LEVEL_KEY = LIVE_PREFIX + "level"  # of the stored forms that every controller can read
+FEATURE_LEVEL_KEY = LIVE_PREFIX + "level"  # up to which every controller can read stored forms
 CATALOG_KEY = LIVE_PREFIX + "catalog"
 JOB_PREFIX = LIVE_PREFIX + "job/"
 PROGRESS_PREFIX = LIVE_PREFIX + "prog/"
@@ -45,6 +44,6 @@
 
 
 def parse_progress_key(key: str) -> ChunkId:
-    """The chunk that a progress key names; raises `ValueError` if its index is no number."""
+    """The chunk that a progress key names; raises `ValueError` if its index is not a number."""
     job, _, index = key[len(PROGRESS_PREFIX) :].partition("/")
     return ChunkId(job, int(index))
--- a/spoolcourse/control/store/records.py
+++ b/spoolcourse/control/store/records.py
@@ -1,6 +1,6 @@
-"""The records in the key-value store, and their stored forms.
+"""Records in the key-value store, and their stored forms.
 
-The stored forms stay as they are: versions that run side by side read one another's records.
+Stored forms must not change: versions that run side by side read one another's records.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 from spoolcourse.wire.messages import Catalog, JobStage, MachineType, Submission
 
-INITIAL_MACHINES_FORM_BYTES = 40  # of the stored form around the names
-HELD_TASK_BYTES = 48  # of a held task in a progress value, at most
+INITIAL_MACHINES_OVERHEAD_BYTES = 40  # of the stored form, without the names
+MAX_HELD_TASK_BYTES = 48  # of one held task in a progress value
 MIN_CHUNK_TASKS = 16
 
 _new_tuple = tuple.__new__
@@ -25,12 +25,12 @@
     """A live job: accepted, not final yet; a cancelled one stays until its tasks are gone.
 
     Stored as `{"sub": submission, "at": accepted_at, "chunk": tasks_per_chunk, "aborted":
-    cancelled_at}`, the last one only if it was cancelled.
+    cancelled_at}`, where "aborted" is there only if the job was cancelled.
 
     Attributes:
-        submission: What the user asked for.
-        accepted_at: Seconds since the epoch; jobs are in order of it.
-        tasks_per_chunk: Tasks whose progress shares one key.
+        submission: The submission that was accepted.
+        accepted_at: Seconds since the epoch; jobs are ordered by it.
+        tasks_per_chunk: The number of tasks whose progress shares one key.
         cancelled_at: Seconds since the epoch; None if it was not cancelled.
         revision: The revision of the record's last change.
     """
@@ -48,7 +48,7 @@
 
     @property
     def chunk_count(self) -> int:
-        """How many progress keys the job has at most."""
+        """The largest number of progress keys that the job can have."""
         return -(-self.submission.task_count // self.tasks_per_chunk)
 
     def value(self) -> dict[str, Any]:
@@ -75,7 +75,7 @@
 
 
 class Assignment(NamedTuple):
-    """Which attempt at a task may be on which machine."""
+    """An attempt at a task that may be on a machine."""
 
     machine: str
     attempt: int
@@ -89,7 +89,7 @@
 
     Attributes:
         done: A bit set of the tasks that have a result; bit 0 is the chunk's first task.
-        held: The assignments by task; the number of a task counts from the job's first one.
+        held: The assignments by task; tasks are numbered from the job's first one.
     """
 
     done: int = 0
@@ -106,8 +106,8 @@
     def from_value(value: dict[str, Any]) -> Progress:
         """The progress of a stored form."""
         done = int(value["done"], 16)
-        # The tuples are made without the constructor, which takes longer than all the rest: a
-        # standby decodes every write of progress, and a failover all of them.
+        # Bypasses the constructor, which takes longer than the rest of the decoding: a standby
+        # decodes every write of progress, and a failover decodes all progress.
         held = {
             int(task): _new_tuple(Assignment, (machine, attempt))
             for task, (machine, attempt) in value["held"].items()
@@ -116,31 +116,31 @@
 
     @staticmethod
     def counts_of(value: dict[str, Any]) -> tuple[int, int]:
-        """How many tasks are done and how many are held.
+        """The number of tasks done, and of tasks held.
 
-        The value is not decoded: every controller sees every write of progress.
+        Does not decode the value, as every controller sees every write of progress.
         """
         return int(value["done"], 16).bit_count(), len(value["held"])
 
 
 def chunk_tasks(value_kb: float) -> int:
-    """Tasks per progress key so that all of them fit into one value while they are held.
+    """Tasks per progress key, so that one value can hold an assignment for each of them.
 
     Args:
         value_kb: The largest value that the store accepts, in KiB.
     """
-    return max(MIN_CHUNK_TASKS, int(value_kb * 1024) // HELD_TASK_BYTES)
+    return max(MIN_CHUNK_TASKS, int(value_kb * 1024) // MAX_HELD_TASK_BYTES)
 
 
 @dataclass(frozen=True, slots=True)
 class FinalState:
-    """How a job ended; kept forever.
+    """How a job ended; never deleted.
 
     Stored as `{"stage": stage, "done": done, "at": accepted_at}`.
 
     Attributes:
         stage: Done or cancelled.
-        done: Tasks with a result.
+        done: The number of tasks with a result.
         accepted_at: Seconds since the epoch.
     """
 
@@ -160,14 +160,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TermRecord:
-    """A term, and which run of which process was elected for it.
+    """A term, and the run of a controller's process that was elected for it.
 
     Stored as `{"term": number, "run": run_id, "hold": lease}`.
 
     Attributes:
         number: The term's number, which is its fencing token.
-        run_id: Names one run of a controller's process.
-        lease: The lease of the leader's key. Two claims of one run for one term differ by it.
+        run_id: Identifies one run of a controller's process.
+        lease: The lease of the leader's key; it distinguishes two claims of one run for one term.
     """
 
     number: int
@@ -186,13 +186,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderRecord:
-    """Who leads; the key is attached to a lease and goes when that expires.
+    """The current leader; the key is attached to a lease and is deleted when that expires.
 
-    Stored as the term's form with `"label"` in addition.
+    Stored as the term's form with an additional `"label"`.
 
     Attributes:
         term: The leader's term.
-        label: The leader's name among the controllers.
+        label: The leader's label.
     """
 
     term: TermRecord
@@ -209,40 +209,40 @@
 
     @staticmethod
     def run_id_of(value: dict[str, Any]) -> str | None:
-        """The leader's run in a stored form, if that names one."""
+        """The leader's run in a stored form; None if it names none."""
         return value.get("run")
 
 
 def initial_machines_value(names: list[str], further_parts: int = 0) -> dict[str, Any]:
-    """The stored form of the initial machines, or of as many as one value holds.
+    """The stored form of the initial machines, or of as many as fit into one value.
 
-    Initial machines are those that were there when the service first ran. The others are in
-    further parts, each a value of the same form.
+    Initial machines are those that existed when the service first ran. The rest is in further
+    parts, each a value of the same form.
     """
     return {"machines": names} | ({"parts": further_parts} if further_parts else {})
 
 
 def further_parts_of(value: dict[str, Any]) -> int:
-    """How many further parts belong to the first part of the initial machines."""
+    """The number of further parts that follow the first part of the initial machines."""
     return int(value.get("parts", 0))
 
 
 def initial_machines_values(names: list[str], value_bytes: float) -> list[dict[str, Any]]:
-    """Stored forms that hold all the names, none larger than a value may be."""
-    max_bytes = int(value_bytes) - INITIAL_MACHINES_FORM_BYTES
+    """Stored forms that hold all names, each within `value_bytes`."""
+    max_bytes = int(value_bytes) - INITIAL_MACHINES_OVERHEAD_BYTES
     parts: list[list[str]] = [[]]
     part_bytes = 0
     for name in names:
-        name_bytes = len(orjson.dumps(name)) + 1  # its separator
+        name_bytes = len(orjson.dumps(name)) + 1  # the separator
         if part_bytes + name_bytes > max_bytes and parts[-1]:
             parts.append([])
             part_bytes = 0
         parts[-1].append(name)
         part_bytes += name_bytes
-    first, *others = parts
+    first_part, *further_parts = parts
     return [
-        initial_machines_value(first, len(others)),
-        *(initial_machines_value(part) for part in others),
+        initial_machines_value(first_part, len(further_parts)),
+        *(initial_machines_value(part) for part in further_parts),
     ]
 
 
@@ -252,7 +252,7 @@
 
 
 def catalog_value(machine_types: list[MachineType]) -> dict[str, Any]:
-    """The stored form of the machine types, which a controller needs while the cloud is out."""
+    """The stored form of the machine types, which controllers need while the cloud is down."""
     value: dict[str, Any] = msgspec.to_builtins(Catalog(machine_types))
     return value
 
--- a/spoolcourse/control/store/watch_cache.py
+++ b/spoolcourse/control/store/watch_cache.py
@@ -1,12 +1,12 @@
-"""A copy of the live keys, kept current by a watch.
+"""A cache of the live keys, kept current by a watch.
 
-Ways to bring the copy up to date:
+Ways to update the cache:
 
-- `run` follows the watch: each poll waits for changes and applies them.
-- `read_barrier` returns once the copy holds every change that was made before the call. One
-  request serves all callers that wait at the time.
+- `run` polls the watch: each poll waits for changes and applies them.
+- `read_barrier` returns once the cache holds every change that was made before the call. One
+  request serves all callers that are waiting.
 - `catch_up_to` polls at once, for a caller that knows the revision it needs.
-- `reload` reads all keys, where the changes can't be had one by one.
+- `reload` reads all keys, when single changes are not available.
 
 Source: PROTOCOL, GET /watch.
 """
@@ -31,68 +31,68 @@
 
 log = logging.getLogger(__name__)
 
-FOLLOWER_WATCH_PAUSE_S = 0.25  # only elections, and starts of new jobs, wait for the watch
+FOLLOWER_WATCH_PAUSE_S = 0.25  # only elections and starts of new jobs wait for it
 LEADER_WATCH_PAUSE_S = 0.05
-WATCH_BLOCK_S = 10.0  # a watch without changes is opened again after this time
-BARRIER_PAUSE_S = 0.1  # between read barriers' requests, so that one answers more callers
+WATCH_BLOCK_S = 10.0  # a poll without changes returns after this time
+BARRIER_PAUSE_S = 0.1  # between requests for read barriers, so that each serves more callers
 BARRIER_TIMEOUT_S = 1.5
-# A controller that was away asks first how far it is behind. A watch answers with every change
-# since, without a limit of size: after two minutes behind a cut that took 55 MB at 37 changes a
-# second.
-AWAY_MARGIN_S = 5.0  # beyond the time that a watch may take without a change
-MAX_CHANGES_BEHIND = 1000  # that a watch should bring; further behind, all keys are read by pages
-
-# Called with key, value and revision of every change; the value is None for a deletion. Every
-# controller sees every write, so no object is built for it.
+# A watch response holds all missed changes and has no size limit: after a network partition of two
+# minutes at 37 changes per second it took 55 MB. A controller that was disconnected therefore asks
+# for the store's revision first.
+DISCONNECTED_MARGIN_S = 5.0  # beyond the time that a poll without changes takes
+MAX_CHANGES_BEHIND = 1000  # for one watch response; further behind, all keys are read page by page
+
+# Called with key, value and revision of every change; the value is None for a deletion. No object
+# is built per change, as every controller sees every write.
 ChangeListener = Callable[[str, Any, int], None]
 
 
 class WatchGap(Enum):
-    """Why the changes since the last answer can't all be had, or can't be trusted."""
+    """Why changes since the last response are missing or unreliable."""
 
-    COMPACTED = "the state service no longer keeps the changes"
-    FAR_BEHIND = "too many changes to be taken in one by one"
-    WENT_BACK = "the state service answered with an earlier revision"
+    COMPACTED = "the key-value store no longer has the changes"
+    FAR_BEHIND = "too many changes to apply one by one"
+    REVISION_DECREASED = "the key-value store answered with an earlier revision"
 
 
 class WatchObserver(Protocol):
-    """Is notified where the changes alone do not tell what the copy holds."""
+    """Is notified of events that are not visible as single changes."""
 
     def on_watch_gap(self, gap: WatchGap) -> None:
-        """Some changes were missed. Except after `WENT_BACK`, a reload follows."""
+        """Changes were missed. A reload follows, except after `REVISION_DECREASED`."""
 
     def on_reload(self) -> None:
-        """All keys have been read again; listeners were called with the differences."""
+        """All keys were read again; listeners were called with the differences."""
 
 
 class WatchCache:
     """Keys below `prefix + "live/"`; changes elsewhere below `prefix` go to listeners only.
 
     Attributes:
-        store_revision: The revision up to which the copy holds every change; -1 at first.
-        synced_at: Loop time; the copy holds every change that was made before it.
-        loaded: Set while the copy is usable: all keys were read, and no change was missed since.
+        store_revision: The revision up to which the cache holds every change; -1 at first.
+        synced_at: Loop time; the cache holds every change that was made before it.
+        loaded: Set while the cache is usable: all keys were read, and no change was missed since.
         watch_pause_s: Pause between two polls of the watch.
         barrier_pause_s: Pause between two requests for read barriers.
     """
 
     def __init__(self, client: StoreClient, prefix: str, block_s: float = WATCH_BLOCK_S) -> None:
-        """Start empty; `run` loads the copy.
+        """Start empty; `run` loads the cache.
 
         Args:
-            client: The store's client.
-            prefix: Of all keys of this service.
-            block_s: For how long a poll of the watch waits for a change.
+            client: Client of the key-value store.
+            prefix: Prefix of all keys of this service.
+            block_s: The longest that a poll of the watch waits for a change.
         """
         self._client = client
         self.prefix = prefix
         self.live_prefix = prefix + "live/"
         self._block_s = block_s
         self._entries: dict[str, Entry] = {}
-        # Keys deleted ahead of the watch, or during a reload: a page that was read before must
-        # not bring them back.
-        self._deleted_ahead: dict[str, int] = {}
-        self._reloads_under_way = 0
+        # Revisions of deletions applied ahead of the watch or during a reload, by key: a page read
+        # before a deletion must not restore the key.
+        self._deletion_revisions: dict[str, int] = {}
+        self._active_reloads = 0
         self._listeners: list[ChangeListener] = []
         self._observers: list[WatchObserver] = []
         self.store_revision = -1
@@ -111,10 +111,10 @@
         """Notify an observer of gaps and reloads."""
         self._observers.append(observer)
 
-    # -- the copy -------------------------------------------------------------------------
+    # -- the entries ----------------------------------------------------------------------
 
     def get(self, key: str) -> Entry | None:
-        """The entry of a key, if it exists."""
+        """The entry of a key; None if it does not exist."""
         return self._entries.get(key)
 
     def entries_below(self, prefix: str) -> list[Entry]:
@@ -127,57 +127,59 @@
         return entry.revision if entry else 0
 
     def apply(self, key: str, value: Any, revision: int) -> None:
-        """Apply one change (`value` None: deleted); one that is known already changes nothing."""
+        """Apply one change (`value` None: deleted); one that was applied before has no effect."""
         entry = self._entries.get(key)
-        if revision <= max(entry.revision if entry else 0, self._deleted_ahead.get(key, 0)):
+        if revision <= max(entry.revision if entry else 0, self._deletion_revisions.get(key, 0)):
             return
         if key.startswith(self.live_prefix):
             if value is None:
                 self._entries.pop(key, None)
                 if revision > self.store_revision:
-                    self._deleted_ahead[key] = revision
+                    self._deletion_revisions[key] = revision
             else:
-                self._deleted_ahead.pop(key, None)
+                self._deletion_revisions.pop(key, None)
                 self._entries[key] = Entry(key, value, revision)
         for listener in self._listeners:
             listener(key, value, revision)
 
     def _advance(self, store_revision: int, changes: list[Change]) -> None:
         for change in changes:
-            # The ranges of the watch and of a read barrier overlap: a set that was seen deleted
-            # already must not come back.
+            # Responses to the watch and to read barriers overlap: an old put must not restore a
+            # key that was deleted since.
             if change.revision > self.store_revision:
                 self.apply(change.key, change.value, change.revision)
         if store_revision > self.store_revision:
             self.store_revision = store_revision
-            if self._deleted_ahead and not self._reloads_under_way:
-                self._deleted_ahead = {
-                    k: s for k, s in self._deleted_ahead.items() if s > store_revision
+            if self._deletion_revisions and not self._active_reloads:
+                self._deletion_revisions = {
+                    k: r for k, r in self._deletion_revisions.items() if r > store_revision
                 }
 
     # -- all keys -------------------------------------------------------------------------
 
     async def reload(self) -> None:
-        """Read all live keys again; keys that are gone are reported as deleted.
+        """Read all live keys again; listeners see missing keys as deleted.
 
         Raises:
-            StoreUnavailableError: Not all pages were read; the copy is as it was.
+            StoreUnavailableError: Not all pages were read; the cache is unchanged.
         """
-        start = asyncio.get_running_loop().time()
-        self._reloads_under_way += 1
+        started_at = asyncio.get_running_loop().time()
+        self._active_reloads += 1
         try:
             listing = await self._client.list_entries(self.live_prefix)
             self._replace(listing.entries, listing.store_revision)
         finally:
-            self._reloads_under_way -= 1
+            self._active_reloads -= 1
         self._advance(listing.store_revision, [])
-        self.synced_at = max(self.synced_at, start)
+        self.synced_at = max(self.synced_at, started_at)
         self._mark_loaded()
 
     def _replace(self, entries: list[Entry], store_revision: int) -> None:
-        present = {e.key for e in entries}
+        listed_keys = {e.key for e in entries}
         for key in [
-            k for k, e in self._entries.items() if k not in present and e.revision <= store_revision
+            k
+            for k, e in self._entries.items()
+            if k not in listed_keys and e.revision <= store_revision
         ]:
             self.apply(key, None, max(store_revision, self._entries[key].revision + 1))
         for entry in entries:
@@ -191,7 +193,7 @@
     # -- the watch ------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Follow the watch until cancelled; reload where changes were missed."""
+        """Poll the watch until cancelled; reload if changes were missed."""
         retry = RetryDelay()
         while True:
             try:
@@ -199,51 +201,51 @@
                     await self.reload()
                 await self._poll_watch(self._block_s, urgent=True)
                 retry.reset()
-                # A leader at work writes many times a second, and every controller is woken by
-                # each write. The changes made during this pause come with one answer.
+                # The leader writes many times a second, and each write wakes every controller.
+                # Changes made during this pause arrive in one response.
                 await asyncio.sleep(self.watch_pause_s)
             except RevisionCompactedError as exc:
                 log.info("watch fell behind, reading all keys again: %s", exc)
-                self._fall_behind(exc)
+                self._invalidate(exc)
             except StoreUnavailableError as exc:
                 log.debug("watch: %s", exc)
                 await retry.wait()
 
     async def catch_up_to(self, store_revision: int) -> bool:
-        """Catch up to a revision with one request at once; whether the copy has reached it.
+        """Poll at once to reach a revision; returns whether the cache has reached it.
 
-        A read barrier makes callers wait for one another, which spares requests; a failover
-        does not wait for others.
+        A read barrier makes callers wait for one another to save requests; a failover must not
+        wait.
         """
         if self.store_revision < store_revision and self.loaded.is_set():
             try:
                 await self._poll_watch(0.0, urgent=True)
             except RevisionCompactedError as exc:
-                self._fall_behind(exc)
+                self._invalidate(exc)
             except StoreUnavailableError as exc:
                 log.debug("catching up to revision %d: %s", store_revision, exc)
         return self.loaded.is_set() and self.store_revision >= store_revision
 
     async def _poll_watch(self, block_s: float, urgent: bool = False) -> None:
-        """Wait, for `block_s` at most, for changes, and apply them.
+        """Wait for changes, for `block_s` at most, and apply them.
 
         Raises:
-            RevisionCompactedError: All keys are to be read instead.
-            StoreUnavailableError: No answer.
+            RevisionCompactedError: All keys must be read instead.
+            StoreUnavailableError: There was no usable response.
         """
-        start = asyncio.get_running_loop().time()
-        if start - self.synced_at > self._block_s + AWAY_MARGIN_S:
+        started_at = asyncio.get_running_loop().time()
+        if started_at - self.synced_at > self._block_s + DISCONNECTED_MARGIN_S:
             latest = await self._client.latest_revision(self.live_prefix)
             if latest - self.store_revision > MAX_CHANGES_BEHIND:
                 raise TooFarBehindError(self.prefix, self.store_revision, latest)
         since = self.store_revision
         result = await self._client.watch(self.prefix, since, block_s, urgent=urgent)
         if result.store_revision < since:
-            self._notify_gap(WatchGap.WENT_BACK)
+            self._notify_gap(WatchGap.REVISION_DECREASED)
         self._advance(result.store_revision, result.changes)
-        self.synced_at = max(self.synced_at, start)
+        self.synced_at = max(self.synced_at, started_at)
 
-    def _fall_behind(self, error: RevisionCompactedError) -> None:
+    def _invalidate(self, error: RevisionCompactedError) -> None:
         self.loaded.clear()
         far_behind = isinstance(error, TooFarBehindError)
         self._notify_gap(WatchGap.FAR_BEHIND if far_behind else WatchGap.COMPACTED)
@@ -255,10 +257,10 @@
     # -- read barriers --------------------------------------------------------------------
 
     async def read_barrier(self, timeout_s: float = BARRIER_TIMEOUT_S) -> bool:
-        """Wait until the copy holds every change made before this call.
+        """Wait until the cache holds every change made before this call.
 
         Returns:
-            False if the copy is not loaded, or the store did not answer in time.
+            False if the cache is not loaded, or the store did not answer in time.
         """
         if not self.loaded.is_set():
             return False
@@ -284,14 +286,14 @@
                         waiter.set_result(None)
                     else:
                         waiter.set_exception(error)
-            # Under load, wait a little so that one request answers more callers.
+            # Under load, a pause lets one request serve more callers.
             await asyncio.sleep(self.barrier_pause_s)
 
     async def _poll_for_barrier(self) -> StoreUnavailableError | None:
         try:
             await self._poll_watch(0.0)
         except RevisionCompactedError as exc:
-            self._fall_behind(exc)
+            self._invalidate(exc)
             return OutcomeUnknownError("read barrier", str(exc))
         except StoreUnavailableError as exc:
             return exc
--- a/tests/failover/test_standby_properties.py
+++ b/tests/failover/test_standby_properties.py
@@ -178,14 +178,14 @@
 
     def list_entries(self, meanwhile: Callable[[], None], seen: bool = False) -> None:
         first = self.revision
-        self.cache._reloads_under_way += 1
+        self.cache._active_reloads += 1
         entries = [Entry(k, v, r) for k, (v, r) in sorted(self.keys.items()) if "/prog/" not in k]
         meanwhile()
         entries += [Entry(k, v, r) for k, (v, r) in sorted(self.keys.items()) if "/prog/" in k]
         if seen:
             self.watch(self.revision, 0)
         self.cache._replace(entries, first)
-        self.cache._reloads_under_way -= 1
+        self.cache._active_reloads -= 1
         self.cache._advance(first, [])
         self.cache._mark_loaded()
 
--- a/tests/store/test_store_client.py
+++ b/tests/store/test_store_client.py
@@ -66,7 +66,7 @@
         assert type(error) is kind
         assert isinstance(error, StoreUnavailableError)
         assert f"status {status}" in str(error)
-        assert error.answer == f"status {status}"
+        assert error.detail == f"status {status}"
     error = await failure(500, REQUESTS[name])
     assert type(error) is OutcomeUnknownError
     assert "status 500" in str(error)
