--- a/spoolcourse/control/failover/__init__.py
+++ b/spoolcourse/control/failover/__init__.py
@@ -1,1 +1,1 @@
-"""Failover: the warm standby that followers keep, and how a new leader gets its job queue."""
+"""Failover: the followers' warm standby, and how a new leader obtains its job queue."""
--- a/spoolcourse/control/failover/comparison.py
+++ b/spoolcourse/control/failover/comparison.py
@@ -1,4 +1,4 @@
-"""Compares job queues: a shadow's, and one restored from the records."""
+"""Compares a shadow's job queue with one restored from the records."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 
 class ComparedChunk(NamedTuple):
-    """What must be equal of a chunk of tasks."""
+    """The fields of a chunk of tasks that must match."""
 
-    done: int  # bits
+    done: int  # bit set of tasks
     held: dict[int, Assignment]  # by task
     revision: int
     version: int
-    saved: int
+    persisted_version: int
 
 
 class ComparedAttempt(NamedTuple):
-    """What must be equal of an attempt."""
+    """The fields of an attempt that must match."""
 
     task: int
     number: int
@@ -30,7 +30,7 @@
 
 
 def list_differences(left: RestoredJobs, right: RestoredJobs) -> list[str]:
-    """What differs, in words; empty if either can be used in place of the other."""
+    """Describe the differences; empty if the queues are interchangeable."""
     differences: list[str] = []
     left_jobs, right_jobs = left.job_queue.jobs, right.job_queue.jobs
     differences += [
@@ -38,14 +38,14 @@
         for job in sorted(left_jobs.keys() ^ right_jobs.keys())
     ]
     for job in sorted(left_jobs.keys() & right_jobs.keys()):
-        names = _list_job_differences(left_jobs[job], right_jobs[job])
-        differences += [f"{job}: {name}" for name in names]
+        fields = _list_job_differences(left_jobs[job], right_jobs[job])
+        differences += [f"{job}: {field}" for field in fields]
     if set(left.job_queue.pending_final_states) != set(right.job_queue.pending_final_states):
-        differences.append("the jobs whose final state is to be written")
+        differences.append("jobs with a pending final state")
     if set(left.job_queue.pending_writes) != set(right.job_queue.pending_writes):
-        differences.append("the chunks that are to be written")
+        differences.append("chunks with pending writes")
     if set(left.leftover_keys) != set(right.leftover_keys):
-        differences.append("the progress that finished jobs have left behind")
+        differences.append("leftover progress of finished jobs")
     return differences
 
 
@@ -55,11 +55,13 @@
         "chunks": (_chunks(left), _chunks(right)),
         "attempts": (_attempts(left), _attempts(right)),
         "tasks done": (left.done_count, right.done_count),
-        "tasks to be tried again": (left.requeued, right.requeued),
-        "first task that was never assigned": (left.first_unassigned, right.first_unassigned),
-        "tasks that a chunk may hold": (left.max_held_per_chunk, right.max_held_per_chunk),
+        "requeued tasks": (left.requeued, right.requeued),
+        "first unassigned task": (left.first_unassigned, right.first_unassigned),
+        "most held tasks per chunk": (left.max_held_per_chunk, right.max_held_per_chunk),
     }
-    return [name for name, (one, other) in pairs.items() if one != other]
+    return [
+        field for field, (left_value, right_value) in pairs.items() if left_value != right_value
+    ]
 
 
 def _chunks(job_state: JobState) -> dict[int, ComparedChunk]:
--- a/spoolcourse/control/failover/hint_cache.py
+++ b/spoolcourse/control/failover/hint_cache.py
@@ -1,4 +1,4 @@
-"""The hints that a follower keeps, and the checks that a page has to pass."""
+"""A follower's hints, and the checks that a page of hints must pass."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from spoolcourse.control.failover.hint_query import MAX_IMAGES_PER_MACHINE, HintQuery
 from spoolcourse.wire.peers import Hint, HintPage
 
-MAX_HINTS = 20_000  # kept, whatever the leader sends
+MAX_HINTS = 20_000  # in the cache, however many the leader sends
 MAX_NAME_CHARS = 200  # of a machine, an address or an image
 
 
 class HintRejection(Enum):
-    """Why a page of hints is not used. The values are shown in `/status`."""
+    """Why a page of hints was rejected. The values are shown in `/status`."""
 
     MALFORMED = "malformed"
     TOO_LARGE = "too large"
@@ -22,7 +22,7 @@
 
 
 class HintPageRejectedError(Exception):
-    """A page of hints that changes nothing, with what was expected and what came back."""
+    """A page of hints was rejected and nothing changed; names the expected and actual values."""
 
     def __init__(self, rejection: HintRejection, detail: str) -> None:
         super().__init__(f"{rejection.value}: {detail}")
@@ -30,28 +30,28 @@
 
 
 class HintCache:
-    """The hints of one term, as far as the leader's pages have been read."""
+    """The hints of one term, from the leader's pages read so far."""
 
     def __init__(self) -> None:
         self._hints: dict[str, Hint] = {}  # by machine
         self._term = 0
-        self.leader_revision = -1  # of the key-value store, as the latest page names it
+        self.leader_revision = -1  # of the key-value store, from the latest page
         self.rejections: Counter[HintRejection] = Counter()
 
     def __len__(self) -> int:
-        """The number of workers that there are hints of."""
+        """The number of workers with a hint."""
         return len(self._hints)
 
     def for_term(self, term: int) -> list[Hint]:
-        """The hints of a term's leader; empty if those of another term are kept."""
+        """The hints from a term's leader; empty if the cache holds those of another term."""
         return list(self._hints.values()) if term == self._term else []
 
     def accept_page(self, page: HintPage, leader: str, query: HintQuery, known_term: int) -> None:
-        """Replace the hints that the page covers by those in it.
+        """Replace the hints in the range that the page covers with those in it.
 
-        `leader` and `query` are the controller's label and the query that were asked; `known_term`
-        is the latest term that this controller knows of. Raises `HintPageRejectedError` and counts
-        it if the page can't be the answer.
+        `leader` is the label of the controller that was asked, `query` the query sent to it, and
+        `known_term` the latest term that this controller knows. Counts a page that can't be the
+        response, and raises `HintPageRejectedError`.
         """
         try:
             _check_origin(page, leader, max(known_term, self._term))
@@ -67,11 +67,11 @@
         self._replace_covered(page, query.after)
 
     def count_rejection(self, rejection: HintRejection) -> None:
-        """Count a page that is not used."""
+        """Count a rejected page."""
         self.rejections[rejection] += 1
 
     def _replace_covered(self, page: HintPage, after: str) -> None:
-        """A page is complete for the names from `after` to its last one, or to the end."""
+        """Replace hints from `after` to the page's last name; the last page covers all the rest."""
         last = page.hints[-1].machine if page.has_next and page.hints else None
         for name in [n for n in self._hints if n > after and (last is None or n <= last)]:
             del self._hints[name]
@@ -80,18 +80,18 @@
                 self._hints[hint.machine] = hint
 
 
-def _check_origin(page: HintPage, leader: str, least_term: int) -> None:
+def _check_origin(page: HintPage, leader: str, min_term: int) -> None:
     if page.leader != leader:
         detail = f"asked {leader}, answered by {page.leader[:MAX_NAME_CHARS]!r}"
         raise HintPageRejectedError(HintRejection.NOT_THE_LEADER, detail)
-    if page.term < least_term:
-        detail = f"term {page.term}, at least {least_term} expected"
+    if page.term < min_term:
+        detail = f"term {page.term}, at least {min_term} expected"
         raise HintPageRejectedError(HintRejection.LOWER_TERM, detail)
 
 
 def _check_size(page: HintPage, query: HintQuery) -> None:
     if len(page.hints) > query.max_machines:
-        detail = f"{len(page.hints)} hints, at most {query.max_machines} asked for"
+        detail = f"{len(page.hints)} hints, at most {query.max_machines} requested"
         raise HintPageRejectedError(HintRejection.TOO_LARGE, detail)
     if any(_is_too_large(hint) for hint in page.hints):
         detail = f"over {MAX_IMAGES_PER_MACHINE} images or {MAX_NAME_CHARS} characters in a hint"
@@ -108,5 +108,5 @@
 
 
 def _is_too_large(hint: Hint) -> bool:
-    longest = max(len(hint.machine), len(hint.address), *map(len, hint.images), 0)
-    return len(hint.images) > MAX_IMAGES_PER_MACHINE or longest > MAX_NAME_CHARS
+    longest_name = max(len(hint.machine), len(hint.address), *map(len, hint.images), 0)
+    return len(hint.images) > MAX_IMAGES_PER_MACHINE or longest_name > MAX_NAME_CHARS
--- a/spoolcourse/control/failover/hint_loop.py
+++ b/spoolcourse/control/failover/hint_loop.py
@@ -1,7 +1,7 @@
-"""A follower's requests for hints.
+"""A follower's loop that requests hints from the leader.
 
-It asks page by page, so a page that is lost is asked for again, and a leader whose version does
-not know the query (404) costs nothing.
+It requests one page at a time, so a lost page is requested again, and a leader of a version
+without hints (404) costs nothing.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 log = logging.getLogger(__name__)
 
 NEXT_PAGE_DELAY_S = 0.2
-UNSUPPORTED_DELAY_S = 30.0  # until a leader of a version without hints is asked again
+UNSUPPORTED_DELAY_S = 30.0  # before a leader of a version without hints is asked again
 REQUEST_TIMEOUT_S = 1.0
 
 
 class HintLoop:
-    """Asks the leader for one page at a time."""
+    """Requests pages of hints from the leader, one at a time."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         hint_cache: HintCache,
         leader_label: Callable[[], str | None],
     ) -> None:
-        """`leader_label`: the label of the controller that leads; None if none is known."""
+        """`leader_label` returns the leader's label; None if no leader is known."""
         self._http_client = context.http_client
         self._watch_cache = context.watch_cache
         self._peers = {peer.label: peer for peer in context.peers}
@@ -51,7 +51,7 @@
         self._next_page_after = ""
 
     async def run(self) -> None:
-        """Ask periodically until cancelled; a controller that leads itself asks nobody."""
+        """Request pages periodically until cancelled; the leader itself requests none."""
         while True:
             leader = self._peers.get(self._leader_label() or "")
             delay_s = self._settings.hint_period_s
@@ -60,7 +60,7 @@
             await asyncio.sleep(delay_s)
 
     async def _request_page(self, leader: Seed) -> float:
-        """Ask for the next page; returns the seconds to wait before the one after it."""
+        """Request the next page; returns the seconds to wait before the following request."""
         query = HintQuery(self._next_page_after, self._settings.hint_machines)
         self._next_page_after = ""
         try:
--- a/spoolcourse/control/failover/hint_page.py
+++ b/spoolcourse/control/failover/hint_page.py
@@ -1,8 +1,8 @@
-"""A leader's answer to a query for hints.
+"""A leader's response to a query for hints.
 
-Hints describe the workers that a leader knows, so that the next leader's first placement pass is
-better. They never prove that an attempt has ended, and no machine is known by them alone: a worker
-that they name is asked for its own heartbeat.
+Hints describe the workers that a leader knows, which improves the next leader's first placement
+pass. They never prove that an attempt has ended, and a hint alone does not make a machine known:
+the worker that it names is asked for a heartbeat.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 def build_hint_page(
     registry: WorkerRegistry, label: str, store_revision: int, query: str
 ) -> HintPage:
-    """The page that a follower asks for; raises `MalformedError` for a query out of range.
+    """Build the page for a follower's query; raises `MalformedError` if that is out of range.
 
-    `label` is this controller's; `store_revision` is how far it has read the key-value store.
+    `label` is this controller's label; `store_revision` is the store revision that it has read.
     """
-    wanted = HintQuery.parse(query)
+    page_query = HintQuery.parse(query)
     confirmed = (
         name
         for name, machine in registry.machines.items()
-        if name > wanted.after and machine.confirmed
+        if name > page_query.after and machine.confirmed
     )
-    names = nsmallest(wanted.max_machines + 1, confirmed)  # one more shows whether a page follows
-    hints = [_hint_of(registry.machines[name]) for name in names[: wanted.max_machines]]
-    has_next = len(names) > wanted.max_machines
+    names = nsmallest(page_query.max_machines + 1, confirmed)  # one more shows if a page follows
+    hints = [_build_hint(registry.machines[name]) for name in names[: page_query.max_machines]]
+    has_next = len(names) > page_query.max_machines
     return HintPage(registry.fencing_token, label, store_revision, hints, has_next)
 
 
-def _hint_of(machine: Machine) -> Hint:
+def _build_hint(machine: Machine) -> Hint:
     latest_images = islice(reversed(machine.images.items()), MAX_IMAGES_PER_MACHINE)
     return Hint(machine.id, machine.address, machine.incarnation, dict(latest_images))
--- a/spoolcourse/control/failover/hint_query.py
+++ b/spoolcourse/control/failover/hint_query.py
@@ -1,4 +1,4 @@
-"""The query for a page of hints, and the limits that leader and followers keep to."""
+"""The query for a page of hints, and the limits that the leader and followers apply."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 from spoolcourse.wire import paths
 from spoolcourse.wire.messages import MalformedError
 
-MAX_MACHINES_PER_PAGE = 500  # whatever is asked for
+MAX_MACHINES_PER_PAGE = 500  # the leader rejects queries for more
 MAX_IMAGES_PER_MACHINE = 16  # the most recently used
 
 
 class HintQuery(NamedTuple):
-    """Which part of the leader's machines a page is to cover."""
+    """The range of the leader's machines that a page covers."""
 
-    after: str  # the machine's name that the page before ended with; "" for the first page
+    after: str  # the last machine of the previous page; "" for the first page
     max_machines: int
 
     @property
     def path(self) -> str:
-        """The path of the request, with the query."""
+        """The request's path with the query."""
         return f"{paths.HINTS}?after={quote(self.after)}&most={self.max_machines}"
 
     @classmethod
     def parse(cls, query: str) -> Self:
-        """The query that a follower has sent; raises `MalformedError` if it is out of range."""
+        """Parse a follower's query; raises `MalformedError` if it is out of range."""
         fields = parse_qs(query)
         after, most = fields.get("after", [""])[0], fields.get("most", [""])[0]
         if not most.isascii() or not most.isdigit() or not 1 <= int(most) <= MAX_MACHINES_PER_PAGE:
--- a/spoolcourse/control/failover/leadership_transfer.py
+++ b/spoolcourse/control/failover/leadership_transfer.py
@@ -13,16 +13,16 @@
 
 
 class PeerIneligibility(Enum):
-    """Why a controller can't succeed the leader."""
+    """Why a controller is not an eligible successor."""
 
-    NO_REPLY = "no reply"  # or a version that does not know the question
+    NO_REPLY = "no reply"  # or a version without the standby query
     NOT_CAUGHT_UP = "not caught up"
-    OTHER_TERM = "other term"  # it has not heard of this term, or has heard of a later one
+    OTHER_TERM = "other term"  # it does not know this term yet, or knows a later one
 
 
 @dataclass(frozen=True, slots=True)
 class IneligiblePeer:
-    """A controller that can't succeed the leader, with its reply if there was one."""
+    """A controller that is not an eligible successor, with its reply if there was one."""
 
     label: str
     ineligibility: PeerIneligibility
@@ -30,7 +30,7 @@
     reply: StandbyReply | None = None
 
     def __str__(self) -> str:
-        """The text for the operator who asked for the transfer."""
+        """The text for the operator who requested the transfer."""
         if self.reply is None:
             return f"{self.label} does not answer"
         if self.ineligibility is PeerIneligibility.NOT_CAUGHT_UP:
@@ -39,7 +39,7 @@
 
 
 class TransferRefusal(Enum):
-    """Why the leader goes on leading. The values are shown to the operator."""
+    """Why leadership was not transferred. The values are shown to the operator."""
 
     LEASE_UNCERTAIN = "this controller is not sure to lead"
     NO_SUCCESSOR = "no standby is caught up"
@@ -52,18 +52,18 @@
     def __init__(
         self, refusal: TransferRefusal, ineligible_peers: Sequence[IneligiblePeer] = ()
     ) -> None:
-        text = refusal.value
+        message = refusal.value
         if refusal is TransferRefusal.NO_SUCCESSOR:
-            text += ": " + ("; ".join(map(str, ineligible_peers)) or "no peers")
-        super().__init__(text)
+            message += ": " + ("; ".join(map(str, ineligible_peers)) or "no peers")
+        super().__init__(message)
         self.refusal = refusal
         self.ineligible_peers = ineligible_peers
 
 
 async def transfer_leadership(context: ControllerContext, leadership: Leadership) -> HandoverReply:
-    """Step down if at least one other controller is caught up; which one leads is elected.
+    """Step down if another controller is caught up; an election decides which one leads next.
 
-    Raises `LeadershipTransferRefusedError` if there is none, or this controller does not lead.
+    Raises `LeadershipTransferRefusedError` if none is, or if this controller does not lead.
     """
     term = leadership.term
     if term is None or not leadership.holds_lease():
--- a/spoolcourse/control/failover/shadow_job_queue.py
+++ b/spoolcourse/control/failover/shadow_job_queue.py
@@ -1,8 +1,8 @@
-"""A job queue that is kept in line with the records change by change.
+"""A copy of the job queue, updated with each change of the records.
 
 At any moment it equals what a restore from the records would build: the same jobs, progress and
-attempts. Applying a change costs no more than the chunk of tasks that it names, however large fleet
-and backlog are.
+attempts. The cost of a change is bounded by the chunk of tasks that it names, whatever the size of
+the fleet and the backlog.
 """
 
 from __future__ import annotations
@@ -28,29 +28,29 @@
 
 
 class InconsistentChangeError(Exception):
-    """A change that can't follow from what is known: an earlier one was missed."""
+    """A change contradicts the shadow: an earlier change was missed."""
 
     def __init__(self, subject: str, problem: str) -> None:
         super().__init__(f"{subject} {problem}")
-        self.subject = subject  # the job, progress key or term that the change is about
+        self.subject = subject  # the changed job, progress key or term
         self.problem = problem
 
 
 @dataclass(slots=True)
 class TeamUsage:
-    """What a team's attempts hold on all machines."""
+    """Resources that a team's attempts use on all machines."""
 
     cpus: float = 0.0
     gpus: float = 0.0
 
 
 class ShadowJobQueue:
-    """Jobs, progress, attempts and what teams use, as the changes applied so far show them."""
+    """Jobs, progress, attempts and usage by team, from the changes applied so far."""
 
     def __init__(self, context: ControllerContext) -> None:
         self._clock = context.clock
         self._job_queue = empty_job_queue(context)
-        # Progress whose job is not live: left over from a finished job, or read before its job.
+        # Progress without a live job: left over from a finished job, or read before its job.
         self._orphaned_chunks: defaultdict[str, dict[int, Chunk]] = defaultdict(dict)
         self._term = 0
         self.attempt_count = 0
@@ -58,11 +58,11 @@
 
     @property
     def job_count(self) -> int:
-        """How many jobs are live."""
+        """The number of live jobs."""
         return len(self._job_queue.jobs)
 
     def load(self, entries: Iterable[Entry]) -> None:
-        """Apply all records to an empty queue; raises what `apply` raises."""
+        """Apply all records to an empty queue; raises as `apply` does."""
         for entry in entries:
             self.apply(entry.key, entry.value, entry.revision)
 
@@ -81,9 +81,9 @@
             self._apply_term(value)
 
     def as_restored(self) -> RestoredJobs:
-        """The job queue as a restore would build it now: ages of attempts count from this call.
+        """The job queue as a restore would build it now: attempt ages count from this call.
 
-        It is not copied: once a leader changes it, no further change must be applied here.
+        The queue is not copied: after a leader modifies it, apply no further changes here.
         """
         now = self._clock()
         for job_state in self._job_queue.jobs.values():
@@ -153,9 +153,9 @@
             del self._orphaned_chunks[job]
 
     def _replace_chunk(self, job_state: JobState, chunk: Chunk) -> None:
-        before = len(job_state.attempts)
+        attempts_before = len(job_state.attempts)
         self._job_queue.apply_recorded_chunk(job_state, chunk, self._clock())
-        self._add_to_usage(job_state, len(job_state.attempts) - before)
+        self._add_to_usage(job_state, len(job_state.attempts) - attempts_before)
         self._update_finished(job_state)
 
     def _update_finished(self, job_state: JobState) -> None:
@@ -164,12 +164,12 @@
         else:
             self._job_queue.pending_final_states.pop(job_state.id, None)
 
-    def _add_to_usage(self, job_state: JobState, attempts: int) -> None:
+    def _add_to_usage(self, job_state: JobState, added_attempts: int) -> None:
         submission = job_state.record.submission
         usage = self.team_usage[submission.team]
-        usage.cpus += attempts * submission.cpus
-        usage.gpus += attempts * submission.gpus
-        self.attempt_count += attempts
+        usage.cpus += added_attempts * submission.cpus
+        usage.gpus += added_attempts * submission.gpus
+        self.attempt_count += added_attempts
 
 
 def _check_same_job(known: JobRecord, changed: JobRecord) -> None:
@@ -177,20 +177,20 @@
     job = known.submission.id
     known_identity = (known.submission, known.accepted_at, known.tasks_per_chunk)
     if known_identity != (changed.submission, changed.accepted_at, changed.tasks_per_chunk):
-        raise InconsistentChangeError(job, "is another job than before")
+        raise InconsistentChangeError(job, "differs from the job known under this id")
     if known.cancelled and not changed.cancelled:
-        raise InconsistentChangeError(job, "was cancelled, and is not any more")
+        raise InconsistentChangeError(job, "is no longer cancelled")
 
 
 def _check_progress(job_state: JobState, chunk: Chunk) -> None:
-    """Every task belongs to its chunk, and results are never lost."""
+    """Tasks belong to their chunk, and results are never lost."""
     record = job_state.record
     key = progress_key(job_state.id, chunk.index)
-    first = chunk.index * record.tasks_per_chunk
-    tasks = min(record.tasks_per_chunk, record.submission.task_count - first)
-    if not 0 <= chunk.index < record.chunk_count or chunk.progress.done >> tasks:
+    first_task = chunk.index * record.tasks_per_chunk
+    task_count = min(record.tasks_per_chunk, record.submission.task_count - first_task)
+    if not 0 <= chunk.index < record.chunk_count or chunk.progress.done >> task_count:
         raise InconsistentChangeError(key, "is beyond the job's tasks")
-    if any(not first <= task < first + tasks for task in chunk.progress.held):
+    if any(not first_task <= task < first_task + task_count for task in chunk.progress.held):
         raise InconsistentChangeError(key, "holds a task of another chunk")
     known = job_state.chunks.get(chunk.index)
     if known is not None and known.progress.done & ~chunk.progress.done:
--- a/spoolcourse/control/failover/shadow_reload_loop.py
+++ b/spoolcourse/control/failover/shadow_reload_loop.py
@@ -1,4 +1,4 @@
-"""Reads all keys again when a shadow can't be trusted and the watch does not do so by itself."""
+"""Reloads the watch cache when a shadow is stale and the cache does not reload by itself."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 log = logging.getLogger(__name__)
 
-RELOAD_PAUSE_S = 5.0  # between reads for a shadow that stays stale
+RELOAD_PAUSE_S = 5.0  # between reloads, for a shadow that stays stale
 
 
 class ShadowReloadLoop:
-    """Reloads the watch cache on request, which in turn has the shadow rebuilt."""
+    """Reloads the watch cache on request, which makes the warm standby rebuild its shadow."""
 
     def __init__(self, watch_cache: WatchCache) -> None:
         self._watch_cache = watch_cache
         self._requested = asyncio.Event()
 
     def request(self) -> None:
-        """Have all keys read; requests before the read is done count as one."""
+        """Request a reload; requests made before it is done count as one."""
         self._requested.set()
 
     async def run(self) -> None:
-        """Read whenever it is requested, until cancelled."""
+        """Reload on request, until cancelled."""
         retry = RetryDelay()
         while True:
             await self._requested.wait()
--- a/spoolcourse/control/failover/shadow_status.py
+++ b/spoolcourse/control/failover/shadow_status.py
@@ -1,4 +1,4 @@
-"""What a warm standby says of its shadow, to operators and to the leader."""
+"""The state of a warm standby's shadow, as shown to operators and to the leader."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
     """Whether a failover can use the shadow. The values are shown in `/status` and to peers."""
 
     USABLE = "fit"
-    STALE = "unfit"  # changes were missed: it is rebuilt from a read of all keys
-    LEADING = "leading"  # this controller leads with the job queue
+    STALE = "unfit"  # changes were missed; rebuilt after a reload of all keys
+    LEADING = "leading"  # this controller leads and uses the job queue
 
 
 @dataclass(slots=True)
@@ -19,11 +19,11 @@
     """The state of the shadow and its history in this process."""
 
     state: ShadowState = ShadowState.STALE
-    stale_reason: str = "the state service has not been read yet"
+    stale_reason: str = "the key-value store has not been read yet"
     rebuilds: int = 0
-    mismatches: int = 0  # failovers whose shadow differed from a restore, where that is verified
+    mismatches: int = 0  # failovers whose shadow differed from a restore, if verified
 
     def record_mismatch(self) -> None:
-        """The shadow differed from a restore from the records."""
+        """Record that the shadow differed from a restore."""
         self.mismatches += 1
         self.stale_reason = "it differs from the records"
--- a/spoolcourse/control/failover/standby_readiness.py
+++ b/spoolcourse/control/failover/standby_readiness.py
@@ -1,4 +1,4 @@
-"""Whether a follower is ready for a failover, for the election, operators and the leader."""
+"""A follower's readiness for a failover, for the election, operators and the leader."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class StandbyReadiness:
-    """Judges the shadow by its state, and by how recently the key-value store was heard."""
+    """Assesses readiness by the shadow's state and the age of the store's last response."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
 
     @property
     def silence_s(self) -> float:
-        """Seconds since the key-value store last answered, if only that nothing has changed."""
+        """Seconds since the key-value store's last response, with or without changes."""
         return self._clock() - self._watch_cache.synced_at
 
     @property
@@ -38,11 +38,11 @@
         return is_usable and self.silence_s <= self._settings.behind_s
 
     def candidacy_delay_s(self) -> float:
-        """How many seconds to let other controllers stand for election first."""
+        """Seconds to wait before a candidacy, so that other controllers may stand first."""
         return 0.0 if self.caught_up else self._settings.defer_s
 
     def reply(self) -> StandbyReply:
-        """The reply to a leader that looks for a successor."""
+        """The reply to a leader that looks for a successor to transfer leadership to."""
         term = known_term_number(self._watch_cache)
         revision = self._watch_cache.store_revision
         if self.caught_up:
@@ -52,7 +52,7 @@
     def _not_caught_up_reason(self) -> str:
         status = self._shadow_status
         if status.state is ShadowState.USABLE:
-            return f"it has not heard of the state service for {self.silence_s:.1f} s"
+            return f"the key-value store has not answered it for {self.silence_s:.1f} s"
         reason = f"its shadow is {status.state.value}"
         if status.state is ShadowState.STALE:
             reason += f": {status.stale_reason}"
--- a/spoolcourse/control/failover/strategies.py
+++ b/spoolcourse/control/failover/strategies.py
@@ -1,4 +1,4 @@
-"""A new leader's first step: the proof of the failover, and the job queue to lead with."""
+"""A new leader's first step: the failover proof and the job queue."""
 
 from __future__ import annotations
 
@@ -33,20 +33,20 @@
 
 @dataclass(frozen=True, slots=True)
 class FailoverResult:
-    """What a leader starts with."""
+    """The state that a new leader starts with."""
 
     proof: FailoverProof
     restored: RestoredJobs
-    hints: list[Hint] = field(default_factory=list)  # from the leader of the term before
+    hints: list[Hint] = field(default_factory=list)  # from the previous term's leader
 
 
 class FailoverStrategy(Protocol):
-    """How a new leader gets its proof and its job queue."""
+    """How a new leader obtains its failover proof and job queue."""
 
     async def run(self, term: Term) -> FailoverResult:
-        """Catch up to the claim of the term and prove it; retried until the term ends.
+        """Catch up to the term's claim and prove the failover; retried until the term ends.
 
-        Raises `TermSupersededError` if the claim is not the latest one that is known.
+        Raises `TermSupersededError` if the claim is not the latest known one.
         """
         ...
 
@@ -73,7 +73,7 @@
 
 
 class FailoverFromShadow:
-    """One request that catches up to the claim; the shadow then equals a restore."""
+    """Catches up to the claim with one request; the shadow then equals a restore."""
 
     def __init__(
         self, context: ControllerContext, standby: WarmStandby, settings: StandbySettings
@@ -88,11 +88,11 @@
         retry = RetryDelay()
         while not await watch_cache.catch_up_to(term.revision):
             await retry.wait()
-        # From here on nothing is awaited: no change comes between the comparison and the result.
+        # No await from here on: no change may come between the comparison and the result.
         differences = self._shadow_differences()
         is_usable = self._standby.shadow is not None and not differences
         source = ProofSource.SHADOW if is_usable else ProofSource.RECORDS
-        # Before the job queue is detached: a superseded controller keeps its shadow.
+        # Proven before the job queue is detached, so that a superseded controller keeps its shadow.
         proof = FailoverProof(term, watch_cache, source)
         restored = self._standby.detach_job_queue()
         if differences:
@@ -105,7 +105,7 @@
         return _complete(self._context, proof, restored, hints)
 
     def _shadow_differences(self) -> list[str]:
-        """How the shadow differs from a restore; empty if there is none or it is not verified."""
+        """Differences from a restore; empty without a shadow or with verification off."""
         shadow = self._standby.shadow
         if shadow is None or not self._verifies_shadow:
             return []
@@ -120,6 +120,6 @@
 def _complete(
     context: ControllerContext, proof: FailoverProof, restored: RestoredJobs, hints: list[Hint]
 ) -> FailoverResult:
-    """The end of every failover."""
+    """Restore waiting times and build the result; the last step of every strategy."""
     restore_waiting_times(context, restored.job_queue)
     return FailoverResult(proof, restored, hints)
--- a/spoolcourse/control/failover/warm_standby.py
+++ b/spoolcourse/control/failover/warm_standby.py
@@ -1,4 +1,4 @@
-"""A follower's warm standby: a shadow of the job queue that a failover can start from."""
+"""A follower's warm standby: a shadow of the job queue, which a failover can start from."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 log = logging.getLogger(__name__)
 
-# Inconsistent with what is known, or a record that can't be read.
+# The change is inconsistent with the shadow, or the record can't be read.
 UNUSABLE_CHANGE_ERRORS = (InconsistentChangeError, ValueError, KeyError, TypeError)
 
 
 class WarmStandby:
-    """Keeps a shadow while this controller follows, and gives it up when it is elected."""
+    """Keeps a shadow while this controller is a follower, and detaches it at its election."""
 
     def __init__(self, context: ControllerContext, settings: StandbySettings) -> None:
         self._context = context
@@ -41,7 +41,7 @@
         return self._shadow
 
     async def run(self) -> None:
-        """Read all keys again when the shadow can't be trusted, until cancelled."""
+        """Reload all keys whenever a stale shadow requires it, until cancelled."""
         await self._reload_loop.run()
 
     # -- changes --------------------------------------------------------------------------
@@ -52,7 +52,7 @@
         try:
             self._shadow.apply(key, value, revision)
         except UNUSABLE_CHANGE_ERRORS as exc:
-            self._mark_stale(f"a change does not fit: {exc}")
+            self._mark_stale(f"a change can't be applied: {exc}")
             self._reload_loop.request()
 
     def on_watch_gap(self, gap: WatchGap) -> None:
@@ -61,7 +61,7 @@
             return
         self._mark_stale(gap.value)
         if gap is WatchGap.REVISION_DECREASED:
-            self._reload_loop.request()  # after other gaps the watch cache reads all keys by itself
+            self._reload_loop.request()  # after other gaps the watch cache reloads by itself
 
     def _mark_stale(self, reason: str) -> None:
         if self.status.state is not ShadowState.STALE:
@@ -75,14 +75,14 @@
         self._rebuild()
 
     def _rebuild(self) -> None:
-        """Build a new shadow from the records that the watch cache holds."""
+        """Build a new shadow from the records in the watch cache."""
         if self.status.state is ShadowState.LEADING:
             return
         shadow = ShadowJobQueue(self._context)
         try:
             shadow.load(self._watch_cache.entries_below(self._watch_cache.live_prefix))
         except UNUSABLE_CHANGE_ERRORS as exc:
-            self._mark_stale(f"the records do not fit: {exc}")
+            self._mark_stale(f"the records can't be loaded: {exc}")
             return
         self._shadow = shadow
         self.status.state = ShadowState.USABLE
@@ -97,20 +97,20 @@
     # -- terms of this controller ---------------------------------------------------------
 
     def detach_job_queue(self) -> RestoredJobs | None:
-        """The job queue for the term that begins; None if the shadow is stale.
+        """Hand over the job queue for the term that begins; None if the shadow is stale.
 
-        No shadow is kept during the term: the leader's own job queue is ahead of the records.
+        There is no shadow during the term: the leader's job queue is ahead of the records.
         """
         shadow, self._shadow = self._shadow, None
         self.status.state = ShadowState.LEADING
         return shadow.as_restored() if shadow is not None else None
 
     def resume_shadowing(self) -> None:
-        """Keep a shadow again, as the term of this controller is over."""
+        """Keep a shadow again after this controller's term."""
         if self.status.state is not ShadowState.LEADING:
             return
         self.status.state = ShadowState.STALE
         if self._watch_cache.loaded.is_set():
             self._rebuild()
         else:
-            self.status.stale_reason = "the keys are being read anew"
+            self.status.stale_reason = "all keys are being read again"
