--- a/spoolcourse/control/failover/shadow_job_queue.py
+++ b/spoolcourse/control/failover/shadow_job_queue.py
@@ -177,9 +177,9 @@
     job = known.submission.id
     known_identity = (known.submission, known.accepted_at, known.tasks_per_chunk)
     if known_identity != (changed.submission, changed.accepted_at, changed.tasks_per_chunk):
-        raise InconsistentChangeError(job, "differs from the job known under this id")
+        raise InconsistentChangeError(job, "is another job than before")
     if known.cancelled and not changed.cancelled:
-        raise InconsistentChangeError(job, "is no longer cancelled")
+        raise InconsistentChangeError(job, "was cancelled, and is not any more")
 
 
 def _check_progress(job_state: JobState, chunk: Chunk) -> None:
--- a/spoolcourse/control/failover/shadow_status.py
+++ b/spoolcourse/control/failover/shadow_status.py
@@ -19,7 +19,7 @@
     """The state of the shadow and its history in this process."""
 
     state: ShadowState = ShadowState.STALE
-    stale_reason: str = "the key-value store has not been read yet"
+    stale_reason: str = "the state service has not been read yet"
     rebuilds: int = 0
     mismatches: int = 0  # failovers whose shadow differed from a restore, if verified
 
--- a/spoolcourse/control/failover/standby_readiness.py
+++ b/spoolcourse/control/failover/standby_readiness.py
@@ -52,7 +52,7 @@
     def _not_caught_up_reason(self) -> str:
         status = self._shadow_status
         if status.state is ShadowState.USABLE:
-            return f"the key-value store has not answered it for {self.silence_s:.1f} s"
+            return f"it has not heard of the state service for {self.silence_s:.1f} s"
         reason = f"its shadow is {status.state.value}"
         if status.state is ShadowState.STALE:
             reason += f": {status.stale_reason}"
--- a/spoolcourse/control/failover/warm_standby.py
+++ b/spoolcourse/control/failover/warm_standby.py
@@ -52,7 +52,7 @@
         try:
             self._shadow.apply(key, value, revision)
         except UNUSABLE_CHANGE_ERRORS as exc:
-            self._mark_stale(f"a change can't be applied: {exc}")
+            self._mark_stale(f"a change does not fit: {exc}")
             self._reload_loop.request()
 
     def on_watch_gap(self, gap: WatchGap) -> None:
@@ -82,7 +82,7 @@
         try:
             shadow.load(self._watch_cache.entries_below(self._watch_cache.live_prefix))
         except UNUSABLE_CHANGE_ERRORS as exc:
-            self._mark_stale(f"the records can't be loaded: {exc}")
+            self._mark_stale(f"the records do not fit: {exc}")
             return
         self._shadow = shadow
         self.status.state = ShadowState.USABLE
@@ -113,4 +113,4 @@
         if self._watch_cache.loaded.is_set():
             self._rebuild()
         else:
-            self.status.stale_reason = "all keys are being read again"
+            self.status.stale_reason = "the keys are being read anew"
--- a/spoolcourse/control/store/watch_cache.py
+++ b/spoolcourse/control/store/watch_cache.py
@@ -50,9 +50,9 @@
 class WatchGap(Enum):
     """Why changes since the last response are missing or unreliable."""
 
-    COMPACTED = "the key-value store no longer has the changes"
-    FAR_BEHIND = "too many changes to apply one by one"
-    REVISION_DECREASED = "the key-value store answered with an earlier revision"
+    COMPACTED = "the state service no longer keeps the changes"
+    FAR_BEHIND = "too many changes to be taken in one by one"
+    REVISION_DECREASED = "the state service answered with an earlier revision"
 
 
 class WatchObserver(Protocol):
