--- a/spoolcourse/control/cloud/catalog.py
+++ b/spoolcourse/control/cloud/catalog.py
@@ -1,7 +1,7 @@
-"""The machine types and their prices, read from the cloud periodically.
+"""Reads the machine types and their prices from the cloud periodically.
 
-While the cloud is out, a controller that starts takes submissions by the stored copy of the types
-(`stored_catalog`).
+A controller that starts during an outage of the cloud accepts submissions based on the stored
+copy of the types (`stored_catalog`).
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 
 log = logging.getLogger(__name__)
 
-# Between reads: prices move, and only the leader rents by them.
-LEADER_PERIOD_S = 20.0
-FOLLOWER_PERIOD_S = 60.0
-RETRY_S = 1.0  # after a failed read: without the types no submission can be accepted
-STORE_RETRY_S = 5.0  # after a failed write of the stored copy
-JITTER = (0.8, 1.2)  # times the pause, so that the controllers don't read at the same time
+# Prices change, and only the leader provisions machines by price.
+LEADER_READ_PERIOD_S = 20.0
+FOLLOWER_READ_PERIOD_S = 60.0
+READ_RETRY_S = 1.0  # without the types no submission can be accepted
+WRITE_RETRY_S = 5.0  # for the stored copy
+PAUSE_JITTER_FACTORS = (0.8, 1.2)  # so that the controllers don't all read at the same time
 
 
 class CatalogLoop:
-    """Keeps the machine types current, and as the leader the stored copy of them."""
+    """Keeps the machine types current; on the leader also their stored copy."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
     ) -> None:
         self._cloud = cloud
         self._leadership = leadership
-        self._stored = StoredCatalog(client, watch_cache, leadership)
+        self._stored_catalog = StoredCatalog(client, watch_cache, leadership)
         self.machine_types: dict[str, MachineType] = {}  # by name; empty until the first read
         watch_cache.add_listener(self._on_change)
 
@@ -51,30 +51,32 @@
         """Run until cancelled."""
         while True:
             pause_s = await self._refresh()
-            await asyncio.sleep(pause_s * random.uniform(*JITTER))
+            await asyncio.sleep(pause_s * random.uniform(*PAUSE_JITTER_FACTORS))
 
     async def _refresh(self) -> float:
-        """Read the catalog and store what has changed; returns the pause until the next read."""
+        """Read the catalog and store it if it changed; return the pause until the next read."""
         try:
             catalog = await self._cloud.fetch_catalog()
             self._set_machine_types(catalog)
-            await self._stored.update(catalog)
+            await self._stored_catalog.update(catalog)
         except CloudError as exc:
-            log.info("catalog not read: %s", exc)
-            return RETRY_S
+            log.info("reading the catalog failed: %s", exc)
+            return READ_RETRY_S
         except StoreUnavailableError as exc:
-            log.debug("catalog not stored: %s", exc)
-            return STORE_RETRY_S
-        return LEADER_PERIOD_S if self._leadership.term else FOLLOWER_PERIOD_S
+            log.debug("storing the catalog failed: %s", exc)
+            return WRITE_RETRY_S
+        return LEADER_READ_PERIOD_S if self._leadership.term else FOLLOWER_READ_PERIOD_S
 
     def _on_change(self, key: str, value: Any, revision: int) -> None:
-        """A key has changed: the stored copy counts until the cloud's catalog was read."""
+        """Use the stored copy, on a change of its key, until the cloud's catalog has been read."""
         if key != CATALOG_KEY or value is None or self.machine_types:
             return
         try:
             self._set_machine_types(parse(value, Catalog))
         except MalformedError as exc:
-            log.error("stored catalog malformed: %s", exc)  # noqa: TRY400 - the message says it all
+            log.error("stored catalog is malformed: %s", exc)  # noqa: TRY400 - no traceback needed
 
     def _set_machine_types(self, catalog: Catalog) -> None:
-        self.machine_types = {kind.name: kind for kind in catalog.machine_types}
+        self.machine_types = {
+            machine_type.name: machine_type for machine_type in catalog.machine_types
+        }
--- a/spoolcourse/control/cloud/client.py
+++ b/spoolcourse/control/cloud/client.py
@@ -1,4 +1,4 @@
-"""Client of the cloud's API, within this controller's share of the request rate limit."""
+"""Client of the cloud API that stays within this controller's share of the rate limit."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
     parse,
 )
 
-TIMEOUT_S = 4.0
-LEADER_RATE_SHARE = 0.8  # of the request rate limit
-QUEUE_MAX_S = 10.0  # a request that would wait longer for the budget is not sent
+REQUEST_TIMEOUT_S = 4.0
+LEADER_RATE_LIMIT_SHARE = 0.8  # of the request rate limit
+BUDGET_WAIT_MAX_S = 10.0  # a request that would wait longer for the rate limit is not sent
 
 OK = 200
 TOO_MANY_REQUESTS = 429
@@ -38,49 +38,51 @@
 
 
 def max_provisions(rps: float) -> int:
-    """How many machines to ask for at a time: what about a second of requests can rent.
+    """Machines to request at a time: as many as one second of requests can provision.
 
     `rps` is the request rate limit of the cloud, per second.
     """
-    return PROVISION_MAX * max(1, int(rps * LEADER_RATE_SHARE))
+    return PROVISION_MAX * max(1, int(rps * LEADER_RATE_LIMIT_SHARE))
 
 
 def max_deletions(rps: float) -> int:
-    """How many machines to delete at a time: half of a second's requests, as others wait too.
+    """Machines to delete at a time: half a second of requests, to leave room for other requests.
 
     `rps` is the request rate limit of the cloud, per second.
     """
-    return DELETE_MAX * max(1, int(rps * LEADER_RATE_SHARE / 2))
+    return DELETE_MAX * max(1, int(rps * LEADER_RATE_LIMIT_SHARE / 2))
 
 
 class CloudRequest(Protocol):
     """Sends one request to the cloud.
 
     Raises:
-        CloudRequestFailedError: not carried out, or not known whether it was.
-        NoCapacityError: the cloud has none of the machines that were asked for.
+        CloudRequestFailedError: The request failed, or its outcome is unknown.
+        NoCapacityError: The cloud has none of the requested machines.
     """
 
     def __call__(self, method: str, path: str, body: object = None) -> Awaitable[Response]:
-        """Send the request; a response that is returned has status 200."""
+        """Send the request; a returned response has status 200."""
         ...
 
 
 class CloudClient:
-    """What any controller may ask the cloud. Each call raises `CloudError` unless it succeeds."""
+    """The requests that any controller may send. Each raises `CloudError` unless it succeeds."""
 
     def __init__(
-        self, http_client: HttpClient, addr: str, rps: float, timeout_s: float = TIMEOUT_S
+        self, http_client: HttpClient, addr: str, rps: float, timeout_s: float = REQUEST_TIMEOUT_S
     ) -> None:
         self._http_client = http_client
         self._addr = addr
         self._timeout_s = timeout_s
-        # Only the leader works with the cloud; other controllers read the catalog now and then.
-        self._budget = TokenBucket(rps * LEADER_RATE_SHARE, rps, max_wait_s=QUEUE_MAX_S)
+        # Other controllers send little: they only read the catalog from time to time.
+        self._request_budget = TokenBucket(
+            rps * LEADER_RATE_LIMIT_SHARE, rps, max_wait_s=BUDGET_WAIT_MAX_S
+        )
 
     async def _request(self, method: str, path: str, body: object = None) -> Response:
         try:
-            await self._budget.acquire()
+            await self._request_budget.acquire()
         except RateLimitExceededError as exc:
             raise CloudRequestFailedError(method, path, None, f"not sent, {exc}") from exc
         try:
@@ -90,7 +92,7 @@
         except NoResponseError as exc:
             raise CloudRequestFailedError(method, path, None, str(exc)) from exc
         if reply.status == TOO_MANY_REQUESTS:
-            self._budget.empty()
+            self._request_budget.empty()
         if reply.status == UNAVAILABLE and reply.data and reply.data.get("error") == NO_CAPACITY:
             raise NoCapacityError(method, path, reply.status, NO_CAPACITY)
         if reply.status != OK:
@@ -98,7 +100,7 @@
         return reply
 
     async def fetch_catalog(self) -> Catalog:
-        """The machine types with their current prices."""
+        """Return the machine types with their current prices."""
         reply = await self._request("GET", paths.CATALOG)
         try:
             return parse(reply.data, Catalog)
@@ -106,11 +108,11 @@
             raise _malformed("GET", paths.CATALOG, exc) from exc
 
     async def list_machines(self) -> list[Host]:
-        """All machines that the cloud lists, page by page; the list lags (`list_lag_s`)."""
+        """Return all machines that the cloud lists, which may be outdated by `list_lag_s`."""
         machines: list[Host] = []
-        since = ""
+        last_name = ""
         while True:
-            path = list_path(since)
+            path = list_path(last_name)
             reply = await self._request("GET", path)
             try:
                 page = parse(reply.data, HostPage)
@@ -119,15 +121,15 @@
             machines += page.hosts
             if not page.has_next or not page.hosts:
                 return machines
-            since = page.hosts[-1].id
+            last_name = page.hosts[-1].id
 
     def provisioning(self, proof: FailoverProof) -> ProvisioningClient:
-        """The calls that rent and delete machines, for a leader that has proven its failover."""
+        """Return the client that provisions and deletes machines, given the proof of a failover."""
         return ProvisioningClient(self._request, proof)
 
 
 class ProvisioningClient:
-    """Rents and deletes machines for one leader term."""
+    """Provisions and deletes machines for one leader term."""
 
     def __init__(self, request: CloudRequest, proof: FailoverProof) -> None:
         self._request = request
@@ -135,21 +137,21 @@
         self._request_count = 0
 
     def next_request_name(self) -> str:
-        """A name for the next rental request, which makes it idempotent.
+        """Return a name for the next provisioning request, which makes it idempotent.
 
-        No other leader uses it, nor does this one again.
+        The name is unique across leaders and requests.
         """
         self._request_count += 1
         return f"t{self._fencing_token}-{self._request_count}"
 
     async def provision(self, request_name: str, kind: MachineKind, count: int) -> list[str]:
-        """Rent machines and return their names, which may be fewer than asked for.
+        """Provision machines and return their names, which may be fewer than `count`.
 
-        A repeated request of the same name rents nothing more.
+        A repeated request of the same name provisions nothing more.
 
         Raises:
-            NoCapacityError: there are none of this kind.
-            CloudRequestFailedError: not carried out, or not known whether it was.
+            NoCapacityError: The cloud has no machine of this kind.
+            CloudRequestFailedError: The request failed, or its outcome is unknown.
         """
         body = provision_body(request_name, kind, count)
         reply = await self._request("POST", paths.HOSTS, body)
@@ -159,10 +161,10 @@
             raise _malformed("POST", paths.HOSTS, exc) from exc
 
     async def delete(self, names: list[str]) -> None:
-        """Delete machines, `DELETE_MAX` at most; returns once all that was on them is gone.
+        """Delete machines, `DELETE_MAX` at most; returns once everything on them has ended.
 
         Raises:
-            CloudError: not known whether they were deleted.
+            CloudError: It is unknown whether they were deleted.
         """
         await self._request("POST", paths.HOSTS_DELETE, delete_body(names))
 
--- a/spoolcourse/control/cloud/errors.py
+++ b/spoolcourse/control/cloud/errors.py
@@ -1,16 +1,16 @@
-"""Errors of the cloud's API, with what was asked and what came back."""
+"""Errors of the cloud API, with the request and the response status."""
 
 from __future__ import annotations
 
 
 class CloudError(Exception):
-    """A request to the cloud was refused, or its outcome is not known.
+    """A request to the cloud was refused, or its outcome is unknown.
 
     Attributes:
-        method: the HTTP method of the request.
-        path: its path, with the query.
-        status: the status of the response; None if there was no response.
-        detail: what went wrong, for the log.
+        method: The HTTP method of the request.
+        path: The path of the request, with the query.
+        status: The status of the response; None if there was no response.
+        detail: The cause, for the log.
     """
 
     def __init__(self, method: str, path: str, status: int | None, detail: str) -> None:
@@ -22,11 +22,11 @@
 
 
 class CloudRequestFailedError(CloudError):
-    """Not carried out, or not known whether it was: the request may be repeated."""
+    """The request failed, or its outcome is unknown; it may be retried."""
 
 
 class NoCapacityError(CloudError):
-    """None available of this type, zone and kind, so a repetition at once is of no use.
+    """The cloud has no machine of this kind, so an immediate retry is of no use.
 
     PROTOCOL, "Controller nodes -> cloud", `POST /hosts`.
     """
--- a/spoolcourse/control/cloud/stored_catalog.py
+++ b/spoolcourse/control/cloud/stored_catalog.py
@@ -1,4 +1,4 @@
-"""The machine types in the key-value store: a copy for starts during an outage of the cloud."""
+"""Copy of the machine types in the key-value store, for starts during an outage of the cloud."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class StoredCatalog:
-    """Writes the copy as the leader. It holds the machine types; prices are not kept current."""
+    """Writes the copy, on the leader only. Its prices may be outdated."""
 
     def __init__(
         self, client: StoreClient, watch_cache: WatchCache, leadership: Leadership
@@ -22,15 +22,15 @@
         self._leadership = leadership
 
     async def update(self, catalog: Catalog) -> None:
-        """Store the machine types, if this controller leads and their names have changed.
+        """Store the machine types if this controller leads and their names have changed.
 
         Raises:
-            StoreUnavailableError: the write was refused, or its outcome is unknown.
+            StoreUnavailableError: The write was refused, or its outcome is unknown.
         """
         if not self._leadership.holds_lease():
             return
-        machine_types = sorted(catalog.machine_types, key=_name)
-        if self._has_stored(machine_types):
+        machine_types = sorted(catalog.machine_types, key=_type_name)
+        if self._is_up_to_date(machine_types):
             return
         value = catalog_value(machine_types)
         revision = self._watch_cache.revision(CATALOG_KEY)
@@ -40,14 +40,16 @@
         if outcome.succeeded:
             self._watch_cache.apply(CATALOG_KEY, value, outcome.store_revision)
 
-    def _has_stored(self, machine_types: list[MachineType]) -> bool:
-        """Whether the copy names the same types."""
+    def _is_up_to_date(self, machine_types: list[MachineType]) -> bool:
+        """Whether the stored copy has types of the same names."""
         entry = self._watch_cache.get(CATALOG_KEY)
         if entry is None:
             return False
         stored = parse(entry.value, Catalog).machine_types
-        return {_name(kind) for kind in stored} == {_name(kind) for kind in machine_types}
+        return {_type_name(stored_type) for stored_type in stored} == {
+            _type_name(machine_type) for machine_type in machine_types
+        }
 
 
-def _name(machine_type: MachineType) -> str:
+def _type_name(machine_type: MachineType) -> str:
     return machine_type.name
