--- a/spoolcourse/control/autoscaling/autoscaler.py
+++ b/spoolcourse/control/autoscaling/autoscaler.py
@@ -1,7 +1,7 @@
-"""Autoscaling of the fleet: the loops that list, rent and delete machines.
+"""Autoscaling of the fleet: the loops that list, provision and delete machines.
 
-The wanted state is what the last placement pass found missing and what is idle; the loops here
-work out the difference and ask the cloud for it.
+The desired state follows from the capacity that the last placement pass lacked and from the idle
+machines; the loops request the difference from the cloud.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 class FleetAutoscaler:
     """The parts of the autoscaler, and the loop that deletes machines.
 
-    `excess_capacity` is given the demand of each placement pass, `scale_out` what to rent;
+    `excess_capacity` gets the demand of each placement pass, `scale_out` the machines to provision;
     `machine_list`, `scale_out` and `replica_probe` have loops of their own.
     """
 
@@ -80,12 +80,12 @@
 
         A failed deletion is requested again in the next round: `deletion_requested` stays set.
         """
-        logged_at = float("-inf")
+        summary_logged_at = float("-inf")
         while True:
             await asyncio.sleep(SCALE_IN_PERIOD_S)
             self._registry.expire_leases()
-            if log.isEnabledFor(logging.INFO) and self._clock() - logged_at > SUMMARY_S:
-                logged_at = self._clock()
+            if log.isEnabledFor(logging.INFO) and self._clock() - summary_logged_at > SUMMARY_S:
+                summary_logged_at = self._clock()
                 log_fleet_summary(self._registry, self._types)
                 self._owner.on_fleet_summary()
             names = self._scale_in.machines_to_delete(holds_lease=self._owner.holds_lease())
--- a/spoolcourse/control/autoscaling/cancelled_work.py
+++ b/spoolcourse/control/autoscaling/cancelled_work.py
@@ -1,7 +1,7 @@
-"""Cancelled work on machines that can't be reached: the machine is deleted within `cancel_s`.
+"""Finds unreachable machines with cancelled work, which are deleted within `cancel_s`.
 
-The time left is counted from the cancellation itself, not from when this leader heard of it.
-Nothing of a cancelled job may run after `cancel_s` (PROTOCOL, `POST /submissions/{id}/withdraw`).
+The remaining time counts from the cancellation itself, not from when this leader learned of it.
+No task of a cancelled job may run after `cancel_s` (PROTOCOL, `POST /submissions/{id}/withdraw`).
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.wire.settings import Workers
 
-# Of `cancel_s`: tasks should have ended by then, and a deletion may need retries.
+# Of `cancel_s`: tasks should have ended by then, and the deletion may need retries.
 OVERDUE_SHARE = 0.4
-TRANSIT_S = 0.5  # of a heartbeat
-DELETION_S = 5.0  # kept for the deletion itself
+HEARTBEAT_TRANSIT_S = 0.5
+DELETION_TIME_S = 5.0  # reserved for the deletion itself
 
-OverdueJobs = dict[str, float]  # job: seconds that a machine is given after its cancellation
+OverdueJobs = dict[str, float]  # job ID -> grace period of a machine, in seconds
 
 
 class CancelledWork:
-    """Finds machines that may hold cancelled work and can't be reached."""
+    """Finds machines that may hold tasks of cancelled jobs after their grace period."""
 
     def __init__(
         self,
@@ -38,9 +38,9 @@
         self._wall_clock = wall_clock
 
     def overdue_jobs(self) -> OverdueJobs:
-        """Cancelled jobs whose tasks should have ended by now.
+        """Return the cancelled jobs whose tasks should have ended by now.
 
-        With each, the seconds that a machine is given after this leader first heard of it.
+        The grace period of a machine counts from when this leader first learned of the machine.
         """
         now, wall_clock = self._clock(), self._wall_clock()
         overdue: OverdueJobs = {}
@@ -50,16 +50,16 @@
                 continue
             age_s = wall_clock - cancelled_at + self._skew_s
             known_for_s = now - job_state.cancelled_known_at
-            patience_s = self._patience_s(age_s - known_for_s)
-            if age_s > OVERDUE_SHARE * self._workers.cancel_s and known_for_s > patience_s:
-                overdue[job_state.id] = patience_s
+            grace_period_s = self._grace_period_s(age_s - known_for_s)
+            if age_s > OVERDUE_SHARE * self._workers.cancel_s and known_for_s > grace_period_s:
+                overdue[job_state.id] = grace_period_s
         return overdue
 
-    def may_be_on(self, machine: Machine, overdue: OverdueJobs) -> bool:
+    def may_hold_overdue_tasks(self, machine: Machine, overdue: OverdueJobs) -> bool:
         """Whether a task of the overdue jobs may be on the machine.
 
-        Whether the machine is silent or only our answers don't reach it: no stop reaches its tasks,
-        so the machine is deleted.
+        The machine may be silent, or only our answers may not reach it: in both cases no stop
+        command reaches its tasks, so the machine is deleted.
         """
         if not overdue:
             return False
@@ -69,13 +69,13 @@
         }
         return any(known_for_s > overdue[job] for job in jobs if job in overdue)
 
-    def _patience_s(self, age_when_learned_s: float) -> float:
-        """How long a machine is given to stop the tasks.
+    def _grace_period_s(self, age_when_learned_s: float) -> float:
+        """Return how long a machine has to stop the tasks.
 
-        A leader that took over, or learned late, has less left; but each machine is given its next
-        heartbeat, or a fleet that is about to get the stop would be deleted (and leases end what no
-        leader that knows less may keep alive).
+        A leader elected later, or informed late, has less time left. Each machine still gets one
+        more heartbeat, or a fleet about to receive the stop command would be deleted (leases end
+        tasks anyway that no leader unaware of the cancellation may keep alive).
         """
-        next_heartbeat_s = self._workers.heartbeat_gap_s + TRANSIT_S
-        left_s = self._workers.cancel_s - DELETION_S - age_when_learned_s
-        return min(self._workers.quiet_s, max(left_s, next_heartbeat_s))
+        next_heartbeat_s = self._workers.heartbeat_gap_s + HEARTBEAT_TRANSIT_S
+        remaining_s = self._workers.cancel_s - DELETION_TIME_S - age_when_learned_s
+        return min(self._workers.quiet_s, max(remaining_s, next_heartbeat_s))
--- a/spoolcourse/control/autoscaling/deletion_reason.py
+++ b/spoolcourse/control/autoscaling/deletion_reason.py
@@ -1,4 +1,4 @@
-"""Why a machine is deleted: what the log line says, which operators search for."""
+"""Why a machine is deleted. The values are log texts that operators search for."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class DeletionReason(StrEnum):
-    """The reasons, in the order in which they are looked for."""
+    """The reasons, in the order in which they are checked."""
 
     REQUESTED_BEFORE = "requested before, not confirmed"
     FAILED = "failed in the cloud's list"
@@ -16,5 +16,5 @@
     UNRESPONSIVE = "unresponsive, answers have no effect"
     FENCING_TOKEN_NOT_SEEN = "our fencing token does not reach it"
     FAULTY = "faulty, tasks of several jobs fail on it"
-    REPLICAS_UNPROVEN = "silent, and replicas wait for a proof that they are gone"
+    REPLICAS_NOT_PROVEN_ENDED = "silent, and replicas wait for a proof that they are gone"
     IDLE = "idle"
--- a/spoolcourse/control/autoscaling/early_deletion.py
+++ b/spoolcourse/control/autoscaling/early_deletion.py
@@ -1,10 +1,10 @@
-"""Early deletion of silent machines whose replicas are not proven gone.
+"""Early deletion of silent machines whose replicas are not proven to have ended.
 
-A replica may run elsewhere only once its former attempt is proven gone. For a machine that died
-without a notice the lease proves that, after more than `lease_s`. A deletion that the cloud has
-confirmed is a proof too, and it can be had sooner. The price of a mistake is a healthy machine
-and all work on it, so only machines qualify that are late, answer no call, and whose silence
-nothing else explains: docs/design.md, "A replica lost without a notice".
+A replica may start elsewhere only once its previous attempt is proven to have ended. If a machine
+dies without a notice, its expired lease proves that, after more than `lease_s`. A deletion
+confirmed by the cloud proves it sooner. A mistake costs a healthy machine and all work on it, so
+a machine qualifies only if it is late, answers no call, and nothing else explains its silence:
+docs/design.md, "A replica lost without a notice".
 """
 
 from __future__ import annotations
@@ -19,35 +19,35 @@
 from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.wire.messages import HostStage
 
-# More late workers than that in a zone: the zone is cut off, or this controller is.
-LATE_SHARE_MAX = 0.25
-# Deletions in progress at once; they bound what a mistake can cost.
-DELETIONS_SHARE = 0.05  # of the machines
-DELETIONS_MIN = 2  # allowed in a small fleet
+# Above this share of late workers, the zone or this controller is assumed to be cut off.
+LATE_WORKERS_SHARE_MAX = 0.25
+# Limit of deletions in progress, which bounds the cost of a mistake.
+CONCURRENT_DELETIONS_SHARE = 0.05  # of the fleet
+CONCURRENT_DELETIONS_MIN = 2  # allowed in a small fleet
 
 
 @dataclass(slots=True)
-class _Lateness:
-    """How many workers of each zone have been heard of, and how many of them are late."""
+class _LateWorkerCounts:
+    """Counts, by zone, the workers that have sent a heartbeat and the late ones among them."""
 
-    heard: Counter[str] = field(default_factory=Counter)
+    reporting: Counter[str] = field(default_factory=Counter)
     late: Counter[str] = field(default_factory=Counter)
 
     def is_zone_disrupted(self, zone: str) -> bool:
-        """Whether too many workers of the zone are late at once to be dead."""
-        return _too_many_late(self.late[zone], self.heard[zone])
+        """Whether too many workers of the zone are late at once for all of them to be dead."""
+        return _too_many_late(self.late[zone], self.reporting[zone])
 
     def is_fleet_disrupted(self) -> bool:
-        """Whether too many workers in all are late at once to be dead."""
-        return _too_many_late(self.late.total(), self.heard.total())
+        """Whether too many workers of the fleet are late at once for all of them to be dead."""
+        return _too_many_late(self.late.total(), self.reporting.total())
 
 
-def _too_many_late(late: int, heard: int) -> bool:
-    return late > max(1, LATE_SHARE_MAX * heard)
+def _too_many_late(late: int, reporting: int) -> bool:
+    return late > max(1, LATE_WORKERS_SHARE_MAX * reporting)
 
 
 class EarlyDeletion:
-    """Chooses machines to be deleted for the sake of the replicas on them."""
+    """Chooses machines to delete so that their replicas can restart sooner."""
 
     def __init__(
         self,
@@ -62,27 +62,27 @@
         self._probe = probe
         self._clock = clock
         self._lease_s = lease_s
-        # When too many workers were late at once the last time: of each zone, and of all.
+        # When too many workers were last late at once, by zone and in the whole fleet.
         self._zone_disrupted_at: dict[str, float] = {}
         self._fleet_disrupted_at = float("-inf")
 
     def machines_to_delete(self) -> set[str]:
-        """Names of machines to be deleted now; a leader without a valid lease must not use them.
+        """Return the machines to delete now; a leader without a valid lease must not use them.
 
-        To be called all the time: after a disruption, a worker that is still late is not taken for
-        dead. Found on a recorded day, where a leader was cut off from all workers for seconds
-        and then deleted those that were back last.
+        Must be called in every round, to record disruptions: a worker that is still late after one
+        is not considered dead. On a recorded day, a leader that had been cut off from all workers
+        for seconds deleted those that came back last.
         """
         now = self._clock()
         self._record_disruptions(now)
         if now - self._fleet_disrupted_at <= self._lease_s:
             return set()
         chosen: set[str] = set()
-        budget = self._budget()
+        deletions_allowed = self._deletions_allowed()
         for machine in self._registry.machines.values():
             if not self._is_silent(machine) or self._is_zone_disrupted(machine.zone or "", now):
                 continue
-            if len(chosen) >= budget:
+            if len(chosen) >= deletions_allowed:
                 break
             replicas = replicas_on(machine)
             if replicas and all(map(self._places.has_place_elsewhere, replicas)):
@@ -90,36 +90,36 @@
         return chosen
 
     def _record_disruptions(self, now: float) -> None:
-        lateness = self._lateness(now)
-        if lateness.is_fleet_disrupted():
+        counts = self._count_late_workers(now)
+        if counts.is_fleet_disrupted():
             self._fleet_disrupted_at = now
-        for zone in lateness.heard:
-            if lateness.is_zone_disrupted(zone):
+        for zone in counts.reporting:
+            if counts.is_zone_disrupted(zone):
                 self._zone_disrupted_at[zone] = now
 
     def _is_zone_disrupted(self, zone: str, now: float) -> bool:
-        """Whether the zone is disrupted, or was within the last lease."""
+        """Whether the zone is disrupted, or was within the last `lease_s`."""
         return now - self._zone_disrupted_at.get(zone, float("-inf")) <= self._lease_s
 
     def _is_silent(self, machine: Machine) -> bool:
         return machine.is_in_service and self._probe.is_unreachable(machine)
 
-    def _lateness(self, now: float) -> _Lateness:
-        lateness = _Lateness()
+    def _count_late_workers(self, now: float) -> _LateWorkerCounts:
+        counts = _LateWorkerCounts()
         for machine in self._registry.machines.values():
             if machine.last_heartbeat_at is None or machine.listed_stage is HostStage.FAILED:
                 continue
             zone = machine.zone or ""
-            lateness.heard[zone] += 1
+            counts.reporting[zone] += 1
             if machine.is_overdue(now, self._places.late_after_s):
-                lateness.late[zone] += 1
-        return lateness
+                counts.late[zone] += 1
+        return counts
 
-    def _budget(self) -> int:
-        """How many more deletions may be in progress; unanswered ones count."""
+    def _deletions_allowed(self) -> int:
+        """Return how many more deletions may be started; unconfirmed ones are in progress."""
         machines = self._registry.machines.values()
         in_progress = sum(
             1 for machine in machines if machine.deletion_requested and replicas_on(machine)
         )
-        limit = max(DELETIONS_MIN, int(DELETIONS_SHARE * len(machines)))
+        limit = max(CONCURRENT_DELETIONS_MIN, int(CONCURRENT_DELETIONS_SHARE * len(machines)))
         return max(0, limit - in_progress)
--- a/spoolcourse/control/autoscaling/excess_capacity.py
+++ b/spoolcourse/control/autoscaling/excess_capacity.py
@@ -1,4 +1,4 @@
-"""Excess capacity: how the fleet compares with recent demand, and which machines are too many."""
+"""Excess capacity: compares the fleet with recent demand and marks machines above it."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class ExcessCapacity:
-    """Compares the capacity of the fleet with the peaks of demand.
+    """Compares the capacity of the fleet with peak demand.
 
-    On-demand machines are those that are not spot ones; the policy's keys call them ordinary.
+    The policy keys call on-demand machines "ordinary".
     """
 
     def __init__(
@@ -32,7 +32,7 @@
         self.demand = DemandHistory(KEYS["keep_s"].high)
 
     def missing_cpus(self, now: float) -> float:
-        """CPUs missing for the recent peak of demand with headroom; negative: CPUs to spare."""
+        """Return the CPUs missing for recent peak demand with headroom; negative: spare CPUs."""
         peak_cpus = self.demand.peak_cpus(now, self._policy.keep_s)
         return self._policy.headroom * peak_cpus - self._capacity_cpus()
 
@@ -41,8 +41,8 @@
     ) -> None:
         """Mark on-demand machines above recent demand as scale-in candidates, the emptiest first.
 
-        They cost a multiple of spot ones; marked, they run empty and are deleted. Types that some
-        jobs depend on stay, and so do the initial machines and those reserved for services.
+        They cost a multiple of spot machines. Marked ones run out of work and are deleted. Types
+        that jobs depend on are kept, and so are initial machines and those reserved for services.
         """
         peak_cpus = self.demand.peak_cpus(now, self._policy.ordinary_keep_s)
         excess_cpus = self._capacity_cpus() - self._policy.ordinary_headroom * peak_cpus
@@ -53,19 +53,21 @@
             and machine.is_schedulable
             and machine.id not in initial_machines
         ]
-        # Those already marked stay marked if possible: they have run emptier since.
+        # Marked machines stay marked if possible: they have lost work since they were marked.
         for machine in sorted(on_demand, key=lambda m: (not m.scale_in_candidate, len(m.attempts))):
             cpus = self._types.cpus(machine)
-            needed = machine.id in reserved or self._is_scarce_type(machine.machine_type or "")
-            machine.scale_in_candidate = cpus <= excess_cpus and not needed
+            is_needed = machine.id in reserved or self._is_scarce_type(machine.machine_type or "")
+            machine.scale_in_candidate = cpus <= excess_cpus and not is_needed
             if machine.scale_in_candidate:
                 excess_cpus -= cpus
 
     def _capacity_cpus(self) -> float:
-        """CPUs of machines that may be given work, and of those that boot."""
-        sizes = {name: kind.cpus for name, kind in self._types.machine_types().items()}
+        """Return the CPUs of schedulable and of booting machines."""
+        cpus_by_type = {
+            name: machine_type.cpus for name, machine_type in self._types.machine_types().items()
+        }
         return sum(
-            sizes.get(machine.machine_type or "", 0.0)
+            cpus_by_type.get(machine.machine_type or "", 0.0)
             for machine in self._registry.machines.values()
             if machine.is_schedulable or _is_booting(machine)
         )
--- a/spoolcourse/control/autoscaling/fleet_summary.py
+++ b/spoolcourse/control/autoscaling/fleet_summary.py
@@ -1,4 +1,4 @@
-"""The fleet in the log: what machines there are, and how many CPUs of them are in use."""
+"""Logs a summary of the fleet: machines by type, and their total and used CPUs."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 log = logging.getLogger(__name__)
 
-UNKNOWN_TYPE = "?"
+UNKNOWN_TYPE_LABEL = "?"
 
 
-class _FleetKey(NamedTuple):
+class _MachineGroupKey(NamedTuple):
     machine_type: str
     spot: bool
 
 
 @dataclass(slots=True)
-class _FleetPart:
-    """The machines of one type, spot or on-demand, added up."""
+class _MachineGroup:
+    """Totals of the machines of one type, spot or on-demand."""
 
     machines: int = 0
-    booting: int = 0  # not heard of yet
+    booting: int = 0  # no heartbeat yet
     scale_in_candidates: int = 0
     empty: int = 0  # up, without an attempt
     cpus: float = 0.0
@@ -43,21 +43,21 @@
 
 
 def log_fleet_summary(registry: WorkerRegistry, types: MachineTypeLookup) -> None:
-    """Log a line for each machine type, spot and on-demand apart."""
-    parts: dict[_FleetKey, _FleetPart] = {}
+    """Log one line per machine type, with spot and on-demand machines separate."""
+    groups: dict[_MachineGroupKey, _MachineGroup] = {}
     for machine in registry.machines.values():
-        key = _FleetKey(machine.machine_type or UNKNOWN_TYPE, bool(machine.spot))
-        parts.setdefault(key, _FleetPart()).add(machine, types.cpus(machine))
-    for key, part in sorted(parts.items()):
+        key = _MachineGroupKey(machine.machine_type or UNKNOWN_TYPE_LABEL, bool(machine.spot))
+        groups.setdefault(key, _MachineGroup()).add(machine, types.cpus(machine))
+    for key, group in sorted(groups.items()):
         log.info(
             "fleet: machine_type=%s spot=%s machines=%d booting=%d scale_in_candidates=%d "
             "empty=%d cpus=%.0f used_cpus=%.0f",
             key.machine_type,
             "yes" if key.spot else "no",
-            part.machines,
-            part.booting,
-            part.scale_in_candidates,
-            part.empty,
-            part.cpus,
-            part.used_cpus,
+            group.machines,
+            group.booting,
+            group.scale_in_candidates,
+            group.empty,
+            group.cpus,
+            group.used_cpus,
         )
--- a/spoolcourse/control/autoscaling/machine_list.py
+++ b/spoolcourse/control/autoscaling/machine_list.py
@@ -1,4 +1,4 @@
-"""The cloud's machine list: updates the registry, announces the fencing token to new machines."""
+"""Reads the cloud's machine list into the registry; announces the fencing token to new machines."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 log = logging.getLogger(__name__)
 
-LIST_PERIOD_S = 2.0  # at least; half of the list's lag if that is longer
+LIST_PERIOD_MIN_S = 2.0  # or half of the list's lag, if that is longer
 
 
 class MachineListLoop:
-    """Reads the list periodically."""
+    """Reads the machine list periodically."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         context = leader.controller
         self._cloud = context.cloud
         self._clock = context.clock
-        self._period_s = max(LIST_PERIOD_S, context.params.cloud.list_lag_s / 2)
+        self._period_s = max(LIST_PERIOD_MIN_S, context.params.cloud.list_lag_s / 2)
         self._registry = leader.registry
         self._announcer = FencingTokenAnnouncer(
             context.http_client, leader.registry, context.params.machine_limits.sockets
@@ -47,7 +47,7 @@
                 self._update_machines(hosts, requested_at)
                 await self._on_list(hosts)
                 await self._announcer.announce(
-                    self._unconfirmed(hosts), fleet_size=len(self._registry.machines)
+                    self._unconfirmed_machines(hosts), fleet_size=len(self._registry.machines)
                 )
             except CloudRequestFailedError as exc:
                 log.info("machine list: %s", exc)
@@ -59,7 +59,7 @@
                 self._update_machine(self._registry.ensure_machine(host.id), host, requested_at)
 
     def _update_machine(self, machine: Machine, host: Host, requested_at: float) -> None:
-        """Fill in what is unknown: heartbeats count more than the list, which lags."""
+        """Update the stage; fill in unknown values only, as heartbeats are newer than the list."""
         if host.stage is HostStage.RUNNING and machine.listed_stage is not HostStage.RUNNING:
             machine.listed_running_since = requested_at
         machine.listed_stage = host.stage
@@ -73,7 +73,7 @@
         if machine.last_heartbeat_at is None and machine.expected_ready_at is None:
             machine.expected_ready_at = machine.provisioned_at + self._types.boot_s(machine)
 
-    def _unconfirmed(self, hosts: list[Host]) -> list[Machine]:
+    def _unconfirmed_machines(self, hosts: list[Host]) -> list[Machine]:
         """Running machines that have sent no heartbeat under the leader's fencing token."""
         running = [self._registry.machines.get(h.id) for h in hosts if h.stage is HostStage.RUNNING]
         return [
@@ -82,5 +82,5 @@
             if machine is not None
             and machine.address
             and not machine.confirmed
-            and not machine.lease_expired  # it has reported the token before, and will again
+            and not machine.lease_expired  # it has reported the token before and will again
         ]
--- a/spoolcourse/control/autoscaling/machine_type_lookup.py
+++ b/spoolcourse/control/autoscaling/machine_type_lookup.py
@@ -1,4 +1,4 @@
-"""Sizes and boot times of machines by their types, in the catalog as it is now."""
+"""Sizes and boot times of machines by type, from the current catalog."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.wire.messages import MachineType
 
-UNKNOWN_BOOT_S = 60.0  # for a type that the catalog does not name
+DEFAULT_BOOT_S = 60.0  # for a type that is not in the catalog
 
 
 class MachineTypeLookup:
@@ -17,15 +17,15 @@
         self.machine_types = machine_types
 
     def type_of(self, machine: Machine) -> MachineType | None:
-        """The machine's type, if it is known."""
+        """Return the machine's type, if it is known."""
         return self.machine_types().get(machine.machine_type or "")
 
     def cpus(self, machine: Machine) -> float:
-        """The machine's CPUs; 0 if its type is not known."""
+        """Return the machine's CPUs; 0 if its type is unknown."""
         machine_type = self.type_of(machine)
         return machine_type.cpus if machine_type else 0.0
 
     def boot_s(self, machine: Machine) -> float:
-        """How many seconds a machine of the type usually boots."""
+        """Return the usual boot time of the machine's type, in seconds."""
         machine_type = self.type_of(machine)
-        return machine_type.boot_s if machine_type else UNKNOWN_BOOT_S
+        return machine_type.boot_s if machine_type else DEFAULT_BOOT_S
--- a/spoolcourse/control/autoscaling/owner.py
+++ b/spoolcourse/control/autoscaling/owner.py
@@ -1,4 +1,4 @@
-"""What the autoscaler asks of the leader that owns it, and reports to it."""
+"""Interfaces through which the autoscaler queries and notifies the leader that owns it."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 
 
 class ScaleInOwner(Protocol):
-    """What scale-in asks before a machine is deleted."""
+    """Queries of scale-in before a machine is deleted."""
 
     def initial_machine_names(self) -> frozenset[str]:
-        """Machines that were there before the service first ran: not deleted for being idle."""
+        """Names of machines older than the scheduler's first start; not deleted for being idle."""
         ...
 
     def is_scarce_type(self, machine_type: str) -> bool:
-        """Whether jobs depend on the machine type, so that idle machines of it stay longer."""
+        """Whether jobs depend on the machine type, so that its idle machines are kept longer."""
         ...
 
 
 class AutoscalerOwner(ScaleInOwner, Protocol):
-    """What the whole autoscaler asks and reports."""
+    """Queries and notifications of the whole autoscaler."""
 
     def holds_lease(self) -> bool:
-        """Whether no other controller can lead by now, so that machines may be rented."""
+        """Whether no other controller can be leader yet, so that machines may be provisioned."""
         ...
 
     async def on_machine_list(self, hosts: list[Host]) -> None:
-        """The cloud has listed its machines."""
+        """Handle a new machine list of the cloud."""
         ...
 
     def on_fleet_summary(self) -> None:
-        """The fleet summary was logged: time for the leader's own lines."""
+        """Log the leader's own summary, after the fleet summary."""
         ...
--- a/spoolcourse/control/autoscaling/planner.py
+++ b/spoolcourse/control/autoscaling/planner.py
@@ -1,4 +1,4 @@
-"""Scale-out planning: what to rent for work that no machine takes soon.
+"""Scale-out planning: which machines to provision for tasks that no machine can run soon.
 
 Pure, like the placement pass: no I/O, no clock.
 """
@@ -20,17 +20,17 @@
 )
 from spoolcourse.wire.cloud import PROVISION_MAX
 
-PRICED_RUN_MAX_S = 3600.0  # the longest run of a task that its price is computed for
-TOP_UP_MIN = 10  # machines that one pass may ask for as headroom, in a small fleet
-TOP_UP_SHARE = 0.02  # of the fleet: the same in a large one
+PRICED_RUN_TIME_MAX_S = 3600.0  # cap of the run time that prices are computed for
+HEADROOM_MACHINES_SMALL_FLEET = 10  # limit of headroom machines in one pass
+HEADROOM_FLEET_SHARE = 0.02  # the same limit in a large fleet, as a share of it
 
-# Machine type, zone, whether spot, and CPUs in all. A plain tuple: it is built for each machine.
-_MachineKey = tuple[int, int, bool, float]
+# Machine type, zone, whether spot, and total CPUs. A plain tuple, as it is built per machine.
+_FreedCpusKey = tuple[int, int, bool, float]
 
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """A kind of machine that can be rented now."""
+    """A kind of machine that can be provisioned now."""
 
     machine_type: int
     zone: int
@@ -43,7 +43,7 @@
 
 
 class JobDemand(NamedTuple):
-    """Tasks of a job that found no machine in the pass."""
+    """The tasks of a job that the placement pass found no machine for."""
 
     job: PlacementJob
     tasks: int
@@ -51,14 +51,14 @@
 
 @dataclass(slots=True)
 class ProvisionRequest:
-    """So many machines of a kind to be asked for."""
+    """A number of machines of one offer to provision."""
 
     offer: Offer
     count: int
 
 
 class _ZoneAllowance:
-    """How many more of a job's tasks each zone takes, beside those that are planned for it."""
+    """How many more tasks of a job each zone may take, beside those planned for it."""
 
     def __init__(self, job: PlacementJob) -> None:
         self._job = job
@@ -73,15 +73,15 @@
         self._planned[zone] = self._planned.get(zone, 0) + count
 
 
-class _FreedSoon:
-    """CPUs that running tasks free within a boot time, by the kind of machine and its zone.
+class _SoonFreedCpus:
+    """CPUs that running tasks will free within a boot time, by kind of machine and zone.
 
-    Only what a job may use counts for it. With one sum for all machines, services that may not
-    run on spot machines waited for minutes, because tasks kept ending there.
+    A job counts only CPUs that it may use. With one sum for all machines, services that may not
+    run on spot machines waited for minutes, because tasks kept ending on those.
     """
 
     def __init__(self, machines: list[PlacementMachine], now: float, boot_s: float) -> None:
-        self._cpus: dict[_MachineKey, float] = {}
+        self._cpus: dict[_FreedCpusKey, float] = {}
         for machine in machines:
             if machine.ready_at > now:
                 continue
@@ -90,14 +90,14 @@
             self._cpus[key] = self._cpus.get(key, 0.0) + freed
 
     def book(self, job: PlacementJob, allowance: _ZoneAllowance, wanted: int) -> int:
-        """Book room for up to so many tasks of the job; returns for how many."""
+        """Book CPUs for up to `wanted` tasks of the job; return how many tasks fit."""
         booked = 0
         for key, cpus in self._cpus.items():
             machine_type, zone, spot, total_cpus = key
             if total_cpus + EPSILON < job.cpus or not job.runs_on(machine_type, spot):
                 continue
-            fitting = math.floor(cpus / job.cpus)
-            count = min(wanted - booked, fitting, allowance.tasks_left(zone))
+            fitting_tasks = math.floor(cpus / job.cpus)
+            count = min(wanted - booked, fitting_tasks, allowance.tasks_left(zone))
             if count > 0:
                 self._cpus[key] -= count * job.cpus
                 allowance.plan(zone, count)
@@ -113,85 +113,91 @@
     team_cpus: list[float],
     max_machines: int = PROVISION_MAX,
 ) -> list[ProvisionRequest]:
-    """What to rent for the demand, `max_machines` in all.
+    """Plan the machines to provision for the demand, `max_machines` in total.
 
-    `demand` is in the order of service; `team_cpus` are the CPUs that each team may still use.
+    `demand` is in scheduling order; `team_cpus` are the CPUs that each team may still use.
     """
     boot_s = min((offer.boot_s for offer in offers), default=0.0)
-    freed_soon = _FreedSoon(machines, now, boot_s)
+    freed_soon = _SoonFreedCpus(machines, now, boot_s)
     booting = [replace(machine) for machine in machines if machine.ready_at > now]
     requested: dict[Offer, int] = {}
-    left_cpus = list(team_cpus)
+    remaining_team_cpus = list(team_cpus)
     for job, wanted in demand:
-        count = min(wanted, tasks_within_limit(left_cpus[job.team], job.cpus))
-        left_cpus[job.team] -= count * job.cpus
-        # Machines in a zone that takes no more of the job would be rented again and again,
-        # while its tasks wait forever: of one that is spread over zones, and lost machines
-        # in one of them.
+        unplaced = min(wanted, tasks_within_limit(remaining_team_cpus[job.team], job.cpus))
+        remaining_team_cpus[job.team] -= unplaced * job.cpus
+        # Without the allowance, a job spread over zones that lost machines in one of them would
+        # wait forever, while machines are provisioned again and again in a zone that takes
+        # no more of its tasks.
         allowance = _ZoneAllowance(job)
         if job.cpus > 0:
-            count -= freed_soon.book(job, allowance, count)
-        count = _pack(job, allowance, count, booting)
-        while count > 0 and max_machines > 0:
-            offer = _cheapest_offer(job, allowance, count, offers, now)
+            unplaced -= freed_soon.book(job, allowance, unplaced)
+        unplaced = _pack(job, allowance, unplaced, booting)
+        while unplaced > 0 and max_machines > 0:
+            offer = _cheapest_offer(job, allowance, unplaced, offers, now)
             if offer is None:
                 break
-            new_count = min(max_machines, _filled_machines(job, allowance, count, offer))
+            new_count = min(max_machines, _full_machines(job, allowance, unplaced, offer))
             max_machines -= new_count
             requested[offer] = requested.get(offer, 0) + new_count
             new_machines = [_new_machine(offer) for _ in range(new_count)]
             booting += new_machines
-            count = _pack(job, allowance, count, new_machines)
+            unplaced = _pack(job, allowance, unplaced, new_machines)
     return [ProvisionRequest(offer, count) for offer, count in requested.items()]
 
 
 def _pack(
-    job: PlacementJob, allowance: _ZoneAllowance, count: int, machines: list[PlacementMachine]
+    job: PlacementJob, allowance: _ZoneAllowance, task_count: int, machines: list[PlacementMachine]
 ) -> int:
-    """Put tasks on machines that boot, or will be rented; returns how many are left over."""
+    """Book tasks on booting or planned machines; return how many tasks are left over."""
     for machine in machines:
-        if count <= 0:
+        if task_count <= 0:
             break
         if machine.cpus + EPSILON >= job.cpus and job.runs_on(machine.machine_type, machine.spot):
-            packed = min(count, machine.tasks_that_fit(job), allowance.tasks_left(machine.zone))
+            packed = min(
+                task_count, machine.tasks_that_fit(job), allowance.tasks_left(machine.zone)
+            )
             if packed > 0:
                 machine.book(job, packed)
                 allowance.plan(machine.zone, packed)
-                count -= packed
-    return count
+                task_count -= packed
+    return task_count
 
 
 def _cheapest_offer(
-    job: PlacementJob, allowance: _ZoneAllowance, count: int, offers: list[Offer], now: float
+    job: PlacementJob, allowance: _ZoneAllowance, task_count: int, offers: list[Offer], now: float
 ) -> Offer | None:
-    """The cheapest offer for a task of the job, by price, boot time and tasks a machine takes."""
+    """Return the cheapest offer per task, by price, boot time and tasks per machine."""
     cheapest: Offer | None = None
     lowest_cost = math.inf
     for offer in offers:
-        zone_left = allowance.tasks_left(offer.zone)
-        if not job.runs_on(offer.machine_type, offer.spot) or zone_left < 1:
+        zone_tasks_left = allowance.tasks_left(offer.zone)
+        if not job.runs_on(offer.machine_type, offer.spot) or zone_tasks_left < 1:
             continue
         if not offer.spot and job.spot_allowed and now < job.ordinary_machines_from:
             continue
-        slots = min(count, _slots(job, offer), zone_left)
-        if slots < 1:
+        tasks_on_machine = min(task_count, _tasks_per_machine(job, offer), zone_tasks_left)
+        if tasks_on_machine < 1:
             continue
-        # A service runs for no known time: by price alone, nearly.
-        run_s = min(job.estimate_s, PRICED_RUN_MAX_S)
-        cost = offer.price_per_hour * (offer.boot_s + run_s) / slots
+        # The run time of a service is unknown: the price alone nearly decides.
+        run_time_s = min(job.estimate_s, PRICED_RUN_TIME_MAX_S)
+        cost = offer.price_per_hour * (offer.boot_s + run_time_s) / tasks_on_machine
         if cheapest is None or cost < lowest_cost:
             cheapest, lowest_cost = offer, cost
     return cheapest
 
 
-def _slots(job: PlacementJob, offer: Offer) -> int:
-    """How many tasks of the job an empty machine of the offer takes."""
+def _tasks_per_machine(job: PlacementJob, offer: Offer) -> int:
+    """Return how many tasks of the job fit on an empty machine of the offer."""
     return tasks_that_fit(offer.cpus, offer.gpus, offer.memory_gb, job)
 
 
-def _filled_machines(job: PlacementJob, allowance: _ZoneAllowance, count: int, offer: Offer) -> int:
-    """How many machines of the offer stay the best one for so many tasks: each full of them."""
-    return max(1, min(count, allowance.tasks_left(offer.zone)) // _slots(job, offer))
+def _full_machines(
+    job: PlacementJob, allowance: _ZoneAllowance, task_count: int, offer: Offer
+) -> int:
+    """Return how many machines the tasks fill: the offer is the cheapest for full ones only."""
+    return max(
+        1, min(task_count, allowance.tasks_left(offer.zone)) // _tasks_per_machine(job, offer)
+    )
 
 
 def _new_machine(offer: Offer) -> PlacementMachine:
@@ -208,12 +214,12 @@
 
 
 def top_up(missing_cpus: float, offers: list[Offer], fleet_size: int = 0) -> list[ProvisionRequest]:
-    """Spot machines, the cheapest by CPU first, for `missing_cpus` more CPUs of headroom.
+    """Plan spot machines, the cheapest per CPU first, for `missing_cpus` CPUs of headroom.
 
-    Whatever is started on them later does not wait for a machine to boot. `fleet_size`: the
-    machines that there are.
+    Tasks that start there later need not wait for a boot. `fleet_size` counts the existing
+    machines.
     """
-    max_machines = max(TOP_UP_MIN, int(fleet_size * TOP_UP_SHARE))
+    max_machines = max(HEADROOM_MACHINES_SMALL_FLEET, int(fleet_size * HEADROOM_FLEET_SHARE))
     requests = []
     spot_offers = sorted(
         (offer for offer in offers if offer.spot and offer.cpus > 0),
--- a/spoolcourse/control/autoscaling/replica_places.py
+++ b/spoolcourse/control/autoscaling/replica_places.py
@@ -1,7 +1,7 @@
-"""Whether another machine can take a replica of a service, once the replica here is gone.
+"""Checks whether another machine can run a replica of a service, once it has ended here.
 
-Asked before something is done that costs a replica its machine: an early deletion, or a move on
-a preemption notice of the cloud.
+This is checked before an action that takes the machine from a replica: an early deletion, or a
+move after a termination notice of the cloud.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from spoolcourse.wire.messages import MachineType, fits
 from spoolcourse.wire.settings import Workers
 
-TRANSIT_S = 1.0  # of a heartbeat, with the wait until this process handles it
+HEARTBEAT_TRANSIT_S = 1.0  # including the wait until this process handles the heartbeat
 
 
 class ReplicaPlaces:
-    """Looks for machines that are up, have reported recently and have room for a replica."""
+    """Finds machines that are up, have reported recently and have room for a replica."""
 
     def __init__(
         self,
@@ -32,19 +32,19 @@
         self._clock = clock
         self._machine_types = machine_types
         # A machine whose last heartbeat is older is late.
-        self.late_after_s = workers.heartbeat_gap_s + TRANSIT_S
+        self.late_after_s = workers.heartbeat_gap_s + HEARTBEAT_TRANSIT_S
 
     def has_place_elsewhere(self, replica: Attempt) -> bool:
-        """Whether some other machine takes the replica under the rules of any start.
+        """Whether the rules for starting tasks allow the replica on some other machine.
 
         Work of lower priority does not count: it is preempted for a replica.
         """
         now = self._clock()
-        types = self._machine_types()
+        machine_types = self._machine_types()
         for machine in self._registry.machines.values():
             if machine.id == replica.machine or not machine.is_schedulable:
                 continue
-            machine_type = types.get(machine.machine_type or "")
+            machine_type = machine_types.get(machine.machine_type or "")
             if machine_type is None or machine.is_overdue(now, self.late_after_s):
                 continue
             if not _has_room_for(replica.job_state, machine, machine_type):
@@ -54,22 +54,22 @@
         return False
 
     def _is_zone_allowed(self, replica: Attempt, machine: Machine) -> bool:
-        """Whether the zone rules allow it, with all attempts but the replica's own counted."""
+        """Whether the zone rules allow the machine, counting all attempts but the replica's own."""
         submission = replica.job_state.record.submission
-        zones = Counter(
-            host.zone
+        attempts_by_zone = Counter(
+            other.zone
             for attempt in replica.job_state.attempts.values()
             if attempt is not replica
-            and (host := self._registry.machines.get(attempt.machine)) is not None
+            and (other := self._registry.machines.get(attempt.machine)) is not None
         )
-        if submission.one_zone and any(zone != machine.zone for zone in zones):
+        if submission.one_zone and any(zone != machine.zone for zone in attempts_by_zone):
             return False
-        max_in_a_zone = -(-submission.task_count // 2)
-        return not submission.spread_over_zones or zones[machine.zone] < max_in_a_zone
+        max_per_zone = -(-submission.task_count // 2)
+        return not submission.spread_over_zones or attempts_by_zone[machine.zone] < max_per_zone
 
 
 def replicas_on(machine: Machine) -> list[Attempt]:
-    """Replicas of live services that may be running there."""
+    """Return the replicas of live services that may be running on the machine."""
     return [
         attempt
         for attempt in machine.attempts.values()
@@ -80,21 +80,21 @@
 
 
 def _has_room_for(job_state: JobState, machine: Machine, machine_type: MachineType) -> bool:
-    """Whether the job may run there, and the work that stays leaves room for one task of it."""
+    """Whether the job may run there, and one task fits beside the work it does not preempt."""
     submission = job_state.record.submission
     if not fits(submission, machine_type) or (machine.spot and not submission.spot_allowed):
         return False
     if submission.zone not in (None, machine.zone):
         return False
     rank = submission.rank_number
-    staying = [
+    not_preempted = [
         attempt.job_state.record.submission
         for attempt in machine.attempts.values()
         if attempt.job_state.record.submission.rank_number <= rank
     ]
     return (
-        sum(other.cpus for other in staying) + submission.cpus <= machine_type.cpus
-        and sum(other.gpus for other in staying) + submission.gpus <= machine_type.gpus
-        and sum(other.memory_gb for other in staying) + submission.memory_gb
+        sum(other.cpus for other in not_preempted) + submission.cpus <= machine_type.cpus
+        and sum(other.gpus for other in not_preempted) + submission.gpus <= machine_type.gpus
+        and sum(other.memory_gb for other in not_preempted) + submission.memory_gb
         <= machine_type.memory_gb
     )
--- a/spoolcourse/control/autoscaling/replica_probe.py
+++ b/spoolcourse/control/autoscaling/replica_probe.py
@@ -1,7 +1,7 @@
-"""Calls machines that hold replicas and whose heartbeats are late, to see whether they answer.
+"""Probes machines with replicas whose heartbeats are late.
 
-A late heartbeat alone says little: it may be delayed, or its worker may be changing from one
-controller to another. A machine that answers no call either is dead, hangs, or is cut off.
+A late heartbeat alone proves little: it may be delayed, or the worker may be switching to another
+controller. A machine that answers no call either is dead, hangs, or is cut off.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 
 log = logging.getLogger(__name__)
 
-PERIOD_S = 0.5
-FAILURES_NEEDED = 2  # in a row; one call may be lost like one heartbeat
-PROBES_MAX = 64  # in flight at once; calls to machines that are cut off last until they time out
+PROBE_PERIOD_S = 0.5
+FAILURES_UNTIL_UNREACHABLE = 2  # in a row, as a single call may be lost like a heartbeat
+CONCURRENT_PROBES_MAX = 64  # calls to machines that are cut off last until they time out
 
 
 @dataclass(slots=True)
-class _Failures:
-    """Failed calls since the heartbeat that a machine sent at `reported_at`."""
+class _FailedProbes:
+    """Number of failed probes since the heartbeat at `heartbeat_at`."""
 
-    reported_at: float
+    heartbeat_at: float
     count: int = 0
 
 
 class ReplicaProbe:
-    """Calls late machines, and remembers which of them have not answered."""
+    """Probes late machines and records which of them don't answer."""
 
     def __init__(
         self,
@@ -47,23 +47,23 @@
         self._registry = registry
         self._late_after_s = places.late_after_s
         self._clock = clock
-        self._failures: dict[str, _Failures] = {}
+        self._failed_probes: dict[str, _FailedProbes] = {}
         self._in_flight: dict[str, asyncio.Task[None]] = {}
 
     def is_unreachable(self, machine: Machine) -> bool:
-        """Whether it has answered none of the last calls and sent no heartbeat since."""
-        failures = self._failures.get(machine.id)
+        """Whether it answered none of the last probes and has sent no heartbeat since."""
+        failures = self._failed_probes.get(machine.id)
         return (
             failures is not None
-            and failures.reported_at == machine.last_own_heartbeat_at
-            and failures.count >= FAILURES_NEEDED
+            and failures.heartbeat_at == machine.last_own_heartbeat_at
+            and failures.count >= FAILURES_UNTIL_UNREACHABLE
         )
 
     async def run(self) -> None:
         """Probe until cancelled."""
         try:
             while True:
-                await asyncio.sleep(PERIOD_S)
+                await asyncio.sleep(PROBE_PERIOD_S)
                 self._start_probes()
         finally:
             for task in self._in_flight.values():
@@ -72,11 +72,11 @@
     def _start_probes(self) -> None:
         late = [machine for machine in self._registry.machines.values() if self._is_late(machine)]
         names = {machine.id for machine in late}
-        self._failures = {
-            name: failures for name, failures in self._failures.items() if name in names
+        self._failed_probes = {
+            name: failures for name, failures in self._failed_probes.items() if name in names
         }
         for machine in late:
-            if len(self._in_flight) >= PROBES_MAX:
+            if len(self._in_flight) >= CONCURRENT_PROBES_MAX:
                 return
             if machine.id in self._in_flight or self.is_unreachable(machine):
                 continue
@@ -92,20 +92,20 @@
         )
 
     async def _probe(self, machine: Machine) -> None:
-        reported_at = machine.last_own_heartbeat_at
+        heartbeat_at = machine.last_own_heartbeat_at
         try:
             self._registry.observe_heartbeat(
                 await fetch_heartbeat(self._http_client, machine.address)
             )
-            self._failures.pop(machine.id, None)
+            self._failed_probes.pop(machine.id, None)
         except (NoResponseError, MalformedError) as exc:
             log.debug("heartbeat late and probe failed: machine=%s reason=%s", machine.id, exc)
-            self._record_failure(machine, reported_at)
+            self._record_failure(machine, heartbeat_at)
         finally:
             self._in_flight.pop(machine.id, None)
 
-    def _record_failure(self, machine: Machine, reported_at: float) -> None:
-        failures = self._failures.get(machine.id)
-        if failures is None or failures.reported_at != reported_at:
-            failures = self._failures[machine.id] = _Failures(reported_at)
+    def _record_failure(self, machine: Machine, heartbeat_at: float) -> None:
+        failures = self._failed_probes.get(machine.id)
+        if failures is None or failures.heartbeat_at != heartbeat_at:
+            failures = self._failed_probes[machine.id] = _FailedProbes(heartbeat_at)
         failures.count += 1
--- a/spoolcourse/control/autoscaling/scale_in.py
+++ b/spoolcourse/control/autoscaling/scale_in.py
@@ -1,4 +1,4 @@
-"""Scale in: which machines are deleted now, and why."""
+"""Scale in: decides which machines are deleted now, and why."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 
 
 @dataclass(slots=True)
-class _Situation:
-    """What holds for all machines in one round of decisions."""
+class _RoundContext:
+    """The values shared by all decisions of one round."""
 
     now: float
     holds_lease: bool
-    may_judge_silence: bool
+    treat_silence_as_fault: bool
     overdue_jobs: OverdueJobs
-    early_deletions: set[str]  # for the replicas on them
-    kept: set[str]  # not deleted for being idle
-    spare_cpus: float  # above the peak of demand with headroom; shrinks with each idle machine
+    early_deletions: set[str]  # because of the replicas on them
+    protected: set[str]  # not deleted for being idle
+    spare_cpus: float  # above peak demand with headroom; reduced by each machine deleted as idle
 
 
 class ScaleIn:
-    """Judges each machine again every time it is asked."""
+    """Decides anew for each machine on every call."""
 
     def __init__(
         self,
@@ -64,71 +64,78 @@
         )
 
     def machines_to_delete(self, holds_lease: bool) -> list[str]:
-        """The names of the machines to be deleted now, the most urgent ones first.
+        """Return the names of the machines to delete now, the most urgent ones first.
 
-        After a standstill, or cut off from the key-value store, this controller may no longer lead
-        (`holds_lease` is false): what looks idle or silent here may be at work for another. What a
-        cancelled job may hold is deleted nevertheless; there may be no other leader to do it.
+        After a pause of the process, or cut off from the key-value store, this controller may no
+        longer lead (`holds_lease` is false): machines that look idle or silent may be working for
+        another leader. Machines that may hold cancelled work are deleted nevertheless, as there
+        may be no other leader to do it.
         """
-        situation = self._assess(holds_lease)
+        round_context = self._assess_round(holds_lease)
         urgent: list[str] = []
         others: list[str] = []
         for machine in self._registry.machines.values():
-            reason = self._reason(machine, situation)
+            reason = self._deletion_reason(machine, round_context)
             if reason is None:
                 continue
             if not machine.deletion_requested:
                 log.info("machine deletion: machine=%s reason=%s", machine.id, reason)
-            # One round deletes a bounded number: what must be gone in time does not wait in line.
-            is_urgent = self._cancelled_work.may_be_on(machine, situation.overdue_jobs)
+            # A round deletes a limited number of machines: those with a deadline must go first.
+            is_urgent = self._cancelled_work.may_hold_overdue_tasks(
+                machine, round_context.overdue_jobs
+            )
             (urgent if is_urgent else others).append(machine.id)
         return urgent + others
 
-    def _assess(self, holds_lease: bool) -> _Situation:
+    def _assess_round(self, holds_lease: bool) -> _RoundContext:
         now = self._clock()
-        may_judge_silence = holds_lease and not self._faults.is_controller_isolated()
+        treat_silence_as_fault = holds_lease and not self._faults.is_controller_isolated()
         overdue_jobs = self._cancelled_work.overdue_jobs()
-        early = self._early_deletion.machines_to_delete()  # called all the time: see there
+        early_deletions = self._early_deletion.machines_to_delete()  # must be called in every round
         reserved = self._reserve.reserved_machines()
         initial_machines = self._owner.initial_machine_names()
         spare_cpus = -self._excess_capacity.missing_cpus(now)
         self._excess_capacity.mark_scale_in_candidates(now, initial_machines, reserved)
-        return _Situation(
+        return _RoundContext(
             now,
             holds_lease,
-            may_judge_silence,
+            treat_silence_as_fault,
             overdue_jobs,
-            early if may_judge_silence else set(),
+            early_deletions if treat_silence_as_fault else set(),
             reserved | initial_machines,
             spare_cpus,
         )
 
-    def _reason(self, machine: Machine, situation: _Situation) -> DeletionReason | None:
-        """Why the machine is deleted, if it is: the first reason of `DeletionReason` that holds."""
+    def _deletion_reason(
+        self, machine: Machine, round_context: _RoundContext
+    ) -> DeletionReason | None:
+        """Return the first reason in `DeletionReason` that applies to the machine, if any."""
         if machine.deletion_requested:
             return DeletionReason.REQUESTED_BEFORE
         if machine.listed_stage is HostStage.FAILED:
             return DeletionReason.FAILED
-        if self._cancelled_work.may_be_on(machine, situation.overdue_jobs):
+        if self._cancelled_work.may_hold_overdue_tasks(machine, round_context.overdue_jobs):
             return DeletionReason.CANCELLED_WORK
-        fault = self._faults.find(machine, situation.now, situation.may_judge_silence)
+        fault = self._faults.find_fault(
+            machine, round_context.now, round_context.treat_silence_as_fault
+        )
         if fault is not None:
             return fault
-        if machine.id in situation.early_deletions:
-            return DeletionReason.REPLICAS_UNPROVEN
-        if situation.holds_lease and self._is_excess(machine, situation):
-            situation.spare_cpus -= self._types.cpus(machine)
+        if machine.id in round_context.early_deletions:
+            return DeletionReason.REPLICAS_NOT_PROVEN_ENDED
+        if round_context.holds_lease and self._is_excess(machine, round_context):
+            round_context.spare_cpus -= self._types.cpus(machine)
             return DeletionReason.IDLE
         return None
 
-    def _is_excess(self, machine: Machine, situation: _Situation) -> bool:
-        """Whether it is idle, and neither kept nor needed for the peak of demand."""
-        if machine.id in situation.kept or not self._is_idle(machine, situation.now):
+    def _is_excess(self, machine: Machine, round_context: _RoundContext) -> bool:
+        """Whether it is idle, and neither protected nor needed for peak demand."""
+        if machine.id in round_context.protected or not self._is_idle(machine, round_context.now):
             return False
-        return machine.scale_in_candidate or self._types.cpus(machine) <= situation.spare_cpus
+        return machine.scale_in_candidate or self._types.cpus(machine) <= round_context.spare_cpus
 
     def _is_idle(self, machine: Machine, now: float) -> bool:
-        """Whether nothing has been on it for so long that it may be deleted."""
+        """Whether it has been empty for longer than an idle machine is retained."""
         if not machine.confirmed or machine.idle_since is None:
             return False
         if machine.attempts or machine.unexpected_attempts:
@@ -136,10 +143,10 @@
         return now - machine.idle_since > self._idle_limit_s(machine)
 
     def _idle_limit_s(self, machine: Machine) -> float:
-        """Seconds that an idle machine is kept: by its type, its mark, or its boot time."""
+        """Return how long an idle machine is retained, by its type, candidate mark or boot time."""
         if self._owner.is_scarce_type(machine.machine_type or ""):
             return self._policy.rare_s
         if machine.scale_in_candidate:
             return self._policy.surplus_idle_s
-        boots_s = self._policy.idle_boots * self._types.boot_s(machine)
-        return max(self._policy.idle_min_s, boots_s)
+        boot_based_limit_s = self._policy.idle_boots * self._types.boot_s(machine)
+        return max(self._policy.idle_min_s, boot_based_limit_s)
--- a/spoolcourse/control/autoscaling/scale_out.py
+++ b/spoolcourse/control/autoscaling/scale_out.py
@@ -1,4 +1,4 @@
-"""Scale out: provisioning machines, with backoff for kinds that the cloud has refused."""
+"""Scale out: provisions machines, with backoff for kinds that the cloud has refused."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 log = logging.getLogger(__name__)
 
-TRIES = 3  # of one request, which the cloud carries out once however often it comes
-RETRY_S = 0.5
-BACKOFF_GROWTH = 1.5
-BACKOFF_MAX = 4.0  # times the policy's `refused_s`
+REQUEST_TRIES_MAX = 3  # the cloud executes a repeated request only once
+RETRY_PAUSE_S = 0.5
+BACKOFF_GROWTH_FACTOR = 1.5
+BACKOFF_MAX_FACTOR = 4.0  # times the policy's `refused_s`
 
 
 @dataclass(frozen=True, slots=True)
 class ScaleOutRequest:
-    """So many machines of a kind to be rented."""
+    """A number of machines of one kind to provision."""
 
     kind: MachineKind
     count: int
@@ -31,16 +31,17 @@
 
 @dataclass(slots=True)
 class _Refusal:
-    """A kind that the cloud has refused: not asked for until then."""
+    """The backoff of a kind that the cloud has refused: not requested before `until`."""
 
     until: float
     backoff_s: float
 
 
 class ScaleOut:
-    """Rents what the last placement pass asked for; kinds that were refused wait for a backoff.
+    """Provisions what the last placement pass requested; refused kinds wait for a backoff.
 
-    `holds_lease` says whether no other controller can lead by now: only then machines are rented.
+    `holds_lease` tells whether no other controller can be leader yet; machines are provisioned
+    only then.
     """
 
     def __init__(
@@ -63,16 +64,16 @@
 
     @property
     def is_in_progress(self) -> bool:
-        """Whether something that was asked for is not known as machines yet."""
+        """Whether some requested machines are not registered yet."""
         return bool(self._pending) or self._requesting
 
     def request(self, requests: list[ScaleOutRequest]) -> None:
-        """Rent these machines, in order, in place of what is pending."""
+        """Provision these machines, in order, in place of the pending requests."""
         self._pending = requests
         self._wake.set()
 
     def may_request(self, kind: MachineKind) -> bool:
-        """Whether the kind is not waiting for its backoff after a refusal."""
+        """Whether the kind is not in backoff after a refusal."""
         refusal = self._refusals.get(kind)
         return refusal is None or refusal.until <= self._clock()
 
@@ -84,14 +85,14 @@
             requests, self._pending = self._pending, []
             self._requesting = True
             for request in requests:
-                for part in _parts(request):
+                for part in _split_request(request):
                     if self._holds_lease() and self.may_request(part.kind):
-                        await self._rent(part)
+                        await self._provision(part)
             self._requesting = False
 
-    async def _rent(self, request: ScaleOutRequest) -> None:
+    async def _provision(self, request: ScaleOutRequest) -> None:
         request_name = self._cloud.next_request_name()
-        for _ in range(TRIES):
+        for _ in range(REQUEST_TRIES_MAX):
             requested_at = self._clock()
             try:
                 names = await self._cloud.provision(request_name, request.kind, request.count)
@@ -100,22 +101,22 @@
                 return
             except CloudRequestFailedError as exc:
                 log.info("scale out failed: request=%s reason=%s", request_name, exc)
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(RETRY_PAUSE_S)
                 continue
             self._register(names, request, requested_at)
             return
 
     def _register(self, names: list[str], request: ScaleOutRequest, requested_at: float) -> None:
-        """Take the rented machines into the registry; fewer than requested count as a refusal."""
+        """Register the provisioned machines; fewer than requested count as a refusal."""
         kind, count = request.kind, request.count
         for name in names:
             if name not in self._registry.deleted_names:
                 self._register_machine(name, kind, requested_at)
         log.info(
-            "scale out: rented=%d requested=%d %s machines=%s",
+            "scale out: provisioned=%d requested=%d %s machines=%s",
             len(names),
             count,
-            _kind_fields(kind),
+            _format_kind(kind),
             " ".join(names),
         )
         if len(names) < count:
@@ -139,21 +140,21 @@
         previous = self._refusals.get(kind)
         backoff_s = self._policy.refused_s
         if previous is not None:
-            backoff_max_s = BACKOFF_MAX * self._policy.refused_s
-            backoff_s = min(previous.backoff_s * BACKOFF_GROWTH, backoff_max_s)
+            backoff_max_s = BACKOFF_MAX_FACTOR * self._policy.refused_s
+            backoff_s = min(previous.backoff_s * BACKOFF_GROWTH_FACTOR, backoff_max_s)
         self._refusals[kind] = _Refusal(self._clock() + backoff_s, backoff_s)
-        log.info("scale out refused: %s backoff_s=%.1f", _kind_fields(kind), backoff_s)
+        log.info("scale out refused: %s backoff_s=%.1f", _format_kind(kind), backoff_s)
 
 
-def _parts(request: ScaleOutRequest) -> Iterator[ScaleOutRequest]:
-    """The same machines in requests that the cloud takes, `PROVISION_MAX` at most in each."""
-    left = request.count
-    while left > 0:
-        part = ScaleOutRequest(request.kind, min(left, PROVISION_MAX))
+def _split_request(request: ScaleOutRequest) -> Iterator[ScaleOutRequest]:
+    """Split the request into ones of at most `PROVISION_MAX` machines, the limit of the cloud."""
+    remaining = request.count
+    while remaining > 0:
+        part = ScaleOutRequest(request.kind, min(remaining, PROVISION_MAX))
         yield part
-        left -= part.count
+        remaining -= part.count
 
 
-def _kind_fields(kind: MachineKind) -> str:
+def _format_kind(kind: MachineKind) -> str:
     spot = "yes" if kind.spot else "no"
     return f"machine_type={kind.machine_type} zone={kind.zone} spot={spot}"
--- a/spoolcourse/control/autoscaling/service_reserve.py
+++ b/spoolcourse/control/autoscaling/service_reserve.py
@@ -1,8 +1,8 @@
 """Capacity reserve for services: on-demand machines kept so that the loss of one leaves room.
 
-Services that may not run on spot machines have only the on-demand ones. Without a reserve the
-on-demand machines shrink to just what the replicas hold, and when one of them is lost its replicas
-wait for another to boot. Meanwhile other work runs on the reserve; it is stopped for replicas.
+Services that may not run on spot machines depend on on-demand ones. Without a reserve, scale-in
+leaves just the on-demand machines that the replicas occupy, and the replicas of a lost machine wait
+for another to boot. Other work runs on the reserve meanwhile and is stopped for replicas.
 """
 
 from __future__ import annotations
@@ -17,31 +17,31 @@
 from spoolcourse.policy.keys import Policy
 
 
-class _Holder(NamedTuple):
-    """An on-demand machine, with the CPUs that replicas hold there."""
+class _OnDemandMachine(NamedTuple):
+    """An on-demand machine and the CPUs that replicas use on it."""
 
     replica_cpus: float
     machine: Machine
 
 
 @dataclass(slots=True)
-class _Zone:
-    """The on-demand machines of a zone."""
+class _ZoneCapacity:
+    """The on-demand machines of a zone and the CPUs that replicas use on them."""
 
-    holders: list[_Holder] = field(default_factory=list)
-    replica_cpus: float = 0.0  # held in the zone
-    largest_cpus: float = 0.0  # of the machines that hold replicas
+    on_demand_machines: list[_OnDemandMachine] = field(default_factory=list)
+    replica_cpus: float = 0.0  # used in the zone
+    largest_machine_cpus: float = 0.0  # of the machines with replicas
 
     def add(self, machine: Machine, machine_cpus: float) -> None:
         replica_cpus = _replica_cpus(machine)
-        self.holders.append(_Holder(replica_cpus, machine))
+        self.on_demand_machines.append(_OnDemandMachine(replica_cpus, machine))
         if replica_cpus > 0:
             self.replica_cpus += replica_cpus
-            self.largest_cpus = max(self.largest_cpus, machine_cpus)
+            self.largest_machine_cpus = max(self.largest_machine_cpus, machine_cpus)
 
 
 class ServiceReserve:
-    """Chooses, zone by zone, the on-demand machines to be kept."""
+    """Chooses the on-demand machines to keep in each zone."""
 
     def __init__(
         self,
@@ -54,20 +54,22 @@
         self._types = types
 
     def reserved_machines(self) -> set[str]:
-        """Names of machines that take what the replicas hold, and the policy's spare machines."""
+        """Return the names of the machines that fit the replicas and the policy's spare ones."""
         reserved: set[str] = set()
-        for zone in self._zones().values():
-            missing_cpus = zone.replica_cpus + self._policy.service_spares * zone.largest_cpus
-            # Those with the most replicas first: they can't be deleted anyway.
-            for holder in sorted(zone.holders, key=lambda holder: -holder.replica_cpus):
-                if missing_cpus <= 0:
+        for zone in self._capacity_by_zone().values():
+            cpus_to_reserve = (
+                zone.replica_cpus + self._policy.service_spares * zone.largest_machine_cpus
+            )
+            # Machines with the most replicas first: they can't be deleted anyway.
+            for entry in sorted(zone.on_demand_machines, key=lambda entry: -entry.replica_cpus):
+                if cpus_to_reserve <= 0:
                     break
-                reserved.add(holder.machine.id)
-                missing_cpus -= self._types.cpus(holder.machine)
+                reserved.add(entry.machine.id)
+                cpus_to_reserve -= self._types.cpus(entry.machine)
         return reserved
 
-    def _zones(self) -> dict[str, _Zone]:
-        zones: defaultdict[str, _Zone] = defaultdict(_Zone)
+    def _capacity_by_zone(self) -> dict[str, _ZoneCapacity]:
+        zones: defaultdict[str, _ZoneCapacity] = defaultdict(_ZoneCapacity)
         for machine in self._registry.machines.values():
             if machine.spot is False and machine.is_schedulable:
                 zones[machine.zone or ""].add(machine, self._types.cpus(machine))
@@ -75,7 +77,7 @@
 
 
 def _replica_cpus(machine: Machine) -> float:
-    """CPUs that replicas hold there which may run on on-demand machines only."""
+    """Return the CPUs used by replicas that may run on on-demand machines only."""
     return sum(
         submission.cpus
         for attempt in machine.attempts.values()
--- a/tests/autoscaling/test_deletion_reasons.py
+++ b/tests/autoscaling/test_deletion_reasons.py
@@ -8,7 +8,7 @@
 import pytest
 
 from spoolcourse.control.autoscaling.deletion_reason import DeletionReason
-from spoolcourse.control.autoscaling.machine_faults import ISOLATION_MIN, MachineFaults
+from spoolcourse.control.autoscaling.machine_faults import ISOLATION_MACHINES_MIN, MachineFaults
 from spoolcourse.control.autoscaling.machine_type_lookup import MachineTypeLookup
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.policy.keys import Policy
@@ -83,21 +83,21 @@
     machine: Machine, reason: DeletionReason | None
 ) -> None:
     judge = faults(machine)
-    assert judge.find(machine, NOW, may_judge_silence=True) is reason
-    assert judge.find(machine, NOW, may_judge_silence=False) is None
+    assert judge.find_fault(machine, NOW, treat_silence_as_fault=True) is reason
+    assert judge.find_fault(machine, NOW, treat_silence_as_fault=False) is None
 
 
-@pytest.mark.parametrize("may_judge_silence", [True, False])
+@pytest.mark.parametrize("treat_silence_as_fault", [True, False])
 def test_a_machine_on_which_tasks_of_several_jobs_fail_goes_once_it_is_empty(
-    may_judge_silence: bool,
+    treat_silence_as_fault: bool,
 ) -> None:
     machine = healthy(failed_jobs={"job-000001", "job-000002"})
     judge = faults(machine)
-    assert judge.find(machine, NOW, may_judge_silence) is DeletionReason.FAULTY
+    assert judge.find_fault(machine, NOW, treat_silence_as_fault) is DeletionReason.FAULTY
     machine.attempts = cast(Any, {("job-000003", 0): None})
-    assert judge.find(machine, NOW, may_judge_silence) is None
+    assert judge.find_fault(machine, NOW, treat_silence_as_fault) is None
     one_job = healthy(failed_jobs={"job-000001"})
-    assert judge.find(one_job, NOW, may_judge_silence) is None
+    assert judge.find_fault(one_job, NOW, treat_silence_as_fault) is None
 
 
 @pytest.mark.parametrize(
@@ -114,7 +114,7 @@
 
     assert fleet(2, 1).is_controller_isolated()
     assert not fleet(2, 2).is_controller_isolated(), "half of them are not most"
-    assert not fleet(ISOLATION_MIN - 1, 0).is_controller_isolated(), "too few to tell"
+    assert not fleet(ISOLATION_MACHINES_MIN - 1, 0).is_controller_isolated(), "too few to tell"
     unheard = [healthy(f"new-{number}", last_heartbeat_at=None) for number in range(9)]
     assert not faults(*unheard).is_controller_isolated(), "machines that boot are not silent"
 
--- a/tests/recorded/plans/adapter.py
+++ b/tests/recorded/plans/adapter.py
@@ -233,7 +233,7 @@
 
 
 def demand_peaks(history: Fields) -> Fields:
-    demand = DemandHistory(memory_s=history["memory_s"])
+    demand = DemandHistory(retention_s=history["memory_s"])
     for moment, cpus in history["samples"]:
         demand.record(now=moment, cpus=cpus)
     return {
