--- a/spoolcourse/control/placement/__init__.py
+++ b/spoolcourse/control/placement/__init__.py
@@ -1,12 +1,11 @@
 """The placement model and its passes: pure functions of a snapshot.
 
-Nothing here does I/O or reads a clock, and of the control package only this package itself is
-imported. The same snapshot always gives the same plan: `tests/recorded/test_recorded_plans.py`
-replays recorded ones.
+This package does no I/O, reads no clock and imports no other part of the control package. The same
+snapshot always gives the same plan; `tests/recorded/test_recorded_plans.py` replays recorded ones.
 
 - `model`: the snapshot that a pass reads and the plan that it returns.
 - `backfill`: EASY backfilling with bin packing.
-- `reservations`: the reservation of the head of the queue, up to its shadow time.
-- `image_fetches`: how many image fetches may run at once on a machine and in a zone.
-- `preempt`: preemption for rank and quota.
+- `reservations`: machines reserved for the head of the queue, and its shadow time.
+- `image_fetches`: limits on concurrent image fetches per machine and per zone.
+- `preempt`: preemption for rank and team guarantee.
 """
--- a/spoolcourse/control/placement/image_fetches.py
+++ b/spoolcourse/control/placement/image_fetches.py
@@ -1,4 +1,4 @@
-"""Image fetches of a pass: how long they take, and how many run at once."""
+"""Image fetches during a pass: their expected delay and the limits on concurrent fetches."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def needs_fetch(job: PlacementJob, machine: PlacementMachine) -> bool:
-    """Whether a start of the job there begins a fetch: the image is neither there nor coming."""
+    """Whether the job needs a new fetch: its image is neither cached nor being fetched there."""
     return (
         job.image_gb > 0
         and job.image not in machine.cached_images
@@ -20,7 +20,7 @@
 
 
 def fetch_delay_s(job: PlacementJob, machine: PlacementMachine) -> float:
-    """How long a task that is placed there now waits for its image. Fetches run in sequence."""
+    """Return how long a task placed there now waits for its image. Fetches run in sequence."""
     if job.image_gb <= 0 or job.image in machine.cached_images:
         return 0.0
     gb_per_s = max(machine.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
@@ -31,38 +31,38 @@
 
 
 class FetchLimits:
-    """Books fetches against the limits of each machine and each zone."""
+    """Counts concurrent fetches against the limits per machine and per zone."""
 
     def __init__(self, snapshot: Snapshot) -> None:
         self._per_machine = max(snapshot.fetches_per_machine, 1)
         self._per_zone = snapshot.fetches_per_zone
         self._running_by_zone = [0] * snapshot.zone_count
-        self._closed_zones: set[int] = set()
+        self._blocked_zones: set[int] = set()
         for machine in snapshot.machines:
             self._running_by_zone[machine.zone] += len(machine.fetch_left_gb)
 
     @property
-    def need_quiet_zone(self) -> bool:
-        """Whether one fetch exceeds a zone's limit: it then starts only where no other runs."""
+    def requires_idle_zone(self) -> bool:
+        """Whether a single fetch exceeds the zone limit: it then needs a zone without fetches."""
         return self._per_zone < 1
 
     def allow(self, job: PlacementJob, machine: PlacementMachine) -> bool:
-        """Whether the job needs no new fetch there, or one more may start."""
+        """Whether the job needs no new fetch on the machine, or the limits allow one more."""
         if not needs_fetch(job, machine):
             return True
-        if machine.zone in self._closed_zones or len(machine.fetch_left_gb) >= self._per_machine:
+        if machine.zone in self._blocked_zones or len(machine.fetch_left_gb) >= self._per_machine:
             return False
         running = self._running_by_zone[machine.zone]
-        if self.need_quiet_zone:
+        if self.requires_idle_zone:
             return running == 0
         return running < self._per_zone
 
     def book(self, job: PlacementJob, machine: PlacementMachine) -> None:
-        """Start the fetch that a start of the job there needs, if any."""
+        """Record the fetch that starting the job on the machine requires, if any."""
         if needs_fetch(job, machine):
             machine.fetch_left_gb[job.image] = job.image_gb
             self._running_by_zone[machine.zone] += 1
 
-    def close_zones(self, zones: set[int]) -> None:
-        """Allow no further fetch of this pass in these zones."""
-        self._closed_zones |= zones
+    def block_zones(self, zones: set[int]) -> None:
+        """Allow no further fetches in these zones during this pass."""
+        self._blocked_zones |= zones
--- a/spoolcourse/control/placement/model.py
+++ b/spoolcourse/control/placement/model.py
@@ -1,10 +1,11 @@
 """The placement model: what a pass reads (the snapshot) and what it returns (the plan).
 
 Machines, jobs, teams, zones, machine types and images are dense indices here. Times are seconds
-on the leader's clock, durations are seconds, memory and images are GB, CPUs may be fractions.
+on the leader's clock, durations are in seconds, memory and image sizes in GB; CPU counts may be
+fractional.
 
-Records that a snapshot has thousands of are `msgspec.Struct`s: made with keywords, they cost a
-quarter of the processor time of a dataclass.
+Records of which a snapshot has thousands are `msgspec.Struct`s: constructing one with keywords
+takes a quarter of the processor time of a dataclass.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 import msgspec
 
 EPSILON = 1e-6  # absolute tolerance for resources and times, which are sums of floats
-MIN_FETCH_GB_PER_S = 1e-3  # a machine type whose rate is given as 0 still fetches
-UNBOUNDED_TASKS = 100_000  # stands for "no limit": no job has more tasks
+MIN_FETCH_GB_PER_S = 1e-3  # used for machine types whose configured rate is 0
+UNBOUNDED_TASKS = 100_000  # task count that means "no limit": no job has more tasks
 
 
 def tasks_that_fit(cpus: float, gpus: float, memory_gb: float, job: PlacementJob) -> int:
-    """How many tasks of the job fit into these free resources."""
+    """Return how many tasks of the job fit into the given free resources."""
     count: float = UNBOUNDED_TASKS
     if job.cpus > 0:
         count = min(count, (cpus + EPSILON) // job.cpus)
@@ -32,7 +33,7 @@
 
 
 def tasks_within_limit(free: float, per_task: float) -> int:
-    """How many tasks a limit allows, of which so much is free: infinite means no limit."""
+    """Return how many tasks fit into the free part of a limit; infinity means no limit."""
     if per_task <= 0 or free == inf:
         return UNBOUNDED_TASKS
     return max(0, int((free + EPSILON) // per_task))
@@ -48,27 +49,27 @@
     attempt_number: int = -1
     rank: int = 0  # 0 is the highest
     team: int = 0
-    checkpoint_loss_cpu_s: float = 0.0  # what stopping it loses if `unsaved_since` is None
+    checkpoint_loss_cpu_s: float = 0.0  # lost by stopping it if `unsaved_since` is None
     stopping: bool = False
-    within_guarantee: bool = False  # its job is within its team's guarantee: not preempted for one
-    unsaved_since: float | None = None  # all its work since then is lost when it is stopped
+    within_guarantee: bool = False  # of its team: not preempted for another's guarantee
+    unsaved_since: float | None = None  # stopping it loses all work since then
 
     def loss_cpu_s(self, now: float) -> float:
-        """CPU seconds of work that stopping it loses."""
+        """CPU seconds of work that are lost if the task is stopped."""
         if self.unsaved_since is None:
             return self.checkpoint_loss_cpu_s
         return self.cpus * (now - self.unsaved_since)
 
 
 class FreeResources(msgspec.Struct):
-    """Free resources that tasks are packed into."""
+    """Free resources into which tasks are packed."""
 
     cpus: float
     gpus: float
     memory_gb: float
 
     def tasks_that_fit(self, job: PlacementJob) -> int:
-        """How many tasks of the job fit."""
+        """Return how many tasks of the job fit."""
         return tasks_that_fit(self.cpus, self.gpus, self.memory_gb, job)
 
     def release(self, task: RunningTask) -> None:
@@ -78,14 +79,14 @@
         self.memory_gb += task.memory_gb
 
     def book(self, job: PlacementJob, count: int) -> None:
-        """Subtract the resources of so many tasks of the job."""
+        """Subtract the resources of `count` tasks of the job."""
         self.cpus -= count * job.cpus
         self.gpus -= count * job.gpus
         self.memory_gb -= count * job.memory_gb
 
 
 class PlacementMachine(FreeResources, kw_only=True):
-    """A machine as a pass sees it, with what is free there now."""
+    """A machine as seen by a pass; the inherited fields are its free resources."""
 
     machine_type: int
     zone: int
@@ -94,63 +95,63 @@
     fetch_gb_per_s: float
     cached_images: set[int] = msgspec.field(default_factory=set)
     fetch_left_gb: dict[int, float] = msgspec.field(default_factory=dict)  # by image, estimated
-    tasks: list[RunningTask] = msgspec.field(default_factory=list)  # by expected end
+    tasks: list[RunningTask] = msgspec.field(default_factory=list)  # sorted by expected end
     ready_at: float = 0.0  # in the future while it boots
-    scale_in_candidate: bool = False  # should run empty so that it can be returned
-    has_scarce_type: bool = False  # some job can use this machine type only, or few beside it
-    cpus_being_freed: float = 0.0  # by tasks that are being stopped, as are the next two
+    scale_in_candidate: bool = False  # to be emptied and released
+    has_scarce_type: bool = False  # some job can use this type, but not all types
+    cpus_being_freed: float = 0.0  # by tasks that are being stopped; also the next two
     gpus_being_freed: float = 0.0
     memory_gb_being_freed: float = 0.0
 
     def expect_release(self, task: RunningTask) -> None:
-        """Count the resources of a task that is being stopped as being freed."""
+        """Add the resources of a task that is being stopped to those being freed."""
         self.cpus_being_freed += task.cpus
         self.gpus_being_freed += task.gpus
         self.memory_gb_being_freed += task.memory_gb
 
 
 class PlacementJob(msgspec.Struct):
-    """A job as a pass sees it, with its tasks that wait for a machine."""
+    """A job as seen by a pass, with its number of pending tasks."""
 
     pending_tasks: int
-    cpus: float  # of one task, as are the next two
+    cpus: float  # per task; also the next two
     gpus: float
     memory_gb: float
     image: int
     image_gb: float
     team: int
-    estimate_s: float  # how long a task runs; infinite for a service
+    estimate_s: float  # expected run time of a task; infinite for a service
     machine_types: frozenset[int] | None = None  # None: any
     zone: int | None = None
     spot_allowed: bool = True
     one_zone: bool = False
     max_tasks_per_zone: int | None = None
-    tasks_by_zone: dict[int, int] = msgspec.field(default_factory=dict)  # that may run in the zone
+    tasks_by_zone: dict[int, int] = msgspec.field(default_factory=dict)  # that run or may run there
     tasks_in_unknown_zones: int = 0
-    avoided_machines: frozenset[int] = frozenset()  # it failed there recently
+    avoided_machines: frozenset[int] = frozenset()  # machines on which it failed recently
     rank: int = 2  # 0 is the highest
-    may_preempt: bool = False  # running tasks may be stopped for it
-    within_guarantee: bool = False  # it fits into its team's guarantee
+    may_preempt: bool = False  # running tasks may be preempted for it
+    within_guarantee: bool = False  # the job fits into its team's guarantee
     replicas_by_machine: dict[int, int] = msgspec.field(default_factory=dict)  # of a service
     is_service: bool = False
-    ordinary_machines_from: float = 0.0  # the time from which they may be rented for it
+    ordinary_machines_from: float = 0.0  # when on-demand machines may be provisioned
 
     def runs_on(self, machine_type: int, spot: bool) -> bool:
-        """Whether it may run on this kind of machine."""
+        """Whether the job may run on spot or on-demand machines of this type."""
         return (self.machine_types is None or machine_type in self.machine_types) and (
             self.spot_allowed or not spot
         )
 
     def is_bound_to_another_zone(self, zone: int) -> bool:
-        """Whether it must stay in one zone and already has tasks in another."""
+        """Whether the job is limited to one zone and already has tasks in another."""
         return self.one_zone and any(
             count for other, count in self.tasks_by_zone.items() if other != zone
         )
 
     def tasks_allowed_in_zone(self, zone: int) -> int:
-        """How many more of its tasks may start in the zone now.
+        """Return how many more of its tasks may start in the zone now.
 
-        Tasks on machines whose zone isn't known may be anywhere: they count against every zone.
+        Tasks on machines whose zone is unknown may be anywhere, so they count against every zone.
         """
         if self.zone not in (None, zone) or self.is_bound_to_another_zone(zone):
             return 0
@@ -164,33 +165,33 @@
 
 @dataclass(slots=True)
 class TeamBudget:
-    """What a team may still use below its limits; infinite where it has none."""
+    """Resources that a team may still use under its limits; infinite without a limit."""
 
     cpus: float
     gpus: float
-    cpus_over_guarantee: float = 0.0  # negative while it uses less than its guarantee
+    cpus_over_guarantee: float = 0.0  # negative below the guarantee
 
     def tasks_that_fit(self, job: PlacementJob) -> int:
-        """How many more tasks of the job its limits allow."""
+        """Return how many more tasks of the job the limits allow."""
         return min(tasks_within_limit(self.cpus, job.cpus), tasks_within_limit(self.gpus, job.gpus))
 
 
 @dataclass(slots=True)
 class Snapshot:
-    """Everything that a pass reads. A pass uses it up: it books what it places."""
+    """The input of a pass. A pass modifies it: it subtracts the resources of what it places."""
 
     now: float
-    jobs: list[PlacementJob]  # in the order of service
+    jobs: list[PlacementJob]  # in scheduling order
     machines: list[PlacementMachine]
     teams: list[TeamBudget]
     zone_count: int
-    fetches_per_machine: int  # image fetches at once, as is the next one
+    fetches_per_machine: int  # concurrent image fetches; also the next one
     fetches_per_zone: int
 
 
 @dataclass(slots=True)
 class Placement:
-    """So many tasks of a job on a machine."""
+    """A number of tasks of a job to start on a machine."""
 
     job: int
     machine: int
@@ -199,10 +200,10 @@
 
 @dataclass(slots=True)
 class Plan:
-    """What a pass has decided. Jobs are indices into the snapshot's."""
+    """The result of a pass. Jobs and machines are indices into the snapshot's lists."""
 
     placements: list[Placement] = field(default_factory=list)
-    head: int | None = None  # the first job that did not fit as a whole
-    shadow_time: float | None = None  # when the head's first reserved task can start
-    unplaced_tasks: dict[int, int] = field(default_factory=dict)  # by job: they need machines
+    head: int | None = None  # the first job that did not fit completely
+    shadow_time: float | None = None  # when the first reserved task of the head can start
+    unplaced_tasks: dict[int, int] = field(default_factory=dict)  # by job: tasks that need machines
     wait_reasons: dict[int, str] = field(default_factory=dict)  # by job: shown in /status
--- a/spoolcourse/control/placement/preempt.py
+++ b/spoolcourse/control/placement/preempt.py
@@ -1,10 +1,10 @@
-"""Preemption for rank and quota: running tasks are stopped for jobs that may preempt.
+"""Preemption for rank and team guarantee: running tasks are stopped for jobs that may preempt.
 
-This is the second exception to the arrival order (docs/design.md). A job may preempt if people
-wait for its class to start, or if it fits into its team's guarantee. For it, tasks of lower rank
-may be stopped. If it is within its guarantee, so may tasks of the same rank of teams that use more
-than their own. That is the order of service as well (rank, guarantee, arrival): two jobs
-must not preempt each other in turn.
+This is the second exception to the arrival order (docs/design.md). A job may preempt if users
+wait for its class to start, or if it fits into its team's guarantee. It may preempt tasks of lower
+rank and, if it is within its guarantee, tasks of the same rank of teams that exceed their own
+guarantee. Jobs are scheduled in the same order (rank, guarantee, arrival), as two jobs must not
+preempt each other in turn.
 """
 
 from __future__ import annotations
@@ -19,62 +19,63 @@
     tasks_that_fit,
 )
 
-MIN_LOSS_CPUS = 0.1  # divisor of the loss by CPU of tasks that hold next to none
+MIN_LOSS_DIVISOR_CPUS = 0.1  # for the loss per CPU of tasks with almost no CPUs
 
-_Claim = tuple[int, int]  # a job that may preempt, and how many of its tasks are unplaced
+_Demand = tuple[int, int]  # index of a job that may preempt, number of its unplaced tasks
 
 
-def choose_victims(snapshot: Snapshot, plan: Plan, patience_s: float) -> list[int]:
-    """Attempt numbers of the tasks to stop. Uses up the snapshot further.
+def choose_victims(snapshot: Snapshot, plan: Plan, min_remaining_s: float) -> list[int]:
+    """Return the attempt numbers of the tasks to stop. Modifies the snapshot.
 
-    Tasks that lose the least work by CPU come first; one that is expected to end within
-    `patience_s` is waited for. What is being stopped already counts as room.
+    Tasks that lose the least work per CPU are chosen first. Tasks expected to end within
+    `min_remaining_s` are not preempted. Resources of tasks already being stopped count as free.
     """
-    claims = [
-        (index, count)
-        for index, count in plan.unplaced_tasks.items()
-        if snapshot.jobs[index].may_preempt
+    demands = [
+        (job_index, count)
+        for job_index, count in plan.unplaced_tasks.items()
+        if snapshot.jobs[job_index].may_preempt
     ]
-    if not claims:
+    if not demands:
         return []
-    return _Preemption(snapshot, claims, patience_s).run()
+    return _VictimSelection(snapshot, demands, min_remaining_s).run()
 
 
-class _Preemption:
-    """Chooses the victims of one pass. The tasks are put in order once for all claims."""
+class _VictimSelection:
+    """Selects the victims of one pass. The candidates are sorted once for all demands."""
 
-    def __init__(self, snapshot: Snapshot, claims: list[_Claim], patience_s: float) -> None:
+    def __init__(self, snapshot: Snapshot, demands: list[_Demand], min_remaining_s: float) -> None:
         self._snapshot = snapshot
-        self._claims = claims
+        self._demands = demands
         self._cpus_over_guarantee = [team.cpus_over_guarantee for team in snapshot.teams]
-        highest_rank = min(snapshot.jobs[index].rank for index, _ in claims)
-        self._victims = self._possible_victims(highest_rank, patience_s)
-        self._lowest_rank = max((task.rank for _, task in self._victims), default=-1)
-        self._chosen: list[int] = []
+        highest_rank = min(snapshot.jobs[job_index].rank for job_index, _ in demands)
+        self._candidates = self._victim_candidates(highest_rank, min_remaining_s)
+        self._lowest_rank = max((task.rank for _, task in self._candidates), default=-1)
+        self._chosen_attempts: list[int] = []
 
-    def _possible_victims(
-        self, highest_rank: int, patience_s: float
+    def _victim_candidates(
+        self, highest_rank: int, min_remaining_s: float
     ) -> list[tuple[int, RunningTask]]:
-        """Tasks that some claim might stop, with their machines: the least loss first."""
+        """Return the tasks that some demand may preempt with their machines, least loss first."""
         now = self._snapshot.now
-        victims = sorted(
+        candidates = sorted(
             (
                 (
-                    task.loss_cpu_s(now) / max(task.cpus, MIN_LOSS_CPUS),
-                    number,
+                    task.loss_cpu_s(now) / max(task.cpus, MIN_LOSS_DIVISOR_CPUS),
+                    machine_index,
                     task.expected_end,
                     task,
                 )
-                for number, machine in enumerate(self._snapshot.machines)
+                for machine_index, machine in enumerate(self._snapshot.machines)
                 for task in machine.tasks
-                if self._is_preemptible(task, highest_rank) and task.expected_end > now + patience_s
+                if self._is_preemptible(task, highest_rank)
+                and task.expected_end > now + min_remaining_s
             ),
-            key=lambda victim: victim[:3],
+            key=lambda candidate: candidate[:3],
         )
-        return [(number, task) for _, number, _, task in victims]
+        return [(machine_index, task) for _, machine_index, _, task in candidates]
 
     def _is_preemptible(self, task: RunningTask, highest_rank: int) -> bool:
-        """Whether a claim of the highest rank might stop it."""
+        """Whether a demand of the highest rank may preempt the task."""
         if task.stopping or task.rank < highest_rank:
             return False
         return task.rank > highest_rank or (
@@ -82,74 +83,74 @@
         )
 
     def run(self) -> list[int]:
-        """Serve the claims in order; returns the attempt numbers of the tasks to stop."""
-        # Signatures of claims that found too few victims: the next one like them would find none.
-        # Each claim looking through all tasks again cost fleet times backlog.
+        """Process the demands in order and return the attempt numbers of the tasks to stop."""
+        # Signatures of demands that found too few victims: the next such demand would find none.
+        # Searching all tasks again for each demand would cost O(machines * jobs).
         without_victims: set[tuple[object, ...]] = set()
-        for index, wanted in self._claims:
-            job = self._snapshot.jobs[index]
-            missing = wanted - self._book_freed(job, wanted)
+        for job_index, unplaced_tasks in self._demands:
+            job = self._snapshot.jobs[job_index]
+            missing = unplaced_tasks - self._book_freed(job, unplaced_tasks)
             if missing <= 0 or not self._may_have_victims(job):
                 continue
-            # These rules depend on machines and on tasks of the job itself, which differ from job
-            # to job: the signature doesn't cover them.
+            # These constraints depend on machines and on the job's own tasks, which the signature
+            # does not cover.
             comparable = not (
                 job.avoided_machines or job.one_zone or job.max_tasks_per_zone is not None
             )
-            if comparable and _claim_signature(job) in without_victims:
+            if comparable and _demand_signature(job) in without_victims:
                 continue
             missing -= self._preempt_for(job, missing)
             if missing > 0 and comparable:
-                without_victims.add(_claim_signature(job))
-        return self._chosen
+                without_victims.add(_demand_signature(job))
+        return self._chosen_attempts
 
     def _may_have_victims(self, job: PlacementJob) -> bool:
         return self._lowest_rank > job.rank or (
             self._lowest_rank == job.rank and job.within_guarantee
         )
 
-    def _book_freed(self, job: PlacementJob, wanted: int) -> int:
-        """Book room that is free or being freed; returns for how many tasks."""
+    def _book_freed(self, job: PlacementJob, max_tasks: int) -> int:
+        """Book resources that are free or being freed; return for how many tasks."""
         booked = 0
-        for number, machine in enumerate(self._snapshot.machines):
-            if booked >= wanted:
+        for machine_index, machine in enumerate(self._snapshot.machines):
+            if booked >= max_tasks:
                 break
             has_cpus = machine.cpus + machine.cpus_being_freed + EPSILON >= job.cpus
-            if has_cpus and _machine_suits(job, number, machine, self._snapshot.now):
-                booked += _book_room(job, machine, wanted - booked)
+            if has_cpus and _is_eligible_machine(job, machine_index, machine, self._snapshot.now):
+                booked += _book_freed_on_machine(job, machine, max_tasks - booked)
         return booked
 
-    def _preempt_for(self, job: PlacementJob, wanted: int) -> int:
-        """Stop tasks until so many of the job fit; returns for how many there is room then."""
+    def _preempt_for(self, job: PlacementJob, max_tasks: int) -> int:
+        """Preempt tasks until `max_tasks` of the job fit; return how many then fit."""
         booked = 0
         victims_by_machine: dict[int, list[RunningTask]] = {}
-        for number, task in self._victims:
-            if booked >= wanted:
+        for machine_index, task in self._candidates:
+            if booked >= max_tasks:
                 break
-            machine = self._snapshot.machines[number]
-            if task.stopping or not _may_stop(job, task, self._cpus_over_guarantee):
+            machine = self._snapshot.machines[machine_index]
+            if task.stopping or not _may_preempt(job, task, self._cpus_over_guarantee):
                 continue
-            if not _machine_suits(job, number, machine, self._snapshot.now):
+            if not _is_eligible_machine(job, machine_index, machine, self._snapshot.now):
                 continue
-            victims = victims_by_machine.setdefault(number, [])
+            victims = victims_by_machine.setdefault(machine_index, [])
             victims.append(task)
-            if not _fits_without(job, machine, victims):
+            if not _fits_after_preemption(job, machine, victims):
                 continue
             for victim in victims:
                 self._stop(machine, victim)
-            victims_by_machine[number] = []
-            booked += _book_room(job, machine, wanted - booked)
+            victims_by_machine[machine_index] = []
+            booked += _book_freed_on_machine(job, machine, max_tasks - booked)
         return booked
 
     def _stop(self, machine: PlacementMachine, victim: RunningTask) -> None:
         victim.stopping = True
-        self._chosen.append(victim.attempt_number)
+        self._chosen_attempts.append(victim.attempt_number)
         self._cpus_over_guarantee[victim.team] -= victim.cpus
         machine.expect_release(victim)
 
 
-def _may_stop(job: PlacementJob, task: RunningTask, cpus_over_guarantee: list[float]) -> bool:
-    """Whether the task may be stopped for the job; a team keeps its guarantee."""
+def _may_preempt(job: PlacementJob, task: RunningTask, cpus_over_guarantee: list[float]) -> bool:
+    """Whether the job may preempt the task. No team loses CPUs within its guarantee."""
     if task.rank != job.rank:
         return task.rank > job.rank
     if task.within_guarantee or not job.within_guarantee:
@@ -157,17 +158,19 @@
     return task.team != job.team and cpus_over_guarantee[task.team] >= task.cpus
 
 
-def _machine_suits(job: PlacementJob, number: int, machine: PlacementMachine, now: float) -> bool:
+def _is_eligible_machine(
+    job: PlacementJob, machine_index: int, machine: PlacementMachine, now: float
+) -> bool:
     return (
         machine.ready_at <= now
         and job.tasks_allowed_in_zone(machine.zone) > 0
         and job.runs_on(machine.machine_type, machine.spot)
-        and number not in job.avoided_machines
+        and machine_index not in job.avoided_machines
     )
 
 
-def _claim_signature(job: PlacementJob) -> tuple[object, ...]:
-    """Claims with the same one find the same victims."""
+def _demand_signature(job: PlacementJob) -> tuple[object, ...]:
+    """Return a key; demands with equal keys find the same victims."""
     return (
         *(job.rank, job.within_guarantee, job.team),
         *(job.machine_types, job.zone, job.spot_allowed),
@@ -175,8 +178,10 @@
     )
 
 
-def _fits_without(job: PlacementJob, machine: PlacementMachine, victims: list[RunningTask]) -> bool:
-    """Whether a task of the job fits once these have ended."""
+def _fits_after_preemption(
+    job: PlacementJob, machine: PlacementMachine, victims: list[RunningTask]
+) -> bool:
+    """Whether a task of the job fits once the victims have ended."""
     count = tasks_that_fit(
         machine.cpus + machine.cpus_being_freed + sum(task.cpus for task in victims),
         machine.gpus + machine.gpus_being_freed + sum(task.gpus for task in victims),
@@ -186,15 +191,15 @@
     return count >= 1
 
 
-def _book_room(job: PlacementJob, machine: PlacementMachine, wanted: int) -> int:
-    """Book room that is free or being freed for the job; returns for how many tasks."""
+def _book_freed_on_machine(job: PlacementJob, machine: PlacementMachine, max_tasks: int) -> int:
+    """Book resources of the machine that are free or being freed; return for how many tasks."""
     fitting = tasks_that_fit(
         machine.cpus + machine.cpus_being_freed,
         machine.gpus + machine.gpus_being_freed,
         machine.memory_gb + machine.memory_gb_being_freed,
         job,
     )
-    count = min(wanted, fitting)
+    count = min(max_tasks, fitting)
     if count > 0:
         machine.cpus_being_freed -= count * job.cpus
         machine.gpus_being_freed -= count * job.gpus
