--- a/spoolcourse/control/scheduling/__init__.py
+++ b/spoolcourse/control/scheduling/__init__.py
@@ -1,9 +1,9 @@
-"""The scheduling loop: builds snapshots for the placement pass and carries out its plans.
+"""The scheduling loop: builds snapshots for the placement pass and executes its plans.
 
-- `scheduling_loop`: when a pass runs, and what is done with its plan.
+- `scheduling_loop`: runs the passes and executes their plans.
 - `snapshot_builder`, `snapshot_cache`, `job_views`, `job_order`, `team_budgets`,
-  `scarce_machine_types`: the leader's state as the pass sees it.
-- `preemption`, `capacity_planning`: the plan's victims and the machines to rent.
-- `waiting_jobs`: what waits, and for what, for the operators.
-- `termination_notices`: drains spot machines that the cloud takes back.
+  `scarce_machine_types`: the leader's state as a snapshot.
+- `preemption`, `capacity_planning`: stop the victims of a pass; request machines to provision.
+- `waiting_jobs`: waiting jobs with their wait reasons, for operators.
+- `termination_notices`: drains spot machines that the cloud reclaims.
 """
--- a/spoolcourse/control/scheduling/attempt_numbers.py
+++ b/spoolcourse/control/scheduling/attempt_numbers.py
@@ -1,33 +1,35 @@
-"""Numbers of attempts, which no two leaders give out twice."""
+"""Attempt numbers, unique across leaders."""
 
 from __future__ import annotations
 
-ATTEMPT_BITS = 24  # of an attempt's number, below those of the term: no leader reuses one
-ATTEMPTS_MOST = (1 << ATTEMPT_BITS) - 1  # of one term
+ATTEMPT_BITS = 24  # low bits, below the fencing token, so that no leader reuses a number
+MAX_ATTEMPTS_PER_TERM = (1 << ATTEMPT_BITS) - 1
 
 
 class AttemptNumbersExhaustedError(Exception):
-    """The next number would be one of the next term's. A new term has numbers again."""
+    """The next number would belong to the next term. A new term has unused numbers."""
 
     def __init__(self, fencing_token: int) -> None:
-        super().__init__(f"term {fencing_token} has used all {ATTEMPTS_MOST} attempt numbers")
+        super().__init__(
+            f"term {fencing_token} has used all {MAX_ATTEMPTS_PER_TERM} attempt numbers"
+        )
         self.fencing_token = fencing_token
 
 
 class AttemptNumbers:
-    """The attempt numbers of one term: the fencing token in front of a count."""
+    """The attempt numbers of a term: the fencing token followed by a counter."""
 
     def __init__(self, fencing_token: int) -> None:
         self._fencing_token = fencing_token
         self._used = 0
 
     def next(self) -> int:
-        """A number that no attempt has.
+        """Return an unused attempt number.
 
         Raises:
-            AttemptNumbersExhaustedError: the term has none left.
+            AttemptNumbersExhaustedError: the term has no unused numbers.
         """
-        if self._used >= ATTEMPTS_MOST:
+        if self._used >= MAX_ATTEMPTS_PER_TERM:
             raise AttemptNumbersExhaustedError(self._fencing_token)
         self._used += 1
         return (self._fencing_token << ATTEMPT_BITS) + self._used
--- a/spoolcourse/control/scheduling/capacity_planning.py
+++ b/spoolcourse/control/scheduling/capacity_planning.py
@@ -1,4 +1,4 @@
-"""Capacity planning: what a pass asks the cloud for, for unplaced tasks and as headroom."""
+"""Capacity planning: requests machines for unplaced tasks and for headroom."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class CapacityPlanner:
-    """Requests scale out after each pass, for what found no machine."""
+    """Requests scale out after each pass, for unplaced tasks and missing headroom."""
 
     def __init__(
         self, leader: LeaderContext, autoscaler: FleetAutoscaler, indices: SnapshotIndices
@@ -31,9 +31,9 @@
         self._indices = indices
 
     def plan(self, snapshot: Snapshot, plan: Plan, team_cpus: list[float], now: float) -> None:
-        """Request machines for what the plan leaves unplaced, then headroom.
+        """Request machines for the plan's unplaced tasks, then for headroom.
 
-        `team_cpus`: what each team could still use before the pass.
+        `team_cpus` are the CPUs that each team could still use before the pass.
         """
         if self._autoscaler.scale_out.is_in_progress:
             return
@@ -56,11 +56,14 @@
         requests += top_up(missing_cpus, offers, len(snapshot.machines))
         if requests:
             self._autoscaler.scale_out.request(
-                [ScaleOutRequest(self._kind(request), request.count) for request in requests]
+                [
+                    ScaleOutRequest(self._machine_kind(request), request.count)
+                    for request in requests
+                ]
             )
 
     def _offers(self) -> list[Offer]:
-        """What can be asked for now."""
+        """Return the offers that may be requested now."""
         return [
             self._offer(machine_type, zone, spot)
             for machine_type in self._machine_types().values()
@@ -82,7 +85,7 @@
             boot_s=machine_type.boot_s,
         )
 
-    def _kind(self, request: ProvisionRequest) -> MachineKind:
+    def _machine_kind(self, request: ProvisionRequest) -> MachineKind:
         offer = request.offer
         return MachineKind(
             self._indices.machine_types.names[offer.machine_type],
--- a/spoolcourse/control/scheduling/estimates.py
+++ b/spoolcourse/control/scheduling/estimates.py
@@ -1,4 +1,4 @@
-"""How long tasks are expected to run."""
+"""Run time estimates of tasks."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def run_estimate_s(job_state: JobState, policy: Policy) -> float:
-    """How long a task of the job is expected to run; a service has no end."""
+    """Return the expected run time of a task of the job; infinite for a service."""
     submission = job_state.record.submission
     if submission.is_service:
         return inf
--- a/spoolcourse/control/scheduling/job_order.py
+++ b/spoolcourse/control/scheduling/job_order.py
@@ -1,4 +1,4 @@
-"""The order of service: which job the placement pass looks at first."""
+"""The scheduling order: which job the placement pass considers first."""
 
 from __future__ import annotations
 
@@ -12,51 +12,49 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OrderOfService:
-    """The live jobs in the order of service, and two sets of them that decide it."""
+class JobOrder:
+    """The live jobs in scheduling order, and two sets of job IDs that determine it."""
 
     job_states: list[JobState]
-    within_guarantee: set[str]  # with the earlier ones of their teams
-    overdue_to_begin: set[str]  # their first task goes before rank
+    within_guarantee: set[str]  # together with earlier jobs of the team
+    starved_jobs: set[str]  # first task is scheduled ahead of all ranks
 
 
-def order_of_service(
+def order_jobs(
     jobs: Iterable[JobState],
     team_settings: list[Team],
     teams: NameIndex,
     policy: Policy,
     now: float,
-) -> OrderOfService:
-    """Put the jobs in the order of service.
+) -> JobOrder:
+    """Sort the jobs into scheduling order.
 
-    The first exception to the arrival order (docs/design.md): rank goes first, then work
-    within its team's guarantee, then arrival. Preemption follows the same order: otherwise
-    two claims would stop each other in turn.
+    This is the first exception to the arrival order (docs/design.md): jobs are sorted by rank,
+    then by whether they are within their team's guarantee, then by arrival. Preemption uses the
+    same order, as otherwise two jobs would preempt each other in turn.
     """
     job_states = sorted(
         (state for state in jobs if not state.record.cancelled),
         key=lambda state: state.arrival_order,
     )
-    overdue_to_begin = {
-        state.id for state in job_states if _is_overdue_to_begin(state, policy.begin_s, now)
-    }
+    starved_jobs = {state.id for state in job_states if _is_starved(state, policy.begin_s, now)}
     within_guarantee = _jobs_within_guarantee(job_states, team_settings, teams)
     job_states.sort(
         key=lambda state: (
-            state.id not in overdue_to_begin,
+            state.id not in starved_jobs,
             state.record.submission.rank_number,
             state.id not in within_guarantee,
             state.arrival_order,
         )
     )
-    return OrderOfService(job_states, within_guarantee, overdue_to_begin)
+    return JobOrder(job_states, within_guarantee, starved_jobs)
 
 
-def _is_overdue_to_begin(job_state: JobState, begin_s: float, now: float) -> bool:
-    """Whether the job has waited so long that its first task goes before rank.
+def _is_starved(job_state: JobState, begin_s: float, now: float) -> bool:
+    """Whether the job has waited so long that its first task is scheduled ahead of all ranks.
 
-    The fourth exception: urgent work that keeps arriving must not keep a job from ever
-    beginning. It holds for the first task, and no more.
+    This is the fourth exception: a steady arrival of urgent jobs must not starve a job forever. It
+    applies only to the job's first task.
     """
     return (
         not job_state.attempts
@@ -68,15 +66,15 @@
 def _jobs_within_guarantee(
     job_states: list[JobState], team_settings: list[Team], teams: NameIndex
 ) -> set[str]:
-    """Jobs that fit into their teams' guarantees together with the earlier ones."""
+    """Return the jobs that fit into their team's guarantee together with its earlier jobs."""
     within_guarantee: set[str] = set()
-    left_cpus = [team.cpus for team in team_settings]
-    left_gpus = [team.gpus for team in team_settings]
+    remaining_cpus = [team.cpus for team in team_settings]
+    remaining_gpus = [team.gpus for team in team_settings]
     for job_state in job_states:
         submission = job_state.record.submission
         team = teams.number_of(submission.team)
-        left_cpus[team] -= submission.cpus * (submission.task_count - job_state.done_count)
-        left_gpus[team] -= submission.gpus * (submission.task_count - job_state.done_count)
-        if left_cpus[team] >= 0 and left_gpus[team] >= 0:
+        remaining_cpus[team] -= submission.cpus * (submission.task_count - job_state.done_count)
+        remaining_gpus[team] -= submission.gpus * (submission.task_count - job_state.done_count)
+        if remaining_cpus[team] >= 0 and remaining_gpus[team] >= 0:
             within_guarantee.add(job_state.id)
     return within_guarantee
--- a/spoolcourse/control/scheduling/job_views.py
+++ b/spoolcourse/control/scheduling/job_views.py
@@ -1,4 +1,4 @@
-"""The waiting jobs as the placement pass sees them."""
+"""Builds the snapshot's view of jobs."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 
 log = logging.getLogger(__name__)
 
-# Kinds of objectives that people wait for: the start of a job, the replicas of a service.
-PROMPT_OBJECTIVES = ("wait", "up")
+# Objective kinds for which users wait: the start of a job, the replicas of a service.
+LATENCY_SENSITIVE_OBJECTIVES = ("wait", "up")
 COMPLETION_OBJECTIVE = "finished"
 
 
 @dataclass(frozen=True, slots=True)
 class PassContext:
-    """What the views of all jobs of one pass are made with."""
+    """Input that the views of all jobs of a pass share."""
 
     now: float
-    boot_s: float  # of the machine type that boots the slowest
-    machine_numbers: dict[str, int]  # by machine: its number in the snapshot
+    boot_s: float  # of the machine type that boots slowest
+    machine_numbers: dict[str, int]  # by machine ID: index in the snapshot
     within_guarantee: set[str]  # jobs
-    overdue_to_begin: set[str]  # jobs
+    starved_jobs: set[str]  # jobs
 
 
 class JobViews:
-    """Builds what a pass sees of each job."""
+    """Builds the view of each job for a pass."""
 
     def __init__(
         self,
@@ -46,13 +46,15 @@
         self._indices = indices
         self._registry = registry
         self._policy = policy
-        self._prompt_classes = {
-            objective.job_class for objective in objectives if objective.kind in PROMPT_OBJECTIVES
+        self._latency_sensitive_classes = {
+            objective.job_class
+            for objective in objectives
+            if objective.kind in LATENCY_SENSITIVE_OBJECTIVES
         }
         self._completion_s_by_class = _completion_s_by_class(objectives)
 
     def view(self, job_state: JobState, context: PassContext) -> PlacementJob:
-        """The job as the pass sees it; one whose view fails is left out alone.
+        """Return the view of a job; a job whose view can't be built gets no pending tasks.
 
         A rule that failed for jobs without a deadline once stopped every pass of every leader.
         """
@@ -94,8 +96,8 @@
             max_tasks_per_zone=_max_tasks_per_zone(submission),
             rank=submission.rank_number,
             within_guarantee=within_guarantee,
-            may_preempt=within_guarantee or self._is_prompt(submission),
-            ordinary_machines_from=self._ordinary_machines_from(job_state, context.boot_s),
+            may_preempt=within_guarantee or self._is_latency_sensitive(submission),
+            ordinary_machines_from=self._on_demand_from(job_state, context.boot_s),
             is_service=submission.is_service,
         )
         if submission.is_service:
@@ -106,34 +108,34 @@
             self._count_tasks_by_zone(job, job_state)
         return job
 
-    def _is_prompt(self, submission: Submission) -> bool:
-        """Whether people wait for it to start."""
-        return submission.is_service or submission.job_class in self._prompt_classes
+    def _is_latency_sensitive(self, submission: Submission) -> bool:
+        """Whether users wait for the job to start."""
+        return submission.is_service or submission.job_class in self._latency_sensitive_classes
 
-    def _ordinary_machines_from(self, job_state: JobState, boot_s: float) -> float:
-        """From when on ordinary machines may be rented for the job.
+    def _on_demand_from(self, job_state: JobState, boot_s: float) -> float:
+        """Return the time from which on-demand machines may be provisioned for the job.
 
-        They cost a multiple of spot ones. They are for deadlines that would be missed otherwise,
-        and for work without a known deadline; the rest waits for spot machines as long as it can.
-        Without a deadline of its own a job is expected by the time that the objectives name for
-        its class. A wait objective or a guarantee is missed by the time that a machine has booted,
-        so neither is a reason to rent one.
+        On-demand machines cost a multiple of spot machines. They are used for deadlines that would
+        otherwise be missed and for jobs without a known deadline; other jobs wait for spot machines
+        as long as possible. A job without its own deadline gets the one of its class's objectives.
+        A wait objective or a guarantee is already missed when a new machine has booted, so neither
+        is a reason to provision one.
         """
         submission = job_state.record.submission
         if submission.is_service:
-            return job_state.waiting_since  # each second without its replicas is missed
-        earliest = job_state.waiting_since + self._policy.ordinary_wait_s
+            return job_state.waiting_since  # every second without its replicas counts as missed
+        earliest_at = job_state.waiting_since + self._policy.ordinary_wait_s
         due_s = submission.due_s
         if due_s is None:
             due_s = self._completion_s_by_class.get(submission.job_class)
         if due_s is None:
-            return earliest
+            return earliest_at
         estimate_s = run_estimate_s(job_state, self._policy)
         needed_s = self._policy.rescue_estimates * estimate_s + boot_s
-        return max(earliest, job_state.waiting_since + due_s - needed_s)
+        return max(earliest_at, job_state.waiting_since + due_s - needed_s)
 
     def _count_tasks_by_zone(self, job: PlacementJob, job_state: JobState) -> None:
-        """Count where its tasks may be; what may be anywhere counts against every zone."""
+        """Count tasks by zone; those that may be in any zone count against every zone."""
         zones = self._indices.zones
         for attempt in job_state.attempts.values():
             machine = self._registry.machines.get(attempt.machine)
@@ -148,21 +150,21 @@
 
 
 def _tasks_to_place(job_state: JobState, context: PassContext) -> int:
-    """How many tasks the pass may place."""
+    """Return how many tasks of the job the pass may place."""
     if job_state.backoff_until > context.now:
         return 0
-    if job_state.id in context.overdue_to_begin:
+    if job_state.id in context.starved_jobs:
         return 1
     return job_state.assignable_count
 
 
 def _max_tasks_per_zone(submission: Submission) -> int | None:
-    """Half of the tasks, rounded up, of a job that is spread over zones."""
+    """Return half of the tasks, rounded up, for a job that is spread over zones."""
     return -(-submission.task_count // 2) if submission.spread_over_zones else None
 
 
 def _avoided_machines(job_state: JobState, context: PassContext) -> frozenset[int]:
-    """The numbers of the machines where it failed recently."""
+    """Return the numbers of the machines on which the job failed recently."""
     avoided = [name for name, until in job_state.avoided_machines.items() if until > context.now]
     numbers = context.machine_numbers
     return frozenset(numbers[name] for name in avoided if name in numbers)
@@ -182,7 +184,7 @@
 
 
 def _completion_s_by_class(objectives: list[Objective]) -> dict[str, float]:
-    """By class: within what time its jobs are expected to finish, the strictest if several."""
+    """Return the strictest completion objective of each job class."""
     completion_s: dict[str, float] = {}
     for objective in objectives:
         if objective.kind == COMPLETION_OBJECTIVE:
--- a/spoolcourse/control/scheduling/name_index.py
+++ b/spoolcourse/control/scheduling/name_index.py
@@ -1,4 +1,4 @@
-"""Names as dense numbers, as the placement model knows them."""
+"""Maps names to the dense indices of the placement model."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class NameIndex:
-    """Numbers names in the order in which they are first seen."""
+    """Assigns numbers to names in the order in which they are first seen."""
 
     def __init__(self, names: Iterable[str] = ()) -> None:
         self.names: list[str] = []  # by number
@@ -16,7 +16,7 @@
             self.number_of(name)
 
     def number_of(self, name: str) -> int:
-        """The number of a name; a new name gets the next one."""
+        """Return the number of a name; a new name gets the next number."""
         number = self._numbers.get(name)
         if number is None:
             number = self._numbers[name] = len(self.names)
@@ -24,13 +24,13 @@
         return number
 
     def __len__(self) -> int:
-        """How many names there are."""
+        """Return the number of names."""
         return len(self.names)
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotIndices:
-    """The numbers that snapshots of one leader use. They stay the same from pass to pass."""
+    """The indices used by all snapshots of a leader. They stay the same between passes."""
 
     teams: NameIndex
     zones: NameIndex
--- a/spoolcourse/control/scheduling/preemption.py
+++ b/spoolcourse/control/scheduling/preemption.py
@@ -1,4 +1,4 @@
-"""Carries out preemptions: stops the tasks that a pass chose to make room for others."""
+"""Executes preemptions: stops the tasks chosen to free resources for unplaced tasks."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         self._snapshot_builder = snapshot_builder
 
     def preempt(self, snapshot: Snapshot, plan: Plan) -> None:
-        """Stop tasks for the jobs that the plan leaves unplaced. Uses up the snapshot further."""
+        """Preempt running tasks for the plan's unplaced tasks. Modifies the snapshot."""
         victims = choose_victims(snapshot, plan, self._policy.preempt_patience_s)
         if not victims:
             return
--- a/spoolcourse/control/scheduling/scarce_machine_types.py
+++ b/spoolcourse/control/scheduling/scarce_machine_types.py
@@ -1,4 +1,4 @@
-"""Machine types that some jobs depend on, while others have a choice."""
+"""Tracks scarce machine types: those needed by jobs that cannot use all types."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ScarceMachineTypes:
-    """Remembers which types are scarce for the policy's `rare_s`."""
+    """Keeps a machine type marked as scarce for the policy's `rare_s`."""
 
     def __init__(self, policy: Policy) -> None:
         self._policy = policy
@@ -19,7 +19,7 @@
     def update(
         self, jobs: Iterable[JobState], machine_types: dict[str, MachineType], now: float
     ) -> None:
-        """Mark the types of each job that cannot use all of them."""
+        """Mark the usable types of each job that cannot use all types."""
         for job_state in jobs:
             fitting = [
                 machine_type.name
@@ -31,5 +31,5 @@
                     self._scarce_until[name] = now + self._policy.rare_s
 
     def is_scarce_type(self, machine_type: str, now: float) -> bool:
-        """Whether some job recently could use this type only, or few beside it."""
+        """Whether a recent job could use this type, but not all types."""
         return self._scarce_until.get(machine_type, 0.0) > now
--- a/spoolcourse/control/scheduling/scheduling_loop.py
+++ b/spoolcourse/control/scheduling/scheduling_loop.py
@@ -1,4 +1,4 @@
-"""The placement passes: when they run, and what is done with their plans."""
+"""Runs the placement passes and executes their plans."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class SchedulingLoop:
-    """Runs passes while this controller is certain to lead."""
+    """Runs placement passes while this controller certainly holds the lease."""
 
     def __init__(
         self,
@@ -55,16 +55,16 @@
     async def run(self) -> None:
         """Run until cancelled."""
         while True:
-            # A pass runs when something changed, and after a period in any case.
+            # A pass runs when something changed, and at the latest after `pass_period_s`.
             await wait_for_event(self.wake, self._policy.pass_period_s)
             self.wake.clear()
             if self._registry.leader.holds_lease():
-                began = time.process_time()
+                started_at = time.process_time()
                 with self._load.time_block("pass"):
                     self._run_pass()
-                self.pass_cost_s = time.process_time() - began
-            # The gap grows with the load, by the policy: what changes meanwhile is decided
-            # together in the next pass.
+                self.pass_cost_s = time.process_time() - started_at
+            # The policy lengthens the gap under load. Changes that arrive during the gap are
+            # handled together in the next pass.
             await asyncio.sleep(self._policy.pass_gap_s)
 
     def _run_pass(self) -> None:
@@ -74,7 +74,7 @@
             return
         with self._load.time_block("snapshot"):
             snapshot = self._snapshot_builder.build_snapshot(now, machine_types)
-        team_cpus = [team.cpus for team in snapshot.teams]  # the pass uses up the snapshot
+        team_cpus = [team.cpus for team in snapshot.teams]  # the pass modifies the snapshot
         assigned_cpus = self._assigned_cpus()
         with self._load.time_block("place"):
             plan = place(snapshot)
@@ -84,9 +84,9 @@
         self.waiting_jobs.set_reasons(
             {job_states[index].id: reason for index, reason in plan.wait_reasons.items()}
         )
-        wanted_cpus = assigned_cpus + _planned_cpus(snapshot, plan)
-        self._excess_capacity.demand.record(now, wanted_cpus)
-        self._refresh_policy(snapshot, wanted_cpus)
+        demanded_cpus = assigned_cpus + _planned_cpus(snapshot, plan)
+        self._excess_capacity.demand.record(now, demanded_cpus)
+        self._refresh_policy(snapshot, demanded_cpus)
         for placement in plan.placements:
             self._assign(placement, now)
         with self._load.time_block("stop"):
@@ -94,46 +94,46 @@
         self._capacity_planner.plan(snapshot, plan, team_cpus, now)
 
     def _assigned_cpus(self) -> float:
-        """CPUs of all attempts of live jobs."""
+        """Return the CPUs of all attempts of live jobs."""
         return sum(
             job_state.record.submission.cpus * len(job_state.attempts)
             for job_state in self._job_queue.jobs.values()
         )
 
-    def _refresh_policy(self, snapshot: Snapshot, wanted_cpus: float) -> None:
-        """Let the policy's rules follow the load."""
+    def _refresh_policy(self, snapshot: Snapshot, demanded_cpus: float) -> None:
+        """Update the policy values that depend on the load."""
         total_cpus = sum(machine.total_cpus for machine in snapshot.machines)
-        boots_s = [machine_type.boot_s for machine_type in self._machine_types().values()]
+        boot_times_s = [machine_type.boot_s for machine_type in self._machine_types().values()]
         waiting_jobs = sum(1 for job in snapshot.jobs if job.pending_tasks > 0)
         self._policy_source.refresh(
             self._policy,
             {
                 "waiting_jobs": float(waiting_jobs),
                 "machines": float(len(snapshot.machines)),
-                "load": wanted_cpus / total_cpus if total_cpus > 0 else 0.0,
+                "load": demanded_cpus / total_cpus if total_cpus > 0 else 0.0,
                 "pass_cost_s": self.pass_cost_s,
-                "boot_s": max(boots_s, default=1.0),
+                "boot_s": max(boot_times_s, default=1.0),
                 "report_s": self._params.workers.heartbeat_interval_s,
                 "lease_s": self._params.workers.lease_s,
             },
         )
 
     def _assign(self, placement: Placement, now: float) -> None:
-        """Make attempts at so many tasks of the job on the machine."""
+        """Create the attempts of a placement."""
         job_state = self._snapshot_builder.job_states[placement.job]
         machine = self._snapshot_builder.machines[placement.machine]
-        goes_before_rank = job_state.id in self._snapshot_builder.overdue_to_begin
+        is_starved = job_state.id in self._snapshot_builder.starved_jobs
         tasks = list(islice(job_state.assignable_tasks(), placement.task_count))
         for task in tasks:
             number = self._attempt_numbers.next()
             attempt = self._job_queue.assign(job_state, task, machine.id, number, now)
-            attempt.exempt_from_preemption = goes_before_rank
+            attempt.exempt_from_preemption = is_starved
             self._registry.track_attempt(attempt)
         log.debug("placed: job=%s tasks=%d machine=%s", job_state.id, len(tasks), machine.id)
 
 
 def _planned_cpus(snapshot: Snapshot, plan: Plan) -> float:
-    """CPUs of what a plan starts, and of what it finds no machine for."""
+    """Return the CPUs of the tasks that the plan places and of those it leaves unplaced."""
     placed = sum(snapshot.jobs[p.job].cpus * p.task_count for p in plan.placements)
     unplaced = sum(snapshot.jobs[i].cpus * tasks for i, tasks in plan.unplaced_tasks.items())
     return placed + unplaced
--- a/spoolcourse/control/scheduling/snapshot_builder.py
+++ b/spoolcourse/control/scheduling/snapshot_builder.py
@@ -1,11 +1,11 @@
-"""Turns the leader's state into the dense snapshot that the placement pass works on."""
+"""Converts the leader's state into the dense snapshot that the placement pass reads."""
 
 from __future__ import annotations
 
 from spoolcourse.control.jobs.job_queue import JobQueue
 from spoolcourse.control.jobs.model import Attempt, JobState
 from spoolcourse.control.placement.model import PlacementMachine, Snapshot
-from spoolcourse.control.scheduling.job_order import OrderOfService, order_of_service
+from spoolcourse.control.scheduling.job_order import JobOrder, order_jobs
 from spoolcourse.control.scheduling.job_views import JobViews, PassContext
 from spoolcourse.control.scheduling.name_index import NameIndex, SnapshotIndices
 from spoolcourse.control.scheduling.scarce_machine_types import ScarceMachineTypes
@@ -17,11 +17,11 @@
 from spoolcourse.wire.messages import HostStage, MachineType
 from spoolcourse.wire.settings import Params
 
-OVERDUE_BOOT_LEAST_S = 1.0  # a machine that boots comes up in so many seconds at the soonest
+MIN_REMAINING_BOOT_S = 1.0  # at least this long until a booting machine is ready
 
 
 class SnapshotBuilder:
-    """Builds snapshots, and knows which job and machine each of their numbers stands for."""
+    """Builds snapshots and maps the job and machine numbers of the latest one to objects."""
 
     def __init__(
         self,
@@ -40,8 +40,8 @@
         self._job_views = JobViews(self.indices, registry, params.objectives, policy)
         self._snapshot_cache = SnapshotCache(self.indices, policy)
         self._scarce_types = ScarceMachineTypes(policy)
-        # Of the latest snapshot: jobs and machines by their numbers in it.
-        self._order = OrderOfService([], set(), set())
+        # Jobs and machines of the latest snapshot, by their numbers in it.
+        self._order = JobOrder([], set(), set())
         self.machines: list[Machine] = []
 
     @property
@@ -50,29 +50,29 @@
         return self._order.job_states
 
     @property
-    def overdue_to_begin(self) -> set[str]:
-        """Jobs of the latest snapshot whose first task goes before rank."""
-        return self._order.overdue_to_begin
+    def starved_jobs(self) -> set[str]:
+        """Jobs of the latest snapshot whose first task is scheduled ahead of all ranks."""
+        return self._order.starved_jobs
 
     def is_scarce_type(self, machine_type: str, now: float) -> bool:
-        """Whether some job recently could use this type only, or few beside it."""
+        """Whether a recent job could use this type, but not all types."""
         return self._scarce_types.is_scarce_type(machine_type, now)
 
     def attempts(self, numbers: list[int]) -> list[Attempt]:
-        """The attempts on the snapshot's machines that have these numbers, in the same order."""
-        wanted = set(numbers)
+        """Return the attempts on the snapshot's machines with these numbers, in the same order."""
+        wanted_numbers = set(numbers)
         by_number = {
             attempt.number: attempt
             for machine in self.machines
             for attempt in machine.attempts.values()
-            if attempt.number in wanted
+            if attempt.number in wanted_numbers
         }
         return [by_number[number] for number in numbers]
 
     def build_snapshot(self, now: float, machine_types: dict[str, MachineType]) -> Snapshot:
-        """The snapshot of this moment."""
+        """Build the snapshot of the current state."""
         jobs = self._job_queue.jobs
-        self._order = order_of_service(
+        self._order = order_jobs(
             jobs.values(), self._team_settings, self.indices.teams, self._policy, now
         )
         self._snapshot_cache.update_guarantees(self._order.within_guarantee, jobs)
@@ -80,10 +80,12 @@
         machines = self._placement_machines(now, machine_types)
         context = PassContext(
             now=now,
-            boot_s=max((kind.boot_s for kind in machine_types.values()), default=0.0),
+            boot_s=max(
+                (machine_type.boot_s for machine_type in machine_types.values()), default=0.0
+            ),
             machine_numbers={machine.id: number for number, machine in enumerate(self.machines)},
             within_guarantee=self._order.within_guarantee,
-            overdue_to_begin=self._order.overdue_to_begin,
+            starved_jobs=self._order.starved_jobs,
         )
         return Snapshot(
             now=now,
@@ -100,30 +102,30 @@
     def _placement_machines(
         self, now: float, machine_types: dict[str, MachineType]
     ) -> list[PlacementMachine]:
-        """What the pass sees of each machine that takes work; sets `machines` to the same ones."""
-        scarce = {name for name in machine_types if self.is_scarce_type(name, now)}
-        self._snapshot_cache.forget_missing(self._registry.machines)
+        """Build the views of the available machines; sets `machines` to these machines."""
+        scarce_types = {name for name in machine_types if self.is_scarce_type(name, now)}
+        self._snapshot_cache.remove_missing(self._registry.machines)
         self.machines = []
         views: list[PlacementMachine] = []
         for machine in self._registry.machines.values():
             machine_type = machine_types.get(machine.machine_type or "")
-            if machine_type is None or not self._takes_work(machine, now):
+            if machine_type is None or not self._is_available(machine, now):
                 continue
             view = self._snapshot_cache.view(
-                machine, machine_type, self._job_queue.jobs, now, machine_type.name in scarce
+                machine, machine_type, self._job_queue.jobs, now, machine_type.name in scarce_types
             )
             if machine.last_heartbeat_at is None and machine.expected_ready_at is not None:
-                # An overdue machine comes up later than expected, or never.
+                # An overdue machine may boot much later than expected, or never.
                 overdue_s = max(0.0, now - machine.expected_ready_at)
                 view.ready_at = now + max(
-                    machine.expected_ready_at - now, OVERDUE_BOOT_LEAST_S + overdue_s
+                    machine.expected_ready_at - now, MIN_REMAINING_BOOT_S + overdue_s
                 )
             views.append(view)
             self.machines.append(machine)
         return views
 
-    def _takes_work(self, machine: Machine, now: float) -> bool:
-        """Whether it takes work now, or will once it has booted."""
+    def _is_available(self, machine: Machine, now: float) -> bool:
+        """Whether the machine accepts tasks now, or will after booting."""
         if machine.last_heartbeat_at is None and machine.expected_ready_at is not None:
             return not machine.deletion_requested and machine.listed_stage is not HostStage.FAILED
         placeable = machine.is_schedulable and machine.no_room_until <= now
--- a/spoolcourse/control/scheduling/snapshot_cache.py
+++ b/spoolcourse/control/scheduling/snapshot_cache.py
@@ -1,8 +1,8 @@
-"""What the passes see of each machine, kept between them.
+"""Caches the machine views of snapshots between passes.
 
-A machine's free resources and its tasks' expected ends are computed again only when something
-changed there, or when time alone changes them. Measured on a fleet of 534 machines, where a
-pass computed all of them again ten times a second: four fifths of the leader's time.
+A machine's free resources and its tasks' expected ends are recomputed only after a change on the
+machine, or when they change with time alone. On a fleet of 534 machines, recomputing all of them
+ten times a second took four fifths of the leader's time.
 """
 
 from __future__ import annotations
@@ -23,21 +23,21 @@
 from spoolcourse.policy.keys import Policy
 from spoolcourse.wire.messages import MachineType, Submission
 
-REFRESH_S = 0.5  # an overrun or a fetch under way is computed again after so long
-OVERRUN_SHARE = 0.5  # of what a task took so far: what one that overran is expected to need
-OVERRUN_LEAST_S = 1.0
-LEAST_LEFT_GB = 0.1  # of an image whose fetch should be over
-LEAST_FETCH_S = 0.5
+ESTIMATE_REFRESH_S = 0.5  # recompute interval of tasks that overran or wait for a fetch
+OVERRUN_REMAINING_FRACTION = 0.5  # of the elapsed time of a task that overran its estimate
+MIN_OVERRUN_REMAINING_S = 1.0
+MIN_FETCH_LEFT_GB = 0.1  # of an image whose fetch should have finished
+MIN_FETCH_DELAY_S = 0.5
 
 
 class CachedMachine(msgspec.Struct):
-    """What was computed for a machine; a pass changes none of the collections."""
+    """The computed state of a machine. Passes do not modify the collections."""
 
-    changes: int  # the machine's count of changes at that time
+    change_count: int  # `Machine.change_count` at computation
     valid_until: float
     machine_type: int
     zone: int
-    cpus: float  # free, as are the next two
+    cpus: float  # free; also the next two
     gpus: float
     memory_gb: float
     cpus_being_freed: float
@@ -49,7 +49,7 @@
 
 
 class SnapshotCache:
-    """Keeps what passes see of machines until it changes."""
+    """Caches the state of machines as seen by passes."""
 
     def __init__(self, indices: SnapshotIndices, policy: Policy) -> None:
         self._indices = indices
@@ -58,15 +58,15 @@
         self._within_guarantee: set[str] = set()
 
     def update_guarantees(self, within_guarantee: set[str], jobs: dict[str, JobState]) -> None:
-        """Take over which jobs are within guarantees; drops the machines of those that changed."""
+        """Set the jobs within guarantees; drop the cached machines of jobs that changed."""
         for job in self._within_guarantee ^ within_guarantee:
             job_state = jobs.get(job)
             for attempt in job_state.attempts.values() if job_state is not None else ():
                 self._cached.pop(attempt.machine, None)
         self._within_guarantee = set(within_guarantee)
 
-    def forget_missing(self, machines: dict[str, Machine]) -> None:
-        """Forget machines that are not among these."""
+    def remove_missing(self, machines: dict[str, Machine]) -> None:
+        """Drop the cached state of machines that are not in `machines`."""
         if len(self._cached) > len(machines):
             self._cached = {name: c for name, c in self._cached.items() if name in machines}
 
@@ -78,11 +78,15 @@
         now: float,
         has_scarce_type: bool,
     ) -> PlacementMachine:
-        """What the pass sees of a machine, computed again only if something changed there."""
+        """Return the view of a machine, recomputed only if the cached state is out of date."""
         cached = self._cached.get(machine.id)
-        if cached is None or cached.changes != machine.change_count or cached.valid_until <= now:
+        if (
+            cached is None
+            or cached.change_count != machine.change_count
+            or cached.valid_until <= now
+        ):
             cached = self._cached[machine.id] = self._compute(machine, machine_type, jobs, now)
-        # At most 15 keywords: CPython makes a dict of more, which takes three times as long.
+        # At most 15 keywords: CPython builds a dict for more, which takes three times as long.
         view = PlacementMachine(
             machine_type=cached.machine_type,
             zone=cached.zone,
@@ -126,7 +130,7 @@
                 _subtract(view, job_state.record.submission)
         view.tasks.sort(key=lambda task: task.expected_end)
         return CachedMachine(
-            changes=machine.change_count,
+            change_count=machine.change_count,
             valid_until=valid_until,
             machine_type=view.machine_type,
             zone=view.zone,
@@ -142,7 +146,7 @@
         )
 
     def _fetch_left_gb(self, machine: Machine, gb_per_s: float, now: float) -> dict[int, float]:
-        """By image: about how much is still to be fetched for the machine's attempts."""
+        """Estimate how much of each image the machine's attempts still need to fetch."""
         fetch_left_gb: dict[int, float] = {}
         for attempt in machine.attempts.values():
             if attempt.is_executing:
@@ -150,19 +154,21 @@
             submission = attempt.job_state.record.submission
             if submission.image not in machine.images:
                 since = machine.fetching.get(submission.image, now)
-                left_gb = max(submission.image_gb - gb_per_s * (now - since), LEAST_LEFT_GB)
+                left_gb = max(submission.image_gb - gb_per_s * (now - since), MIN_FETCH_LEFT_GB)
                 fetch_left_gb[self._indices.images.number_of(submission.image)] = left_gb
         return fetch_left_gb
 
     def _add_tasks(
         self, view: PlacementMachine, machine: Machine, fetch_s: float, now: float
     ) -> float:
-        """Add the machine's attempts to its view; returns until when the view is valid."""
+        """Add the machine's attempts to its view; return the time until which it is valid."""
         valid_until = inf
         for attempt in machine.attempts.values():
             _subtract(view, attempt.job_state.record.submission)
-            expected_end, is_steady = self._expected_end(attempt, now, fetch_s)
-            valid_until = min(valid_until, expected_end if is_steady else now + REFRESH_S)
+            expected_end, is_constant = self._expected_end(attempt, now, fetch_s)
+            valid_until = min(
+                valid_until, expected_end if is_constant else now + ESTIMATE_REFRESH_S
+            )
             task = self._running_task(attempt, expected_end)
             if attempt.stopping:
                 view.expect_release(task)
@@ -180,8 +186,8 @@
             gpus=submission.gpus,
             memory_gb=submission.memory_gb,
             attempt_number=attempt.number,
-            # What goes before rank must not be stopped by rank, or the two would take
-            # turns. Measured: one first task stopped a hundred times on a busy day.
+            # An attempt scheduled ahead of all ranks must not be preempted by rank, or the two
+            # jobs would alternate: one first task was stopped a hundred times on a busy day.
             rank=0 if attempt.exempt_from_preemption else submission.rank_number,
             team=self._indices.teams.number_of(submission.team),
             checkpoint_loss_cpu_s=checkpoint_cpu_s if is_executing and has_checkpoints else 0.0,
@@ -192,21 +198,20 @@
         )
 
     def _expected_end(self, attempt: Attempt, now: float, fetch_s: float) -> tuple[float, bool]:
-        """When it is expected to end, and whether that stays so while time passes."""
+        """Return the expected end, and whether it stays the same as time passes."""
         estimate_s = run_estimate_s(attempt.job_state, self._policy)
         elapsed_s = now - attempt.since
         if attempt.is_executing:
             if elapsed_s < estimate_s:
                 return attempt.since + estimate_s, True
-            # A task that overran its estimate is expected to need half again of what it
-            # took so far; else it would be due at any moment, and push the head back
-            # forever.
-            return now + elapsed_s * OVERRUN_SHARE + OVERRUN_LEAST_S, False
-        return now + max(fetch_s - elapsed_s, LEAST_FETCH_S) + estimate_s, False
+            # A task that overran its estimate is expected to need another half of its elapsed
+            # time. Otherwise it would be expected to end at any moment and delay the head forever.
+            return now + elapsed_s * OVERRUN_REMAINING_FRACTION + MIN_OVERRUN_REMAINING_S, False
+        return now + max(fetch_s - elapsed_s, MIN_FETCH_DELAY_S) + estimate_s, False
 
 
 def _subtract(view: PlacementMachine, submission: Submission) -> None:
-    """Subtract what one task of the job holds."""
+    """Subtract the resources of one task of the job."""
     view.cpus -= submission.cpus
     view.gpus -= submission.gpus
     view.memory_gb -= submission.memory_gb
--- a/spoolcourse/control/scheduling/team_budgets.py
+++ b/spoolcourse/control/scheduling/team_budgets.py
@@ -1,4 +1,4 @@
-"""What each team may still use below its limits, and how much it uses beyond its guarantee."""
+"""Team budgets: what each team may still use, and its usage beyond its guarantee."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 def team_budgets(
     settings: list[Team], teams: NameIndex, job_queue: JobQueue, registry: WorkerRegistry
 ) -> list[TeamBudget]:
-    """The budget of each team, by its number.
+    """Return the budget of each team, by team number.
 
-    All that may be running counts, also what outlives its job, or what is on a machine
-    without being the attempt that counts there.
+    All tasks that may be running count, including attempts that outlive their job and unexpected
+    attempts on machines.
     """
     budgets = [
         TeamBudget(cpus=team.cpu_limit, gpus=team.gpu_limit, cpus_over_guarantee=-team.cpus)
@@ -24,7 +24,7 @@
     ]
 
     def charge(job_state: JobState, tasks: int, stoppable: bool = True) -> None:
-        """Only what can be stopped counts beyond the guarantee."""
+        """Charge tasks to their team; only stoppable ones count as usage beyond the guarantee."""
         submission = job_state.record.submission
         budget = budgets[teams.number_of(submission.team)]
         cpus = submission.cpus * tasks
@@ -43,7 +43,7 @@
 
 
 def _jobs_of_unexpected_attempts(job_queue: JobQueue, registry: WorkerRegistry) -> list[JobState]:
-    """The live job of each unexpected attempt: once for each of them."""
+    """Return the live job of each unexpected attempt, one entry per attempt."""
     return [
         job_state
         for machine in registry.machines.values()
--- a/spoolcourse/control/scheduling/termination_notices.py
+++ b/spoolcourse/control/scheduling/termination_notices.py
@@ -1,7 +1,7 @@
-"""Spot machines that the cloud takes back: their tasks are stopped in time, or moved.
+"""Drains spot machines that the cloud reclaims: stops or moves their tasks in time.
 
-A termination notice is the cloud's preemption notice for a spot machine: it names the time
-(`terminates_at`) at which the machine goes. Until then its tasks are drained.
+A termination notice is the cloud's preemption notice for a spot machine. It gives the time
+(`terminates_at`) at which the machine is terminated.
 """
 
 from __future__ import annotations
@@ -14,58 +14,60 @@
 from spoolcourse.control.scheduling.estimates import run_estimate_s
 from spoolcourse.control.workers.machine import Machine
 
-PERIOD_S = 0.5
-HEARTBEATS_NEEDED = 2  # until the end of a task that was stopped in time is known
-MARGIN_S = 1.0
-HOPELESS_SHARE = 1.5  # of the time left: a task that needs more is not waited for
+POLL_INTERVAL_S = 0.5
+HEARTBEATS_TO_CONFIRM_STOP = 2  # to learn that a stopped task has ended
+STOP_MARGIN_S = 1.0
+MAX_NEEDED_TIME_RATIO = 1.5  # of the remaining time; a task that needs more is stopped
 
 
 class TerminationNoticeLoop:
-    """Drains the machines with a termination notice."""
+    """Drains machines that have a termination notice."""
 
-    def __init__(self, leader: LeaderContext, places: ReplicaPlaces) -> None:
+    def __init__(self, leader: LeaderContext, replica_places: ReplicaPlaces) -> None:
         self._clock = leader.controller.clock
         self._policy = leader.policy
         self._registry = leader.registry
-        self._places = places
+        self._replica_places = replica_places
         heartbeat_interval_s = leader.controller.params.workers.heartbeat_interval_s
-        self._stop_lead_s = HEARTBEATS_NEEDED * heartbeat_interval_s + MARGIN_S
+        self._stop_lead_s = HEARTBEATS_TO_CONFIRM_STOP * heartbeat_interval_s + STOP_MARGIN_S
 
     async def run(self) -> None:
         """Run until cancelled."""
         while True:
-            await asyncio.sleep(PERIOD_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             for machine in list(self._registry.machines.values()):
                 if machine.terminates_at is not None:
                     self._drain(machine, machine.terminates_at - self._clock())
 
-    def _drain(self, machine: Machine, left_s: float) -> None:
+    def _drain(self, machine: Machine, remaining_s: float) -> None:
         for attempt in list(machine.attempts.values()):
             if attempt.stopping:
                 continue
             if attempt.never_sent:
                 self._registry.release_attempt(attempt)
-            elif attempt.stage is not AttemptStage.ASSIGNED and self._must_stop(attempt, left_s):
+            elif attempt.stage is not AttemptStage.ASSIGNED and self._must_stop(
+                attempt, remaining_s
+            ):
                 self._registry.request_stop(attempt)
 
-    def _must_stop(self, attempt: Attempt, left_s: float) -> bool:
-        """Save what can be saved at the last moment, and don't wait for what can't finish."""
+    def _must_stop(self, attempt: Attempt, remaining_s: float) -> bool:
+        """Whether to stop now: time for a last checkpoint, or the task cannot finish anyway."""
         submission = attempt.job_state.record.submission
         if submission.is_service:
-            return self._must_move(attempt, left_s)
+            return self._must_move(attempt, remaining_s)
         if submission.checkpoint_every_s > 0:
-            return left_s < submission.checkpoint_cost_s + self._stop_lead_s
+            return remaining_s < submission.checkpoint_cost_s + self._stop_lead_s
         ran_s = self._clock() - attempt.since if attempt.stage is AttemptStage.RUNNING else 0.0
         needed_s = run_estimate_s(attempt.job_state, self._policy) - ran_s
-        return needed_s > HOPELESS_SHARE * left_s
+        return needed_s > MAX_NEEDED_TIME_RATIO * remaining_s
 
-    def _must_move(self, replica: Attempt, left_s: float) -> bool:
-        """Whether a replica has to leave its machine now.
+    def _must_move(self, replica: Attempt, remaining_s: float) -> bool:
+        """Whether to stop a replica now so that it restarts on another machine.
 
-        Its next place is ready sooner than its machine is proven gone, so it moves; but one replica
-        at a time, none while another is missing or while there is nowhere to go to, as long as
-        there is time.
+        A replica restarts sooner this way than after its machine is proven to be gone. While there
+        is time, replicas move one at a time: only if no other replica is missing and another
+        machine has a place.
         """
-        if left_s < self._stop_lead_s:
+        if remaining_s < self._stop_lead_s:
             return True
-        return replica.job_state.all_running and self._places.has_place_elsewhere(replica)
+        return replica.job_state.all_running and self._replica_places.has_place_elsewhere(replica)
--- a/spoolcourse/control/scheduling/waiting_jobs.py
+++ b/spoolcourse/control/scheduling/waiting_jobs.py
@@ -1,4 +1,4 @@
-"""The waiting jobs for the operators: what each waits for, in `/status` and in the log."""
+"""Reports the waiting jobs and their wait reasons in `/status` and in the log."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 log = logging.getLogger(__name__)
 
-# Shown in `/status`; the placement pass gives the other reasons.
-NOT_PLANNED_YET = "next pass"
-PAUSED_AFTER_ERROR = "an error's pause"
+# Wait reasons shown in `/status`, besides those of the placement pass.
+NEXT_PASS_REASON = "next pass"
+BACKOFF_REASON = "an error's pause"
 
 
 @dataclass(frozen=True, slots=True)
 class WaitingJob:
-    """A job with tasks that wait, and what for."""
+    """A job with pending tasks and its wait reason."""
 
     id: str
     job_class: str
@@ -28,19 +28,19 @@
 
 
 class WaitingJobs:
-    """Lists the waiting jobs with the reasons of the latest pass."""
+    """Lists the waiting jobs with the wait reasons of the latest pass."""
 
     def __init__(self, leader: LeaderContext) -> None:
         self._clock = leader.controller.clock
         self._job_queue = leader.job_queue
-        self._reasons: dict[str, str] = {}  # by job
+        self._reasons: dict[str, str] = {}  # by job ID
 
     def set_reasons(self, reasons: dict[str, str]) -> None:
-        """Replace the reasons by those of a new pass, by job."""
+        """Replace the wait reasons by those of a new pass."""
         self._reasons = reasons
 
     def list(self) -> list[WaitingJob]:
-        """Jobs with tasks that wait, in order of arrival."""
+        """Return the jobs with pending tasks in arrival order."""
         now = self._clock()
         return [
             WaitingJob(
@@ -59,11 +59,11 @@
 
     def _reason(self, job_state: JobState, now: float) -> str:
         if job_state.backoff_until > now:
-            return PAUSED_AFTER_ERROR
-        return self._reasons.get(job_state.id, NOT_PLANNED_YET)
+            return BACKOFF_REASON
+        return self._reasons.get(job_state.id, NEXT_PASS_REASON)
 
     def log_summary(self) -> None:
-        """Log how many tasks wait, by class and reason."""
+        """Log the number of pending tasks by class and reason."""
         tasks: dict[tuple[str, str], int] = {}
         for job in self.list():
             key = (job.job_class, job.reason)
--- a/tests/scenarios/test_scale.py
+++ b/tests/scenarios/test_scale.py
@@ -19,7 +19,7 @@
     Snapshot,
     TeamBudget,
 )
-from spoolcourse.control.scheduling.attempt_numbers import ATTEMPTS_MOST
+from spoolcourse.control.scheduling.attempt_numbers import MAX_ATTEMPTS_PER_TERM
 from spoolcourse.control.store.records import initial_machines_of, initial_machines_values
 from spoolcourse.control.store.watch_cache import MAX_CHANGES_BEHIND
 from spoolcourse.control.workers.call_limit import concurrent_call_limit
@@ -150,7 +150,7 @@
     world = World()
     await world.up()
     first = world.nodes[str(world.leader)].leader_term
-    world.active().scheduling._attempt_numbers._used = ATTEMPTS_MOST - 2
+    world.active().scheduling._attempt_numbers._used = MAX_ATTEMPTS_PER_TERM - 2
     await world.submit(job(pieces=6))
     await world.finish()
     assert all(node.leader_term is not first for node in world.nodes.values())
--- a/tests/scheduling/test_snapshot_cache.py
+++ b/tests/scheduling/test_snapshot_cache.py
@@ -137,7 +137,7 @@
         builder = snapshot_builder(harness.job_queue, harness.registry)
         builder.build_snapshot(harness.now, MACHINE_TYPES)
         attempt = harness.assign()
-        attempt.exempt_from_preemption = harness.job_state.id in builder.overdue_to_begin
+        attempt.exempt_from_preemption = harness.job_state.id in builder.starved_jobs
         harness.heartbeat(on())
         urgent = parse(job(2, rank="high", crew="blue"), Submission)
         harness.job_queue.add(JobRecord(urgent, 1.0, 170, None, 6), harness.now)
