--- a/spoolcourse/control/__init__.py
+++ b/spoolcourse/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control service: what runs on every controller."""
+"""The control plane: the code that runs on every controller."""
--- a/spoolcourse/control/async_utils.py
+++ b/spoolcourse/control/async_utils.py
@@ -1,4 +1,4 @@
-"""Small helpers over asyncio that several layers share."""
+"""asyncio helpers shared by several layers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 async def wait_for_event(event: asyncio.Event, timeout_s: float) -> bool:
-    """Wait until the event is set, but at most so long; returns whether it is set in time."""
+    """Wait up to `timeout_s` for the event; returns whether it was set in time."""
     try:
         async with asyncio.timeout(timeout_s):
             await event.wait()
--- a/spoolcourse/control/context.py
+++ b/spoolcourse/control/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a controller share: its connections, its settings and its clocks."""
+"""Clients, settings and clocks that the components of a controller share."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ControllerContext:
-    """Made once for a controller, and shared by all of its leader terms.
+    """Created once per controller, and shared by all of its leader terms.
 
-    `policy_source` gives the operators' policy; `machine_types` the types that the cloud rents by
-    their names, and none before its catalog was read once.
+    `policy_source` returns the operators' policy. `machine_types` returns the cloud's machine
+    types by name; it is empty until the catalog has been read once.
     """
 
     http_client: HttpClient
@@ -33,6 +33,6 @@
     params: Params
     policy_source: PolicySource
     machine_types: Callable[[], dict[str, MachineType]]
-    clock: Callable[[], float]  # steady, in seconds
-    wall_clock: Callable[[], float]  # time of day, in seconds
+    clock: Callable[[], float]  # monotonic, in seconds
+    wall_clock: Callable[[], float]  # Unix time, in seconds
     load: ProcessLoad
--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -1,4 +1,4 @@
-"""One controller: its parts, put together in one place."""
+"""The composition root of a controller."""
 
 from __future__ import annotations
 
@@ -42,13 +42,13 @@
 from spoolcourse.wire.settings import Settings
 from spoolcourse.wire.standby_settings import OFF, StandbySettings
 
-# A loop that fails for an unforeseen reason is restarted, not the process.
-RESTART = SupervisionPolicy(restart_after_s=1.0)
+# After an unexpected error the loop is restarted, not the process.
+CONTROLLER_LOOP_POLICY = SupervisionPolicy(restart_after_s=1.0)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FailoverParts:
-    """How this controller takes over, with the warm standby or without it."""
+    """The failover strategy and its background loops, with or without the warm standby."""
 
     strategy: FailoverStrategy
     standby: WarmStandby | None = None
@@ -57,8 +57,8 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Services:
-    """What this controller asks other hosts with, and what it knows of the key-value store."""
+class Clients:
+    """Clients of other hosts, and the local cache and job index of the key-value store."""
 
     http_client: HttpClient
     client: StoreClient
@@ -68,9 +68,9 @@
 
 
 class Controller:
-    """A controller: its parts, its loops, and the handlers of its two addresses.
+    """A controller: its components, its loops, and the handlers of its two addresses.
 
-    `public` and `peers` handle the requests to the public and to the peers' address.
+    `public` handles requests to the public address, `peers` those to the cluster address.
     """
 
     def __init__(
@@ -82,13 +82,13 @@
         run_id: str | None = None,
         standby: StandbySettings = OFF,
     ) -> None:
-        """`run_id` tells this process from earlier ones under the same label."""
-        services = _connect(settings, http_client)
-        self.watch_cache = services.watch_cache
-        self.job_index = services.job_index
+        """`run_id` distinguishes this process from earlier ones with the same label."""
+        clients = _build_clients(settings, http_client)
+        self.watch_cache = clients.watch_cache
+        self.job_index = clients.job_index
         self._lifecycle = TermLifecycle(self.watch_cache, self._build_term, self._resume_shadowing)
         self.leadership = Leadership(
-            services.client,
+            clients.client,
             self.watch_cache,
             settings.label,
             run_id or _random_run_id(),
@@ -96,17 +96,17 @@
             candidacy_delay_s=self._candidacy_delay_s,
         )
         self._catalog = CatalogLoop(
-            services.cloud, services.client, self.watch_cache, self.leadership
+            clients.cloud, clients.client, self.watch_cache, self.leadership
         )
         policy = policy or check_policy({}, "defaults")
-        self._context = _build_context(settings, services, self._catalog, policy, wall_clock)
+        self._context = _build_context(settings, clients, self._catalog, policy, wall_clock)
         self._failover_parts = _build_failover(
             self._context, self.leadership, settings.label, standby
         )
         self._failover = self._failover_parts.strategy
         self.standby = self._failover_parts.standby
         self.watch_cache.add_listener(self._lifecycle.on_change)
-        self._supervisor = LoopSupervisor(self.leadership.step_down, RESTART)
+        self._supervisor = LoopSupervisor(self.leadership.step_down, CONTROLLER_LOOP_POLICY)
         self.health = _build_health(self._context)
         self.public, self.peers = self._build_handlers(settings)
 
@@ -125,7 +125,7 @@
             self.standby.resume_shadowing()
 
     def _build_handlers(self, settings: Settings) -> tuple[Handler, Handler]:
-        """The handlers of the public and of the peers' address."""
+        """The handlers of the public and the cluster address."""
         parts = ControllerParts(
             label=settings.label,
             context=self._context,
@@ -144,20 +144,20 @@
         peers = peer_routes(PeerApi(parts), workers, users, self.health)
         return Router(public).handle, Router(peers).handle
 
-    # -- life -----------------------------------------------------------------------------
+    # -- lifecycle ------------------------------------------------------------------------
 
     @property
     def leader_term(self) -> LeaderTerm | None:
-        """The term that this controller leads for."""
+        """The current term; None on a follower."""
         return self._lifecycle.current
 
     @property
     def last_failover_timeline(self) -> FailoverTimeline | None:
-        """Of this controller's last term, the current one included."""
+        """The failover timeline of this controller's current or last term."""
         return self._lifecycle.last_failover_timeline
 
     def start(self) -> None:
-        """Begin all loops."""
+        """Start all loops."""
         for loop in (
             self.watch_cache.run,
             self.leadership.run,
@@ -169,42 +169,42 @@
             self._supervisor.spawn(loop)
 
     def stop(self) -> None:
-        """End all loops at once."""
+        """Cancel all loops."""
         self._lifecycle.stop()
         self._supervisor.cancel()
 
     async def run(self) -> None:
-        """Start, and run until something breaks that can't be put right in here."""
+        """Start, and run until an error that the supervisor does not handle."""
         self.start()
         await self._supervisor.wait()
 
 
-def _connect(settings: Settings, http_client: HttpClient) -> Services:
-    params, outside = settings.settings, settings.outside
-    client = StoreClient(http_client, outside.state, params.state, len(settings.seeds) + 1)
+def _build_clients(settings: Settings, http_client: HttpClient) -> Clients:
+    params, endpoints = settings.settings, settings.outside
+    client = StoreClient(http_client, endpoints.state, params.state, len(settings.seeds) + 1)
     watch_cache = WatchCache(client, PREFIX)
-    return Services(
+    return Clients(
         http_client=http_client,
         client=client,
         watch_cache=watch_cache,
         job_index=JobIndex(watch_cache),
-        cloud=CloudClient(http_client, outside.cloud, params.cloud.rps),
+        cloud=CloudClient(http_client, endpoints.cloud, params.cloud.rps),
     )
 
 
 def _build_context(
     settings: Settings,
-    services: Services,
+    clients: Clients,
     catalog: CatalogLoop,
     policy: PolicySource,
     wall_clock: Callable[[], float],
 ) -> ControllerContext:
     return ControllerContext(
-        http_client=services.http_client,
-        client=services.client,
-        watch_cache=services.watch_cache,
-        job_index=services.job_index,
-        cloud=services.cloud,
+        http_client=clients.http_client,
+        client=clients.client,
+        watch_cache=clients.watch_cache,
+        job_index=clients.job_index,
+        cloud=clients.cloud,
         peers=settings.seeds,
         params=settings.settings,
         policy_source=policy,
@@ -244,11 +244,17 @@
         standby=standby,
         loops=tuple(loops),
     )
-    return replace(parts, on_complete=_tracer(context, label)) if settings.trace else parts
+    return (
+        replace(parts, on_complete=_failover_trace_writer(context, label))
+        if settings.trace
+        else parts
+    )
 
 
-def _tracer(context: ControllerContext, label: str) -> Callable[[FailoverTimeline], None]:
-    # Loaded only where traces are on: the time to start counts, leases run out meanwhile.
+def _failover_trace_writer(
+    context: ControllerContext, label: str
+) -> Callable[[FailoverTimeline], None]:
+    # Imported only with tracing on: leases can expire while the process starts.
     from spoolcourse.control.failover.tracing import FailoverTracer
 
     return FailoverTracer(label, context.clock, context.wall_clock).write
--- a/spoolcourse/control/controller_parts.py
+++ b/spoolcourse/control/controller_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a controller that its status and its interfaces read."""
+"""The components of a controller that its status and its HTTP interfaces read."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ControllerParts:
-    """Made once for a controller; `standby` is None where the warm standby is off."""
+    """Created once per controller; `standby` is None if the warm standby is disabled."""
 
     label: str
     context: ControllerContext
--- a/spoolcourse/control/health.py
+++ b/spoolcourse/control/health.py
@@ -1,4 +1,4 @@
-"""Whether this controller can answer users' requests, itself or by a peer."""
+"""Checks whether this controller can answer users' requests, itself or through a peer."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from spoolcourse.wire.messages import MachineType
 from spoolcourse.wire.settings import Seed
 
-PERIOD_S = 1.0
-SYNCED_S = 2.0  # a watch that has synced so recently needs no read barrier
-READ_BARRIER_S = 1.0
+CHECK_PERIOD_S = 1.0
+RECENT_SYNC_S = 2.0  # a watch that synced this recently needs no read barrier
+READ_BARRIER_TIMEOUT_S = 1.0
 PEER_TIMEOUT_S = 1.0
 
 
 class HealthCheck:
-    """Checks the key-value store, and the peers if it does not answer.
+    """Checks the key-value store, and the peers if the store does not respond.
 
-    `ready`: the keys have been read and the machine types are known; never taken back.
-    `healthy`: requests can be answered. When no controller reaches the key-value store all of
-    them stay healthy: removing them would only lengthen the outage for the users.
+    `ready`: the keys have been read and the machine types are known; never reset.
+    `healthy`: requests can be answered. When no controller reaches the key-value store, all of
+    them stay healthy: taking them out of service would only lengthen the outage for users.
     """
 
     def __init__(
@@ -42,23 +42,23 @@
         self.healthy = True
 
     async def run(self) -> None:
-        """Check every `PERIOD_S`, until cancelled."""
+        """Check every `CHECK_PERIOD_S`, until cancelled."""
         while True:
-            await asyncio.sleep(PERIOD_S)
+            await asyncio.sleep(CHECK_PERIOD_S)
             if self._watch_cache.loaded.is_set() and self._machine_types():
                 self.ready = True
             if self.ready:
-                self.healthy = await self._can_answer()
+                self.healthy = await self._can_serve_requests()
 
-    async def _can_answer(self) -> bool:
-        if self._clock() - self._watch_cache.synced_at < SYNCED_S:
+    async def _can_serve_requests(self) -> bool:
+        if self._clock() - self._watch_cache.synced_at < RECENT_SYNC_S:
             return True
-        if await self._watch_cache.read_barrier(READ_BARRIER_S):
+        if await self._watch_cache.read_barrier(READ_BARRIER_TIMEOUT_S):
             return True
-        peers_ready = await asyncio.gather(*(self._is_ready(peer) for peer in self._peers))
+        peers_ready = await asyncio.gather(*(self._is_peer_ready(peer) for peer in self._peers))
         return not self._peers or any(peers_ready)
 
-    async def _is_ready(self, peer: Seed) -> bool:
+    async def _is_peer_ready(self, peer: Seed) -> bool:
         try:
             response = await self._http_client.call(
                 peer.endpoint, "GET", paths.HEALTH, timeout_s=PEER_TIMEOUT_S
@@ -67,13 +67,13 @@
             return False
         return response.status == 200
 
-    # -- answers --------------------------------------------------------------------------
+    # -- request handlers -----------------------------------------------------------------
 
-    def answer_public(self, request: Request) -> Response:
-        """200 while requests can be answered, else 503."""
+    def handle_public_check(self, request: Request) -> Response:
+        """200 while users' requests can be answered, else 503."""
         ok = self.ready and self.healthy
         return Response(200 if ok else 503, {"ok": ok})
 
-    def answer_peer(self, request: Request) -> Response:
-        """200 if this controller is ready: whether it is healthy may depend on the peer."""
+    def handle_peer_check(self, request: Request) -> Response:
+        """200 if this controller is ready; `healthy` may itself depend on the asking peer."""
         return Response(200 if self.ready else 503, {})
--- a/spoolcourse/control/http_client.py
+++ b/spoolcourse/control/http_client.py
@@ -1,7 +1,7 @@
-"""Calls to other hosts: a thin layer over aiohttp. The server side is in `http_server`.
+"""HTTP client: a thin layer over aiohttp. The server is in `http_server`.
 
-The rest of the package sees only `HttpClient`, `Request` and `Response`, so tests put an
-in-memory network in place.
+The rest of the package uses only `HttpClient`, `Request` and `Response`, so tests can substitute
+an in-memory network.
 """
 
 from __future__ import annotations
@@ -9,15 +9,15 @@
 import asyncio
 import math
 import sys
-import urllib.request  # noqa: F401  with `ssl`: what comes below must not leave it without
+import urllib.request  # noqa: F401  loads `ssl` before the block below hides it
 from asyncio import selector_events
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
 import orjson
 
-# All interfaces speak plain HTTP. With `ssl`, aiohttp reads the system's certificates when
-# it is imported: a fifth of a controller's start, in which workers' leases may run out.
+# All interfaces use plain HTTP. With `ssl`, importing aiohttp loads the system's certificates:
+# a fifth of a controller's start-up time, during which workers' leases can expire.
 _ssl = sys.modules.get("ssl")
 sys.modules["ssl"] = None  # type: ignore[assignment]
 try:
@@ -28,27 +28,27 @@
     else:
         sys.modules["ssl"] = _ssl
 
-# asyncio asks for 256 KiB with each read. Memory of that size is mapped, shrunk and unmapped
-# again by the kernel: three calls for every heartbeat, and messages are of a few hundred bytes.
+# asyncio allocates 256 KiB for each read, which takes three system calls (map, shrink, unmap)
+# for every heartbeat. Messages are a few hundred bytes.
 selector_events._SelectorTransport.max_size = 32 * 1024  # type: ignore[attr-defined]  # noqa: SLF001
 
 
-CONNECTIONS_PER_HOST = 24
-KEEPALIVE_S = 20.0
+MAX_CONNECTIONS_PER_HOST = 24
+KEEP_ALIVE_TIMEOUT_S = 20.0
 DEFAULT_TIMEOUT_S = 1.0
-RETRY_AFTER_MAX_S = 30  # users wait no longer than that
+RETRY_AFTER_MAX_S = 30  # users wait no longer
 
 
 class NoResponseError(Exception):
-    """No response. The request may have been carried out, or may still be.
+    """No response was received; the request may have been executed, or may still be.
 
-    The message names the request and the reason.
+    The message contains the request and the reason.
     """
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A response; `data` is decoded JSON or, on the server side, what is to be encoded."""
+    """A response; `data` is decoded JSON or, on the server side, the value to encode."""
 
     status: int
     data: Any = None
@@ -57,26 +57,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A request as it came, with its body undecoded."""
+    """A request with its undecoded body."""
 
     method: str
-    path: str  # with the query
+    path: str  # with the query string
     body: bytes = b""
 
 
 def error_response(status: int, reason: str) -> Response:
-    """A response that says why a request is not carried out."""
+    """A response with the reason why a request failed."""
     return Response(status, {"error": reason})
 
 
 def retry_later(reason: str, retry_after_s: float = 1.0) -> Response:
-    """A 503 response that says when to try again, after 1 to 30 s."""
+    """A 503 response with a `Retry-After` of 1 to 30 s."""
     seconds = max(1, min(RETRY_AFTER_MAX_S, math.ceil(retry_after_s)))
     return Response(503, {"error": reason}, {"Retry-After": str(seconds)})
 
 
 class HttpClient(Protocol):
-    """Calls to other hosts."""
+    """An HTTP client."""
 
     async def call(
         self,
@@ -87,22 +87,22 @@
         timeout_s: float = DEFAULT_TIMEOUT_S,
         keep_alive: bool = True,
     ) -> Response:
-        """Call a host, and wait at most `timeout_s` seconds for its response.
+        """Send a request, and wait at most `timeout_s` seconds for the response.
 
         `keep_alive`: the connection may stay open for the next call to this address.
 
         Raises:
-            NoResponseError: There is no response in time, or the connection failed.
+            NoResponseError: The request timed out, or the connection failed.
         """
         ...
 
 
-# By whether there is a body, and whether the connection may stay open.
+# By (request has a body, connection may stay open).
 _HEADERS = {
-    (has_body, keep): ({"Content-Type": "application/json"} if has_body else {})
-    | ({} if keep else {"Connection": "close"})
+    (has_body, keep_open): ({"Content-Type": "application/json"} if has_body else {})
+    | ({} if keep_open else {"Connection": "close"})
     for has_body in (False, True)
-    for keep in (False, True)
+    for keep_open in (False, True)
 }
 
 
@@ -120,29 +120,29 @@
     return orjson.dumps(body)
 
 
-def _decode(text: bytes) -> Any:
-    """The JSON value; None for an empty body or one that is not JSON."""
+def _decode(response_body: bytes) -> Any:
+    """The JSON value; None for an empty or non-JSON body."""
     try:
-        return orjson.loads(text) if text else None
+        return orjson.loads(response_body) if response_body else None
     except orjson.JSONDecodeError:
         return None
 
 
 class AiohttpClient:
-    """An `HttpClient` with one pooled aiohttp session, opened at the first call."""
+    """An `HttpClient` with one pooled aiohttp session, opened on the first call."""
 
     def __init__(self) -> None:
         self._session: aiohttp.ClientSession | None = None
 
     def _open_session(self) -> aiohttp.ClientSession:
         if self._session is None:
-            # No limit for all hosts together: calls to machines behind a cut hang until they
-            # time out, and a renewal of the leader's lease must never queue behind them. Callers
-            # with many hosts limit that themselves (`command_dispatcher`, `machine_list`).
+            # No limit over all hosts: calls to partitioned machines hang until they time out,
+            # and a renewal of the leader's lease must never queue behind them. Callers with many
+            # hosts limit their own concurrency (`command_dispatcher`, `machine_list`).
             connector = aiohttp.TCPConnector(
                 limit=0,
-                limit_per_host=CONNECTIONS_PER_HOST,
-                keepalive_timeout=KEEPALIVE_S,
+                limit_per_host=MAX_CONNECTIONS_PER_HOST,
+                keepalive_timeout=KEEP_ALIVE_TIMEOUT_S,
                 use_dns_cache=False,
             )
             self._session = aiohttp.ClientSession(
@@ -160,18 +160,18 @@
         keep_alive: bool = True,
     ) -> Response:
         """See `HttpClient.call`."""
-        raw = _encode(body)
+        encoded_body = _encode(body)
         try:
             async with asyncio.timeout(timeout_s):
                 async with self._open_session().request(
                     method,
                     f"http://{address}{path}",
-                    data=raw,
+                    data=encoded_body,
                     allow_redirects=False,
-                    headers=_HEADERS[raw is not None, keep_alive],
+                    headers=_HEADERS[encoded_body is not None, keep_alive],
                 ) as response:
-                    text = await response.read()
-                    return Response(response.status, _decode(text), dict(response.headers))
+                    response_body = await response.read()
+                    return Response(response.status, _decode(response_body), dict(response.headers))
         except (TimeoutError, aiohttp.ClientError, OSError, ValueError) as exc:
             reason = _failure_reason(exc, timeout_s)
             raise NoResponseError(f"{method} {address}{path}: {reason}") from exc
--- a/spoolcourse/control/http_connection.py
+++ b/spoolcourse/control/http_connection.py
@@ -1,10 +1,9 @@
-"""One connection of an HTTP server: aiohttp's parser behind a protocol of our own.
+"""A server-side HTTP connection: aiohttp's request parser behind a custom asyncio protocol.
 
 Workers' heartbeats are by far the most frequent requests, and the leader answers them from
-memory. aiohttp's server makes a task, a request and a response object and a payload writer
-for each: on loopback 250 us of the process' time for a heartbeat in all, instead of 115 us.
-Here a request whose answer needs no waiting is parsed, answered
-and written in one go. aiohttp stays the library: its parser reads the requests.
+memory. aiohttp's server creates a task, a request, a response and a payload writer for each:
+250 us of processor time per heartbeat on loopback, instead of 115 us here, where a request whose
+handler does not wait is parsed, handled and answered in one call.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
 from spoolcourse.control.http_client import Request, Response, error_response, retry_later
 from spoolcourse.wire.messages import BODY_LIMIT
 
-# After `http_client`, which sees to it that aiohttp comes without `ssl`.
+# After `http_client`, which imports aiohttp without `ssl`.
 from aiohttp.base_protocol import BaseProtocol  # isort: skip
 from aiohttp.http import HttpRequestParser, RawRequestMessage  # isort: skip
 from aiohttp.http_exceptions import HttpProcessingError  # isort: skip
@@ -29,10 +28,10 @@
 
 log = logging.getLogger(__name__)
 
-# A handler answers at once where it can; an awaitable response is awaited in a task.
+# Returns the response directly if it can; an awaitable is awaited in a task.
 Handler = Callable[[Request], Response | Awaitable[Response]]
 
-PIPELINED_MAX = 8  # requests that wait on one connection, sent ahead of their responses
+MAX_PIPELINED_REQUESTS = 8  # unanswered requests per connection; with more it is closed
 
 _STATUS_LINES = {
     status.value: f"HTTP/1.1 {status.value} {status.phrase}\r\n".encode() for status in HTTPStatus
@@ -43,7 +42,7 @@
 
 
 def encode_response(response: Response, close: bool = False) -> bytes:
-    """A response as it goes over the wire; `close`: no further request is read."""
+    """The bytes of a response; `close`: the connection ends after it."""
     data = response.data
     body = data if isinstance(data, bytes) else orjson.dumps(data or {})
     head = _STATUS_LINES.get(response.status) or b"HTTP/1.1 %d Unknown\r\n" % response.status
@@ -57,90 +56,93 @@
 
 
 class Connection(BaseProtocol):
-    """One client's connection: its requests are answered in turn."""
+    """A client's connection; its requests are answered in order."""
 
     def __init__(
-        self, handler: Handler, open_connections: set[Connection], keep_alive_max: float = inf
+        self,
+        handler: Handler,
+        open_connections: set[Connection],
+        max_keep_alive_connections: float = inf,
     ) -> None:
         """Serve one client.
 
         `open_connections` is shared by all connections of the server. With more than
-        `keep_alive_max` of them, this one ends with its next response.
+        `max_keep_alive_connections` of them, this one is closed after its next response.
         """
         loop = asyncio.get_running_loop()
         super().__init__(loop, HttpRequestParser(self, loop, BODY_LIMIT, auto_decompress=False))
         self._handler = handler
         self._open_connections = open_connections
-        self._keep_alive_max = keep_alive_max
+        self._max_keep_alive_connections = max_keep_alive_connections
         self._queue: deque[tuple[RawRequestMessage, StreamReader]] = deque()
         self._task: asyncio.Task[None] | None = None
         self._sent_continue = False
-        self.active_at = loop.time()
+        self.last_active_at = loop.time()
 
-    # -- of asyncio's protocol ------------------------------------------------------------
+    # -- asyncio protocol -----------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count a new connection."""
+        """Register the connection."""
         super().connection_made(transport)
         self._open_connections.add(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Forget the connection. A request under way is still carried out, unanswered."""
+        """Unregister the connection. A request in progress still completes, unanswered."""
         super().connection_lost(exc)
         self._open_connections.discard(self)
         self._queue.clear()
 
     def resume_reading(self, resume_parser: bool = True) -> None:
-        """Continue to read if reading was paused."""
-        # The parser's streams call this with every body that is read, paused or not, and it
-        # would come back here with the next request before this one is answered.
+        """Resume reading if it was paused."""
+        # The parser's streams call this after every body, paused or not. Passing that on would
+        # re-enter `data_received` with the next request before this one is answered.
         if self._reading_paused:
             super().resume_reading(resume_parser)
 
     def data_received(self, data: bytes) -> None:
-        """Read bytes, and answer the requests that they complete."""
+        """Parse bytes, and answer the requests that they complete."""
         if self.transport is None or self.transport.is_closing():
             return
-        self.active_at = self._loop.time()
+        self.last_active_at = self._loop.time()
         assert self._parser is not None
         try:
             messages, upgraded, _ = self._parser.feed_data(data)
         except HttpProcessingError as exc:
-            self._refuse(exc.code, "not HTTP as it should be")
+            self._reject(exc.code, "malformed HTTP request")
             return
         except Exception:
-            log.debug("a request can't be read", exc_info=True)
-            self._refuse(400, "not HTTP as it should be")
+            log.debug("request parsing failed", exc_info=True)
+            self._reject(400, "malformed HTTP request")
             return
         if upgraded:
-            self._refuse(400, "no other protocol is spoken here")
+            self._reject(400, "protocol upgrades are not supported")
             return
         self._queue.extend(messages)
-        if len(self._queue) > PIPELINED_MAX:
+        if len(self._queue) > MAX_PIPELINED_REQUESTS:
             self.close()
             return
         self._answer_queued()
 
-    # -- of the server --------------------------------------------------------------------
+    # -- called by the server -------------------------------------------------------------
 
     @property
     def idle(self) -> bool:
-        """Whether no request is being answered."""
+        """Whether no handler is being awaited."""
         return self._task is None
 
     def close(self) -> None:
-        """Close the connection once what is written has been sent."""
+        """Close the connection after sending what is buffered."""
         if self.transport is not None:
             self.transport.close()
 
-    # -- requests, in turn ----------------------------------------------------------------
+    # -- requests, in order ---------------------------------------------------------------
 
     def _answer_queued(self) -> None:
-        """Answer the complete requests, until one of them has to wait."""
+        """Answer the complete requests, until a handler has to be awaited."""
         while self._queue and self._task is None and self.transport is not None:
             message, payload = self._queue[0]
-            if self._reading_paused or _is_too_long(message, payload):
-                self._refuse(413, "body too large")
+            if self._reading_paused or _is_body_too_large(message, payload):
+                self._reject(413, "body too large")
                 return
             if not payload.is_eof():
                 self._await_body(message, payload)
@@ -152,30 +154,30 @@
             )
 
     def _await_body(self, message: RawRequestMessage, payload: StreamReader) -> None:
-        """The rest of the body is still to come; ask for it if the client waits for that."""
+        """Wait for the rest of the body; send 100 Continue if the client expects it."""
         if payload.exception() is not None:
-            self._refuse(400, "the body can't be read")
+            self._reject(400, "malformed body")
         elif not self._sent_continue and "Expect" in message.headers:
             self._sent_continue = True
             assert self.transport is not None
             self.transport.write(_CONTINUE)
 
     def _answer(self, request: Request, close: bool) -> None:
-        """Answer at once where the handler can: no task is made for that."""
+        """Answer a request; a task is created only if the handler returns an awaitable."""
         try:
-            outcome = self._handler(request)
+            result = self._handler(request)
         except Exception:
-            outcome = _internal_error(request)
-        if isinstance(outcome, Response):
-            self._write(outcome, close)
+            result = _internal_error(request)
+        if isinstance(result, Response):
+            self._write(result, close)
         else:
-            self._task = self._loop.create_task(self._answer_later(request, outcome, close))
+            self._task = self._loop.create_task(self._answer_awaitable(request, result, close))
 
-    async def _answer_later(
-        self, request: Request, outcome: Awaitable[Response], close: bool
+    async def _answer_awaitable(
+        self, request: Request, result: Awaitable[Response], close: bool
     ) -> None:
         try:
-            response = await outcome
+            response = await result
         except Exception:
             response = _internal_error(request)
         self._task = None
@@ -184,29 +186,30 @@
 
     # -- responses ------------------------------------------------------------------------
 
-    def _refuse(self, status: int, reason: str) -> None:
+    def _reject(self, status: int, reason: str) -> None:
         self._write(error_response(status, reason), close=True)
 
     def _write(self, response: Response, close: bool) -> None:
         if self.transport is None:
             return
-        self.active_at = self._loop.time()
-        # With a connection for each worker a fleet larger than the sockets would keep the
-        # others out until their leases run out; so the connections of some are for one request.
-        close = close or len(self._open_connections) > self._keep_alive_max
+        self.last_active_at = self._loop.time()
+        # If every worker kept a connection, a fleet larger than the socket limit would lock out
+        # the other workers until their leases expire. Above the limit, connections serve one
+        # request.
+        close = close or len(self._open_connections) > self._max_keep_alive_connections
         try:
-            raw = encode_response(response, close)
+            encoded = encode_response(response, close)
         except Exception:
-            log.exception("a response can't be encoded")
-            raw = encode_response(retry_later("internal"), close)
-        self.transport.write(raw)
+            log.exception("response encoding failed")
+            encoded = encode_response(retry_later("internal"), close)
+        self.transport.write(encoded)
         if close:
             self._open_connections.discard(self)
             self._queue.clear()
             self.transport.close()
 
 
-def _is_too_long(message: RawRequestMessage, payload: StreamReader) -> bool:
+def _is_body_too_large(message: RawRequestMessage, payload: StreamReader) -> bool:
     if payload.total_bytes > BODY_LIMIT:
         return True
     length = message.headers.get("Content-Length", "")
@@ -214,6 +217,6 @@
 
 
 def _internal_error(request: Request) -> Response:
-    """Any unforeseen failure becomes a 503 to retry; to be called while it is handled."""
+    """Log the current exception and return a retryable 503; call it from an `except` block."""
     log.exception("request failed: method=%s path=%s", request.method, request.path)
     return retry_later("internal")
--- a/spoolcourse/control/http_server.py
+++ b/spoolcourse/control/http_server.py
@@ -1,6 +1,6 @@
-"""An HTTP server: it listens on an address, and closes connections that are idle for long.
+"""HTTP server: listens on an address and closes idle connections.
 
-How requests are read and answered is in `http_connection`.
+Requests are parsed and answered in `http_connection`.
 """
 
 from __future__ import annotations
@@ -11,65 +11,69 @@
 
 from spoolcourse.control.http_connection import Connection, Handler
 
-IDLE_S = 30.0  # users and workers ask every few seconds; peers let go after 20 s themselves
-SWEEP_S = 5.0
+IDLE_TIMEOUT_S = 30.0  # users and workers send every few seconds; peers close after 20 s
+IDLE_SWEEP_PERIOD_S = 5.0
 BACKLOG = 512
-KEEP_ALIVE_SHARE = 0.65  # of the process' sockets: beyond it connections end with their answers
+KEEP_ALIVE_SOCKET_SHARE = 0.65  # of the process' sockets; above it connections serve one request
 
 
 class HttpServer:
-    """An address that is being served."""
+    """A listening server and its task that closes idle connections."""
 
-    def __init__(self, server: asyncio.Server, sweeper: asyncio.Task[None]) -> None:
+    def __init__(self, server: asyncio.Server, idle_sweep_task: asyncio.Task[None]) -> None:
         self._server = server
-        self._sweeper = sweeper
+        self._idle_sweep_task = idle_sweep_task
 
     @property
     def sockets(self) -> tuple[Any, ...]:
-        """The sockets that are listened on."""
+        """The listening sockets."""
         return self._server.sockets
 
     def close(self) -> None:
-        """Accept no more connections."""
+        """Stop accepting connections."""
         self._server.close()
-        self._sweeper.cancel()
+        self._idle_sweep_task.cancel()
 
 
-async def _close_idle(connections: set[Connection], idle_s: float, sweep_s: float) -> None:
-    """Close connections without a request for `idle_s`, every `sweep_s`, until cancelled.
+async def _close_idle_connections(
+    connections: set[Connection], idle_timeout_s: float, sweep_period_s: float
+) -> None:
+    """Close connections idle for `idle_timeout_s`, every `sweep_period_s`, until cancelled.
 
-    Peers behind a cut never say that they are gone; their sockets count.
+    Partitioned clients never close their connections, which still use up sockets.
     """
     loop = asyncio.get_running_loop()
     while True:
-        await asyncio.sleep(sweep_s)
-        idle_since = loop.time() - idle_s
-        for connection in [c for c in connections if c.idle and c.active_at < idle_since]:
+        await asyncio.sleep(sweep_period_s)
+        idle_cutoff = loop.time() - idle_timeout_s
+        for connection in [c for c in connections if c.idle and c.last_active_at < idle_cutoff]:
             connection.close()
 
 
 async def listen(
     address: tuple[str, int],
     handler: Handler,
-    idle_s: float = IDLE_S,
-    sweep_s: float = SWEEP_S,
+    idle_timeout_s: float = IDLE_TIMEOUT_S,
+    sweep_period_s: float = IDLE_SWEEP_PERIOD_S,
     sockets: int = 0,
 ) -> HttpServer:
     """Serve `handler` on an address.
 
-    `sockets`: how many the process may have; 0 if that is not known.
+    `sockets`: the process' socket limit; 0 if it is unknown.
 
     Raises:
-        OSError: The address can't be listened on.
+        OSError: Listening on the address failed.
     """
     loop = asyncio.get_running_loop()
     connections: set[Connection] = set()
-    keep_alive_max = sockets * KEEP_ALIVE_SHARE if sockets else inf
+    max_keep_alive_connections = sockets * KEEP_ALIVE_SOCKET_SHARE if sockets else inf
     server = await loop.create_server(
-        lambda: Connection(handler, connections, keep_alive_max),
+        lambda: Connection(handler, connections, max_keep_alive_connections),
         *address,
         reuse_address=True,
         backlog=BACKLOG,
     )
-    sweeper = loop.create_task(_close_idle(connections, idle_s, sweep_s))
-    return HttpServer(server, sweeper)
+    idle_sweep_task = loop.create_task(
+        _close_idle_connections(connections, idle_timeout_s, sweep_period_s)
+    )
+    return HttpServer(server, idle_sweep_task)
--- a/spoolcourse/control/leader_context.py
+++ b/spoolcourse/control/leader_context.py
@@ -1,4 +1,4 @@
-"""What the parts of a leader share; there is none without a proof of the failover."""
+"""State shared by the components of a leader; building it takes a failover proof."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeaderContext:
-    """Made once the failover is proven, for the rest of the term."""
+    """Created when the failover is proven, for the rest of the term."""
 
     controller: ControllerContext
     proof: FailoverProof
--- a/spoolcourse/control/peer_api.py
+++ b/spoolcourse/control/peer_api.py
@@ -1,4 +1,4 @@
-"""What only other controllers and operators ask, on the controllers' own address."""
+"""Handlers for other controllers and operators, served on the cluster address only."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class PeerApi:
-    """Answers from a controller's parts. Each method handles one path of the route table."""
+    """Handlers of the routes for peers and operators, one method per path."""
 
     def __init__(self, parts: ControllerParts) -> None:
         self._parts = parts
@@ -32,14 +32,16 @@
         return Response(200, collect_status(self._parts).to_json_object())
 
     def get_metrics(self, request: Request) -> Response:
-        """The controller's status as numbers, in Prometheus' text format."""
-        return Response(200, metrics.exposition(collect_status(self._parts)), METRICS_HEADERS)
+        """The controller's metrics in the Prometheus text format."""
+        return Response(
+            200, metrics.render_prometheus_text(collect_status(self._parts)), METRICS_HEADERS
+        )
 
     async def transfer_leadership(self, request: Request) -> Response:
-        """Step down to a standby that is caught up; 409 if there is none."""
+        """Transfer leadership to a standby that is caught up; 409 if there is none."""
         parts = self._parts
         if parts.lifecycle.current is None:
-            return self._not_the_leader()
+            return self._not_leader_response()
         try:
             reply = await transfer_leadership(parts.context, parts.leadership)
             return Response(200, to_json_object(reply))
@@ -49,48 +51,48 @@
     # -- peers ----------------------------------------------------------------------------
 
     def get_cancellations(self, request: Request) -> Response:
-        """The cancellations after a revision; a leader asks when the key-value store fails."""
+        """The cancellations after a revision, for a leader that can't read the key-value store."""
         context = self._parts.context
         try:
             return Response(
-                200, answer_query(context.job_index, context.watch_cache, _query(request))
+                200, answer_query(context.job_index, context.watch_cache, _query_string(request))
             )
         except MalformedError as exc:
             return error_response(400, str(exc))
 
     def get_feature_level(self, request: Request) -> Response:
-        """What this version can do."""
+        """The feature level of this version."""
         return Response(200, feature_level.level_reply())
 
     def get_standby(self, request: Request) -> Response:
-        """Whether this controller's standby is caught up."""
+        """Whether this controller's warm standby is caught up."""
         if self._parts.standby is None:
-            return _standby_is_off()
+            return _standby_disabled_response()
         return Response(200, to_json_object(self._parts.standby.readiness.reply()))
 
     def get_hints(self, request: Request) -> Response:
         """A page of the leader's hints for standbys."""
         parts = self._parts
         if parts.standby is None:
-            return _standby_is_off()
+            return _standby_disabled_response()
         active = parts.lifecycle.active
         if active is None:
-            return self._not_the_leader()
+            return self._not_leader_response()
         revision = parts.context.watch_cache.store_revision
         try:
-            page = build_hint_page(active.registry, parts.label, revision, _query(request))
+            page = build_hint_page(active.registry, parts.label, revision, _query_string(request))
         except MalformedError as exc:
             return error_response(400, str(exc))
         return Response(200, to_json_object(page))
 
-    def _not_the_leader(self) -> Response:
+    def _not_leader_response(self) -> Response:
         leader = self._parts.leadership.leader_label
-        return error_response(421, f"{leader} leads" if leader else "nobody is known to lead")
+        return error_response(421, f"{leader} leads" if leader else "no leader is known")
 
 
-def _query(request: Request) -> str:
+def _query_string(request: Request) -> str:
     return request.path.partition("?")[2]
 
 
-def _standby_is_off() -> Response:
+def _standby_disabled_response() -> Response:
     return error_response(404, "the warm standby is off")
--- a/spoolcourse/control/process_load.py
+++ b/spoolcourse/control/process_load.py
@@ -1,7 +1,7 @@
-"""Where a controller's processor time goes, and how long its event loop was held up.
+"""Measures a controller's processor time, by named block, and its event loop lag.
 
-A loop that is held for long loses the leader's lease and the workers' patience, so operators
-must see what holds it before that happens.
+Long lag makes the leader's lease expire and workers time out; operators need to see its cause
+before that happens.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 log = logging.getLogger(__name__)
 
-TICK_S = 1.0
+LAG_SAMPLE_PERIOD_S = 1.0
 SUMMARY_S = 10.0
 
 
 @dataclass(slots=True)
-class BlockTime:
-    """How often a named block was run in the period, and how long it took."""
+class BlockStats:
+    """The runs of a named block in the current period, and their total time."""
 
     calls: int = 0
     seconds: float = 0.0
@@ -31,22 +31,22 @@
     """Measures this process, in periods of `SUMMARY_S`."""
 
     def __init__(self) -> None:
-        self.blocks: dict[str, BlockTime] = {}
-        self.loop_lag_s = 0.0  # the longest of the last period
-        self.processor_share = 0.0  # of a core, in the last period
+        self.blocks: dict[str, BlockStats] = {}
+        self.loop_lag_s = 0.0  # maximum of the last period
+        self.processor_share = 0.0  # in cores, over the last period
 
     @contextmanager
     def time_block(self, name: str) -> Iterator[None]:
-        """Add the time that the body takes to the block of that name."""
-        began = time.perf_counter()  # costs no call into the kernel
+        """Add the elapsed time of the `with` body to the named block."""
+        started_at = time.perf_counter()  # needs no system call
         try:
             yield
         finally:
             block = self.blocks.get(name)
             if block is None:
-                block = self.blocks[name] = BlockTime()
+                block = self.blocks[name] = BlockStats()
             block.calls += 1
-            block.seconds += time.perf_counter() - began
+            block.seconds += time.perf_counter() - started_at
 
     async def run(self) -> None:
         """Measure period after period, until cancelled."""
@@ -54,29 +54,31 @@
             await self._measure_period()
             blocks, self.blocks = self.blocks, {}
             log.info(
-                "load: %.2f of a core; held up for %.2f s at most; %s",
+                "load: %.2f cores; event loop lag up to %.2f s; %s",
                 self.processor_share,
                 self.loop_lag_s,
-                _describe(blocks),
+                _format_blocks(blocks),
             )
 
     async def _measure_period(self) -> None:
         loop = asyncio.get_running_loop()
-        began, process_began, longest_s = loop.time(), time.process_time(), 0.0
-        while loop.time() - began < SUMMARY_S:
-            tick_began = loop.time()
-            await asyncio.sleep(TICK_S)
-            longest_s = max(longest_s, loop.time() - tick_began - TICK_S)
-        self.loop_lag_s = longest_s
-        self.processor_share = (time.process_time() - process_began) / (loop.time() - began)
+        started_at, cpu_time_at_start_s, max_lag_s = loop.time(), time.process_time(), 0.0
+        while loop.time() - started_at < SUMMARY_S:
+            sample_started_at = loop.time()
+            await asyncio.sleep(LAG_SAMPLE_PERIOD_S)
+            max_lag_s = max(max_lag_s, loop.time() - sample_started_at - LAG_SAMPLE_PERIOD_S)
+        self.loop_lag_s = max_lag_s
+        self.processor_share = (time.process_time() - cpu_time_at_start_s) / (
+            loop.time() - started_at
+        )
 
 
-def _describe(blocks: dict[str, BlockTime]) -> str:
-    """The blocks, the longest one first."""
+def _format_blocks(blocks: dict[str, BlockStats]) -> str:
+    """The blocks with their calls and total time, the longest total first."""
     return (
         ", ".join(
             f"{name} {block.calls} in {block.seconds:.2f} s"
             for name, block in sorted(blocks.items(), key=lambda item: -item[1].seconds)
         )
-        or "nothing done"
+        or "no timed blocks"
     )
--- a/spoolcourse/control/rate_limit.py
+++ b/spoolcourse/control/rate_limit.py
@@ -1,18 +1,18 @@
-"""A token bucket, so that one controller never uses up a limit that all controllers share."""
+"""A token bucket; keeps one controller from using up a rate limit shared by all controllers."""
 
 from __future__ import annotations
 
 import asyncio
 
 DEFAULT_MAX_WAIT_S = 1.0
-SPARE_SHARE = 0.5  # of a burst: with this much left, work that is not urgent may go ahead
+SPARE_TOKEN_SHARE = 0.5  # of a burst; work that is not urgent may proceed with this much left
 
 
 class RateLimitExceededError(Exception):
-    """The wait for tokens would be too long.
+    """The wait for tokens would exceed the limit.
 
     Attributes:
-        retry_after_s: Seconds until the tokens asked for are there.
+        retry_after_s: Seconds until the requested tokens are available.
     """
 
     def __init__(self, retry_after_s: float) -> None:
@@ -21,20 +21,20 @@
 
 
 class TokenBucket:
-    """A token bucket. Waiters are served in order; urgent ones don't wait.
+    """A token bucket. Callers are served in order; urgent ones don't wait.
 
-    Nobody waits longer than `max_wait_s`: a caller that would have to is refused at once, and
-    takes no tokens. Otherwise a burst of requests that give up while they wait would leave a
-    debt that blocks everything after it.
+    A caller that would wait longer than `max_wait_s` is rejected at once and takes no tokens.
+    Otherwise a burst of requests that time out while waiting would leave a token debt that
+    blocks all later requests.
     """
 
     def __init__(self, rate: float, burst: float, max_wait_s: float = DEFAULT_MAX_WAIT_S) -> None:
         """Start with a full bucket.
 
         Args:
-            rate: Tokens that come back per second.
-            burst: Tokens that the bucket holds; at least one.
-            max_wait_s: The longest wait of a call that is not urgent.
+            rate: Tokens refilled per second.
+            burst: Capacity of the bucket in tokens; at least one.
+            max_wait_s: Maximum wait of a call that is not urgent.
         """
         self.rate = rate
         self.burst = max(burst, 1.0)
@@ -43,14 +43,14 @@
         self._refilled_at = 0.0  # loop time
 
     def set_rate(self, rate: float) -> None:
-        """Change the rate (tokens per second); the bucket then holds one second's worth."""
+        """Change the rate (tokens per second); the capacity becomes one second's worth."""
         self.rate = rate
         self.burst = max(rate, 1.0)
 
     async def acquire(self, tokens: float = 1.0, *, urgent: bool = False) -> None:
-        """Wait until there are enough tokens; they are taken at once, so the order holds.
+        """Take tokens at once, which keeps callers in order, and wait until they are refilled.
 
-        Urgent calls don't wait: they leave a debt that later calls wait for.
+        Urgent calls don't wait; they leave a token debt that delays later calls.
 
         Raises:
             RateLimitExceededError: The wait would be longer than `max_wait_s`.
@@ -68,12 +68,12 @@
                 raise
 
     def has_spare_capacity(self) -> bool:
-        """Whether at least half of a burst is left, for what is more urgent."""
+        """Whether at least half of a burst is left for more urgent calls."""
         self._refill()
-        return self._tokens >= self.burst * SPARE_SHARE
+        return self._tokens >= self.burst * SPARE_TOKEN_SHARE
 
     def empty(self) -> None:
-        """Drop all tokens: the service answered 429, so fewer were left than assumed."""
+        """Drop all tokens, after a 429: fewer were left than assumed."""
         self._refill()
         self._tokens = min(self._tokens, 0.0)
 
--- a/spoolcourse/control/routes.py
+++ b/spoolcourse/control/routes.py
@@ -1,4 +1,4 @@
-"""The route tables of a controller's two addresses: the public one, and the peers' one."""
+"""The route tables of a controller's public address and cluster address."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Route(NamedTuple):
-    """A request's handler by its method and path; `subtree`: with all paths below that."""
+    """The handler of a method and path; with `subtree`, also of all paths below it."""
 
     method: str
     path: str
@@ -27,19 +27,21 @@
 
 
 class Router:
-    """Finds the handler of a request; the query is no part of the path."""
+    """Dispatches requests by method and path, ignoring the query string."""
 
     def __init__(self, routes: list[Route]) -> None:
         self._exact = {(route.method, route.path): route.handler for route in routes}
         self._subtrees = [route for route in routes if route.subtree]
 
     def handle(self, request: Request) -> Response | Awaitable[Response]:
-        """Answer a request; 404 if there is no route for it."""
+        """Call the handler of a request; 404 if there is no route."""
         path = request.path.partition("?")[0]
-        handler = self._exact.get((request.method, path)) or self._fallback(request.method, path)
+        handler = self._exact.get((request.method, path)) or self._find_fallback(
+            request.method, path
+        )
         return NOT_FOUND if handler is None else handler(request)
 
-    def _fallback(self, method: str, path: str) -> Handler | None:
+    def _find_fallback(self, method: str, path: str) -> Handler | None:
         handler = self._exact.get((ANY_METHOD, path))
         if handler is not None:
             return handler
@@ -50,18 +52,18 @@
 
 
 def public_routes(workers: WorkerApi, users: UserApi, health: HealthCheck) -> list[Route]:
-    """What users, workers and health checks ask."""
+    """Routes for users, workers and health checks."""
     return [
-        Route("POST", paths.HEARTBEAT, workers.answer_worker),
-        Route(ANY_METHOD, paths.HEALTH, health.answer_public),
-        Route(ANY_METHOD, paths.SUBMISSIONS, users.answer_user, subtree=True),
+        Route("POST", paths.HEARTBEAT, workers.handle_worker_heartbeat),
+        Route(ANY_METHOD, paths.HEALTH, health.handle_public_check),
+        Route(ANY_METHOD, paths.SUBMISSIONS, users.handle_user_request, subtree=True),
     ]
 
 
 def peer_routes(
     peers: PeerApi, workers: WorkerApi, users: UserApi, health: HealthCheck
 ) -> list[Route]:
-    """What operators and other controllers ask; requests from a peer go no further."""
+    """Routes for operators and other controllers; a peer's request is never forwarded again."""
     return [
         Route("POST", paths.HANDOVER, peers.transfer_leadership),
         Route("GET", paths.CANCELLATIONS, peers.get_cancellations),
@@ -70,7 +72,7 @@
         Route("GET", paths.METRICS, peers.get_metrics),
         Route("GET", paths.STANDBY, peers.get_standby),
         Route("GET", paths.HINTS, peers.get_hints),
-        Route(ANY_METHOD, paths.HEALTH, health.answer_peer),
-        Route("POST", paths.HEARTBEAT, workers.answer_peer),
-        Route(ANY_METHOD, paths.SUBMISSIONS, users.answer_peer, subtree=True),
+        Route(ANY_METHOD, paths.HEALTH, health.handle_peer_check),
+        Route("POST", paths.HEARTBEAT, workers.handle_relayed_heartbeat),
+        Route(ANY_METHOD, paths.SUBMISSIONS, users.handle_forwarded_request, subtree=True),
     ]
--- a/spoolcourse/control/status.py
+++ b/spoolcourse/control/status.py
@@ -1,6 +1,6 @@
-"""The status of a controller, for operators; `metrics` has the same as numbers.
+"""The status of a controller for operators; `metrics` exposes the same as numbers.
 
-Durations are in seconds. Operators' tools know the fields by their names on the wire.
+Durations are in seconds. Operators' tools depend on the encoded field names.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 from spoolcourse.control.leadership.failover_timeline import FailoverTimeline
 from spoolcourse.control.scheduling.waiting_jobs import WaitingJob
 
-JOBS_SHOWN = 200
-SILENCE_SHOWN_S = 86_400.0  # of a controller that has never read the key-value store
+MAX_WAITING_JOBS_SHOWN = 200
+MAX_SILENCE_SHOWN_S = 86_400.0  # silence is infinite until the first read of the store
 
 
-class WaitingRow(msgspec.Struct, frozen=True):
-    """A job with tasks that wait; the field names are those that operators' tools know."""
+class WaitingJobStatus(msgspec.Struct, frozen=True):
+    """A job with waiting tasks."""
 
     id: str
     job_class: str = msgspec.field(name="lane")
@@ -35,17 +35,17 @@
 
 
 class LeaderStatus(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
-    """What only a leader knows."""
+    """Status that only a leader has."""
 
     jobs: int
-    waiting: list[WaitingRow]
+    waiting: list[WaitingJobStatus]
     waiting_jobs: int
     waiting_tasks: int = msgspec.field(name="waitingPieces")
     services: int
     replicas_missing: int
     attempts: int
     unproven_attempts: int
-    fetches_booked: int
+    image_fetches: int = msgspec.field(name="fetchesBooked")
     machines: int
     machines_confirmed: int
     passes: int
@@ -54,7 +54,7 @@
 
 
 class ControllerStatus(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
-    """What every controller knows of itself."""
+    """Status that every controller has."""
 
     label: str = msgspec.field(name="node")
     role: str
@@ -73,7 +73,7 @@
 
 
 class FailoverStatus(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
-    """The last failover of this process, by phase, and its proof."""
+    """The last failover of this process: its proof, and the duration of each phase."""
 
     term: int | None
     proof: str | None
@@ -83,10 +83,10 @@
 
 
 class StandbyStatus(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
-    """Whether this controller would take over without a restore, and from what."""
+    """The warm standby: whether a failover could skip the restore, and the shadow's state."""
 
     state: str
-    unfit_reason: str
+    stale_reason: str = msgspec.field(name="unfitReason")
     caught_up: bool
     revision: int
     revisions_behind: int  # behind the leader, by its last hints
@@ -116,11 +116,11 @@
     usage = shadow.team_usage if shadow else {}
     return StandbyStatus(
         state=status.state.value,
-        unfit_reason=status.stale_reason if status.state is ShadowState.STALE else "",
+        stale_reason=status.stale_reason if status.state is ShadowState.STALE else "",
         caught_up=standby.readiness.caught_up,
         revision=revision,
         revisions_behind=max(0, standby.hints.leader_revision - revision),
-        silence_s=round(min(standby.readiness.silence_s, SILENCE_SHOWN_S), 3),
+        silence_s=round(min(standby.readiness.silence_s, MAX_SILENCE_SHOWN_S), 3),
         rebuilds=status.rebuilds,
         jobs=shadow.job_count if shadow else 0,
         attempts=shadow.attempt_count if shadow else 0,
@@ -131,8 +131,8 @@
     )
 
 
-def _waiting_row(job: WaitingJob) -> WaitingRow:
-    return WaitingRow(job.id, job.job_class, job.team, job.tasks, job.waits_s, job.reason)
+def _waiting_job_status(job: WaitingJob) -> WaitingJobStatus:
+    return WaitingJobStatus(job.id, job.job_class, job.team, job.tasks, job.waits_s, job.reason)
 
 
 def _leader_status(leader: ActiveLeader) -> LeaderStatus:
@@ -145,7 +145,7 @@
     ]
     return LeaderStatus(
         jobs=len(job_states),
-        waiting=[_waiting_row(job) for job in waiting[:JOBS_SHOWN]],
+        waiting=[_waiting_job_status(job) for job in waiting[:MAX_WAITING_JOBS_SHOWN]],
         waiting_jobs=len(waiting),
         waiting_tasks=sum(job.tasks for job in waiting),
         services=len(services),
@@ -156,7 +156,7 @@
             for a in attempts
             if a.stage is AttemptStage.OPEN or a.in_flight_incarnation is not None
         ),
-        fetches_booked=sum(len(machine.fetching) for machine in machines),
+        image_fetches=sum(len(machine.fetching) for machine in machines),
         machines=len(machines),
         machines_confirmed=sum(1 for machine in machines if machine.confirmed),
         passes=leader.scheduling.passes,
@@ -193,7 +193,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Status:
-    """What a controller knows, in parts; a part is None where there is nothing to report."""
+    """A controller's status in sections; a section that does not apply is None."""
 
     controller: ControllerStatus
     leader: LeaderStatus | None
@@ -201,7 +201,7 @@
     last_failover: FailoverStatus | None
 
     def to_json_object(self) -> dict[str, Any]:
-        """The status as operators' tools know it: the first two parts in one object."""
+        """The JSON form; `controller` and `leader` share the top level."""
         fields: dict[str, Any] = msgspec.to_builtins(self.controller)
         if self.last_failover is not None:
             fields["lastTakeover"] = msgspec.to_builtins(self.last_failover)
@@ -213,7 +213,7 @@
 
 
 def collect_status(parts: ControllerParts) -> Status:
-    """What a controller knows now; a leader also says what waits, and why."""
+    """The current status; a leader includes the waiting jobs and why they wait."""
     active, standby = parts.lifecycle.active, parts.standby
     timeline = parts.lifecycle.last_failover_timeline
     revision = parts.context.watch_cache.store_revision
--- a/spoolcourse/control/supervisor.py
+++ b/spoolcourse/control/supervisor.py
@@ -1,4 +1,4 @@
-"""The loops of a controller and of a leader term, and what happens when one of them fails."""
+"""Runs the loops of a controller or of a leader term, and handles their failures."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SupervisionPolicy:
-    """What happens after a loop has failed. The controller always steps down.
+    """How a failed loop is handled. The controller always steps down.
 
-    `restart_after_s`: the pause before the loop, failed or ended, is run again; None: it isn't.
-    `expected`: errors that are no fault: their message is the reason for stepping down, and
-    they are not logged as failures.
+    `restart_after_s`: the delay before a loop that failed or returned is restarted; None: never.
+    `expected`: errors that are not faults. They are not logged as failures, and their message is
+    the reason for stepping down.
     """
 
     restart_after_s: float | None
@@ -27,7 +27,7 @@
 
 
 class LoopSupervisor:
-    """Runs each loop in a task of its own, under one policy."""
+    """Runs each loop in its own task, under a common policy."""
 
     def __init__(self, step_down: Callable[[str], None], policy: SupervisionPolicy) -> None:
         self._step_down = step_down
@@ -45,7 +45,7 @@
         self._tasks.clear()
 
     async def wait(self) -> None:
-        """Wait for the end of all loops that run now; raises what ends one of them."""
+        """Wait for all current loops; re-raises the first exception that ends one."""
         await asyncio.gather(*self._tasks)
 
     async def _supervise(self, loop: LoopFunction) -> None:
@@ -56,8 +56,8 @@
             except self._policy.expected as exc:
                 self._step_down(str(exc))
             except Exception:
-                restarts = restart_after_s is not None
-                log.exception("loop failed: loop=%s restarts=%s", loop.__qualname__, restarts)
+                will_restart = restart_after_s is not None
+                log.exception("loop failed: loop=%s restarts=%s", loop.__qualname__, will_restart)
                 self._step_down("a loop failed")
             if restart_after_s is None:
                 return
--- a/spoolcourse/control/user_api/__init__.py
+++ b/spoolcourse/control/user_api/__init__.py
@@ -1,1 +1,1 @@
-"""The users' interface."""
+"""The HTTP API for users."""
--- a/spoolcourse/control/user_api/api.py
+++ b/spoolcourse/control/user_api/api.py
@@ -1,9 +1,8 @@
-"""The users' interface, the same on every controller (PROTOCOL, Rules).
+"""The HTTP API for users, the same on every controller (PROTOCOL, Rules).
 
-Nothing is answered from memory alone unless it can't change any more: a 201 and a
-cancellation follow their conditional write, a 404 a consistent read, and any state
-that is not final a read barrier. A controller that alone lost the key-value store asks a peer, one
-hop.
+Only final states are answered from memory: a 201 and a cancellation follow their compare-and-swap,
+a 404 follows a consistent read, and a state that is not final follows a read barrier. A controller
+that alone lost the key-value store forwards the request to a peer, one hop.
 """
 
 from __future__ import annotations
@@ -30,14 +29,14 @@
 
 log = logging.getLogger(__name__)
 
-OWN_TRY_S = 3.0  # users wait 5 s for an answer; the peers are asked after that
-CANCEL_TRIES = 4  # the leader may finish the job, or a peer cancel it, in between
+LOCAL_ANSWER_TIMEOUT_S = 3.0  # then peers are asked; users time out after 5 s
+MAX_CANCEL_TRIES = 4  # the leader may finish the job, or a peer cancel it, concurrently
 
-NO_SUCH_JOB = error_response(404, "no such job")
+JOB_NOT_FOUND = error_response(404, "no such job")
 
 
 class UserApi:
-    """Answers users' requests, by itself or with a peer's help."""
+    """Answers users' requests locally or through a peer."""
 
     def __init__(
         self, context: ControllerContext, leadership: Leadership, health: HealthCheck
@@ -60,36 +59,36 @@
             context.http_client, context.peers, leadership, context.job_index
         )
 
-    async def answer_user(self, request: Request) -> Response:
-        """Answer a user's request, with a peer's help if need be."""
+    async def handle_user_request(self, request: Request) -> Response:
+        """Answer a user's request, through a peer if this controller can't."""
         if not self._health.ready:
             return retry_later("starting")
         if self._client.is_failing():
-            # Waiting for the key-value store once more would only cost the user time.
+            # Waiting for the key-value store again would only delay the user.
             response = await self._peer_fallback.answer(request, RETRY_AFTER_S)
-            return response if response.status != 503 else await self._answer_alone(request)
+            return response if response.status != 503 else await self._answer_locally(request)
         try:
             return await self._answer(request)
         except CannotAnswerError as exc:
             return await self._peer_fallback.answer(request, exc.retry_after_s)
 
-    async def answer_peer(self, request: Request) -> Response:
-        """Answer a user's request that a peer has passed on; it goes no further."""
+    async def handle_forwarded_request(self, request: Request) -> Response:
+        """Answer a user's request forwarded by a peer; it is not forwarded again."""
         if not self._health.ready:
             return retry_later("starting")
-        return await self._answer_alone(request)
+        return await self._answer_locally(request)
 
-    async def _answer_alone(self, request: Request) -> Response:
+    async def _answer_locally(self, request: Request) -> Response:
         try:
             return await self._answer(request)
         except CannotAnswerError as exc:
             return retry_later("try again", exc.retry_after_s)
 
     async def _answer(self, request: Request) -> Response:
-        """Answer within `OWN_TRY_S`; raises `CannotAnswerError` where nothing is certain."""
+        """Answer within the time limit; raises `CannotAnswerError` if the state is uncertain."""
         path = unquote(urlsplit(request.path).path)
         try:
-            async with asyncio.timeout(OWN_TRY_S):
+            async with asyncio.timeout(LOCAL_ANSWER_TIMEOUT_S):
                 return await self._dispatch(request, path)
         except (CannotAnswerError, StoreUnavailableError, TimeoutError) as exc:
             log.debug("no certain answer: method=%s path=%s reason=%s", request.method, path, exc)
@@ -110,18 +109,18 @@
 
     async def _get_job(self, job: str) -> Response:
         if not JOB_ID.fullmatch(job):
-            return NO_SUCH_JOB
+            return JOB_NOT_FOUND
         status = await self._job_states.read(job)
-        return NO_SUCH_JOB if status is None else job_response(200, status)
+        return JOB_NOT_FOUND if status is None else job_response(200, status)
 
     async def _cancel_job(self, job: str) -> Response:
-        """Cancel a job; one that is final stays as it is, and its state is the answer."""
+        """Cancel a job; a final job stays unchanged, and its state is returned."""
         if not JOB_ID.fullmatch(job):
-            return NO_SUCH_JOB
-        for _ in range(CANCEL_TRIES):
+            return JOB_NOT_FOUND
+        for _ in range(MAX_CANCEL_TRIES):
             status = await self._job_states.read(job)
             if status is None:
-                return NO_SUCH_JOB
+                return JOB_NOT_FOUND
             if status.stage.is_final:
                 return job_response(200, JobAnswer(job, status.stage))
             if job in self._job_index.live and await self._job_records.cancel(
--- a/spoolcourse/control/user_api/checks.py
+++ b/spoolcourse/control/user_api/checks.py
@@ -1,4 +1,4 @@
-"""Whether a submission can ever run, by the catalog, the zones and the teams."""
+"""Checks whether a submission can ever run, given the catalog, the zones and the teams."""
 
 from __future__ import annotations
 
@@ -37,9 +37,10 @@
 
 
 def _service_rejection_reason(submission: Submission, team: Team, zones: set[str]) -> str | None:
-    """The replicas of a service run all at once; an array may run one task after another.
+    """Why a service can never run; None if it can.
 
-    `zones`: those that have usable machines.
+    All replicas of a service run at once; an array may run one task after another. `zones`: those
+    with usable machine types.
     """
     if (
         submission.task_count * submission.cpus > team.cpu_limit
--- a/spoolcourse/control/user_api/job_states.py
+++ b/spoolcourse/control/user_api/job_states.py
@@ -1,9 +1,9 @@
-"""A job's state for certain: what a user is told must stay true (PROTOCOL, Rules).
+"""Consistent reads of job states: an answer must never be contradicted later (PROTOCOL, Rules).
 
-A final state never changes, so it may be answered from memory. Any other state is answered only
-after a read barrier: then this controller knows every write that was confirmed before the request
-came. That a job is unknown (404) takes a consistent read of its final state besides, after the
-barrier: a job that was final by then is read there, and any other was never accepted before.
+A final state never changes, so it may be answered from memory. Any other state needs a read
+barrier: after it, this controller has applied every write confirmed before the request arrived.
+A 404 also needs a consistent read of the job's final state after the barrier: it finds a job that
+was final by then, and any other job unknown after the barrier was never accepted before.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.messages import JobStatus
 
-READ_BARRIER_S = 1.2  # a poll waits 2 s, and then a peer is asked
+READ_BARRIER_TIMEOUT_S = 1.2  # then a peer is asked; a poll times out after 2 s
 RETRY_AFTER_S = 1.0
 
 
 class CannotAnswerError(Exception):
-    """This controller can't answer for certain just now; the message says why.
+    """This controller can't give a certain answer at present; the message says why.
 
-    `retry_after_s`: when the user's next try is worth it.
+    `retry_after_s`: the delay before the user should retry.
     """
 
     def __init__(self, reason: str, retry_after_s: float = RETRY_AFTER_S) -> None:
@@ -29,7 +29,7 @@
 
 
 class JobStates:
-    """Reads jobs' states."""
+    """Reads job states consistently."""
 
     def __init__(
         self, job_index: JobIndex, job_records: JobRecords, watch_cache: WatchCache
@@ -39,19 +39,19 @@
         self._watch_cache = watch_cache
 
     async def pass_read_barrier(self) -> None:
-        """Catch up with every write that has been confirmed so far.
+        """Wait until every write confirmed so far has been applied.
 
         Raises:
-            CannotAnswerError: The key-value store does not answer in time.
+            CannotAnswerError: The key-value store does not respond in time.
         """
-        if not await self._watch_cache.read_barrier(READ_BARRIER_S):
-            raise CannotAnswerError("no sync")
+        if not await self._watch_cache.read_barrier(READ_BARRIER_TIMEOUT_S):
+            raise CannotAnswerError("read barrier timed out")
 
     async def read(self, job: str) -> JobStatus | None:
-        """The job's current state for certain; None if it was never accepted.
+        """The job's current state; None if it was never accepted.
 
         Raises:
-            CannotAnswerError: The key-value store does not answer in time.
+            CannotAnswerError: The key-value store does not respond in time.
             StoreUnavailableError: The final state can't be read.
         """
         final = self._job_index.known_final_status(job)
@@ -62,5 +62,5 @@
         return status or await self._job_records.read_final_status(job)
 
     def is_known(self, job: str) -> bool:
-        """Whether this controller remembers the job; if not, it may exist nevertheless."""
+        """Whether the job is in this controller's index; if not, it may still exist."""
         return job in self._job_index.live or self._job_index.known_final_status(job) is not None
--- a/spoolcourse/control/user_api/peer_fallback.py
+++ b/spoolcourse/control/user_api/peer_fallback.py
@@ -1,4 +1,4 @@
-"""Users' requests that only a peer can answer: this controller alone lost the key-value store."""
+"""Forwards users' requests to peers when only this controller lost the key-value store."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 log = logging.getLogger(__name__)
 
-# Users wait 5 s for an answer, and 2 s for one to a poll; this controller itself tries first.
-ONE_PEER_S = 1.0
-ALL_PEERS_S = 1.5
-ALL_PEERS_POLL_S = 0.6
+# Users time out after 5 s, and after 2 s for a poll; this controller tries locally first.
+PEER_TIMEOUT_S = 1.0
+ALL_PEERS_TIMEOUT_S = 1.5
+ALL_PEERS_POLL_TIMEOUT_S = 0.6
 
 
 class PeerFallback:
-    """Passes a request on to the peers, one hop: they answer by themselves or not at all."""
+    """Forwards a request to the peers, one hop: a peer never forwards it again."""
 
     def __init__(
         self,
@@ -43,28 +43,30 @@
         self._job_index = job_index
 
     async def answer(self, request: Request, retry_after_s: float) -> Response:
-        """The first peer's answer that helps, the leader's if it gives one; else a 503 to retry.
+        """The first conclusive answer of a peer, the leader asked first; else a retryable 503.
 
-        Peers that hang, as behind a cut, must not use up the time that the user waits.
+        Peers that hang, as in a network partition, must not use up the user's timeout.
         """
         clock = asyncio.get_running_loop().time
-        until = clock() + (ALL_PEERS_POLL_S if request.method == "GET" else ALL_PEERS_S)
-        for peer in self._leader_first():
-            left_s = until - clock()
-            if left_s <= 0:
+        deadline = clock() + (
+            ALL_PEERS_POLL_TIMEOUT_S if request.method == "GET" else ALL_PEERS_TIMEOUT_S
+        )
+        for peer in self._peers_leader_first():
+            remaining_s = deadline - clock()
+            if remaining_s <= 0:
                 break
-            response = await self._ask(peer, request, min(left_s, ONE_PEER_S))
+            response = await self._forward(peer, request, min(remaining_s, PEER_TIMEOUT_S))
             if response is not None and response.status < 500 and response.status != 429:
                 if response.status == 200:
-                    self._remember_final(response.data)
+                    self._cache_final_state(response.data)
                 return Response(response.status, response.data)
         return retry_later("try again", retry_after_s)
 
-    def _leader_first(self) -> list[Seed]:
+    def _peers_leader_first(self) -> list[Seed]:
         leader_label = self._leadership.leader_label
         return sorted(self._peers, key=lambda peer: peer.label != leader_label)
 
-    async def _ask(self, peer: Seed, request: Request, timeout_s: float) -> Response | None:
+    async def _forward(self, peer: Seed, request: Request, timeout_s: float) -> Response | None:
         try:
             return await self._http_client.call(
                 peer.endpoint,
@@ -74,15 +76,15 @@
                 timeout_s=timeout_s,
             )
         except NoResponseError as exc:
-            log.debug("a peer does not help: peer=%s reason=%s", peer.label, exc)
+            log.debug("request to peer failed: controller=%s reason=%s", peer.label, exc)
             return None
 
-    def _remember_final(self, data: Any) -> None:
-        """A final state never changes, so a peer's word for it can be answered again."""
+    def _cache_final_state(self, data: Any) -> None:
+        """Cache a final state that a peer reports: it never changes."""
         try:
             status = parse(data, JobStatus)
         except MalformedError as exc:
-            log.debug("a peer's answer is no job status: %s", exc)
+            log.debug("peer response is not a job status: %s", exc)
             return
         if status.stage.is_final:
             self._job_index.remember_final(status.id, FinalState(status.stage, status.done))
--- a/spoolcourse/control/user_api/submissions.py
+++ b/spoolcourse/control/user_api/submissions.py
@@ -1,8 +1,8 @@
-"""Submissions: idempotent by the job's id (PROTOCOL, Rules).
+"""Job submissions, idempotent by job id (PROTOCOL, Rules).
 
-A 201 follows the conditional write that made the job. A job that was accepted once is never
-refused, whatever a repeat of its submission looks like: a repeat is answered with the job's state,
-and a 400 or 422 only after it is certain that the job does not exist.
+A 201 follows the compare-and-swap that created the job. An accepted job is never rejected later,
+whatever a repeated submission contains: a repeat is answered with the job's state, and a 400 or
+422 only after a consistent read shows that the job does not exist.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 class Submissions:
-    """Checks submissions, and writes the records of accepted jobs."""
+    """Validates submissions, and writes the records of accepted jobs."""
 
     def __init__(
         self,
@@ -55,16 +55,18 @@
         self._wall_clock = wall_clock
 
     async def submit(self, body: bytes) -> Response:
-        """Accept a job: 201; 200 for one that exists, 400 or 422 for one that can't be accepted.
+        """Accept a job: 201; 200 if it exists already, 400 or 422 if it is rejected.
 
         Raises:
-            CannotAnswerError: It is not certain just now what holds.
-            StoreUnavailableError: The key-value store does not answer.
+            CannotAnswerError: The job's state is uncertain at present.
+            StoreUnavailableError: The key-value store does not respond.
         """
         try:
             submission = parse_submission(body)
         except MalformedError as exc:
-            return await self._refuse(_job_id_of(body), error_response(400, str(exc)))
+            return await self._reject_unless_accepted(
+                _parse_job_id(body), error_response(400, str(exc))
+            )
         job = submission.id
         if self._job_states.is_known(job):
             status = await self._job_states.read(job)
@@ -75,16 +77,16 @@
             raise CannotAnswerError("the machine types are not known yet")
         reason = rejection_reason(submission, machine_types, self._params)
         if reason is not None:
-            return await self._refuse(job, error_response(422, reason))
-        if submission.is_service and not await self._all_know_services():
-            return retry_later("not all controllers know services yet")
+            return await self._reject_unless_accepted(job, error_response(422, reason))
+        if submission.is_service and not await self._all_support_services():
+            return retry_later("not all controllers support services yet")
         return await self._accept(self._with_usable_types(submission, machine_types))
 
-    async def _all_know_services(self) -> bool:
-        """Whether every controller knows services.
+    async def _all_support_services(self) -> bool:
+        """Whether every controller supports services.
 
-        What this controller learns by a read barrier no peer knows better. Asking them
-        nevertheless kept users waiting for a second or more where one of them was cut off.
+        Peers are not asked: they know no more than a read barrier shows here, and asking them
+        delayed users by a second or more when one was partitioned.
         """
         if all_support_services(self._watch_cache):
             return True
@@ -96,7 +98,7 @@
         try:
             accepted = await self._job_records.accept(submission, self._wall_clock())
         except RecordTooLargeError as exc:
-            return await self._refuse(job, error_response(422, str(exc)))
+            return await self._reject_unless_accepted(job, error_response(422, str(exc)))
         if accepted:
             log.info(
                 "job accepted: job=%s tasks=%d class=%s team=%s",
@@ -114,25 +116,25 @@
     def _with_usable_types(
         self, submission: Submission, machine_types: dict[str, MachineType]
     ) -> Submission:
-        """Only types that the job can use are kept, so that a record stays small."""
+        """Keep only the machine types that the job can use, so that its record stays small."""
         if submission.machine_types is None:
             return submission
         usable = usable_machine_types(submission, machine_types, self._params.zones)
         return msgspec.structs.replace(submission, machine_types=usable)
 
-    async def _refuse(self, job: str | None, refusal: Response) -> Response:
-        """The refusal, or the state of the job if it was accepted before."""
+    async def _reject_unless_accepted(self, job: str | None, rejection: Response) -> Response:
+        """The rejection, or the job's state if it was accepted before."""
         status = await self._job_states.read(job) if job is not None else None
-        return refusal if status is None else job_response(200, status)
+        return rejection if status is None else job_response(200, status)
 
 
 def job_response(status: int, answer: JobStatus | JobAnswer) -> Response:
-    """A response with a job's state."""
+    """A response with a job's state as its body."""
     return Response(status, to_json_object(answer))
 
 
-def _job_id_of(body: bytes) -> str | None:
-    """The job id of a submission that is malformed otherwise."""
+def _parse_job_id(body: bytes) -> str | None:
+    """The job id of an otherwise malformed submission, if it has a valid one."""
     try:
         data = decode(body)
     except MalformedError:
--- a/spoolcourse/control/worker_api.py
+++ b/spoolcourse/control/worker_api.py
@@ -1,4 +1,4 @@
-"""The workers' interface: heartbeats, as they come from workers or relayed by a follower."""
+"""Handlers of heartbeats, sent by workers or relayed by a follower."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class WorkerApi:
-    """Answers heartbeats; a leader does so at once, a follower relays them to the leader."""
+    """Answers heartbeats on the leader; a follower relays them to the leader."""
 
     def __init__(self, parts: ControllerParts, relay: HeartbeatRelay) -> None:
         self._load = parts.context.load
@@ -19,29 +19,29 @@
         self._leadership = parts.leadership
         self._relay = relay
 
-    def answer_worker(self, request: Request) -> Response | Awaitable[Response]:
-        """Answer a heartbeat that a worker has sent to this controller."""
-        return self._answer(request.body, from_peer=False)
+    def handle_worker_heartbeat(self, request: Request) -> Response | Awaitable[Response]:
+        """Answer a heartbeat that a worker sent to this controller."""
+        return self._answer(request.body, relayed=False)
 
-    def answer_peer(self, request: Request) -> Response | Awaitable[Response]:
-        """Answer a heartbeat that a follower has relayed; it goes no further."""
-        return self._answer(request.body, from_peer=True)
+    def handle_relayed_heartbeat(self, request: Request) -> Response | Awaitable[Response]:
+        """Answer a heartbeat relayed by a follower; it is not relayed again."""
+        return self._answer(request.body, relayed=True)
 
-    def _answer(self, raw: bytes, from_peer: bool) -> Response | Awaitable[Response]:
+    def _answer(self, body: bytes, relayed: bool) -> Response | Awaitable[Response]:
         try:
             with self._load.time_block("parse"):
-                heartbeat = parse_heartbeat(raw)
+                heartbeat = parse_heartbeat(body)
         except MalformedError as exc:
             return error_response(400, str(exc))
         leader_term = self._lifecycle.current
         if leader_term is not None:
-            return leader_term.answer_heartbeat(heartbeat, relayed=from_peer)
-        if from_peer:
+            return leader_term.answer_heartbeat(heartbeat, relayed=relayed)
+        if relayed:
             return redirect(None)
-        return self._relay_to_leader(heartbeat, raw)
+        return self._relay_to_leader(heartbeat, body)
 
-    def _relay_to_leader(self, heartbeat: Heartbeat, raw: bytes) -> Response | Awaitable[Response]:
+    def _relay_to_leader(self, heartbeat: Heartbeat, body: bytes) -> Response | Awaitable[Response]:
         leadership = self._leadership
         return self._relay.handle(
-            heartbeat.machine, raw, leadership.leader_label, leadership.has_recent_view
+            heartbeat.machine, body, leadership.leader_label, leadership.has_recent_view
         )
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -115,7 +115,7 @@
         assert (await read_answer(reader))[0] == 200
         assert await reader.read() == b""
 
-    serve(story, idle_s=0.05, sweep_s=0.02)
+    serve(story, idle_timeout_s=0.05, sweep_period_s=0.02)
 
 
 def test_a_call_does_not_wait_behind_hundreds_that_hang() -> None:
--- a/tests/recorded/external_names.py
+++ b/tests/recorded/external_names.py
@@ -215,8 +215,12 @@
 
 
 def _metric_names() -> Iterator[str]:
-    for definitions in (metrics.CONTROLLER, metrics.LEADER, metrics.STANDBY):
-        yield from (metrics.PREFIX + definition.name for definition in definitions)
+    for definitions in (
+        metrics.CONTROLLER_METRICS,
+        metrics.LEADER_METRICS,
+        metrics.STANDBY_METRICS,
+    ):
+        yield from (metrics.METRIC_PREFIX + definition.name for definition in definitions)
     for node in ast.walk(_tree("control/metrics.py")):
         match node:
             case ast.Call(
@@ -224,11 +228,11 @@
                 args=[ast.BinOp(right=ast.Constant(value=str(name))), *_],
                 keywords=[ast.keyword(arg="labels", value=ast.List(elts=labels))],
             ):
-                yield metrics.PREFIX + name
+                yield metrics.METRIC_PREFIX + name
                 for label in labels:
                     assert isinstance(label, ast.Constant)
                     assert isinstance(label.value, str)
-                    yield f"{metrics.PREFIX}{name} {label.value}"
+                    yield f"{metrics.METRIC_PREFIX}{name} {label.value}"
 
 
 def _strings(module: str) -> Iterator[str]:
