--- a/spoolcourse/control/workers/__init__.py
+++ b/spoolcourse/control/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Workers: their heartbeats, their commands, and what proves an end."""
+"""The worker registry: heartbeats, reconciliation, and commands to workers."""
--- a/spoolcourse/control/workers/call_limit.py
+++ b/spoolcourse/control/workers/call_limit.py
@@ -1,23 +1,23 @@
-"""How many calls to machines may be under way at once."""
+"""Limit on concurrent calls to machines."""
 
 from __future__ import annotations
 
-MACHINES_PER_CALL = 8
-CALL_SOCKETS_SHARE = 0.2  # of a controller's sockets, for calls to machines
+MACHINES_PER_CONCURRENT_CALL = 8
+CALL_SOCKET_FRACTION = 0.2  # of a controller's sockets, at most, for calls to machines
 
 
 def concurrent_call_limit(minimum: int, machines: int, sockets: int) -> int:
-    """The limit for so many machines, at least `minimum`.
+    """Return how many calls to machines may be in progress at once; grows with the fleet.
 
-    Calls to machines behind a cut hang until they time out. With a fixed limit, those to a third
-    of many machines kept the calls to the rest waiting for many seconds.
+    Calls to machines behind a network partition hang until they time out. With a fixed limit, the
+    calls to a partitioned third of a large fleet delayed all others by many seconds.
 
     Args:
-        minimum: the limit for few machines.
-        machines: how many machines there are.
-        sockets: how many the controller may open; 0 if that is not known.
+        minimum: Lower bound of the limit.
+        machines: Number of machines.
+        sockets: Number of sockets that the controller may open; 0 if unknown.
     """
-    limit = max(minimum, machines // MACHINES_PER_CALL)
+    limit = max(minimum, machines // MACHINES_PER_CONCURRENT_CALL)
     if sockets:
-        limit = min(limit, int(sockets * CALL_SOCKETS_SHARE))
+        limit = min(limit, int(sockets * CALL_SOCKET_FRACTION))
     return max(minimum, limit)
--- a/spoolcourse/control/workers/command_dispatcher.py
+++ b/spoolcourse/control/workers/command_dispatcher.py
@@ -1,9 +1,9 @@
 """Sends starts and stops to workers at once instead of waiting for their next heartbeats.
 
-A command sent to a machine's address may be executed minutes late, so a start that got no answer
-stays possible on that machine until its incarnation or our term ends
-(`Attempt.in_flight_incarnation`). Every attempt is sent this way once; if that fails, its commands
-are left to the heartbeat responses.
+A command sent to a machine's address may be executed minutes late. A start without a response may
+therefore take effect until the worker's incarnation or this term ends
+(`Attempt.in_flight_incarnation`). Each command of an attempt is sent this way once; if the call
+fails, heartbeat responses carry it.
 """
 
 from __future__ import annotations
@@ -21,21 +21,21 @@
 
 log = logging.getLogger(__name__)
 
-UNREACHABLE_PAUSE_S = 10.0  # a machine whose address did not answer is not called before
-MIN_CALL_LIMIT = 192  # calls that may be under way at once with few machines
-RESERVED_SOCKETS_SHARE = 0.15  # of the sockets, for users, peers and what is under way
+UNREACHABLE_RETRY_DELAY_S = 10.0  # until a machine whose address did not answer is called again
+MIN_CONCURRENT_CALLS = 192  # lower bound; large fleets get more
+RESERVED_SOCKET_FRACTION = 0.15  # of the sockets, for users, peers and calls in progress
 
 
 class CommandDispatcher:
-    """Sends pending commands to machines' addresses, to each one request at a time."""
+    """Sends pending commands to machines' addresses, one request per machine at a time."""
 
     def __init__(self, http_client: HttpClient, registry: WorkerRegistry, sockets: int = 0) -> None:
-        """`sockets`: how many the controller may open; 0 if that is not known."""
+        """`sockets`: number of sockets that the controller may open; 0 if unknown."""
         self._http_client = http_client
         self._registry = registry
         self._sockets = sockets
         self.wake = asyncio.Event()
-        self._calls: dict[str, asyncio.Task[None]] = {}  # under way, by machine
+        self._calls: dict[str, asyncio.Task[None]] = {}  # in progress, by machine
 
     async def run(self) -> None:
         """Run until cancelled."""
@@ -54,17 +54,19 @@
 
     def _is_at_limit(self) -> bool:
         machines = len(self._registry.machines)
-        return len(self._calls) >= concurrent_call_limit(MIN_CALL_LIMIT, machines, self._sockets)
+        return len(self._calls) >= concurrent_call_limit(
+            MIN_CONCURRENT_CALLS, machines, self._sockets
+        )
 
     def may_keep_connections(self) -> bool:
-        """Whether connections to machines may stay open beside those of their heartbeats.
+        """Whether connections to machines may stay open besides those of their heartbeats.
 
-        With two for each machine, many machines would use up the controller's sockets, and new
+        Two connections per machine of a large fleet would use up the controller's sockets, and new
         connections of workers and users would fail.
         """
         if not self._sockets:
             return True
-        return 2 * len(self._registry.machines) < self._sockets * (1 - RESERVED_SOCKETS_SHARE)
+        return 2 * len(self._registry.machines) < self._sockets * (1 - RESERVED_SOCKET_FRACTION)
 
     async def _send(self, machine: Machine) -> None:
         try:
@@ -90,8 +92,10 @@
                 self.may_keep_connections(),
             )
         except (NoResponseError, MalformedError) as exc:
-            # Until it can be reached, its commands go with the heartbeat responses.
-            machine.unreachable_until = asyncio.get_running_loop().time() + UNREACHABLE_PAUSE_S
+            # Until the machine is called again, heartbeat responses carry its commands.
+            machine.unreachable_until = (
+                asyncio.get_running_loop().time() + UNREACHABLE_RETRY_DELAY_S
+            )
             log.debug(
                 "commands not answered: machine=%s commands=%d cause=%s",
                 machine.id,
--- a/spoolcourse/control/workers/fencing_token_announcer.py
+++ b/spoolcourse/control/workers/fencing_token_announcer.py
@@ -1,4 +1,4 @@
-"""Calls that raise the fencing token on workers that have not sent a heartbeat under it yet."""
+"""Announces this term's fencing token to workers that have not reported it yet."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 log = logging.getLogger(__name__)
 
-# Workers called at once, at least. Calls to those behind a cut time out, so with a few at once a
-# failover would take a second longer for every few silent workers.
+# Lower bound. Calls to workers behind a network partition time out, so with only a few concurrent
+# calls every few silent workers would add a second to a failover.
 MIN_CONCURRENT_CALLS = 64
 
 
 class UnconfirmedWorker(Protocol):
-    """A worker that may not know of the term. A `Machine` of the registry is one."""
+    """A worker that may not know this term's fencing token, such as a `Machine` of the registry."""
 
     @property
     def id(self) -> str:
@@ -30,32 +30,31 @@
 
     @property
     def address(self) -> str:
-        """Where it is called."""
+        """The address to call."""
         ...
 
     @property
     def confirmed(self) -> bool:
-        """Whether it has sent a heartbeat under the fencing token, so that no call is needed."""
+        """Whether it has reported the fencing token, so that no call is needed."""
         ...
 
 
 class FencingTokenAnnouncer:
-    """Raises the token with requests without commands, and observes the heartbeats they return.
+    """Raises the token by requests without commands, and processes the heartbeats they return.
 
-    The workers called may be sending their heartbeats to a controller that can't know of this
-    leader.
+    The workers may be sending their heartbeats to a controller that can't learn of this leader.
     """
 
     def __init__(self, http_client: HttpClient, registry: WorkerRegistry, sockets: int) -> None:
-        """`sockets`: how many the controller may open; 0 if that is not known."""
+        """`sockets`: number of sockets that the controller may open; 0 if unknown."""
         self._http_client = http_client
         self._registry = registry
         self._sockets = sockets
 
     async def announce(self, workers: Iterable[UnconfirmedWorker], fleet_size: int) -> None:
-        """Call each worker once, in order, and wait for all; one that fails is only logged.
+        """Call each worker once, in order, and wait for all; failures are only logged.
 
-        `fleet_size`: the number of workers that the bound on concurrent calls is derived from.
+        `fleet_size`: the number of workers from which the limit on concurrent calls is derived.
         """
         concurrent_calls = concurrent_call_limit(MIN_CONCURRENT_CALLS, fleet_size, self._sockets)
         semaphore = asyncio.Semaphore(concurrent_calls)
@@ -64,13 +63,13 @@
     async def _announce_to(self, worker: UnconfirmedWorker, semaphore: asyncio.Semaphore) -> None:
         async with semaphore:
             if worker.confirmed:
-                return  # its own heartbeat has arrived while it waited here
+                return  # its own heartbeat arrived in the meantime
             try:
                 heartbeat = await raise_fencing_token(
                     self._http_client, self._registry.proof, worker.address
                 )
             except (NoResponseError, MalformedError) as exc:
-                log.debug("fencing token not raised: machine=%s: %s", worker.id, exc)
+                log.debug("fencing token not raised: machine=%s cause=%s", worker.id, exc)
                 return
-            if heartbeat.machine == worker.id:  # the address may belong to another machine by now
+            if heartbeat.machine == worker.id:  # another machine may have the address now
                 self._registry.observe_heartbeat(heartbeat)
--- a/spoolcourse/control/workers/heartbeat_relay.py
+++ b/spoolcourse/control/workers/heartbeat_relay.py
@@ -1,9 +1,9 @@
-"""What a follower does with workers' heartbeats.
+"""A follower's handling of workers' heartbeats.
 
 A worker that reports to a follower is either new or could not reach the leader. The follower
-forwards its heartbeat to the leader and hands back the leader's answer, so that its lease is
+forwards its heartbeat to the leader and returns the leader's response, so that the lease is
 renewed even if the leader is cut off from the workers. The next heartbeat is redirected to the
-leader, unless the leader gets no heartbeats itself (PROTOCOL, Workers -> controller nodes).
+leader, unless the leader receives no heartbeats directly (PROTOCOL, Workers -> controller nodes).
 """
 
 from __future__ import annotations
@@ -22,26 +22,26 @@
 
 log = logging.getLogger(__name__)
 
-TIMEOUT_S = 1.5
-PROBE_PERIOD_S = 15.0  # while the leader hears no worker, one worker per period tries it again
-RECENT_HEARTBEATS = 3  # heartbeat intervals within which a worker counts as one that comes again
+RELAY_TIMEOUT_S = 1.5
+LEADER_PROBE_PERIOD_S = 15.0  # one redirected worker per period, if the leader gets no heartbeats
+RECENT_HEARTBEAT_INTERVALS = 3  # during which a relayed heartbeat counts as recent
 
 
 def redirect(leader: str | None) -> Response:
-    """Send a worker to the leader, or to the next controller if there is none to be named."""
+    """Redirect a worker to the leader, or to the next controller if the leader is unknown."""
     return Response(421, to_json_object(Redirect(leader)))
 
 
 @dataclass(frozen=True, slots=True)
 class RelayedHeartbeat:
-    """The latest heartbeat of a worker that the leader has answered through this follower."""
+    """A worker's latest heartbeat that the leader answered through this follower."""
 
-    at: float  # on the event loop's clock
-    leader_hears_no_worker: bool  # the leader got no heartbeats itself
+    relayed_at: float  # on the event loop's clock
+    leader_receives_no_heartbeats: bool  # no worker reached the leader directly
 
 
 class HeartbeatRelay:
-    """Forwards heartbeats, and decides when a worker is sent to the leader."""
+    """Forwards heartbeats, and decides when to redirect a worker to the leader."""
 
     def __init__(
         self, http_client: HttpClient, label: str, seeds: list[Seed], heartbeat_interval_s: float
@@ -49,31 +49,31 @@
         self._http_client = http_client
         self._label = label
         self._peers = {seed.label: seed.endpoint for seed in seeds}
-        self._recent_s = RECENT_HEARTBEATS * heartbeat_interval_s
+        self._recent_window_s = RECENT_HEARTBEAT_INTERVALS * heartbeat_interval_s
         self._relayed: dict[str, RelayedHeartbeat] = {}  # by worker
         self._pruned_at = float("-inf")
         self._probed_at = float("-inf")
 
     async def handle(
-        self, worker: str, raw: bytes, leader_label: str | None, informed: bool
+        self, worker: str, raw: bytes, leader_label: str | None, leader_is_recent: bool
     ) -> Response:
-        """Answer a worker's heartbeat, by the leader's answer if there is one.
+        """Answer a worker's heartbeat with the leader's response, or redirect the worker.
 
         Args:
-            worker: the worker's machine.
-            raw: the heartbeat as it came.
-            leader_label: the controller that leads, as far as this one knows.
-            informed: the leader's name is no older than a lease or two. A controller that was cut
-                off must not send workers to one that was replaced long ago.
+            worker: The worker's machine.
+            raw: The heartbeat as received.
+            leader_label: The leader as far as this controller knows.
+            leader_is_recent: Whether `leader_label` is at most a lease or two old. A controller
+                that was cut off must not redirect workers to a leader replaced long ago.
         """
         if leader_label is None or leader_label == self._label or leader_label not in self._peers:
             return redirect(None)
-        to_leader = redirect(leader_label if informed else None)
+        redirect_to_leader = redirect(leader_label if leader_is_recent else None)
         now = asyncio.get_running_loop().time()
         previous = self._recently_relayed(worker, now)
-        if informed and previous is not None and self._should_redirect(previous, now):
+        if leader_is_recent and previous is not None and self._should_redirect(previous, now):
             self._relayed.pop(worker, None)
-            return to_leader
+            return redirect_to_leader
         self._prune(now)
         try:
             response = await self._forward(worker, raw, leader_label)
@@ -81,24 +81,28 @@
             log.debug(
                 "heartbeat not relayed: machine=%s leader=%s cause=%s", worker, leader_label, exc
             )
-            return to_leader
+            return redirect_to_leader
         if response is None:
             return redirect(None)
-        hears_no_worker = bool(response.hears_no_worker)
-        if hears_no_worker and previous is None:
-            self._probed_at = now  # it has tried the leader a moment ago
-        self._relayed[worker] = RelayedHeartbeat(now, hears_no_worker)
+        receives_no_heartbeats = bool(response.hears_no_worker)
+        if receives_no_heartbeats and previous is None:
+            self._probed_at = now  # this worker has just tried the leader
+        self._relayed[worker] = RelayedHeartbeat(now, receives_no_heartbeats)
         return Response(200, to_json_object(replace(response, hears_no_worker=None)))
 
     def _recently_relayed(self, worker: str, now: float) -> RelayedHeartbeat | None:
         relayed = self._relayed.get(worker)
-        return relayed if relayed is not None and now - relayed.at < self._recent_s else None
+        return (
+            relayed
+            if relayed is not None and now - relayed.relayed_at < self._recent_window_s
+            else None
+        )
 
     def _should_redirect(self, previous: RelayedHeartbeat, now: float) -> bool:
-        """Whether a worker that comes again is sent to the leader; counts it as a probe if so."""
-        if not previous.leader_hears_no_worker:
+        """Whether to redirect a worker that reports here again; a redirect counts as a probe."""
+        if not previous.leader_receives_no_heartbeats:
             return True
-        if now - self._probed_at <= PROBE_PERIOD_S:
+        if now - self._probed_at <= LEADER_PROBE_PERIOD_S:
             return False
         self._probed_at = now
         return True
@@ -106,9 +110,13 @@
     async def _forward(
         self, worker: str, raw: bytes, leader_label: str
     ) -> HeartbeatResponse | None:
-        """The leader's answer, or None if it refuses; raises `NoResponseError`."""
+        """Return the leader's response, or None if it refuses or is malformed.
+
+        Raises:
+            NoResponseError: The leader did not respond.
+        """
         response = await self._http_client.call(
-            self._peers[leader_label], "POST", paths.HEARTBEAT, raw, timeout_s=TIMEOUT_S
+            self._peers[leader_label], "POST", paths.HEARTBEAT, raw, timeout_s=RELAY_TIMEOUT_S
         )
         if response.status != 200:
             return None
@@ -116,7 +124,7 @@
             return parse(response.data, HeartbeatResponse)
         except MalformedError as exc:
             log.debug(
-                "leader's answer malformed: machine=%s leader=%s cause=%s",
+                "leader's response malformed: machine=%s leader=%s cause=%s",
                 worker,
                 leader_label,
                 exc,
@@ -124,11 +132,13 @@
             return None
 
     def _prune(self, now: float) -> None:
-        """Forget workers that have not come here recently, so that the rest stays bounded."""
-        if now - self._pruned_at < self._recent_s:
+        """Drop workers that have not reported here recently, to bound the table."""
+        if now - self._pruned_at < self._recent_window_s:
             return
         self._pruned_at = now
-        earliest = now - self._recent_s
+        earliest = now - self._recent_window_s
         self._relayed = {
-            worker: relayed for worker, relayed in self._relayed.items() if relayed.at > earliest
+            worker: relayed
+            for worker, relayed in self._relayed.items()
+            if relayed.relayed_at > earliest
         }
--- a/spoolcourse/control/workers/leader_interface.py
+++ b/spoolcourse/control/workers/leader_interface.py
@@ -1,4 +1,4 @@
-"""What the workers' side asks of the leader."""
+"""The interface of the leader that the worker registry uses."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
     """The leader that a worker registry belongs to."""
 
     def holds_lease(self) -> bool:
-        """Whether nobody else can lead by now, so that attempts may be started."""
+        """Whether no other controller can lead now, so that attempts may be started."""
         ...
 
     def is_job_over(self, job: str) -> bool:
-        """Whether the job can't be live any more."""
+        """Whether the job is certainly no longer live."""
         ...
 
     def disk_gb(self, machine_type: str) -> float:
-        """How many GB of images a machine of the type caches; 0 for an unknown type."""
+        """Return the image cache size in GB of a machine type; 0 if the type is unknown."""
         ...
 
     def on_capacity_change(self) -> None:
-        """Something may be placed now that could not be before."""
+        """Called when tasks may fit that did not fit before."""
         ...
 
     def record_phase(self, phase: FailoverPhase) -> None:
-        """The failover has reached a phase. Called repeatedly; only the first call counts."""
+        """Record that the failover reached a phase; only the first call for a phase counts."""
         ...
--- a/spoolcourse/control/workers/machine.py
+++ b/spoolcourse/control/workers/machine.py
@@ -1,7 +1,7 @@
 """A machine as the leader knows it, and the states it can be in.
 
 The states are described in `docs/machine-states.md`; each predicate on them is defined here once.
-Moments are seconds on the controller's monotonic clock.
+Times are in seconds on the controller's monotonic clock.
 """
 
 from __future__ import annotations
@@ -16,81 +16,83 @@
 
 log = logging.getLogger(__name__)
 
-# Ineffective answers, each within a lease of the one before: later ones will have no effect either.
-INEFFECTIVE_ANSWERS_MAX = 3
+# Consecutive ineffective answers, each within a lease of the previous one, that make a machine
+# unresponsive: later answers are assumed to have no effect either.
+MAX_INEFFECTIVE_ANSWERS = 3
 
 
 @dataclass(slots=True, eq=False)
 class Machine:
-    """A machine of the term. Unknown values are None.
+    """A machine and its state in this term. Unknown values are None.
 
-    There are two kinds of heartbeats: a machine's own heartbeats, which it sends and whose
-    answers renew its lease, and those that come as the response to a call, which renew nothing.
+    There are two kinds of heartbeats: a machine's own heartbeats, whose answers renew its lease,
+    and heartbeats returned by calls to its address, which renew nothing.
     """
 
     id: str
-    first_seen_at: float  # when this controller first heard or read of it
+    first_seen_at: float  # when this term's leader first learnt of it
 
-    # What it is, and where.
+    # Type and location.
     machine_type: str | None = None
     zone: str | None = None
     spot: bool | None = None
     address: str = ""
 
-    # Its latest heartbeat: (incarnation, sequence) orders them.
+    # The latest heartbeat; heartbeats are ordered by (incarnation, sequence).
     incarnation: int = 0
     sequence: int = -1
     last_heartbeat_at: float | None = None  # of either kind
-    last_own_heartbeat_at: float = 0.0  # or when it was first heard
-
-    # Its incarnation and its lease.
-    confirmed: bool = False  # has reported our fencing token in this incarnation
-    fencing_token_seen_at: float = 0.0  # last heartbeat under our fencing token, or first seen
-    last_answered_at: float | None = None  # a 200 of ours, which may have renewed its lease
-    # The latest moment at which its lease can have begun: an answer of ours, or, for an incarnation
-    # that was under our fencing token before we answered it, when we heard of that.
+    last_own_heartbeat_at: float = 0.0  # initially when its first heartbeat of either kind came
+
+    # Fencing token and lease.
+    confirmed: bool = False  # reported this term's fencing token in this incarnation
+    fencing_token_seen_at: float = 0.0  # last heartbeat under this term's token, or first seen
+    last_answered_at: float | None = None  # with status 200, which may renew its lease
+    # The latest time at which its lease can have begun: the last answer, or, for an incarnation
+    # that had this term's fencing token before it was answered, when that became known.
     lease_started_at: float | None = None
-    lease_expired: bool = False  # since our last answer
+    lease_expired: bool = False  # since the last answer
 
-    # Answers without effect: its heartbeats arrive, our answers perhaps don't.
+    # Ineffective answers: its heartbeats arrive, but the answers may not.
     ineffective_answers: int = 0
-    answers_unproven_since: float = 0.0  # the last of them, or the start of this incarnation
+    answers_unproven_since: float = 0.0  # last ineffective answer, or start of incarnation
     unresponsive_since: float | None = None
 
-    # Its address and its room.
-    unreachable_until: float = 0.0  # its address did not answer; it is not called before
-    no_room_until: float = 0.0  # it refused a start for lack of room
+    # Reachability and free capacity.
+    unreachable_until: float = 0.0  # its address did not answer; no calls until then
+    no_room_until: float = 0.0  # it refused a start; no starts until then
 
-    # Its life in the cloud.
+    # State of the cloud instance.
     listed_stage: HostStage | None = None  # in the cloud's list
     listed_running_since: float | None = None
     provisioned_at: float | None = None
     expected_ready_at: float | None = None  # while it boots
-    terminates_at: float | None = None  # the cloud takes the spot instance away then
-    scale_in_candidate: bool = False  # cordoned: work only if nothing else has room
+    terminates_at: float | None = None  # when the cloud reclaims the spot instance
+    scale_in_candidate: bool = False  # cordoned: gets work only if no other machine fits
     deletion_requested: bool = False
     idle_since: float | None = None
 
-    # What may be on it.
+    # Attempts that may be on it, and images.
     attempts: dict[TaskId, Attempt] = field(default_factory=dict)
-    unexpected_attempts: set[AttemptId] = field(default_factory=set)  # run there without counting
+    unexpected_attempts: set[AttemptId] = field(default_factory=set)  # run, but not expected here
     # Ended attempts that must not be acknowledged in this incarnation: see `reconciliation`.
     unacknowledgeable: set[AttemptId] = field(default_factory=set)
-    failed_jobs: set[str] = field(default_factory=set)  # their tasks failed here
-    images: OrderedDict[str, float] = field(default_factory=OrderedDict)  # cached: GB, by last use
-    fetching: dict[str, float] = field(default_factory=dict)  # image: since when
+    failed_jobs: set[str] = field(default_factory=set)  # jobs whose tasks failed here
+    # Cached images and their sizes in GB, the least recently used first.
+    images: OrderedDict[str, float] = field(default_factory=OrderedDict)
+    fetching: dict[str, float] = field(default_factory=dict)  # image: start time
     change_count: int = 0  # of attempts, unexpected attempts and images: see `snapshot_cache`
 
     # -- states ------------------------------------------------------------------------------
 
     @property
     def is_in_service(self) -> bool:
-        """Whether it is confirmed, its lease not known to be over, and it is not being deleted."""
+        """Whether it is confirmed, its lease has not expired, and no deletion is requested."""
         return self.confirmed and not self.lease_expired and not self.deletion_requested
 
     @property
     def is_schedulable(self) -> bool:
-        """Whether it may be given new work, apart from conditions that need a clock."""
+        """Whether it may get new attempts, apart from conditions that depend on the time."""
         return (
             self.is_in_service
             and self.unresponsive_since is None
@@ -100,14 +102,14 @@
 
     @property
     def is_unresponsive(self) -> bool:
-        """Whether its heartbeats arrive while our answers have no effect there."""
+        """Whether its heartbeats arrive but the answers have no effect."""
         return self.unresponsive_since is not None
 
     def is_overdue(self, now: float, limit_s: float) -> bool:
         """Whether its last own heartbeat is older than the limit.
 
-        Responses to calls don't count: a machine that reaches no controller loses its lease, and
-        with it whatever calls start there.
+        Heartbeats returned by calls don't count: a machine that reaches no controller loses its
+        lease, and with it any attempt that a call started there.
         """
         return now - self.last_own_heartbeat_at > limit_s
 
@@ -116,13 +118,13 @@
         return bool(self.address) and self.unreachable_until <= now
 
     def is_newer(self, heartbeat: Heartbeat) -> bool:
-        """Whether the heartbeat is newer than the latest one (PROTOCOL, `tick`)."""
+        """Whether the heartbeat is newer than the latest one known (PROTOCOL, `tick`)."""
         return (heartbeat.incarnation, heartbeat.sequence) > (self.incarnation, self.sequence)
 
     # -- transitions -------------------------------------------------------------------------
 
     def record_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
-        """Store what a newer heartbeat says of the machine itself."""
+        """Store what a newer heartbeat reports about the machine itself."""
         self.last_heartbeat_at = now
         self.incarnation, self.sequence = heartbeat.incarnation, heartbeat.sequence
         self.machine_type, self.zone = heartbeat.machine_type, heartbeat.zone
@@ -135,10 +137,10 @@
             self.terminates_at = None
 
     def record_lease_expiry(self) -> None:
-        """Its lease has run out: what was there in this incarnation is gone.
+        """Record that the lease expired: all attempts of this incarnation are gone.
 
-        What still comes from that incarnation was held on the way: a sign of life starts with the
-        next one.
+        Heartbeats of this incarnation that still arrive were delayed in transit, so only a later
+        incarnation shows that the machine is alive.
         """
         self.lease_expired = True
         self.incarnation, self.sequence = self.incarnation + 1, -1
@@ -147,25 +149,25 @@
         self.change_count += 1
 
     def record_ineffective_answer(self, now: float) -> None:
-        """Count an answer that had no effect; after some the machine is unresponsive.
+        """Count an answer without effect; `MAX_INEFFECTIVE_ANSWERS` make a machine unresponsive.
 
-        An unresponsive machine gets no more work, and what it was to start goes elsewhere once that
-        is proven not to have arrived: those tasks would stay bound to it forever, for its
-        heartbeats go on and it is never silent.
+        An unresponsive machine gets no new attempts, and its pending starts are released once they
+        are proven not to have arrived. As its heartbeats continue, its lease never expires, and
+        those tasks would stay assigned to it forever.
         """
         self.ineffective_answers += 1
         self.answers_unproven_since = now
-        if self.ineffective_answers >= INEFFECTIVE_ANSWERS_MAX and not self.is_unresponsive:
+        if self.ineffective_answers >= MAX_INEFFECTIVE_ANSWERS and not self.is_unresponsive:
             log.info("machine unresponsive, answers have no effect: machine=%s", self.id)
             self.unresponsive_since = now
 
     def clear_ineffective_answers(self) -> None:
-        """Its answers do arrive."""
+        """Reset the count: answers have effect again."""
         self.ineffective_answers = 0
         self.unresponsive_since = None
 
     def record_cached_image(self, image: str, size_gb: float, disk_gb: float) -> None:
-        """A task of this image runs here, so it is cached; the least recently used ones go."""
+        """Record that an image is cached, as a task runs it; evict the least recently used ones."""
         if next(reversed(self.images), None) == image:
             return
         self.change_count += image not in self.images
--- a/spoolcourse/control/workers/machine_table.py
+++ b/spoolcourse/control/workers/machine_table.py
@@ -1,4 +1,4 @@
-"""The machines of a term and what may be on each: state only, without any decision."""
+"""The machines of a term and the attempts that may be on each: state only, no decisions."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.wire.identities import TaskId
 
-# Names of deleted machines are remembered for so long, however many they are: heartbeats and lists
-# of them come late, by minutes at most.
-DELETED_NAMES_KEPT_S = 3600.0
+# Heartbeats of deleted machines and lists that name them may be minutes late, so names are kept for
+# this time whatever their number.
+DELETED_NAME_RETENTION_S = 3600.0
 
 
 class MachineTable:
     """All machines of the term, by name, with the attempts that may be on them.
 
-    An attempt is tracked until it is proven gone. Releasing it frees its task in the job queue.
+    An attempt is tracked until it is proven gone; releasing it frees its task in the job queue.
     """
 
     def __init__(
@@ -33,12 +33,12 @@
         self._on_capacity_change = on_capacity_change
         self.suspect_after_s = suspect_after_s
         self.machines: dict[str, Machine] = {}
-        # When each was deleted, the earliest first; names are never used again.
+        # Deletion time by name, the earliest first; names are never reused.
         self.deleted_names: OrderedDict[str, float] = OrderedDict()
-        self.pending_commands: set[str] = set()  # machines that may have something to be sent
+        self.pending_commands: set[str] = set()  # machines that may have unsent commands
 
     def ensure_machine(self, name: str) -> Machine:
-        """The machine of this name, added if it is not known."""
+        """Return the machine of this name, adding it if unknown."""
         machine = self.machines.get(name)
         if machine is None:
             now = self._clock()
@@ -46,18 +46,18 @@
         return machine
 
     def is_suspect(self, machine: Machine) -> bool:
-        """Whether a machine has missed its heartbeats for certain.
+        """Whether a machine's own heartbeats have been missing for `suspect_after_s`.
 
-        That proves nothing about what it holds, but nothing new is put there, nor is it called:
-        with a zone cut off, hundreds of calls that hang would keep those to the rest waiting, and
-        work would be bound until leases end.
+        That proves nothing about its attempts, but it gets no new ones and is not called: with a
+        zone cut off, hundreds of hanging calls would delay those to other machines, and new
+        attempts would stay assigned there until leases expire.
         """
         return machine.last_heartbeat_at is not None and machine.is_overdue(
             self._clock(), self.suspect_after_s
         )
 
     def track_attempt(self, attempt: Attempt) -> None:
-        """Note on its machine that an attempt may be there."""
+        """Record on its machine that an attempt may be there."""
         machine = self.ensure_machine(attempt.machine)
         machine.attempts[TaskId(attempt.job_state.id, attempt.task)] = attempt
         machine.change_count += 1
@@ -65,13 +65,13 @@
         self.pending_commands.add(machine.id)
 
     def request_stop(self, attempt: Attempt) -> None:
-        """Have an attempt stopped; it counts until it is proven gone."""
+        """Mark an attempt to be stopped; it counts until it is proven gone."""
         attempt.stopping = True
         self.ensure_machine(attempt.machine).change_count += 1
         self.pending_commands.add(attempt.machine)
 
     def release_attempt(self, attempt: Attempt) -> None:
-        """Forget an attempt that is proven gone."""
+        """Remove an attempt that is proven gone."""
         machine = self.machines.get(attempt.machine)
         if machine is not None:
             task_id = TaskId(attempt.job_state.id, attempt.task)
@@ -82,16 +82,16 @@
         self._on_capacity_change()
 
     def release_all_attempts(self, machine: Machine) -> None:
-        """Forget all attempts on a machine: they are proven gone."""
+        """Remove all attempts on a machine: they are proven gone."""
         for attempt in list(machine.attempts.values()):
             self.release_attempt(attempt)
 
     def forget_deleted_machine(self, name: str) -> None:
-        """The cloud has confirmed that the machine and all on it are gone."""
+        """Remove a machine and its attempts: the cloud has confirmed its deletion."""
         now = self._clock()
         self.deleted_names[name] = now
         self.deleted_names.move_to_end(name)
-        while next(iter(self.deleted_names.values())) < now - DELETED_NAMES_KEPT_S:
+        while next(iter(self.deleted_names.values())) < now - DELETED_NAME_RETENTION_S:
             self.deleted_names.popitem(last=False)
         machine = self.machines.pop(name, None)
         if machine is not None:
--- a/spoolcourse/control/workers/reconciliation.py
+++ b/spoolcourse/control/workers/reconciliation.py
@@ -1,9 +1,9 @@
-"""Reconciliation: what a heartbeat proves about the attempts that may be on its machine.
+"""Reconciliation of the attempts expected on a machine with those that its heartbeat lists.
 
-A worker has one heartbeat in flight, executes an answer within its time-out or never, and drops it
-in a later incarnation; so the next newer heartbeat under our fencing token shows for certain
-whether a start in an answer arrived. Starts sent to the worker's address may come late: they stay
-possible until the incarnation or our term ends (PROTOCOL, Delayed messages).
+A worker has one heartbeat in flight, executes an answer within its timeout or never, and discards
+it in a later incarnation. So the next newer heartbeat under this term's fencing token proves
+whether a start in an answer arrived. A start sent to the worker's address may arrive late, until
+the incarnation or the term ends (PROTOCOL, Delayed messages).
 """
 
 from __future__ import annotations
@@ -27,13 +27,14 @@
 
 log = logging.getLogger(__name__)
 
-AVOID_S = 60.0  # a machine that a job failed on; forever, it might be left with none
-HEALTHY_S = 20.0  # a replica that has run for so long clears its service's backoff
-REFUSED_START_PAUSE_S = 2.0  # after a start that the worker has refused
+# For a job that failed on the machine. Without an end, a job could run out of machines.
+FAILED_MACHINE_AVOIDANCE_S = 60.0
+HEALTHY_REPLICA_S = 20.0  # a replica that has run longer resets its service's failure count
+REFUSED_START_RETRY_DELAY_S = 2.0  # after the worker refused a start
 
 
 class HeartbeatReconciler:
-    """Brings the machine table and the job queue in line with heartbeats under our token."""
+    """Updates the machine table and the job queue from heartbeats under this term's token."""
 
     def __init__(self, machines: MachineTable, leader: Leader) -> None:
         self._machines = machines
@@ -41,17 +42,17 @@
         self._leader = leader
 
     def reconcile(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
-        """Bring what is known of a machine in line with its heartbeat."""
+        """Update the attempts and the image state of a machine from its heartbeat."""
         present = self._reconcile_reported(machine, heartbeat, now)
         if any(
-            _awaits_effect(attempt) and task_id not in present
+            _is_start_unconfirmed(attempt) and task_id not in present
             for task_id, attempt in machine.attempts.items()
         ):
             machine.record_ineffective_answer(now)
         for task_id, attempt in list(machine.attempts.items()):
             if task_id not in present:
-                self._reconcile_absent(machine, attempt, heartbeat)
-        _update_fetches(machine, now)
+                self._reconcile_unlisted(machine, attempt, heartbeat)
+        _update_image_fetches(machine, now)
         if machine.attempts:
             machine.idle_since = None
         elif machine.idle_since is None:
@@ -62,7 +63,7 @@
     def _reconcile_reported(
         self, machine: Machine, heartbeat: Heartbeat, now: float
     ) -> set[TaskId]:
-        """Apply what the heartbeat lists. Returns the tasks whose counted attempts are there."""
+        """Apply the listed attempts; return the tasks whose expected attempts are listed."""
         present: set[TaskId] = set()
         unexpected_before = set(machine.unexpected_attempts)
         machine.unexpected_attempts.clear()
@@ -81,7 +82,7 @@
     def _update_attempt(
         self, machine: Machine, attempt: Attempt, status: TaskStatus, now: float
     ) -> None:
-        """Apply what a heartbeat says of the attempt that counts there."""
+        """Apply the reported status of an expected attempt."""
         if status.stage is TaskStage.ENDED:
             self._end_attempt(machine, attempt, status.cause or "", now)
             return
@@ -100,11 +101,11 @@
             job_state = attempt.job_state
             self._record_cached_image(machine, job_state.record.submission)
             machine.failed_jobs.discard(job_state.id)
-            runs_well = now - attempt.since > HEALTHY_S
+            is_healthy = now - attempt.since > HEALTHY_REPLICA_S
             if (
                 job_state.record.submission.is_service
                 and job_state.consecutive_failures
-                and runs_well
+                and is_healthy
             ):
                 job_state.consecutive_failures = 0
 
@@ -120,19 +121,19 @@
         if attempt.in_flight_incarnation is not None or (
             attempt.sent_directly and cause != EndCause.DONE
         ):
-            # A copy of the start may still be on its way to the worker's address. While the
-            # worker remembers the attempt, the copy has no effect; once it has forgotten it, the
-            # copy would start it.
+            # A copy of the start may still be in flight to the worker's address. It has no effect
+            # while the worker remembers the attempt, but would start it again once that is
+            # acknowledged and forgotten.
             machine.unacknowledgeable.add(AttemptId(job_state.id, attempt.task, attempt.number))
         if cause == EndCause.DONE:
             self._record_completion(machine, attempt, now)
         elif cause == EndCause.ERROR:
             _record_error(machine, attempt, now)
         elif cause == EndCause.NO_ROOM:
-            machine.no_room_until = now + REFUSED_START_PAUSE_S
+            machine.no_room_until = now + REFUSED_START_RETRY_DELAY_S
             _log_refused_start(machine, attempt, cause)
         elif cause in (EndCause.OTHER_ATTEMPT_THERE, EndCause.NO_SUCH_TASK):
-            job_state.backoff_until = now + REFUSED_START_PAUSE_S
+            job_state.backoff_until = now + REFUSED_START_RETRY_DELAY_S
             _log_refused_start(machine, attempt, cause)
         self._machines.release_attempt(attempt)
 
@@ -140,7 +141,7 @@
         job_state = attempt.job_state
         self._record_cached_image(machine, job_state.record.submission)
         if job_state.record.submission.is_service:
-            _count_failure(job_state, REPLICA_BACKOFF, now)  # a replica should run on
+            _count_failure(job_state, REPLICA_BACKOFF, now)  # a replica should not end by itself
             return
         job_state.consecutive_failures = 0
         self._job_queue.complete(job_state, attempt.task)
@@ -149,14 +150,15 @@
         disk_gb = self._leader.disk_gb(machine.machine_type or "")
         machine.record_cached_image(submission.image, submission.image_gb, disk_gb)
 
-    # -- attempts that don't count there -----------------------------------------------------
+    # -- listed attempts that are not expected there -----------------------------------------
 
     def _reconcile_unexpected(
         self, machine: Machine, task_id: TaskId, status: TaskStatus, now: float
     ) -> bool:
-        """Handle an attempt that does not count on this machine.
+        """Handle a listed attempt that is not expected on this machine.
 
-        True if it was adopted, and counts from now on.
+        Returns:
+            Whether the attempt was adopted, so that it is expected from now on.
         """
         job_state = self._job_queue.jobs.get(task_id.job)
         if job_state is not None and task_id.index < job_state.record.submission.task_count:
@@ -171,7 +173,7 @@
         return False
 
     def _record_unexpected_end(self, job_state: JobState, task: int, status: TaskStatus) -> None:
-        """A result counts whichever attempt has brought it; another attempt is stopped then."""
+        """Accept the result of any attempt: complete the task and stop another attempt at it."""
         if status.cause != EndCause.DONE or job_state.record.submission.is_service:
             return
         self._job_queue.complete(job_state, task)
@@ -194,10 +196,10 @@
 
     # -- attempts that the heartbeat does not list -------------------------------------------
 
-    def _reconcile_absent(self, machine: Machine, attempt: Attempt, heartbeat: Heartbeat) -> None:
-        """Release an attempt that the heartbeat does not list, if it is proven gone."""
+    def _reconcile_unlisted(self, machine: Machine, attempt: Attempt, heartbeat: Heartbeat) -> None:
+        """Release an attempt that the heartbeat does not list, if that proves it gone."""
         if attempt.in_flight_incarnation != heartbeat.incarnation:
-            attempt.in_flight_incarnation = None  # of another incarnation: it would be refused
+            attempt.in_flight_incarnation = None  # a start for another incarnation is refused
         if attempt.stage is not AttemptStage.ASSIGNED:
             log.info(
                 "attempt gone: task=%s attempt=%d machine=%s",
@@ -210,19 +212,19 @@
         sent_with = attempt.start_sent_with
         if sent_with is not None and sent_with >= (heartbeat.incarnation, heartbeat.sequence):
             return
-        attempt.start_sent_with = None  # that start never arrived and can't any more
+        attempt.start_sent_with = None  # that start did not arrive and no longer can
         unwanted = attempt.job_state.record.cancelled or attempt.stopping or machine.is_unresponsive
         if unwanted and attempt.in_flight_incarnation is None:
             self._machines.release_attempt(attempt)
 
 
-def _awaits_effect(attempt: Attempt) -> bool:
-    """An answer carried its start, so the next heartbeat should show it."""
+def _is_start_unconfirmed(attempt: Attempt) -> bool:
+    """Whether an answer carried the start, so that the next heartbeat should list the attempt."""
     return attempt.stage is AttemptStage.ASSIGNED and attempt.start_sent_with is not None
 
 
 def _is_wanted(job_state: JobState, task: int) -> bool:
-    """Whether the task should run and no attempt at it counts anywhere."""
+    """Whether the task should run and has no attempt on any machine."""
     return (
         task not in job_state.attempts
         and not job_state.is_done(task)
@@ -230,21 +232,23 @@
     )
 
 
-def _update_fetches(machine: Machine, now: float) -> None:
-    """Keep since when images are being fetched there."""
-    fetched = {
+def _update_image_fetches(machine: Machine, now: float) -> None:
+    """Update the images being fetched, keeping the start time of each fetch."""
+    fetching_images = {
         attempt.job_state.record.submission.image
         for attempt in machine.attempts.values()
         if attempt.stage is AttemptStage.FETCHING
     }
     machine.fetching = {
-        image: machine.fetching.get(image, now) for image in fetched if image not in machine.images
+        image: machine.fetching.get(image, now)
+        for image in fetching_images
+        if image not in machine.images
     }
 
 
 def _record_error(machine: Machine, attempt: Attempt, now: float) -> None:
     job_state = attempt.job_state
-    job_state.avoided_machines[machine.id] = now + AVOID_S
+    job_state.avoided_machines[machine.id] = now + FAILED_MACHINE_AVOIDANCE_S
     machine.failed_jobs.add(job_state.id)
     is_service = job_state.record.submission.is_service
     _count_failure(job_state, REPLICA_BACKOFF if is_service else ARRAY_BACKOFF, now)
--- a/spoolcourse/control/workers/worker_client.py
+++ b/spoolcourse/control/workers/worker_client.py
@@ -1,6 +1,6 @@
-"""Calls to workers' own addresses (PROTOCOL, Controller nodes -> workers).
+"""Calls to workers' addresses (PROTOCOL, Controller nodes -> workers).
 
-Every response is the worker's heartbeat. It renews no lease.
+Every response is the worker's heartbeat; a call renews no lease.
 """
 
 from __future__ import annotations
@@ -13,28 +13,28 @@
 from spoolcourse.wire.commands import Command, CommandRequest, to_json_object
 from spoolcourse.wire.messages import Heartbeat, parse
 
-TIMEOUT_S = 1.0
-EXECUTED = 200
-REFUSED = 409  # for its fencing token or its incarnation; nothing was executed
+CALL_TIMEOUT_S = 1.0
+STATUS_EXECUTED = 200
+STATUS_REFUSED = 409  # wrong fencing token or incarnation; nothing was executed
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerIncarnation:
-    """A worker in one of its incarnations, at its address."""
+    """The address and the incarnation number of a worker."""
 
     address: str
     number: int
 
 
 async def fetch_heartbeat(http_client: HttpClient, address: str) -> Heartbeat:
-    """The worker's current heartbeat.
+    """Return the worker's current heartbeat.
 
     Raises:
-        NoResponseError: the worker did not answer.
-        MalformedError: its answer is no heartbeat.
+        NoResponseError: The worker did not respond.
+        MalformedError: The response is not a heartbeat.
     """
     response = await http_client.call(
-        address, "GET", paths.SHOW, timeout_s=TIMEOUT_S, keep_alive=False
+        address, "GET", paths.SHOW, timeout_s=CALL_TIMEOUT_S, keep_alive=False
     )
     return parse(response.data, Heartbeat)
 
@@ -42,9 +42,11 @@
 async def raise_fencing_token(
     http_client: HttpClient, proof: FailoverProof, address: str
 ) -> Heartbeat:
-    """Make the term's fencing token known to a worker, without commands; its heartbeat.
+    """Announce the term's fencing token by a request without commands; return the heartbeat.
 
-    Raises `NoResponseError` or `MalformedError`; the token may then be raised late.
+    Raises:
+        NoResponseError: No valid response; the token may still be raised later.
+        MalformedError: Likewise.
     """
     heartbeat = await fetch_heartbeat(http_client, address)
     return await send_commands(
@@ -57,19 +59,26 @@
     proof: FailoverProof,
     incarnation: WorkerIncarnation,
     commands: list[Command],
-    keep: bool = False,
+    keep_alive: bool = False,
 ) -> Heartbeat:
-    """The worker's heartbeat after the commands, whether they were executed or refused.
+    """Send commands and return the worker's heartbeat, whether they were executed or refused.
 
-    `keep`: the connection may stay open. Raises `NoResponseError` or `MalformedError`; the commands
-    may then be executed late (PROTOCOL, Delayed messages).
+    Raises:
+        NoResponseError: No valid response; the commands may be executed later (PROTOCOL, Delayed
+            messages).
+        MalformedError: Likewise.
     """
     request = CommandRequest(proof.fencing_token, incarnation.number, commands)
     body = to_json_object(request)
     response = await http_client.call(
-        incarnation.address, "POST", paths.COMMANDS, body, timeout_s=TIMEOUT_S, keep_alive=keep
+        incarnation.address,
+        "POST",
+        paths.COMMANDS,
+        body,
+        timeout_s=CALL_TIMEOUT_S,
+        keep_alive=keep_alive,
     )
     heartbeat = parse(response.data, Heartbeat)
-    if response.status not in (EXECUTED, REFUSED):
+    if response.status not in (STATUS_EXECUTED, STATUS_REFUSED):
         raise NoResponseError(f"POST {paths.COMMANDS}: status {response.status}")
     return heartbeat
--- a/spoolcourse/control/workers/worker_registry.py
+++ b/spoolcourse/control/workers/worker_registry.py
@@ -1,7 +1,7 @@
-"""The leader's workers: which heartbeats count, and what silence and leases prove.
+"""The leader's worker registry: accepts heartbeats and detects expired leases.
 
-What a heartbeat proves about attempts is worked out in `reconciliation`, which commands a machine
-gets in `command_builder`. The states of a machine are described in `docs/machine-states.md`.
+`reconciliation` derives the state of attempts from heartbeats, `command_builder` the commands for
+a machine. The states of a machine are described in `docs/machine-states.md`.
 """
 
 from __future__ import annotations
@@ -26,23 +26,23 @@
 
 log = logging.getLogger(__name__)
 
-LEASE_MARGIN_S = 1.0  # beyond a lease and the clocks' drift, for a worker to end its tasks
-RENEWED_SHARE = 0.8  # of a lease: an answer that recent should have renewed it
+LEASE_EXPIRY_MARGIN_S = 1.0  # beyond a lease and clock drift, for a worker to end its tasks
+RENEWED_LEASE_FRACTION = 0.8  # an answer less than this part of a lease ago should have renewed it
 
 
 @dataclass(frozen=True, slots=True)
 class AcceptedHeartbeat:
-    """A heartbeat that is newer than what is known, with the commands to answer it with."""
+    """A heartbeat newer than the latest one known, with the commands for its response."""
 
     commands: list[Command]
 
 
 @dataclass(frozen=True, slots=True)
 class OutdatedHeartbeat:
-    """A heartbeat that is no newer than what is known, or whose machine is gone.
+    """A heartbeat no newer than the latest one known, or of a deleted machine.
 
-    It is a copy that was late on the way: no sign of life, and it must get no answer that could
-    renew a lease, or the proof by lease would have to wait for every copy.
+    It is a delayed copy: it doesn't show that the machine is alive, and its response must not renew
+    a lease, or lease expiry would have to wait for every delayed copy.
     """
 
 
@@ -50,7 +50,7 @@
 
 
 class WorkerRegistry(MachineTable):
-    """The machine table of a term, kept up to date by heartbeats and leases."""
+    """The machine table of a term, updated by heartbeats and lease expiry."""
 
     def __init__(
         self,
@@ -65,20 +65,21 @@
         self.fencing_token = proof.fencing_token
         self.leader = leader
         self._lease_s = workers.lease_s
-        # After it a lease is over for certain.
-        self._lease_over_s = workers.lease_s * (1 + CLOCK_DRIFT) + LEASE_MARGIN_S
+        # A lease that began longer ago has certainly expired, and its tasks have ended.
+        self._lease_expired_after_s = workers.lease_s * (1 + CLOCK_DRIFT) + LEASE_EXPIRY_MARGIN_S
         self._clock = clock
         self.leader = leader
         self._reconciler = HeartbeatReconciler(self, leader)
         self.commands = CommandBuilder(self, leader, clock)
-        # What the leader before knew to be cached; it counts in the same incarnation only.
+        # Images cached according to the previous leader; valid in the same incarnation only.
         self.hinted_images: dict[str, Hint] = {}
 
     def expire_leases(self) -> None:
-        """Release what is proven gone by leases that have run out.
+        """Release the attempts on machines whose leases have expired.
 
-        Silence alone proves nothing. A lease proves an end only for a worker that has reported our
-        fencing token in this incarnation: nobody else's answer can have renewed it.
+        Missing heartbeats alone prove nothing. An expired lease proves that attempts ended only if
+        the worker reported this term's fencing token in this incarnation: then no other controller
+        can have renewed the lease.
         """
         now = self._clock()
         for machine in self.machines.values():
@@ -86,7 +87,7 @@
                 machine.confirmed
                 and not machine.lease_expired
                 and machine.lease_started_at is not None
-                and now - machine.lease_started_at > self._lease_over_s
+                and now - machine.lease_started_at > self._lease_expired_after_s
             ):
                 log.info("lease expired, machine silent: machine=%s", machine.id)
                 machine.record_lease_expiry()
@@ -95,7 +96,7 @@
     # -- heartbeats ------------------------------------------------------------------
 
     def process_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatOutcome:
-        """Process a machine's own heartbeat that carries no higher fencing token than ours."""
+        """Process a machine's own heartbeat whose fencing token is not above this term's."""
         now = self._clock()
         if heartbeat.machine in self.deleted_names:
             return OutdatedHeartbeat()
@@ -104,11 +105,13 @@
             return OutdatedHeartbeat()
         self._apply_newer_heartbeat(machine, heartbeat)
         machine.last_own_heartbeat_at = machine.last_answered_at = machine.lease_started_at = now
-        under_our_token = heartbeat.fencing_token == self.fencing_token
-        return AcceptedHeartbeat(self.commands.build_response(machine, heartbeat, under_our_token))
+        has_current_token = heartbeat.fencing_token == self.fencing_token
+        return AcceptedHeartbeat(
+            self.commands.build_response(machine, heartbeat, has_current_token)
+        )
 
     def observe_unanswered_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Process a machine's own heartbeat that is not answered, and so renews nothing."""
+        """Process a machine's own heartbeat that is refused, so that no lease is renewed."""
         self.observe_heartbeat(heartbeat)
         machine = self.machines.get(heartbeat.machine)
         if machine is not None and (heartbeat.incarnation, heartbeat.sequence) == (
@@ -118,7 +121,7 @@
             machine.last_own_heartbeat_at = self._clock()
 
     def observe_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Process a heartbeat that came as the response to a call."""
+        """Process a heartbeat returned by a call to a worker's address."""
         if heartbeat.machine in self.deleted_names:
             return
         machine = self.ensure_machine(heartbeat.machine)
@@ -133,12 +136,12 @@
             or machine.last_heartbeat_at is None
         ):
             self._begin_incarnation(machine, now)
-        elif now - machine.answers_unproven_since > self._lease_over_s:
-            # The incarnation has outlived a lease since, so answers do arrive. Commands that
-            # arrive at its address are no such proof: they renew nothing.
+        elif now - machine.answers_unproven_since > self._lease_expired_after_s:
+            # The incarnation has since outlived a lease, so answers do arrive. Commands that reach
+            # its address prove no such thing: they renew no lease.
             machine.clear_ineffective_answers()
         if machine.last_heartbeat_at is None:
-            # It had to boot first: nothing could be proven before.
+            # It was booting until now, so it could not have reported anything earlier.
             machine.fencing_token_seen_at = now
             machine.last_own_heartbeat_at = now
         machine.record_heartbeat(heartbeat, now)
@@ -152,20 +155,20 @@
         if (
             machine.confirmed
             and machine.last_answered_at is not None
-            and now - machine.last_answered_at < RENEWED_SHARE * self._lease_s
+            and now - machine.last_answered_at < RENEWED_LEASE_FRACTION * self._lease_s
         ):
-            # Its lease ran out although it was answered.
+            # Its lease expired although it was answered in time.
             machine.record_ineffective_answer(now)
         machine.confirmed = False
         machine.unacknowledgeable.clear()
         machine.answers_unproven_since = now
 
     def _confirm_incarnation(self, machine: Machine, now: float) -> None:
-        """The incarnation is under our fencing token: nobody else can renew its lease now."""
+        """Mark an incarnation as under this term's token: only this leader can renew its lease."""
         machine.confirmed = True
-        # An incarnation that only calls have shown, as of a machine that reaches no controller,
-        # may have begun just now. With an answer of before, its tasks would be taken for gone
-        # while they run.
+        # An incarnation known only from calls, as of a machine that reaches no controller, may have
+        # begun just now. Counting its lease from an earlier answer would release attempts that
+        # still run.
         machine.lease_started_at = now
         log.debug(
             "incarnation confirmed: machine=%s incarnation=%d", machine.id, machine.incarnation
--- a/tests/scenarios/test_scale.py
+++ b/tests/scenarios/test_scale.py
@@ -25,7 +25,7 @@
 from spoolcourse.control.workers.call_limit import concurrent_call_limit
 from spoolcourse.control.workers.heartbeat_relay import HeartbeatRelay
 from spoolcourse.control.workers.machine import Machine
-from spoolcourse.control.workers.machine_table import DELETED_NAMES_KEPT_S
+from spoolcourse.control.workers.machine_table import DELETED_NAME_RETENTION_S
 from spoolcourse.wire.settings import Seed
 from tests.fakes.registry import RegistryHarness
 from tests.fakes.world import World, job
@@ -90,7 +90,7 @@
         world.now += 0.1
     assert world.heartbeat(spindle="m-000000") is None, "a late report of the first one"
     assert "m-000000" not in world.registry.machines
-    world.now += DELETED_NAMES_KEPT_S
+    world.now += DELETED_NAME_RETENTION_S
     world.registry.forget_deleted_machine("m-999999")
     assert list(world.registry.deleted_names) == ["m-999999"]
 
@@ -105,7 +105,7 @@
     statuses = []
     for _ in range(2):
         for number in range(3 * FLEET):
-            reply = await relay.handle(f"m-{number:06d}", b"{}", "n1", informed=True)
+            reply = await relay.handle(f"m-{number:06d}", b"{}", "n1", leader_is_recent=True)
             statuses.append(reply.status)
     assert statuses == [200] * (3 * FLEET) + [421] * (3 * FLEET), "then sent to the leader"
 
--- a/tests/scenarios/test_unresponsive_machines.py
+++ b/tests/scenarios/test_unresponsive_machines.py
@@ -131,7 +131,7 @@
     # A zone cut off: every call there hangs until it times out. Guards against a call for
     # each machine at once, and against connections to all machines kept open beside those
     # that the heartbeats come on.
-    monkeypatch.setattr(command_dispatcher, "MIN_CALL_LIMIT", 6)
+    monkeypatch.setattr(command_dispatcher, "MIN_CONCURRENT_CALLS", 6)
 
     world = World()
     await world.up()
