--- a/spoolcourse/control/leader/__init__.py
+++ b/spoolcourse/control/leader/__init__.py
@@ -1,1 +1,1 @@
-"""The parts of a leader, for one term."""
+"""Components of the leader that live for one term."""
--- a/spoolcourse/control/leader/active_leader.py
+++ b/spoolcourse/control/leader/active_leader.py
@@ -1,4 +1,4 @@
-"""The parts of a leader that decide and command, from the proof of the failover on."""
+"""The leader's components that schedule and send commands, once the failover is proven."""
 
 from __future__ import annotations
 
@@ -31,9 +31,10 @@
 
 
 class ActiveLeader:
-    """The job queue, the registry and the loops that work on them; each has one job.
+    """Builds and connects the job queue, the worker registry and the loops that use them.
 
-    The parts ask this object about one another (`worker_registry.Leader`, `AutoscalerOwner`).
+    The components reach one another through this object (`leader_interface.Leader`,
+    `AutoscalerOwner`).
     """
 
     def __init__(
@@ -55,27 +56,27 @@
         self.registry = WorkerRegistry(
             self.job_queue, self.proof, params.workers, self._clock, self
         )
-        leader = self._build_context()
+        leader_context = self._build_context()
         sockets = params.machine_limits.sockets
         self.command_dispatcher = CommandDispatcher(context.http_client, self.registry, sockets)
         self.initial_machines = InitialMachines(context, self.proof.term)
         self.snapshot_builder = SnapshotBuilder(
-            self.job_queue, self.registry, params, leader.policy
+            self.job_queue, self.registry, params, leader_context.policy
         )
-        self.autoscaler = FleetAutoscaler(leader, self)
+        self.autoscaler = FleetAutoscaler(leader_context, self)
         self.scheduling = SchedulingLoop(
-            leader, self.command_dispatcher, self.autoscaler, self.snapshot_builder
+            leader_context, self.command_dispatcher, self.autoscaler, self.snapshot_builder
         )
-        self.termination = TerminationNoticeLoop(leader, self.autoscaler.replica_places)
+        self.termination = TerminationNoticeLoop(leader_context, self.autoscaler.replica_places)
         self.heartbeat_handler = HeartbeatHandler(
             context, leadership, self.registry, renewal_deadline
         )
-        self.hinted_workers = HintedWorkers(leader, failover.hints)
+        self.hinted_workers = HintedWorkers(leader_context, failover.hints)
         self.writer = self._build_writer()
         self._job_changes = self._build_job_changes()
-        _link_attempts(self.job_queue, self.registry)
+        _track_restored_attempts(self.job_queue, self.registry)
 
-    # -- composition ----------------------------------------------------------------------
+    # -- construction ---------------------------------------------------------------------
 
     def _build_context(self) -> LeaderContext:
         return LeaderContext(
@@ -93,7 +94,7 @@
             self.job_queue,
             self.proof,
             self._leadership.step_down,
-            self._on_saved,
+            self._on_progress_saved,
         )
 
     def _build_job_changes(self) -> JobChanges:
@@ -106,10 +107,10 @@
             clock=self._clock,
         )
 
-    # -- life -----------------------------------------------------------------------------
+    # -- life cycle -----------------------------------------------------------------------
 
     def start(self, spawn: Callable[[LoopFunction], None]) -> None:
-        """Begin all loops."""
+        """Start all loops."""
         for loop in (
             self.writer.run,
             self.command_dispatcher.run,
@@ -123,66 +124,66 @@
         ):
             spawn(loop)
         if self._leftover_keys:
-            spawn(self._sweep_leftover_keys)
+            spawn(self._delete_leftover_keys)
 
-    async def _sweep_leftover_keys(self) -> None:
+    async def _delete_leftover_keys(self) -> None:
         try:
             await self.writer.delete_progress(self._leftover_keys)
         except StoreUnavailableError as exc:
-            log.info("progress of finished jobs is left for the next term: %s", exc)
+            log.info("progress of finished jobs not deleted, left to the next term: %s", exc)
 
-    def _on_saved(self) -> None:
+    def _on_progress_saved(self) -> None:
         self.scheduling.wake.set()
         self.command_dispatcher.wake.set()
 
-    # -- what the parts ask ---------------------------------------------------------------
+    # -- interface for the components -----------------------------------------------------
 
     def holds_lease(self) -> bool:
-        """Whether nobody else can lead by now."""
+        """Whether no other controller can lead now."""
         return self._leadership.holds_lease()
 
     def is_job_over(self, job: str) -> bool:
-        """Whether the job can't be live any more: every start was preceded by its record."""
+        """Whether the job is certainly no longer live; its record is written before any start."""
         return job not in self._context.job_index.live and job not in self.job_queue.jobs
 
     def disk_gb(self, machine_type: str) -> float:
-        """How much a machine of the type caches."""
-        known = self._context.machine_types().get(machine_type)
-        return known.disk_gb if known else 0.0
+        """Return the image cache size in GB of a machine type; 0 if the type is unknown."""
+        type_info = self._context.machine_types().get(machine_type)
+        return type_info.disk_gb if type_info else 0.0
 
     def on_capacity_change(self) -> None:
-        """Something may be placed now that could not be before."""
+        """Wake the scheduling loop: tasks may fit that did not fit before."""
         self.scheduling.wake.set()
 
     def record_phase(self, phase: FailoverPhase) -> None:
-        """The failover has reached a phase; only the first call for it counts."""
+        """Record that the failover reached a phase; only the first call for a phase counts."""
         self._timeline.record(phase)
 
     def initial_machine_names(self) -> frozenset[str]:
-        """The machines that are never deleted for being idle."""
+        """Return the machines that are never deleted for being idle."""
         return self.initial_machines.names()
 
     def is_scarce_type(self, machine_type: str) -> bool:
-        """Whether some job recently can use this type only, or few beside it."""
+        """Whether a recent job can use only this machine type or few others."""
         return self.snapshot_builder.is_scarce_type(machine_type, self._clock())
 
     async def on_machine_list(self, hosts: list[Host]) -> None:
-        """The cloud has listed its machines."""
+        """Process a new machine list from the cloud."""
         await self.initial_machines.record_once(hosts)
 
     def on_fleet_summary(self) -> None:
-        """Time for a summary in the log."""
+        """Log a summary of the waiting jobs."""
         self.scheduling.waiting_jobs.log_summary()
 
-    # -- what comes from outside ----------------------------------------------------------
+    # -- events ---------------------------------------------------------------------------
 
     def on_change(self, key: str) -> None:
-        """A key has changed in the key-value store."""
+        """Process the change of a key in the key-value store."""
         self._job_changes.on_change(key)
 
 
-def _link_attempts(job_queue: JobQueue, registry: WorkerRegistry) -> None:
-    """Make the restored attempts known on their machines."""
+def _track_restored_attempts(job_queue: JobQueue, registry: WorkerRegistry) -> None:
+    """Add the restored attempts to their machines."""
     for job_state in job_queue.jobs.values():
         for attempt in job_state.attempts.values():
             registry.track_attempt(attempt)
--- a/spoolcourse/control/leader/heartbeat_handler.py
+++ b/spoolcourse/control/leader/heartbeat_handler.py
@@ -1,4 +1,4 @@
-"""A leader's answers to workers' heartbeats (PROTOCOL, Workers -> controller nodes)."""
+"""The leader's responses to workers' heartbeats (PROTOCOL, Workers -> controller nodes)."""
 
 from __future__ import annotations
 
@@ -21,13 +21,15 @@
 
 
 def step_down_for_higher_token(heartbeat: Heartbeat, leadership: Leadership) -> Response:
-    """End the term, because a worker has seen a later one; the worker is sent on."""
-    leadership.step_down(f"{heartbeat.machine} has seen term {heartbeat.fencing_token}")
+    """Step down, because a worker reported a higher fencing token; redirect the worker."""
+    leadership.step_down(
+        f"{heartbeat.machine} reported higher fencing token {heartbeat.fencing_token}"
+    )
     return redirect(None)
 
 
 class HeartbeatHandler:
-    """Answers heartbeats as long as no confirmed cancellation can be unknown for too long."""
+    """Answers heartbeats unless a confirmed cancellation may have been unknown for too long."""
 
     def __init__(
         self,
@@ -46,19 +48,19 @@
         self._renews_leases = True
         self._last_direct_heartbeat_at = self._clock()
 
-    def hears_no_worker(self) -> bool:
-        """Whether no worker has reached this controller directly for a while."""
+    def receives_no_heartbeats(self) -> bool:
+        """Whether no worker has reached this controller directly for `quiet_s`."""
         return self._clock() - self._last_direct_heartbeat_at > self._suspect_after_s
 
     def handle(self, heartbeat: Heartbeat, relayed: bool) -> Response:
-        """Answer a heartbeat; `relayed`: a follower has forwarded it."""
+        """Answer a heartbeat; `relayed`: a follower forwarded it."""
         if heartbeat.fencing_token > self._registry.fencing_token:
             return step_down_for_higher_token(heartbeat, self._leadership)
         if not self._may_renew_leases():
-            # What others have confirmed as cancelled must be gone in time, though this controller
-            # can't learn of it: from here on the leases run out.
+            # Other controllers may have confirmed cancellations that this one can't know of. Leases
+            # must expire so that the cancelled attempts end in time.
             self._registry.observe_unanswered_heartbeat(heartbeat)
-            return retry_later("may not know of cancellations")
+            return retry_later("confirmed cancellations may be unknown")
         with self._load.time_block("report"):
             outcome = self._registry.process_heartbeat(heartbeat)
         response = self._respond(outcome, relayed)
@@ -71,9 +73,9 @@
             if not relayed:
                 self._last_direct_heartbeat_at = self._clock()
         else:
-            commands, fencing_token = [], None  # without a token it renews no lease
+            commands, fencing_token = [], None  # a response without a token renews no lease
         return HeartbeatResponse(
-            commands, fencing_token, self.hears_no_worker() if relayed else None
+            commands, fencing_token, self.receives_no_heartbeats() if relayed else None
         )
 
     def _may_renew_leases(self) -> bool:
@@ -81,10 +83,10 @@
         may_renew = self._renewal_deadline.may_renew(self._clock())
         if may_renew != self._renews_leases:
             self._renews_leases = may_renew
-            self._log_change()
+            self._log_renewal_change()
         return may_renew
 
-    def _log_change(self) -> None:
+    def _log_renewal_change(self) -> None:
         term = self._registry.fencing_token
         if self._renews_leases:
             log.warning("heartbeats are answered again: term=%d", term)
--- a/spoolcourse/control/leader/hinted_workers.py
+++ b/spoolcourse/control/leader/hinted_workers.py
@@ -1,8 +1,8 @@
-"""A new leader's calls to the workers that the leader before it knew.
+"""A new leader's calls to the workers that the previous leader knew.
 
-Without them, workers become known by their own heartbeats within a heartbeat period, and by the
-cloud's list once that has been read. Called at the addresses that the hints name, they are known a
-few milliseconds after the failover. Only their own answers are used.
+Workers otherwise become known by their heartbeats, within a heartbeat period, and by the cloud's
+machine list once it is read. By calls to the addresses in the hints they are known a few
+milliseconds after the failover. Their state is taken from their own responses only.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HintedWorker:
-    """A worker at the address that its hint names, whatever the registry knows of it."""
+    """A worker at the address in its hint, whether or not the registry knows it."""
 
     hint: Hint
     registry: WorkerRegistry
@@ -29,18 +29,18 @@
 
     @property
     def address(self) -> str:
-        """Where it is called."""
+        """The address to call."""
         return self.hint.address
 
     @property
     def confirmed(self) -> bool:
-        """Whether its own heartbeat has arrived under the leader's fencing token."""
-        known = self.registry.machines.get(self.hint.machine)
-        return known is not None and known.confirmed
+        """Whether it has reported the leader's fencing token."""
+        machine = self.registry.machines.get(self.hint.machine)
+        return machine is not None and machine.confirmed
 
 
 class HintedWorkers:
-    """Calls each hinted worker once; the registry learns which images it is hinted to have."""
+    """Calls each hinted worker once, and passes the cached images in hints to the registry."""
 
     def __init__(self, leader: LeaderContext, hints: list[Hint]) -> None:
         context = leader.controller
@@ -52,5 +52,5 @@
             leader.registry.hinted_images[hint.machine] = hint
 
     async def run(self) -> None:
-        """Call all of them, a bounded number at once."""
+        """Call all hinted workers, with bounded concurrency."""
         await self._announcer.announce(self._workers, fleet_size=len(self._workers))
--- a/spoolcourse/control/leader/initial_machines.py
+++ b/spoolcourse/control/leader/initial_machines.py
@@ -1,7 +1,7 @@
-"""The initial machines: ordinary ones that ran before the service first did, the operators' own.
+"""The initial machines: the operators' on-demand machines from before the service first ran.
 
-They are used, but never deleted for being idle. Their names are recorded once, at the first list
-of machines that any leader ever gets; the first term's leader has rented none yet by then.
+They are used, but never deleted for being idle. Their names are recorded once, from the first
+machine list that any leader gets; the leader of the first term has provisioned none by then.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class InitialMachines:
-    """Reads the recorded names, and records them where that has not been done."""
+    """Reads the recorded names, and records them if they have not been."""
 
     def __init__(self, context: ControllerContext, term: Term) -> None:
         self._client = context.client
@@ -32,7 +32,7 @@
         self._term = term
 
     def names(self) -> frozenset[str]:
-        """The machines that are never deleted for being idle."""
+        """Return the machines that are never deleted for being idle."""
         entry = self._watch_cache.get(INITIAL_MACHINES_KEY)
         if entry is None:
             return frozenset()
@@ -44,15 +44,17 @@
         return names
 
     async def record_once(self, hosts: list[Host]) -> None:
-        """Record the ordinary machines that run, unless that has been done already.
+        """Record the running on-demand machines, unless initial machines are already recorded.
 
-        Further parts go first: the first value says how many there are, so it counts only once
-        all of them are there. One value holds a few hundred names: of a larger fleet none was
-        recorded, and its idle machines were deleted.
+        Further parts are written first, as the first value holds their number: it takes effect
+        only when all parts exist. One value holds a few hundred names; without parts, none were
+        recorded of a larger fleet, and its idle machines were deleted.
         """
         if self._watch_cache.get(INITIAL_MACHINES_KEY) is not None:
             return
-        first, *others = initial_machines_values(self._initial_names(hosts), self._value_bytes)
+        first, *others = initial_machines_values(
+            self._initial_machine_names(hosts), self._value_bytes
+        )
         for part, value in enumerate(others, start=1):
             if not await self._write(initial_machines_part_key(part), value, {}):
                 return
@@ -61,12 +63,12 @@
     async def _write(
         self, key: str, value: dict[str, Any], expected_revisions: dict[str, int]
     ) -> bool:
-        """Write one value if this term goes on; whether it is written."""
+        """Write one value unless the term has ended; return whether it was written."""
         return await write_fenced(
             self._client, self._watch_cache, self._term, key, value, expected_revisions
         )
 
-    def _initial_names(self, hosts: list[Host]) -> list[str]:
+    def _initial_machine_names(self, hosts: list[Host]) -> list[str]:
         if self._term.number != FIRST_TERM:
-            return []  # some may have been rented by an earlier leader
+            return []  # an earlier leader may have provisioned some
         return [h.id for h in hosts if not h.spot and h.stage is HostStage.RUNNING]
--- a/spoolcourse/control/leader/job_changes.py
+++ b/spoolcourse/control/leader/job_changes.py
@@ -1,4 +1,4 @@
-"""Changes of job records while a leader leads: jobs accepted or cancelled by any controller."""
+"""Changes of job records during a term: jobs accepted or cancelled by any controller."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         self._clock = clock
 
     def on_change(self, key: str) -> None:
-        """A key has changed in the key-value store: perhaps a job was accepted or cancelled."""
+        """Process the change of a key in the key-value store, which may be a job record."""
         if not key.startswith(JOB_PREFIX):
             return
         job = key[len(JOB_PREFIX) :]
@@ -45,10 +45,10 @@
         if job_state is None:
             self._job_queue.add(record, self._clock())
         else:
-            self._update(job_state, record)
+            self._update_record(job_state, record)
         self._scheduling.wake.set()
 
-    def _update(self, job_state: JobState, record: JobRecord) -> None:
+    def _update_record(self, job_state: JobState, record: JobRecord) -> None:
         was_cancelled = job_state.record.cancelled
         job_state.record = record
         if not record.cancelled or was_cancelled:
@@ -56,7 +56,7 @@
         job_state.cancelled_known_at = self._clock()
         for attempt in list(job_state.attempts.values()):
             if attempt.never_sent:
-                self._registry.release_attempt(attempt)  # never sent, and won't be
+                self._registry.release_attempt(attempt)  # its start is never sent
             else:
                 self._registry.request_stop(attempt)
         self._command_dispatcher.wake.set()
--- a/spoolcourse/control/leader/leader_term.py
+++ b/spoolcourse/control/leader/leader_term.py
@@ -1,4 +1,4 @@
-"""What a leader does during one term; thrown away when the term is over."""
+"""A leader's term; the object is discarded when the term ends."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 log = logging.getLogger(__name__)
 
-# A leader without one of its loops would be worse than no leader: the term ends with it.
-END_TERM = SupervisionPolicy(restart_after_s=None, expected=(TermSupersededError,))
+# A leader that lacks one of its loops is worse than none, so a failed loop ends the term.
+END_TERM_ON_FAILURE = SupervisionPolicy(restart_after_s=None, expected=(TermSupersededError,))
 
 
 class LeaderTerm:
-    """From the election to the end of the term; decides once the failover is proven."""
+    """Runs from election to the end of the term; schedules once the failover is proven."""
 
     def __init__(
         self,
@@ -42,20 +42,20 @@
         self._context = context
         self._failover = failover
         self._renewal_deadline = RenewalDeadline(context.params.workers)
-        self._supervisor = LoopSupervisor(leadership.step_down, END_TERM)
+        self._supervisor = LoopSupervisor(leadership.step_down, END_TERM_ON_FAILURE)
         self.timeline = FailoverTimeline(context.clock, on_failover_complete)
         if leadership.vacant_at is not None:
             self.timeline.record(FailoverPhase.VACANT, leadership.vacant_at)
         self.timeline.record(FailoverPhase.ELECTED)
         self.active: ActiveLeader | None = None
 
-    # -- life -------------------------------------------------------------------------
+    # -- life cycle -------------------------------------------------------------------
 
     def start(self) -> None:
-        """Begin the failover; the leader's other loops follow once it is proven."""
+        """Start the failover; most of the leader's loops start once it is proven."""
         step_down = self._leadership.step_down
         context = self._context
-        query = CancellationQuery(
+        cancellation_query = CancellationQuery(
             context.http_client,
             context.peers,
             context.watch_cache,
@@ -65,21 +65,21 @@
             self._renewal_deadline,
             step_down,
         )
-        level = FeatureLevel(
+        feature_level = FeatureLevel(
             context.http_client, context.client, context.watch_cache, context.peers, self._term
         )
         self._supervisor.spawn(self._run_failover)
-        self._supervisor.spawn(query.run)
-        self._supervisor.spawn(level.run)
+        self._supervisor.spawn(cancellation_query.run)
+        self._supervisor.spawn(feature_level.run)
 
     def stop(self) -> None:
-        """End all loops."""
+        """Stop all loops."""
         self._supervisor.cancel()
 
     async def _run_failover(self) -> None:
         failover = await self._failover.run(self._term)
         self.timeline.record_proof(failover.proof)
-        # No waiting between the proof and this: no change is missed.
+        # No await between the proof and this assignment, so that no key change is missed.
         self.active = ActiveLeader(
             failover, self._leadership, self._context, self._renewal_deadline, self.timeline
         )
@@ -94,17 +94,17 @@
         )
         self.active.start(self._supervisor.spawn)
 
-    # -- what comes from outside ----------------------------------------------------------
+    # -- events ---------------------------------------------------------------------------
 
     def answer_heartbeat(self, heartbeat: Heartbeat, relayed: bool = False) -> Response:
-        """Answer a worker's heartbeat; `relayed`: it came by a follower."""
+        """Answer a worker's heartbeat; `relayed`: a follower forwarded it."""
         if self.active is not None:
             return self.active.heartbeat_handler.handle(heartbeat, relayed)
         if heartbeat.fencing_token > self._term.number:
             return step_down_for_higher_token(heartbeat, self._leadership)
-        return retry_later("taking over")
+        return retry_later("failover in progress")
 
     def on_change(self, key: str) -> None:
-        """A key has changed in the key-value store."""
+        """Process the change of a key in the key-value store."""
         if self.active is not None:
             self.active.on_change(key)
--- a/spoolcourse/control/leader/term_lifecycle.py
+++ b/spoolcourse/control/leader/term_lifecycle.py
@@ -1,4 +1,4 @@
-"""The term that a controller leads for, from its election until it steps down."""
+"""The lifecycle of a controller's terms as leader, from election until it steps down."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class TermLifecycle:
-    """Starts a `LeaderTerm` at each election, and stops it when the term is over."""
+    """Starts a `LeaderTerm` when elected, and stops it when the term ends."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         build_term: Callable[[Term], LeaderTerm],
         on_ended: Callable[[], None],
     ) -> None:
-        """`on_ended` is called when this controller follows again."""
+        """`on_ended` is called when this controller becomes a follower again."""
         self._watch_cache = watch_cache
         self._build_term = build_term
         self._on_ended = on_ended
@@ -34,18 +34,18 @@
 
     @property
     def active(self) -> ActiveLeader | None:
-        """What decides in the current term, once its failover is proven."""
+        """The `ActiveLeader` of the current term; None until its failover is proven."""
         return self.current.active if self.current is not None else None
 
     def on_elected(self, term: Term) -> None:
-        """Begin the term at once."""
+        """Start the term immediately."""
         self._watch_cache.watch_pause_s = LEADER_WATCH_PAUSE_S
         self.current = self._build_term(term)
         self.last_failover_timeline = self.current.timeline
         self.current.start()
 
     def on_stepped_down(self) -> None:
-        """End the term at once."""
+        """Stop the term immediately."""
         self._watch_cache.watch_pause_s = FOLLOWER_WATCH_PAUSE_S
         if self.current is not None:
             self.current.stop()
@@ -53,11 +53,11 @@
         self._on_ended()
 
     def on_change(self, key: str, value: Any, revision: int) -> None:
-        """A key has changed in the key-value store."""
+        """Process the change of a key in the key-value store."""
         if self.current is not None:
             self.current.on_change(key)
 
     def stop(self) -> None:
-        """End all loops of the term: the controller is stopped."""
+        """Stop all loops of the term, because the controller stops."""
         if self.current is not None:
             self.current.stop()
--- a/tests/scenarios/test_jobs_through_troubles.py
+++ b/tests/scenarios/test_jobs_through_troubles.py
@@ -180,7 +180,7 @@
     world.network.filters.clear()
     await world.finish(2)
     await asyncio.sleep(40)
-    assert not world.active(leader).heartbeat_handler.hears_no_worker(), "they are back"
+    assert not world.active(leader).heartbeat_handler.receives_no_heartbeats(), "they are back"
     assert world.now() > cut
     assert world.cloud.broken == []
 
