--- a/spoolcourse/wire/cloud.py
+++ b/spoolcourse/wire/cloud.py
@@ -7,15 +7,15 @@
 
 from spoolcourse.wire import paths
 
-LIST_PAGE = 500  # machines in one page of the list, at most
-DELETE_MAX = 100  # machines in one deletion request
-PROVISION_MAX = 50  # machines in one rental request
-NO_CAPACITY = "no capacity"  # the error of a 503 for which no machine is left
+LIST_PAGE_SIZE = 500  # machines in one page of the list, at most
+DELETE_MAX = 100  # machines in one deletion request, at most
+PROVISION_MAX = 50  # machines in one provision request, at most
+NO_CAPACITY = "no capacity"  # error text of a 503 response: no such machine is available
 
 
 @dataclass(frozen=True, slots=True)
 class MachineKind:
-    """What can be rented: a machine type in a zone, spot or on-demand."""
+    """What the cloud can provision: a machine type in a zone, spot or on-demand."""
 
     machine_type: str
     zone: str
@@ -23,9 +23,9 @@
 
 
 def provision_body(request_name: str, kind: MachineKind, count: int) -> dict[str, Any]:
-    """A rental request, `PROVISION_MAX` machines at most.
+    """The body of a provision request, for `PROVISION_MAX` machines at most.
 
-    The cloud carries out one request of a name; the name is never used for another one.
+    The cloud carries out only one request per name, so a name is never used for another request.
     """
     return {
         "hire": request_name,
@@ -37,10 +37,10 @@
 
 
 def delete_body(names: list[str]) -> dict[str, Any]:
-    """A deletion request of machines, `DELETE_MAX` at most."""
+    """The body of a deletion request, for `DELETE_MAX` machines at most."""
     return {"spindles": names}
 
 
-def list_path(since: str) -> str:
-    """Where the machines after a name are listed; empty: from the first one on."""
-    return f"{paths.HOSTS}?page={LIST_PAGE}" + (f"&since={since}" if since else "")
+def list_path(after_name: str) -> str:
+    """Path to list the machines after a name; empty: from the first one on."""
+    return f"{paths.HOSTS}?page={LIST_PAGE_SIZE}" + (f"&since={after_name}" if after_name else "")
--- a/spoolcourse/wire/commands.py
+++ b/spoolcourse/wire/commands.py
@@ -1,8 +1,8 @@
 """Commands to workers, and the responses to their heartbeats.
 
-The protocol's spellings stand in the fields' names only. A worker executes commands in order, and
-every command can be repeated, but a start after an acknowledgement starts the attempt again
-(PROTOCOL, POST /v1/report).
+Only the names and tags given to msgspec are in the protocol's spelling. A worker executes commands
+in order. Commands are idempotent, except that a start after an acknowledgement starts the attempt
+again (PROTOCOL, POST /v1/report).
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Start(msgspec.Struct, frozen=True, tag_field="verb", tag="start"):
-    """Start an attempt at a task. Without effect while the worker knows the attempt."""
+    """Start an attempt at a task. Has no effect while the worker knows the attempt."""
 
     task: str = msgspec.field(name="piece")
     attempt: int = msgspec.field(name="try")
@@ -32,7 +32,7 @@
 
 
 class Acknowledge(msgspec.Struct, frozen=True, tag_field="verb", tag="reap"):
-    """Let the worker forget an ended attempt: it is listed no longer."""
+    """Let the worker forget an ended attempt, so that its heartbeats no longer list it."""
 
     task: str = msgspec.field(name="piece")
     attempt: int = msgspec.field(name="try")
@@ -44,8 +44,8 @@
 class CommandRequest(msgspec.Struct, frozen=True):
     """Commands sent to a worker's address (PROTOCOL, POST /orders).
 
-    A worker in another incarnation refuses them, and so does one that has seen a higher fencing
-    token. They renew no lease.
+    A worker of another incarnation rejects them, and so does one that has seen a higher fencing
+    token. They do not renew the worker's lease.
     """
 
     fencing_token: int = msgspec.field(name="baton")
@@ -56,8 +56,8 @@
 class HeartbeatResponse(msgspec.Struct, frozen=True, omit_defaults=True):
     """The response to a heartbeat. Without a fencing token it renews no lease (PROTOCOL, Tokens).
 
-    `hears_no_worker` is for a follower that forwarded the heartbeat: whether the leader gets no
-    heartbeats itself, so that the worker should stay with the follower.
+    `hears_no_worker` is set only for a follower that forwarded the heartbeat: whether the leader
+    receives no heartbeats directly, so that the worker should keep sending to the follower.
     """
 
     commands: list[Command] = msgspec.field(name="orders")
@@ -66,7 +66,7 @@
 
 
 class Redirect(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Sends a worker to the leader, or, without a label, to the next controller (status 421)."""
+    """Redirects a worker to the leader or, without a label, to the next controller (status 421)."""
 
     leader: str | None = msgspec.field(name="foreman", default=None)
 
--- a/spoolcourse/wire/identities.py
+++ b/spoolcourse/wire/identities.py
@@ -1,6 +1,6 @@
 """Identities of tasks, attempts and chunks.
 
-They equal and hash like plain tuples of their fields, so they serve as keys at no extra cost.
+They compare and hash as plain tuples, so they cost nothing extra as dictionary keys.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
     """A task: its job, and its index in the job from 0."""
 
     job: str
-    index: int  # type: ignore[assignment]  # hides `tuple.index`, which nobody needs here
+    index: int  # type: ignore[assignment]  # shadows `tuple.index`, which is not used
 
 
 class AttemptId(NamedTuple):
--- a/spoolcourse/wire/key_value_store.py
+++ b/spoolcourse/wire/key_value_store.py
@@ -1,8 +1,8 @@
 """Messages of the key-value store: keys with revisions, transactions, leases and watches.
 
-This is the one place that knows how the protocol spells them: `stamp` is a key's revision,
-`ledger` the store's revision, `hold` a lease, `if` the expected revisions. Source: PROTOCOL, the
-key-value store.
+Only this module has the protocol's spelling of them: `stamp` is a key's revision, `ledger` the
+store's revision, `hold` a lease, `if` the expected revisions. Source: PROTOCOL, the key-value
+store.
 """
 
 from __future__ import annotations
@@ -56,12 +56,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CompareAndSwapResult:
-    """A transaction's known outcome: carried out, or not because of conflicts.
+    """The known outcome of a transaction: committed, or rejected because of conflicts.
 
     Attributes:
-        succeeded: Whether it was carried out.
+        succeeded: Whether it was committed.
         store_revision: The store's revision after it; every key written has this revision.
-        conflicting_keys: The keys that had another revision than expected.
+        conflicting_keys: The keys that did not have the expected revision.
     """
 
     succeeded: bool
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """A part of the keys below a prefix, as of one revision of the store."""
+    """One page of the keys below a prefix, as of one revision of the store."""
 
     entries: list[Entry]
     has_next: bool
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchResult:
-    """The answer to a watch: the revision that the store has reached, and every change up to it."""
+    """The response to a watch: the revision the store has reached, and every change up to it."""
 
     store_revision: int
     changes: list[Change]
@@ -92,13 +92,13 @@
 
 
 def page_path(prefix: str, page_size: int, after_key: str) -> str:
-    """Path to read a part of the keys below a prefix, after a key; empty: from the first on."""
+    """Path to read one page of the keys below a prefix, after a key; empty: from the first on."""
     path = f"/kv?prefix={quote(prefix)}&page={page_size}"
     return path + f"&since={quote(after_key)}" if after_key else path
 
 
 def watch_path(prefix: str, since_revision: int, block_s: float) -> str:
-    """Path to wait, for `block_s` at most, for changes after a revision."""
+    """Path to wait up to `block_s` for changes after a revision."""
     return f"/watch?prefix={quote(prefix)}&since={since_revision}&blockMs={int(block_s * 1000)}"
 
 
@@ -108,19 +108,19 @@
 
 
 def lease_path(lease: int) -> str:
-    """Path to end a lease."""
+    """Path to revoke a lease."""
     return f"{paths.LEASES}/{lease}"
 
 
 def grant_body(ttl_s: float) -> dict[str, Any]:
-    """The request for a lease that expires `ttl_s` after its last renewal."""
+    """The body of a request for a lease that expires `ttl_s` after its last renewal."""
     return {"ttlMs": int(ttl_s * 1000)}
 
 
 def transaction_body(
     expected_revisions: Mapping[str, int], operations: Sequence[Operation]
 ) -> dict[str, Any]:
-    """A transaction, carried out if every key has the expected revision (0: does not exist)."""
+    """The body of a transaction that commits if all revisions are as expected (0: no such key)."""
     body: dict[str, Any] = {
         "if": [{"k": key, "stamp": revision} for key, revision in expected_revisions.items()]
     }
@@ -139,18 +139,18 @@
 
 
 def read_entry(key: str, data: dict[str, Any]) -> Entry:
-    """The entry in the answer to a read of one key."""
+    """The entry in the response to a read of one key."""
     return Entry(key, data["v"], data["stamp"])
 
 
 def read_page(data: dict[str, Any]) -> Page:
-    """The page in the answer to a read of a prefix."""
+    """The page in the response to a read of a prefix."""
     entries = [Entry(pair["k"], pair["v"], pair["stamp"]) for pair in data["pairs"]]
     return Page(entries, bool(data["hasNext"] and entries), data["ledger"])
 
 
 def read_watch(data: dict[str, Any]) -> WatchResult:
-    """The changes in the answer to a watch."""
+    """The changes in the response to a watch."""
     changes = [
         Change(entry["set"], entry["v"], entry["stamp"])
         if "set" in entry
@@ -161,15 +161,15 @@
 
 
 def read_lease(data: dict[str, Any]) -> int:
-    """The lease that was granted."""
+    """The lease in the response to a request for one."""
     return int(data["hold"])
 
 
 def read_success(data: dict[str, Any]) -> CompareAndSwapResult:
-    """The result of a transaction that was carried out (200)."""
+    """The result of a transaction that was committed (200)."""
     return CompareAndSwapResult(True, data["ledger"])
 
 
 def read_conflict(data: dict[str, Any]) -> CompareAndSwapResult:
-    """The result of a transaction that met other revisions than expected (409)."""
+    """The result of a transaction that was rejected because of conflicting keys (409)."""
     return CompareAndSwapResult(False, data["ledger"], tuple(data["failed"]))
--- a/spoolcourse/wire/messages.py
+++ b/spoolcourse/wire/messages.py
@@ -1,7 +1,7 @@
-"""Messages of users, workers and cloud.
+"""Messages of users, workers and the cloud.
 
-The protocol's spellings stand in the fields' names and the enums' values only. Sources: PROTOCOL,
-Users -> controller nodes; Workers -> controller nodes; Controller nodes -> cloud.
+Only the names given to msgspec and the enum values are in the protocol's spelling. Sources:
+PROTOCOL, Users -> controller nodes; Workers -> controller nodes; Controller nodes -> cloud.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 
 T = TypeVar("T")
 
-RANKS = ("prod", "high", "standard", "best_effort")  # the highest first
-BODY_LIMIT = 64 * 1024
+RANKS = ("prod", "high", "standard", "best_effort")  # highest first
+BODY_LIMIT = 64 * 1024  # bytes in a request's body
 JOB_ID = re.compile(r"job-[0-9]{6,12}")
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
@@ -113,7 +113,7 @@
 
 
 def fits(submission: Submission, machine_type: MachineType) -> bool:
-    """Whether the type is allowed, and an empty machine of it takes a task of the job."""
+    """Whether the job allows the type, and an empty machine of it has room for one of its tasks."""
     return (
         (submission.machine_types is None or machine_type.name in submission.machine_types)
         and submission.cpus <= machine_type.cpus
@@ -123,14 +123,14 @@
 
 
 class JobAnswer(msgspec.Struct, frozen=True):
-    """The answer to an accepted submission and to a cancellation."""
+    """The response to an accepted submission and to a cancellation."""
 
     id: str
     stage: JobStage
 
 
 class JobStatus(msgspec.Struct, frozen=True):
-    """The answer to a poll; the counts of tasks are for display."""
+    """The response to a status request; the task counts are only for display."""
 
     id: str
     stage: JobStage
@@ -149,10 +149,10 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """The state of a worker and its machine: what it reports, and its response to any call.
+    """The state of a worker and its machine: a heartbeat, and the response to any request.
 
-    The one with the larger (incarnation, sequence) is the newer one. `tasks` lists all attempts
-    there, ended ones too until they are acknowledged.
+    Of two heartbeats, the one with the larger (incarnation, sequence) is newer. `tasks` lists all
+    attempts on the machine, ended ones until they are acknowledged.
     """
 
     machine: Name = msgspec.field(name="spindle")
@@ -183,7 +183,7 @@
 
 
 class Catalog(msgspec.Struct, frozen=True):
-    """The machine types that the cloud rents out, with their current prices."""
+    """The machine types that the cloud offers, with their current prices."""
 
     machine_types: list[MachineType] = msgspec.field(name="builds")
 
@@ -201,14 +201,14 @@
 
 
 class HostPage(msgspec.Struct, frozen=True):
-    """A part of the cloud's machine list."""
+    """One page of the cloud's machine list."""
 
     hosts: list[Host] = msgspec.field(name="spindles")
     has_next: bool = msgspec.field(name="hasNext", default=False)
 
 
 class ProvisionedMachines(msgspec.Struct, frozen=True):
-    """The names of the machines that a rental request has provisioned."""
+    """The names of the machines that a provision request has created."""
 
     machines: list[str] = msgspec.field(name="spindles")
 
@@ -223,7 +223,7 @@
     return True
 
 
-def _decode_any(raw: bytes) -> Any:
+def _decode_json(raw: bytes) -> Any:
     try:
         return orjson.loads(raw)
     except orjson.JSONDecodeError as exc:
@@ -232,16 +232,16 @@
 
 def decode(raw: bytes) -> Any:
     """Decode JSON with finite numbers only; raises `MalformedError`."""
-    data = _decode_any(raw)
+    data = _decode_json(raw)
     if not _is_finite(data):
         raise MalformedError("a number is not finite")
     return data
 
 
-def parse(data: Any, kind: type[T]) -> T:
+def parse(data: Any, message_type: type[T]) -> T:
     """Check decoded JSON against a message type; raises `MalformedError`."""
     try:
-        return msgspec.convert(data, kind)
+        return msgspec.convert(data, message_type)
     except msgspec.ValidationError as exc:
         raise MalformedError(str(exc)) from exc
 
@@ -262,9 +262,9 @@
     return f"{job}/{index}"
 
 
-@lru_cache(maxsize=65_536)  # every heartbeat names the same tasks again
+@lru_cache(maxsize=65_536)  # successive heartbeats name the same tasks
 def parse_task_name(name: str) -> TaskId:
-    """The task that a name in a heartbeat means; raises `MalformedError`."""
+    """Parse the name of a task in a heartbeat; raises `MalformedError`."""
     job, slash, index = name.partition("/")
     if not slash or not JOB_ID.fullmatch(job) or not index.isascii() or not index.isdigit():
         raise MalformedError(f"piece: {name[:60]!r} is not JOB/NUMBER")
@@ -273,7 +273,7 @@
 
 def parse_heartbeat(raw: bytes) -> Heartbeat:
     """Check a worker's heartbeat, by far the most frequent message; raises `MalformedError`."""
-    heartbeat = parse(_decode_any(raw), Heartbeat)
+    heartbeat = parse(_decode_json(raw), Heartbeat)
     if heartbeat.terminates_in_s is not None and not math.isfinite(heartbeat.terminates_in_s):
         raise MalformedError("recallS: a number is not finite")
     for status in heartbeat.tasks:
--- a/spoolcourse/wire/paths.py
+++ b/spoolcourse/wire/paths.py
@@ -1,11 +1,11 @@
 """Paths of the requests between the components."""
 
-# To a controller's public address, and to that for its peers.
+# Served at a controller's public address and at its peer address.
 HEARTBEAT = "/v1/report"
 SUBMISSIONS = "/submissions"
-CANCEL = "withdraw"  # the last part of a cancellation's path
+CANCEL = "withdraw"  # the last segment of a cancellation's path
 HEALTH = "/healthz"
-# To the peers' address alone.
+# Served at a controller's peer address only.
 CANCELLATIONS = "/cancellations"
 LEVEL = "/level"
 HINTS = "/hints"
@@ -13,13 +13,13 @@
 HANDOVER = "/handover"
 STATUS = "/status"
 METRICS = "/metrics"
-# To a machine.
+# Served by a worker.
 COMMANDS = "/orders"
 SHOW = "/show"
-# To the cloud.
+# Served by the cloud.
 CATALOG = "/catalog"
 HOSTS = "/hosts"
 HOSTS_DELETE = "/hosts/delete"
-# To the key-value store.
+# Served by the key-value store.
 TRANSACTION = "/multi"
 LEASES = "/holds"
--- a/spoolcourse/wire/peers.py
+++ b/spoolcourse/wire/peers.py
@@ -1,4 +1,4 @@
-"""What controllers ask one another. Older versions know these forms."""
+"""Messages between controllers. Their forms stay: older versions may run beside this one."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from spoolcourse.wire import paths
 from spoolcourse.wire.messages import MalformedError
 
-SINCE_REVISION_PARAMETER = "beyond"  # of the query for cancellations
+SINCE_REVISION_PARAMETER = "beyond"  # query parameter of the cancellations path
 
 
 class Cancellation(msgspec.Struct, frozen=True):
     """A cancellation, with the time and the revision of its record."""
 
     job: str
-    at: float  # time of day
+    at: float  # wall-clock time in seconds
     revision: int = msgspec.field(name="stamp")
 
 
 class CancellationReply(msgspec.Struct, frozen=True):
-    """What a controller knows of cancellations since a revision.
+    """What a controller knows of the cancellations after a revision.
 
-    `cancelled` is null if it may have forgotten some; `has_read_store` says whether it has read
-    the key-value store since its process began.
+    `cancelled` is null if it may have evicted some; `has_read_store` says whether it has read the
+    key-value store since its process started.
     """
 
     term: int
@@ -50,26 +50,26 @@
 
 
 class Hint(msgspec.Struct, frozen=True):
-    """What a leader knows of a worker in one of its incarnations; it proves nothing."""
+    """What a leader knows of one incarnation of a worker; not a proof of its present state."""
 
     machine: str
     address: str
     incarnation: int = msgspec.field(name="session")
-    images: dict[str, float] = {}  # seen cached, with their sizes in GB, the latest first
+    images: dict[str, float] = {}  # cached images seen, with sizes in GB, most recent first
 
 
 class HintPage(msgspec.Struct, frozen=True):
-    """Hints in the order of the machines' names, with the term and revision of the leader."""
+    """Hints ordered by machine name, with the leader's term and revision."""
 
     term: int
     leader: str
-    revision: int  # of the key-value store, up to which the leader has applied every change
+    revision: int  # store revision up to which the leader has applied every change
     hints: list[Hint]
     has_next: bool = False
 
 
 class StandbyReply(msgspec.Struct, frozen=True):
-    """Whether a controller could lead without a restore of the job queue, or why not."""
+    """Whether a controller could lead without a restore of the job queue, or the reason why not."""
 
     caught_up: bool
     term: int
@@ -78,7 +78,7 @@
 
 
 class HandoverReply(msgspec.Struct, frozen=True):
-    """A leader has stepped down; `successors` are the controllers that were caught up."""
+    """The leader has stepped down; `successors` are the controllers that were caught up."""
 
     term: int
     successors: list[str]
--- a/spoolcourse/wire/settings.py
+++ b/spoolcourse/wire/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform hands over, checked field by field."""
+"""The settings file that the platform provides, checked field by field."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from spoolcourse.errors import UserError
 
-HEARTBEAT_JITTER = 1.25  # heartbeats are sent every `report_s`, give or take a quarter
+MAX_HEARTBEAT_INTERVAL_FACTOR = 1.25  # workers send every `report_s` +/- a quarter
 
 Positive = Annotated[float, msgspec.Meta(gt=0)]
 Amount = Annotated[float, msgspec.Meta(ge=0)]
@@ -19,7 +19,7 @@
 
 
 class Seed(msgspec.Struct, frozen=True):
-    """Another controller."""
+    """Another controller, with its peer address."""
 
     label: str
     endpoint: str
@@ -34,7 +34,7 @@
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team, with what it is guaranteed and what it may use at most; 0: none of either."""
+    """A team, with its guaranteed resources and its limits; 0: no guarantee, or no limit."""
 
     name: str
     cpus: Amount = 0.0
@@ -54,7 +54,7 @@
 
 
 class Objective(msgspec.Struct, frozen=True):
-    """What is expected of a class of jobs, or of work within a guarantee."""
+    """A service-level objective for a job class, or for work within a guarantee."""
 
     kind: str
     job_class: str = msgspec.field(default="", name="class")
@@ -64,7 +64,7 @@
 
 
 class Workers(msgspec.Struct, frozen=True):
-    """How workers behave, and how soon cancelled work must be gone."""
+    """Heartbeats and leases of workers, and the time within which cancelled work must end."""
 
     heartbeat_interval_s: Positive = msgspec.field(name="report_s")
     lease_s: Positive
@@ -72,17 +72,17 @@
 
     @property
     def heartbeat_gap_s(self) -> float:
-        """The longest time between two reports that is as it should be."""
-        return HEARTBEAT_JITTER * self.heartbeat_interval_s
+        """The longest normal time between two heartbeats."""
+        return MAX_HEARTBEAT_INTERVAL_FACTOR * self.heartbeat_interval_s
 
     @property
     def quiet_s(self) -> float:
-        """A worker that was not heard for so long has missed two heartbeats for certain."""
+        """After this time without a heartbeat, a worker has certainly missed two."""
         return 3 * self.heartbeat_interval_s + 1.0
 
 
 class NextLimits(msgspec.Struct, frozen=True):
-    """Limits of the key-value store that will hold from some moment on, without notice."""
+    """Limits of the key-value store that will apply from an unannounced time on."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -101,15 +101,15 @@
 
     @property
     def least(self) -> State:
-        """The smaller of the limits that hold and those to come: nobody says when they do."""
+        """The lower of the current and the next limits: the change is not announced."""
         if self.next is None:
             return self
-        coming = self.next
+        upcoming = self.next
         return State(
-            min(self.rps, coming.rps or self.rps),
-            min(self.write_rps, coming.write_rps or self.write_rps),
-            min(self.value_kb, coming.value_kb or self.value_kb),
-            min(self.txn_ops, coming.txn_ops or self.txn_ops),
+            min(self.rps, upcoming.rps or self.rps),
+            min(self.write_rps, upcoming.write_rps or self.write_rps),
+            min(self.value_kb, upcoming.value_kb or self.value_kb),
+            min(self.txn_ops, upcoming.txn_ops or self.txn_ops),
         )
 
 
@@ -121,13 +121,13 @@
 
 
 class MachineLimits(msgspec.Struct, frozen=True):
-    """What a controller's own machine allows; 0: nothing is said of it."""
+    """The limits of a controller's own machine; 0: unknown."""
 
     sockets: Annotated[int, msgspec.Meta(ge=0)] = 0
 
 
 class Params(msgspec.Struct, frozen=True):
-    """What the deployment is like."""
+    """The parameters of the deployment."""
 
     zones: list[str]
     teams: list[Team]
--- a/spoolcourse/wire/standby_settings.py
+++ b/spoolcourse/wire/standby_settings.py
@@ -17,7 +17,7 @@
     enabled: bool = False
     # Seconds for which a follower that is not caught up lets others stand for election first.
     defer_s: Annotated[float, msgspec.Meta(ge=0, le=5)] = 0.5
-    # Seconds without an answer of the key-value store after which a follower is not caught up.
+    # Seconds without a response of the key-value store after which a follower is not caught up.
     behind_s: Annotated[float, msgspec.Meta(ge=2.5, le=60)] = 5.0
     # Compare the shadow with a restore from the records at each failover.
     verify: bool = False
