--- a/spoolcourse/cli.py
+++ b/spoolcourse/cli.py
@@ -1,6 +1,6 @@
 """The command line: a controller, and the commands of its users and operators.
 
-The modules that a command needs are imported by it: the time to start counts.
+Each command imports the modules that it needs, to keep the start-up time short.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     _Commands = argparse._SubParsersAction[argparse.ArgumentParser]  # noqa: SLF001 - it has no public name
 
 DEFAULT_TIMEOUT_S = 5.0
-LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
 def _seconds(text: str) -> float:
@@ -49,7 +49,7 @@
 def _add_local_commands(commands: _Commands) -> None:
     """The commands that read a settings file."""
     for name, run, help_text in (
-        ("serve", _run_serve, "run one controller until it is ended"),
+        ("serve", _run_serve, "run one controller until it is stopped"),
         ("check", _run_check, "check a settings file without running"),
     ):
         command = commands.add_parser(name, help=help_text)
@@ -60,7 +60,7 @@
 
 
 def _add_remote_commands(commands: _Commands) -> None:
-    """The commands that ask a controller."""
+    """The commands that send a request to a controller."""
     submit = commands.add_parser("submit", help="submit a job")
     submit.add_argument("file", metavar="FILE", help="the job as JSON; - for standard input")
     status = commands.add_parser("status", help="show a job's state")
@@ -72,39 +72,39 @@
         "handover", help="have the leader step down to a standby that is caught up"
     )
     for command, run, address in (
-        (submit, _run_submit, "its users' address"),
-        (status, _run_status, "its users' address"),
-        (cancel, _run_cancel, "its users' address"),
-        (view, _run_view, "its own address"),
-        (handover, _run_handover, "its own address"),
+        (submit, _run_submit, "public address"),
+        (status, _run_status, "public address"),
+        (cancel, _run_cancel, "public address"),
+        (view, _run_view, "peer address"),
+        (handover, _run_handover, "peer address"),
     ):
         command.set_defaults(run=run)
         command.add_argument(
             "--node",
             required=True,
             metavar="HOST:PORT",
-            help=f"a controller, {address}",
+            help=f"a controller's {address}",
         )
         command.add_argument(
             "--timeout",
             type=_seconds,
             default=DEFAULT_TIMEOUT_S,
             metavar="S",
-            help="wait so long for the answer",
+            help="seconds to wait for the response",
         )
 
 
-def _log_setup() -> None:
+def _configure_logging() -> None:
     name = os.environ.get("LOG_LEVEL", "info")
-    if name not in LEVELS:
-        raise UserError(f"LOG_LEVEL: {name!r} is not one of {', '.join(LEVELS)}")
+    if name not in LOG_LEVELS:
+        raise UserError(f"LOG_LEVEL: {name!r} is not one of {', '.join(LOG_LEVELS)}")
     logging.basicConfig(
         stream=sys.stderr,
-        level=LEVELS[name],
+        level=LOG_LEVELS[name],
         format="%(asctime)s %(levelname)s %(name)s: %(message)s",
     )
-    for noisy in ("asyncio", "aiohttp.server", "aiohttp.client"):
-        logging.getLogger(noisy).setLevel(max(logging.WARNING, LEVELS[name]))
+    for logger_name in ("asyncio", "aiohttp.server", "aiohttp.client"):
+        logging.getLogger(logger_name).setLevel(max(logging.WARNING, LOG_LEVELS[name]))
 
 
 async def _serve(settings: Settings, policy: PolicySource, standby: StandbySettings) -> None:
@@ -123,11 +123,13 @@
             await listen(split_address(address, field), handler, sockets=sockets)
         except OSError as exc:
             raise UserError(f"{field}: cannot listen on {address}: {exc.strerror}") from exc
-    logging.getLogger(__name__).info("%s serves on %s", settings.label, settings.listen)
+    logging.getLogger(__name__).info(
+        "serving: controller=%s address=%s", settings.label, settings.listen
+    )
     await controller.run()
 
 
-async def _call(
+async def _send_request(
     args: argparse.Namespace, method: str, path: str, body: bytes | None, indent: bool
 ) -> int:
     from spoolcourse.control.http_client import AiohttpClient, NoResponseError
@@ -148,15 +150,15 @@
     raise UserError(f"{args.node} answered {response.status}: {error or 'no reason given'}")
 
 
-def _ask(
+def _run_request(
     args: argparse.Namespace,
     method: str,
     path: str,
     body: bytes | None = None,
     indent: bool = False,
 ) -> int:
-    """Ask the controller, and print its answer; the exit code."""
-    return asyncio.run(_call(args, method, path, body, indent))
+    """Send the request, print the response and return the exit code."""
+    return asyncio.run(_send_request(args, method, path, body, indent))
 
 
 def _read_job(path: str) -> bytes:
@@ -186,34 +188,34 @@
 
 
 def _run_serve(args: argparse.Namespace) -> int:
-    _log_setup()
+    _configure_logging()
     settings, policy = load_settings(args.config), load_policy(args.policy)
     asyncio.run(_serve(settings, policy, load_standby(args.standby)))
     return 0
 
 
 def _run_submit(args: argparse.Namespace) -> int:
-    return _ask(args, "POST", paths.SUBMISSIONS, _read_job(args.file))
+    return _run_request(args, "POST", paths.SUBMISSIONS, _read_job(args.file))
 
 
 def _run_status(args: argparse.Namespace) -> int:
-    return _ask(args, "GET", _job_path(args))
+    return _run_request(args, "GET", _job_path(args))
 
 
 def _run_cancel(args: argparse.Namespace) -> int:
-    return _ask(args, "POST", f"{_job_path(args)}/{paths.CANCEL}")
+    return _run_request(args, "POST", f"{_job_path(args)}/{paths.CANCEL}")
 
 
 def _run_view(args: argparse.Namespace) -> int:
-    return _ask(args, "GET", paths.STATUS, indent=True)
+    return _run_request(args, "GET", paths.STATUS, indent=True)
 
 
 def _run_handover(args: argparse.Namespace) -> int:
-    return _ask(args, "POST", paths.HANDOVER)
+    return _run_request(args, "POST", paths.HANDOVER)
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run a command; the exit code."""
+    """Run a command and return its exit code."""
     args = _parser().parse_args(argv)
     try:
         if "node" in args:
--- a/spoolcourse/control/__init__.py
+++ b/spoolcourse/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control service: what runs on every controller."""
+"""The control service, which runs on every controller."""
--- a/spoolcourse/errors.py
+++ b/spoolcourse/errors.py
@@ -1,5 +1,5 @@
-"""Errors that end a command with one clear line."""
+"""Errors that end a command with a message instead of a traceback."""
 
 
 class UserError(Exception):
-    """Something the caller of a command can put right; shown without a traceback."""
+    """An error that the user of a command can correct; shown without a traceback."""
--- a/spoolcourse/policy/keys.py
+++ b/spoolcourse/policy/keys.py
@@ -1,7 +1,7 @@
 """The operators' policy: its keys, their ranges and defaults, and the values in force.
 
 A policy file is TOML with one table, `[policy]`; a value is a number or an expression
-(`lang`). What a file leaves out keeps its default.
+(`lang`). Keys that a file omits keep their defaults.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from spoolcourse.policy.lang import Expression, Inputs, Range, compile_expression
 
 INPUTS: dict[str, Range] = {
-    "waiting_jobs": Range(0, 1e6),  # jobs with tasks that are not placed
+    "waiting_jobs": Range(0, 1e6),  # jobs with unplaced tasks
     "machines": Range(0, 1e5),  # machines that can take work
-    "load": Range(0, 100),  # CPUs wanted by CPUs at hand
-    "pass_cost_s": Range(0, 10),  # processor time of the last pass
-    "boot_s": Range(1, 3600),  # longest usual boot time of the catalog
+    "load": Range(0, 100),  # CPUs wanted, divided by those of all machines
+    "pass_cost_s": Range(0, 10),  # processor time of the last scheduling pass
+    "boot_s": Range(1, 3600),  # longest usual boot time in the catalog
     "report_s": Range(0.01, 3600),
     "lease_s": Range(0.01, 3600),
 }
@@ -26,13 +26,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Key:
-    """A choice of the operators: its default, its range and its meaning."""
+    """A key that operators can set: its default, range and description."""
 
     default: str
     low: float
     high: float
     unit: str
-    about: str
+    description: str
 
 
 KEYS: dict[str, Key] = {
@@ -66,12 +66,12 @@
     "begin_s": Key("90", 1, 86_400, "s", "a job that waits longer has its first task put first"),
     "preempt_patience_s": Key("5", 0, 3600, "s", "a task that ends so soon is not stopped"),
 }
-WHOLE = ("node_fetches", "zone_fetches")
+INTEGER_KEYS = ("node_fetches", "zone_fetches")
 
 
 @dataclass(slots=True)
 class Policy:
-    """The values in force; brought up to date before each pass."""
+    """The current values; refreshed before each scheduling pass."""
 
     node_fetches: float = 0.0
     zone_fetches: float = 0.0
@@ -97,44 +97,46 @@
 
 
 class PolicySource:
-    """Checked expressions for all keys."""
+    """The checked expressions of all keys."""
 
     def __init__(self, expressions: dict[str, Expression]) -> None:
         self._expressions = expressions
-        self._varying = {k: e for k, e in expressions.items() if not e.constant}
+        self._input_dependent = {k: e for k, e in expressions.items() if not e.constant}
 
     def initial(self) -> Policy:
         """The values with all inputs at their lowest."""
         policy = Policy()
-        self._put(policy, self._expressions, {name: r.low for name, r in INPUTS.items()})
+        self._set_values(policy, self._expressions, {name: r.low for name, r in INPUTS.items()})
         return policy
 
     def refresh(self, policy: Policy, inputs: Inputs) -> None:
-        """Can't raise: the checker has seen to it."""
-        self._put(policy, self._varying, inputs)
+        """Re-evaluate the keys that depend on inputs; checked expressions can't raise."""
+        self._set_values(policy, self._input_dependent, inputs)
 
     @staticmethod
-    def _put(policy: Policy, expressions: dict[str, Expression], inputs: Inputs) -> None:
+    def _set_values(policy: Policy, expressions: dict[str, Expression], inputs: Inputs) -> None:
         for key, expression in expressions.items():
             value = float(expression.evaluate(inputs))
-            setattr(policy, key, float(round(value)) if key in WHOLE else value)
+            setattr(policy, key, float(round(value)) if key in INTEGER_KEYS else value)
 
 
-def check_policy(given: dict[str, object], source: str) -> PolicySource:
-    """Every problem of a policy at once, each with key, column and reason."""
-    problems = [f"{key}: column 1: unknown key" for key in given if key not in KEYS]
+def check_policy(table: dict[str, object], source: str) -> PolicySource:
+    """Compile a policy; raises `UserError` with key, column and reason of every problem."""
+    problems = [f"{key}: column 1: unknown key" for key in table if key not in KEYS]
     expressions: dict[str, Expression] = {}
     for name, key in KEYS.items():
-        value = given.get(name, key.default)
+        value = table.get(name, key.default)
         if isinstance(value, bool) or not isinstance(value, str | int | float):
             problems.append(f"{name}: column 1: a number or an expression in quotes is needed")
             continue
         text = value if isinstance(value, str) else repr(value)
-        found = compile_expression(text, INPUTS, Range(key.low, key.high))
-        if isinstance(found, Expression):
-            expressions[name] = found
+        compiled = compile_expression(text, INPUTS, Range(key.low, key.high))
+        if isinstance(compiled, Expression):
+            expressions[name] = compiled
         else:
-            problems += [f"{name}: column {flaw.column}: {flaw.reason}" for flaw in found]
+            problems += [
+                f"{name}: column {problem.column}: {problem.reason}" for problem in compiled
+            ]
     if problems:
         raise UserError("\n".join(f"{source}: {problem}" for problem in problems))
     return PolicySource(expressions)
@@ -150,9 +152,11 @@
         raise UserError(f"{path}: cannot be read: {exc.strerror}") from exc
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as exc:
         raise UserError(f"{path}: not TOML: {exc}") from exc
-    extra = [key for key in data if key != "policy"]
-    if extra:
-        raise UserError(f"{path}: {extra[0]}: column 1: unknown key; all keys are in [policy]")
+    unknown_keys = [key for key in data if key != "policy"]
+    if unknown_keys:
+        raise UserError(
+            f"{path}: {unknown_keys[0]}: column 1: unknown key; all keys are in [policy]"
+        )
     table = data.get("policy", {})
     if not isinstance(table, dict):
         raise UserError(f"{path}: policy: column 1: must be a table")
--- a/spoolcourse/policy/lang.py
+++ b/spoolcourse/policy/lang.py
@@ -1,13 +1,13 @@
 """The operators' expression language: small, total, and checked before it runs.
 
 Numbers, booleans, named inputs, `+ - * /`, comparisons, `and`, `or`, `not`,
-`A if C else B`, `min(...)` and `max(...)`; nothing else. Python's own parser reads it,
-and only what is listed here is let through.
+`A if C else B`, `min(...)` and `max(...)`; nothing else. It is parsed by Python's own
+parser, and only the nodes listed here are accepted.
 
-The checker works out for each expression the range of values it can take, given the
-ranges of its inputs. A division whose divisor may be zero, or a result that may leave
-its key's range, is a problem. So a checked expression always has a value, and a usable
-one: inputs are clamped to their ranges when it is evaluated.
+The checker computes the range of values that each expression can take, given the ranges
+of its inputs. It rejects a division whose divisor may be zero, and a result that may be
+outside its key's range. So a checked expression always has a usable value: inputs are
+clamped to their ranges when it is evaluated.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-LONGEST = 500  # characters
-MOST_NODES = 200
-LARGEST = 1e12  # of any intermediate value, so that nothing overflows
+MAX_EXPRESSION_CHARACTERS = 500
+MAX_AST_NODES = 200
+MAX_ABSOLUTE_VALUE = 1e12  # of any intermediate value, so that nothing overflows
 
 Value = float | bool
 Inputs = Mapping[str, float]
@@ -35,8 +35,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Flaw:
-    """A problem in an expression, and where it is."""
+class Diagnostic:
+    """A problem in an expression, with its column."""
 
     column: int  # counted from 1
     reason: str
@@ -53,10 +53,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Part:
-    """A checked part; `range` is None for booleans."""
+class _Subexpression:
+    """A checked subexpression; `range` is None for booleans."""
 
-    run: Evaluate
+    evaluate: Evaluate
     range: Range | None
     constant: bool
 
@@ -80,29 +80,29 @@
 class _Checker:
     def __init__(self, inputs: Mapping[str, Range]) -> None:
         self._inputs = inputs
-        self.flaws: list[Flaw] = []
+        self.diagnostics: list[Diagnostic] = []
 
-    def _flaw(self, node: ast.expr, reason: str) -> None:
-        self.flaws.append(Flaw(node.col_offset + 1, reason))
+    def _report(self, node: ast.expr, reason: str) -> None:
+        self.diagnostics.append(Diagnostic(node.col_offset + 1, reason))
 
-    def check_number(self, node: ast.expr) -> tuple[_Part, Range] | None:
+    def check_number(self, node: ast.expr) -> tuple[_Subexpression, Range] | None:
         part = self.check(node)
         if part is None:
             return None
         if part.range is None:
-            self._flaw(node, "a number is needed here, this is true or false")
+            self._report(node, "a number is needed here, this is true or false")
             return None
         return part, part.range
 
-    def _truth(self, node: ast.expr) -> _Part | None:
+    def _check_boolean(self, node: ast.expr) -> _Subexpression | None:
         part = self.check(node)
         if part is not None and part.range is not None:
-            self._flaw(node, "true or false is needed here, this is a number")
+            self._report(node, "true or false is needed here, this is a number")
             return None
         return part
 
-    def check(self, node: ast.expr) -> _Part | None:
-        """The checked part, or None if it has flaws."""
+    def check(self, node: ast.expr) -> _Subexpression | None:
+        """The checked subexpression, or None if it has problems."""
         match node:
             case ast.Constant():
                 return self._constant(node)
@@ -115,160 +115,195 @@
             case ast.Compare():
                 return self._compare(node)
             case ast.BoolOp():
-                return self._logic(node)
+                return self._boolean_operation(node)
             case ast.IfExp():
-                return self._choice(node)
+                return self._conditional(node)
             case ast.Call():
                 return self._call(node)
-        self._flaw(node, "this is not part of the language")
+        self._report(node, "this is not part of the language")
         return None
 
-    def _constant(self, node: ast.Constant) -> _Part | None:
+    def _constant(self, node: ast.Constant) -> _Subexpression | None:
         value = node.value
         if isinstance(value, bool):
-            return _Part(lambda _: value, None, True)
-        if isinstance(value, int | float) and abs(value) <= LARGEST:
+            return _Subexpression(lambda _: value, None, True)
+        if isinstance(value, int | float) and abs(value) <= MAX_ABSOLUTE_VALUE:
             number = float(value)
-            return _Part(lambda _: number, Range(number, number), True)
-        self._flaw(node, "only numbers up to 1e12, true and false can be written")
+            return _Subexpression(lambda _: number, Range(number, number), True)
+        self._report(node, "only numbers up to 1e12, true and false are allowed")
         return None
 
-    def _name(self, node: ast.Name) -> _Part | None:
+    def _name(self, node: ast.Name) -> _Subexpression | None:
         bounds = self._inputs.get(node.id)
         if bounds is None:
-            self._flaw(node, f"unknown name {node.id!r}; known: {', '.join(sorted(self._inputs))}")
+            self._report(
+                node, f"unknown name {node.id!r}; known: {', '.join(sorted(self._inputs))}"
+            )
             return None
         name, low, high = node.id, bounds.low, bounds.high
-        return _Part(lambda inputs: min(max(inputs[name], low), high), bounds, False)
+        return _Subexpression(lambda inputs: min(max(inputs[name], low), high), bounds, False)
 
-    def _unary(self, node: ast.UnaryOp) -> _Part | None:
+    def _unary(self, node: ast.UnaryOp) -> _Subexpression | None:
         if isinstance(node.op, ast.Not):
-            truth = self._truth(node.operand)
-            if truth is None:
+            operand = self._check_boolean(node.operand)
+            if operand is None:
                 return None
-            inner = truth.run
-            return _Part(lambda inputs: not inner(inputs), None, truth.constant)
+            evaluate_operand = operand.evaluate
+            return _Subexpression(
+                lambda inputs: not evaluate_operand(inputs), None, operand.constant
+            )
         if not isinstance(node.op, ast.USub):
-            self._flaw(node, "this is not part of the language")
+            self._report(node, "this is not part of the language")
             return None
-        found = self.check_number(node.operand)
-        if found is None:
+        checked = self.check_number(node.operand)
+        if checked is None:
             return None
-        part, bounds = found
-        run = part.run
-        return _Part(lambda inputs: -run(inputs), Range(-bounds.high, -bounds.low), part.constant)
+        part, bounds = checked
+        evaluate = part.evaluate
+        return _Subexpression(
+            lambda inputs: -evaluate(inputs), Range(-bounds.high, -bounds.low), part.constant
+        )
 
-    def _binary(self, node: ast.BinOp) -> _Part | None:
+    def _binary(self, node: ast.BinOp) -> _Subexpression | None:
         apply = _ARITHMETIC.get(type(node.op))
         if apply is None:
-            self._flaw(node, "of arithmetic there is + - * / only")
+            self._report(node, "the only arithmetic operators are + - * /")
             return None
         left, right = self.check_number(node.left), self.check_number(node.right)
         if left is None or right is None:
             return None
-        (a, x), (b, y) = left, right
-        if isinstance(node.op, ast.Div) and y.low <= 0.0 <= y.high:
-            self._flaw(node.right, f"may be zero (it ranges from {y.low:g} to {y.high:g})")
+        (left_part, left_range), (right_part, right_range) = left, right
+        if isinstance(node.op, ast.Div) and right_range.low <= 0.0 <= right_range.high:
+            self._report(
+                node.right,
+                f"may be zero (it ranges from {right_range.low:g} to {right_range.high:g})",
+            )
             return None
         if isinstance(node.op, ast.Sub):
-            corners = [x.low - y.high, x.high - y.low]
+            corners = [left_range.low - right_range.high, left_range.high - right_range.low]
         elif isinstance(node.op, ast.Add):
-            corners = [x.low + y.low, x.high + y.high]
+            corners = [left_range.low + right_range.low, left_range.high + right_range.high]
         else:
-            corners = [apply(p, q) for p in (x.low, x.high) for q in (y.low, y.high)]
-        if max(map(abs, corners)) > LARGEST:
-            self._flaw(node, "may become larger than 1e12")
+            corners = [
+                apply(a, b)
+                for a in (left_range.low, left_range.high)
+                for b in (right_range.low, right_range.high)
+            ]
+        if max(map(abs, corners)) > MAX_ABSOLUTE_VALUE:
+            self._report(node, "may become larger than 1e12")
             return None
-        first, second = a.run, b.run
-        return _Part(
-            lambda inputs: apply(first(inputs), second(inputs)),
+        evaluate_left, evaluate_right = left_part.evaluate, right_part.evaluate
+        return _Subexpression(
+            lambda inputs: apply(evaluate_left(inputs), evaluate_right(inputs)),
             Range(min(corners), max(corners)),
-            a.constant and b.constant,
+            left_part.constant and right_part.constant,
         )
 
-    def _compare(self, node: ast.Compare) -> _Part | None:
+    def _compare(self, node: ast.Compare) -> _Subexpression | None:
         parts = [self.check_number(n) for n in [node.left, *node.comparators]]
-        tests = [_COMPARISONS.get(type(op)) for op in node.ops]
-        if None in tests:
-            self._flaw(node, "of comparisons there is < <= > >= == != only")
+        comparisons = [_COMPARISONS.get(type(op)) for op in node.ops]
+        if None in comparisons:
+            self._report(node, "the only comparison operators are < <= > >= == !=")
             return None
         if any(p is None for p in parts):
             return None
-        runs = [p[0].run for p in parts if p is not None]
-        pairs = [(t, a, b) for t, a, b in zip(tests, runs, runs[1:], strict=False) if t]
+        operands = [p[0].evaluate for p in parts if p is not None]
+        links = [
+            (compare, left, right)
+            for compare, left, right in zip(comparisons, operands, operands[1:], strict=False)
+            if compare
+        ]
         constant = all(p[0].constant for p in parts if p is not None)
-        return _Part(
-            lambda inputs: all(t(a(inputs), b(inputs)) for t, a, b in pairs), None, constant
+        return _Subexpression(
+            lambda inputs: all(
+                compare(left(inputs), right(inputs)) for compare, left, right in links
+            ),
+            None,
+            constant,
         )
 
-    def _logic(self, node: ast.BoolOp) -> _Part | None:
-        parts = [self._truth(n) for n in node.values]
+    def _boolean_operation(self, node: ast.BoolOp) -> _Subexpression | None:
+        parts = [self._check_boolean(n) for n in node.values]
         if any(p is None for p in parts):
             return None
-        runs = [p.run for p in parts if p is not None]
+        operands = [p.evaluate for p in parts if p is not None]
         combine = all if isinstance(node.op, ast.And) else any
         constant = all(p.constant for p in parts if p is not None)
-        return _Part(lambda inputs: combine(run(inputs) for run in runs), None, constant)
+        return _Subexpression(
+            lambda inputs: combine(operand(inputs) for operand in operands), None, constant
+        )
 
-    def _choice(self, node: ast.IfExp) -> _Part | None:
-        test, yes, no = (
-            self._truth(node.test),
+    def _conditional(self, node: ast.IfExp) -> _Subexpression | None:
+        condition, if_true, if_false = (
+            self._check_boolean(node.test),
             self.check_number(node.body),
             self.check_number(node.orelse),
         )
-        if test is None or yes is None or no is None:
+        if condition is None or if_true is None or if_false is None:
             return None
-        (a, x), (b, y) = yes, no
-        decide, first, second = test.run, a.run, b.run
-        return _Part(
-            lambda inputs: first(inputs) if decide(inputs) else second(inputs),
-            Range(min(x.low, y.low), max(x.high, y.high)),
-            test.constant and a.constant and b.constant,
+        (true_part, true_range), (false_part, false_range) = if_true, if_false
+        evaluate_condition, evaluate_true, evaluate_false = (
+            condition.evaluate,
+            true_part.evaluate,
+            false_part.evaluate,
+        )
+        return _Subexpression(
+            lambda inputs: (
+                evaluate_true(inputs) if evaluate_condition(inputs) else evaluate_false(inputs)
+            ),
+            Range(min(true_range.low, false_range.low), max(true_range.high, false_range.high)),
+            condition.constant and true_part.constant and false_part.constant,
         )
 
-    def _call(self, node: ast.Call) -> _Part | None:
+    def _call(self, node: ast.Call) -> _Subexpression | None:
         name = node.func.id if isinstance(node.func, ast.Name) else ""
         if name not in ("min", "max") or node.keywords or len(node.args) < 2:
-            self._flaw(node, "only min and max can be called, with two values or more")
+            self._report(node, "only min and max can be called, with two values or more")
             return None
         parts = [self.check_number(n) for n in node.args]
         if any(p is None for p in parts):
             return None
-        whole = [p for p in parts if p is not None]
-        pick: Callable[..., float] = min if name == "min" else max
-        runs = [part.run for part, _ in whole]
-        bounds = Range(pick(r.low for _, r in whole), pick(r.high for _, r in whole))
-        return _Part(
-            lambda inputs: pick(run(inputs) for run in runs),
+        arguments = [p for p in parts if p is not None]
+        function: Callable[..., float] = min if name == "min" else max
+        evaluators = [part.evaluate for part, _ in arguments]
+        bounds = Range(
+            function(r.low for _, r in arguments), function(r.high for _, r in arguments)
+        )
+        return _Subexpression(
+            lambda inputs: function(evaluate(inputs) for evaluate in evaluators),
             bounds,
-            all(part.constant for part, _ in whole),
+            all(part.constant for part, _ in arguments),
         )
 
 
 def compile_expression(
     text: str, inputs: Mapping[str, Range], allowed: Range
-) -> Expression | list[Flaw]:
-    """The checked expression, or all that is wrong with it."""
-    if len(text) > LONGEST:
-        return [Flaw(LONGEST, f"longer than {LONGEST} characters")]
+) -> Expression | list[Diagnostic]:
+    """The checked expression, or all problems found in it."""
+    if len(text) > MAX_EXPRESSION_CHARACTERS:
+        return [
+            Diagnostic(
+                MAX_EXPRESSION_CHARACTERS, f"longer than {MAX_EXPRESSION_CHARACTERS} characters"
+            )
+        ]
     if "\n" in text:
-        return [Flaw(text.index("\n") + 1, "must be on one line")]
+        return [Diagnostic(text.index("\n") + 1, "must be on one line")]
     try:
         tree = ast.parse(text.strip(), mode="eval")
     except (SyntaxError, ValueError, MemoryError, RecursionError) as exc:
         column = getattr(exc, "offset", None) or 1
-        return [Flaw(column, "cannot be read as an expression")]
-    if sum(1 for _ in ast.walk(tree)) > MOST_NODES:
-        return [Flaw(1, "too many parts")]
+        return [Diagnostic(column, "cannot be read as an expression")]
+    if sum(1 for _ in ast.walk(tree)) > MAX_AST_NODES:
+        return [Diagnostic(1, "too many parts")]
     checker = _Checker(inputs)
-    found = checker.check_number(tree.body)
-    if found is None:
-        return checker.flaws
-    part, bounds = found
+    checked = checker.check_number(tree.body)
+    if checked is None:
+        return checker.diagnostics
+    part, bounds = checked
     if bounds.low < allowed.low or bounds.high > allowed.high:
         reason = (
             f"may be {bounds.low:g} to {bounds.high:g}, "
             f"allowed is {allowed.low:g} to {allowed.high:g}"
         )
-        return [Flaw(1, reason)]
-    return Expression(text, bounds, part.run, part.constant)
+        return [Diagnostic(1, reason)]
+    return Expression(text, bounds, part.evaluate, part.constant)
--- a/tests/policy/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -59,7 +59,9 @@
         ("", 1, "cannot be read"),
     ],
 )
-def test_flaws(text: str, column: int, word: str) -> None:
+def test_an_invalid_expression_has_a_diagnostic_with_column_and_reason(
+    text: str, column: int, word: str
+) -> None:
     found = compile_expression(text, INPUTS, WIDE)
     assert not isinstance(found, Expression)
     assert word in found[0].reason
--- a/tests/recorded/forms/interfaces.py
+++ b/tests/recorded/forms/interfaces.py
@@ -239,9 +239,9 @@
         return "accepted"
 
     return {
-        "keys": {n: [k.default, k.low, k.high, k.unit, k.about] for n, k in _policy_items()},
+        "keys": {n: [k.default, k.low, k.high, k.unit, k.description] for n, k in _policy_items()},
         "inputs": {name: [r.low, r.high] for name, r in policy_keys.INPUTS.items()},
-        "whole": list(policy_keys.WHOLE),
+        "whole": list(policy_keys.INTEGER_KEYS),
         "values at first": at_first,
         "values": {name: getattr(values, name) for name in policy_keys.KEYS},
         "errors": {
