--- a/tests/recorded/external_names.py
+++ b/tests/recorded/external_names.py
@@ -1,4 +1,4 @@
-"""Collects the names that leave the process from the places in the code that produce them.
+"""Collects the names that are visible outside the process from the code that defines them.
 
 Other versions, workers, users, the cloud, the key-value store and operators' tools read these
 names. `external_names.txt` lists them; `test_external_names.py` compares the two.
@@ -26,21 +26,21 @@
 from spoolcourse.control.store.watch_cache import WatchGap
 from spoolcourse.policy import keys as policy_keys
 from spoolcourse.wire import commands, messages, paths, peers, settings, standby_settings
-from tests.recorded.forms.adapter import STORED, requests
+from tests.recorded.forms.adapter import STORED_RECORDS, requests
 from tests.test_documented_names import documented_log_lines, is_logged
 
 ROOT = Path(__file__).parent.parent.parent
-SOURCES = ROOT / "spoolcourse"
+SOURCE_DIRECTORY = ROOT / "spoolcourse"
 # Modules that build or read JSON objects by key.
-KEY_MODULES = ("wire/key_value_store.py", "wire/cloud.py", "control/store/records.py")
+MESSAGE_KEY_MODULES = ("wire/key_value_store.py", "wire/cloud.py", "control/store/records.py")
 # Modules whose constants are written into `/status`, log lines or error replies.
-TEXT_MODULES = (
+SHOWN_TEXT_MODULES = (
     "control/scheduling/waiting_jobs.py",
     "control/status.py",
     "wire/cloud.py",
     "wire/key_value_store.py",
 )
-ENUMERATIONS: dict[str, tuple[type[Enum], ...]] = {
+ENUMS_BY_KIND: dict[str, tuple[type[Enum], ...]] = {
     "message value": (
         messages.TaskStage,
         messages.EndCause,
@@ -60,16 +60,18 @@
 
 
 def collect_names() -> dict[str, set[str]]:
-    """All names by kind."""
-    found = {
+    """All external names, grouped by kind."""
+    names_by_kind = {
         "message field": set(_struct_fields(messages, commands, peers)),
         "settings key": set(_struct_fields(settings)),
         "standby settings key": set(_struct_fields(standby_settings)),
         "status key": {*_struct_fields(status), *_literal_keys("control/status.py")},
-        "message key": {key for module in KEY_MODULES for key in _literal_keys(module)},
+        "message key": {key for module in MESSAGE_KEY_MODULES for key in _literal_keys(module)},
         "stored key": {value for value in vars(keys).values() if _is_key(value)},
         "stored field": {
-            key for form in STORED.values() for key in _object_keys(form.encode(form.sample))
+            key
+            for case in STORED_RECORDS.values()
+            for key in _object_keys(case.encode(case.sample))
         },
         "request field": set(_request_fields()),
         "path": {value for name, value in vars(paths).items() if name.isupper()},
@@ -81,17 +83,21 @@
         "environment variable": set(_environment_variables()),
         "metric": set(_metric_names()),
         "trace name": set(_strings("control/failover/tracing.py")),
-        "shown text": {text for module in TEXT_MODULES for text in _constant_texts(module)},
+        "shown text": {text for module in SHOWN_TEXT_MODULES for text in _constant_texts(module)},
         "wait reason": set(_strings("control/placement/backfill.py")),
         "log line": {line for line in documented_log_lines() if is_logged(line)},
     }
-    for kind, enumerations in ENUMERATIONS.items():
-        found.setdefault(kind, set()).update(
-            member.value for enumeration in enumerations for member in enumeration
+    for kind, enums in ENUMS_BY_KIND.items():
+        names_by_kind.setdefault(kind, set()).update(
+            member.value for enum in enums for member in enum
         )
-    found["status value"].update(_status_values())
-    found["message value"] |= {*messages.RANKS, *_struct_tags(commands), *_literal_values(messages)}
-    return found
+    names_by_kind["status value"].update(_status_values())
+    names_by_kind["message value"] |= {
+        *messages.RANKS,
+        *_struct_tags(commands),
+        *_literal_values(messages),
+    }
+    return names_by_kind
 
 
 def _structs(module: Any) -> list[type[msgspec.Struct]]:
@@ -127,25 +133,25 @@
 
 
 def _tree(module: str) -> ast.Module:
-    return ast.parse((SOURCES / module).read_text())
+    return ast.parse((SOURCE_DIRECTORY / module).read_text())
 
 
 def _literal_keys(module: str) -> Iterator[str]:
     """Keys of dictionary literals, and strings in subscripts, `in` tests and calls of `get`."""
     for node in ast.walk(_tree(module)):
-        keys_found: list[ast.expr | None] = []
+        key_nodes: list[ast.expr | None] = []
         match node:
             case ast.Dict(keys=dict_keys):
-                keys_found = dict_keys
+                key_nodes = dict_keys
             case ast.Subscript(slice=key):
-                keys_found = [key]
+                key_nodes = [key]
             case ast.Compare(left=left, ops=[ast.In()]):
-                keys_found = [left]
+                key_nodes = [left]
             case ast.Call(func=ast.Attribute(attr="get"), args=[key, *_]):
-                keys_found = [key]
-        for found in keys_found:
-            if isinstance(found, ast.Constant) and isinstance(found.value, str):
-                yield found.value
+                key_nodes = [key]
+        for key_node in key_nodes:
+            if isinstance(key_node, ast.Constant) and isinstance(key_node.value, str):
+                yield key_node.value
 
 
 def _constant_texts(module: str) -> Iterator[str]:
@@ -157,13 +163,14 @@
 
 
 def _status_values() -> Iterator[str]:
-    """The strings of conditional expressions, such as the role and the state of the lease."""
+    """String branches of conditional expressions, such as the role and the lease state."""
     for node in ast.walk(_tree("control/status.py")):
         match node:
             case ast.IfExp(
-                body=ast.Constant(value=str(one)), orelse=ast.Constant(value=str(other))
+                body=ast.Constant(value=str(true_value)),
+                orelse=ast.Constant(value=str(false_value)),
             ):
-                yield from (one, other)
+                yield from (true_value, false_value)
 
 
 def _is_key(value: object) -> bool:
@@ -171,7 +178,7 @@
 
 
 def _object_keys(value: Any) -> Iterator[str]:
-    """The keys of nested objects, without those that are names of machines, types or tasks."""
+    """The keys of nested objects, except machine, machine type and task names."""
     if isinstance(value, dict):
         for key, inner in value.items():
             if re.fullmatch(r"[A-Za-z_]+", key):
@@ -188,7 +195,7 @@
 
 
 def _query_parameters() -> Iterator[str]:
-    for path in SOURCES.rglob("*.py"):
+    for path in SOURCE_DIRECTORY.rglob("*.py"):
         yield from re.findall(r"[?&](\w+)=", path.read_text())
     yield peers.SINCE_REVISION_PARAMETER
 
@@ -212,7 +219,7 @@
 
 
 def _environment_variables() -> Iterator[str]:
-    for path in [*SOURCES.rglob("*.py"), *(ROOT / "tests").rglob("*.py")]:
+    for path in [*SOURCE_DIRECTORY.rglob("*.py"), *(ROOT / "tests").rglob("*.py")]:
         yield from re.findall(r"os\.environ\.get\(\"(\w+)\"", path.read_text())
 
 
@@ -234,9 +241,9 @@
 
 
 def _strings(module: str) -> Iterator[str]:
-    """All strings of a module but for documentation."""
+    """All strings of a module except docstrings."""
     tree = _tree(module)
-    documentation = {ast.get_docstring(tree, clean=False)} | {
+    docstrings = {ast.get_docstring(tree, clean=False)} | {
         ast.get_docstring(node, clean=False)
         for node in ast.walk(tree)
         if isinstance(node, ast.ClassDef | ast.FunctionDef | ast.AsyncFunctionDef)
@@ -244,5 +251,5 @@
     for node in ast.walk(tree):
         if isinstance(node, ast.Constant) and isinstance(node.value, str):
             text = node.value.strip()
-            if text and node.value not in documentation:
+            if text and node.value not in docstrings:
                 yield text
--- a/tests/recorded/forms/adapter.py
+++ b/tests/recorded/forms/adapter.py
@@ -1,6 +1,6 @@
-"""The one place that names the product's records and messages, their fields and functions.
+"""Converts the product's records, messages, paths and settings to plain data and back.
 
-A renaming in the product is followed here, never in the recorded data.
+When the product renames a class or field, this module follows; the recorded data never does.
 """
 
 from __future__ import annotations
@@ -21,25 +21,25 @@
 from spoolcourse.wire.settings import parse_settings
 from spoolcourse.wire.standby_settings import parse_standby
 
-ATTEMPT = 50331649
+ATTEMPT_NUMBER = 50331649
 
 
 @dataclass(frozen=True)
-class Form:
-    """A sample object, its JSON value, and how the product reads one."""
+class CodecCase:
+    """A sample object with the product's functions that encode it to JSON and decode it."""
 
     sample: Any
     encode: Callable[[Any], Any]
     decode: Callable[[Any], Any]
 
-    def written(self) -> str:
+    def encoded(self) -> str:
         return orjson.dumps(self.encode(self.sample)).decode()
 
-    def read(self, text: str) -> Any:
+    def decoded(self, text: str) -> Any:
         return self.decode(orjson.loads(text))
 
-    def read_and_written(self, text: str) -> str:
-        return orjson.dumps(self.encode(self.read(text))).decode()
+    def reencoded(self, text: str) -> str:
+        return orjson.dumps(self.encode(self.decoded(text))).decode()
 
 
 # -- samples ------------------------------------------------------------------------------
@@ -63,7 +63,7 @@
     checkpoint_every_s=20.0,
     checkpoint_cost_s=0.5,
 )
-ARRAY_WITH_ALL = messages.Submission(
+ARRAY_WITH_EVERY_FIELD = messages.Submission(
     id="job-000002",
     job_class="batch",
     team="red",
@@ -131,13 +131,17 @@
     ),
 ]
 TERM = records.TermRecord(number=3, run_id="run9", lease=7)
-START = commands.Start(task="job-000001/3", attempt=ATTEMPT + 3)
-STOP = commands.Stop(task="job-000001/0", attempt=ATTEMPT, grace_s=2.5)
-ACKNOWLEDGE = commands.Acknowledge(task="job-000001/1", attempt=ATTEMPT + 1)
+START = commands.Start(task="job-000001/3", attempt=ATTEMPT_NUMBER + 3)
+STOP = commands.Stop(task="job-000001/0", attempt=ATTEMPT_NUMBER, grace_s=2.5)
+ACKNOWLEDGE = commands.Acknowledge(task="job-000001/1", attempt=ATTEMPT_NUMBER + 1)
 COMMANDS: list[commands.Command] = [START, STOP, ACKNOWLEDGE]
-TASK_REPORTS = [
+TASK_STATUSES = [
     messages.TaskStatus(
-        task=f"job-000001/{index}", attempt=ATTEMPT + index, stage=stage, cause=cause, stored=stored
+        task=f"job-000001/{index}",
+        attempt=ATTEMPT_NUMBER + index,
+        stage=stage,
+        cause=cause,
+        stored=stored,
     )
     for index, (stage, cause, stored) in enumerate(
         [
@@ -158,7 +162,7 @@
 
 
 def _heartbeat(**fields: Any) -> messages.Heartbeat:
-    given: dict[str, Any] = {
+    values: dict[str, Any] = {
         "machine": "m-000000",
         "address": "m-000000:9000",
         "machine_type": "c8",
@@ -169,19 +173,21 @@
         "fencing_token": 3,
         "tasks": [],
     } | fields
-    return messages.Heartbeat(**given)
+    return messages.Heartbeat(**values)
 
 
-# -- how forms are written and read ---------------------------------------------------------
+# -- records and messages ------------------------------------------------------------------
 
 
-def _message(sample: msgspec.Struct) -> Form:
-    kind = type(sample)
-    return Form(sample, commands.to_json_object, lambda data: messages.parse(data, kind))
+def _message(sample: msgspec.Struct) -> CodecCase:
+    struct_type = type(sample)
+    return CodecCase(
+        sample, commands.to_json_object, lambda data: messages.parse(data, struct_type)
+    )
 
 
-def _job_record(submission: messages.Submission, cancelled_at: float | None = None) -> Form:
-    return Form(
+def _job_record(submission: messages.Submission, cancelled_at: float | None = None) -> CodecCase:
+    return CodecCase(
         records.JobRecord(
             submission=submission,
             accepted_at=990.25,
@@ -194,14 +200,14 @@
     )
 
 
-def _progress(**fields: Any) -> Form:
-    return Form(
+def _progress(**fields: Any) -> CodecCase:
+    return CodecCase(
         records.Progress(**fields), lambda record: record.value(), records.Progress.from_value
     )
 
 
-def _final_state(stage: messages.JobStage) -> Form:
-    return Form(
+def _final_state(stage: messages.JobStage) -> CodecCase:
+    return CodecCase(
         records.FinalState(stage=stage, done=4, accepted_at=980.5),
         lambda record: record.value(),
         records.FinalState.from_value,
@@ -209,10 +215,10 @@
 
 
 def _read_term(value: dict[str, Any]) -> records.TermRecord:
-    run = records.LeaderRecord.run_id_of(value)
-    assert run is not None
+    run_id = records.LeaderRecord.run_id_of(value)
+    assert run_id is not None
     return records.TermRecord(
-        number=records.TermRecord.number_of(value), run_id=run, lease=value["hold"]
+        number=records.TermRecord.number_of(value), run_id=run_id, lease=value["hold"]
     )
 
 
@@ -220,47 +226,47 @@
     return records.LeaderRecord(term=_read_term(value), label=records.LeaderRecord.label_of(value))
 
 
-def _base(names: list[str], parts: int) -> Form:
-    return Form(
-        (names, parts),
-        lambda base: records.initial_machines_value(base[0], base[1]),
+def _initial_machines(names: list[str], further_parts: int) -> CodecCase:
+    return CodecCase(
+        (names, further_parts),
+        lambda sample: records.initial_machines_value(sample[0], sample[1]),
         lambda value: (sorted(records.initial_machines_of(value)), records.further_parts_of(value)),
     )
 
 
-STORED: dict[str, Form] = {
+STORED_RECORDS: dict[str, CodecCase] = {
     "job record, array": _job_record(ARRAY),
-    "job record, every field": _job_record(ARRAY_WITH_ALL),
+    "job record, every field": _job_record(ARRAY_WITH_EVERY_FIELD),
     "job record, service": _job_record(SERVICE),
     "job record, cancelled": _job_record(ARRAY, 1000.5),
-    "job record, every field, cancelled": _job_record(ARRAY_WITH_ALL, 1000.5),
+    "job record, every field, cancelled": _job_record(ARRAY_WITH_EVERY_FIELD, 1000.5),
     "progress, empty": _progress(),
     "progress": _progress(
         done=0x6F0,
         held={
-            0: records.Assignment("m-000000", ATTEMPT),
-            11: records.Assignment("m-000001", ATTEMPT + 1),
+            0: records.Assignment("m-000000", ATTEMPT_NUMBER),
+            11: records.Assignment("m-000001", ATTEMPT_NUMBER + 1),
         },
     ),
     "final state, done": _final_state(messages.JobStage.DONE),
     "final state, aborted": _final_state(messages.JobStage.CANCELLED),
-    "term": Form(TERM, lambda record: record.value(), _read_term),
-    "leader": Form(
+    "term": CodecCase(TERM, lambda record: record.value(), _read_term),
+    "leader": CodecCase(
         records.LeaderRecord(term=TERM, label="n1"), lambda record: record.value(), _read_leader
     ),
-    "base, empty": _base([], 0),
-    "base, one part": _base(["m-000000", "m-000001"], 0),
-    "base, first of three parts": _base(["m-000000", "m-000001"], 2),
-    "catalog": Form(
+    "base, empty": _initial_machines([], 0),
+    "base, one part": _initial_machines(["m-000000", "m-000001"], 0),
+    "base, first of three parts": _initial_machines(["m-000000", "m-000001"], 2),
+    "catalog": CodecCase(
         MACHINE_TYPES,
         records.catalog_value,
         lambda value: messages.parse(value, messages.Catalog).machine_types,
     ),
-    "feature level": Form(2, records.feature_level_value, records.feature_level_of),
+    "feature level": CodecCase(2, records.feature_level_value, records.feature_level_of),
 }
 
-MESSAGES: dict[str, Form] = {
-    # Between controllers; a relayed report and its answer are those of workers.
+MESSAGES: dict[str, CodecCase] = {
+    # Between controllers. Relayed heartbeats and their responses have the format for workers.
     "cancellation": _message(peers.Cancellation(job="job-000001", at=1000.5, revision=18)),
     "cancellation reply": _message(
         peers.CancellationReply(
@@ -279,7 +285,7 @@
         peers.CancellationReply(term=3, has_read_store=True, cancelled=None)
     ),
     "level reply": _message(peers.LevelReply(level=2)),
-    "level reply of this version": Form(
+    "level reply of this version": CodecCase(
         peers.LevelReply(level=feature_level.SERVICES_LEVEL),
         lambda reply: (
             feature_level.level_reply() if reply.level == feature_level.SERVICES_LEVEL else None
@@ -299,10 +305,10 @@
         peers.StandbyReply(caught_up=False, term=3, revision=40, reason="its shadow is unfit")
     ),
     "handover reply": _message(peers.HandoverReply(term=3, successors=["n0", "n2"])),
-    # Of workers.
+    # From and to workers.
     "report": _message(_heartbeat()),
     "report, spot, about to end": _message(_heartbeat(spot=True, terminates_in_s=12.5)),
-    "report, tasks in every stage": _message(_heartbeat(tasks=TASK_REPORTS)),
+    "report, tasks in every stage": _message(_heartbeat(tasks=TASK_STATUSES)),
     "report reply": _message(commands.HeartbeatResponse(commands=COMMANDS, fencing_token=3)),
     "report reply, no lease": _message(commands.HeartbeatResponse(commands=[])),
     "report reply, relayed": _message(
@@ -322,9 +328,9 @@
     "command request, empty": _message(
         commands.CommandRequest(fencing_token=3, incarnation=1, commands=[])
     ),
-    # Of users.
+    # From and to users.
     "submission, array": _message(ARRAY),
-    "submission, every field": _message(ARRAY_WITH_ALL),
+    "submission, every field": _message(ARRAY_WITH_EVERY_FIELD),
     "submission, service": _message(SERVICE),
     **{
         f"job answer, {stage.value}": _message(messages.JobAnswer(id="job-000001", stage=stage))
@@ -336,7 +342,7 @@
         )
         for stage in messages.JobStage
     },
-    # Of the cloud.
+    # From and to the cloud.
     "catalog": _message(messages.Catalog(machine_types=MACHINE_TYPES)),
     "machine type": _message(MACHINE_TYPES[0]),
     **{
@@ -374,10 +380,12 @@
 
 
 def requests() -> dict[str, str]:
-    """Bodies that are only written."""
+    """Request bodies that the product sends and never parses."""
     spot = cloud.MachineKind(machine_type="c8", zone="a", spot=True)
     put = key_value_store.Put(key="spoolcourse/live/term", value=TERM.value())
-    attached = key_value_store.Put(key="spoolcourse/live/leader", value={"label": "n1"}, lease=7)
+    put_with_lease = key_value_store.Put(
+        key="spoolcourse/live/leader", value={"label": "n1"}, lease=7
+    )
     bodies: dict[str, Any] = {
         "cloud: rental": cloud.provision_body("t3-1", spot, 2),
         "cloud: rental, above the most": cloud.provision_body("t3-2", spot, 1000),
@@ -385,7 +393,7 @@
         "store: lease": key_value_store.grant_body(2.5),
         "store: transaction": key_value_store.transaction_body(
             {"spoolcourse/live/term": 4, "spoolcourse/live/leader": 0},
-            [put, attached, key_value_store.Delete(key="spoolcourse/live/job/job-000001")],
+            [put, put_with_lease, key_value_store.Delete(key="spoolcourse/live/job/job-000001")],
         ),
         "store: transaction without operations": key_value_store.transaction_body(
             {"spoolcourse/live/term": 4}, []
@@ -395,7 +403,7 @@
     return {name: orjson.dumps(body).decode() for name, body in bodies.items()}
 
 
-ANSWERS_OF_THE_STORE = {
+STORE_RESPONSES = {
     "entry": '{"k":"a","v":{"term":3},"stamp":5}',
     "page": '{"pairs":[{"k":"a","v":1,"stamp":5},{"k":"b","v":null,"stamp":6}],'
     '"hasNext":true,"ledger":9}',
@@ -407,7 +415,7 @@
 }
 
 
-FEWEST_FIELDS: list[tuple[type[msgspec.Struct], str]] = [
+MESSAGES_WITH_FEWEST_FIELDS: list[tuple[type[msgspec.Struct], str]] = [
     (peers.Hint, '{"machine":"m","address":"m:1","session":1}'),
     (peers.HintPage, '{"term":1,"leader":"n1","revision":2,"hints":[]}'),
     (peers.StandbyReply, '{"caught_up":true,"term":1,"revision":2}'),
@@ -421,9 +429,9 @@
 
 
 def readings() -> dict[str, Any]:
-    """What the product reads in recorded answers and values, as plain data."""
-    data = {name: orjson.loads(text) for name, text in ANSWERS_OF_THE_STORE.items()}
-    watched = key_value_store.read_watch(data["changes"])
+    """What the product parses from recorded responses and values, as plain data."""
+    data = {name: orjson.loads(text) for name, text in STORE_RESPONSES.items()}
+    watch_result = key_value_store.read_watch(data["changes"])
     outcomes = (
         key_value_store.read_success(data["carried out"]),
         key_value_store.read_conflict(data["conditions failed"]),
@@ -433,8 +441,8 @@
     progress = {"done": "6f0", "held": {"0": ["m", 1], "2": ["m", 2]}}
     return {
         "messages without their optional fields": [
-            commands.to_json_object(messages.parse(orjson.loads(text), kind))
-            for kind, text in FEWEST_FIELDS
+            commands.to_json_object(messages.parse(orjson.loads(text), struct_type))
+            for struct_type, text in MESSAGES_WITH_FEWEST_FIELDS
         ],
         "store entry": [entry.key, entry.value, entry.revision],
         "store pages": [
@@ -442,8 +450,8 @@
             for p in pages
         ],
         "store changes": [
-            watched.store_revision,
-            [[c.key, c.value, c.revision] for c in watched.changes],
+            watch_result.store_revision,
+            [[c.key, c.value, c.revision] for c in watch_result.changes],
         ],
         "store lease": key_value_store.read_lease(data["lease"]),
         "store outcomes": [
@@ -477,9 +485,9 @@
     }
 
 
-def all_paths() -> dict[str, str]:
-    """Paths of requests and keys of the store, fixed and built."""
-    built = {
+def paths_and_keys() -> dict[str, str]:
+    """Request paths and key-value store keys, both constant and computed ones."""
+    computed = {
         "hints": HintQuery("m-00 0000/&", 200).path,
         "hints, from the first on": HintQuery("", 200).path,
         "machine list": cloud.list_path(""),
@@ -495,7 +503,7 @@
         "key of a final state": keys.final_key("job-000001"),
         "key of progress": keys.progress_key("job-000001", 3),
     }
-    fixed = {
+    constant = {
         "report": paths.HEARTBEAT,
         "submissions": paths.SUBMISSIONS,
         "withdraw": paths.CANCEL,
@@ -525,7 +533,7 @@
         "key prefix of progress": keys.PROGRESS_PREFIX,
         "key prefix of final states": keys.FINAL_PREFIX,
     }
-    return built | fixed
+    return computed | constant
 
 
 # -- settings -------------------------------------------------------------------------------
@@ -574,18 +582,18 @@
 
 
 def parsed_settings() -> dict[str, Any]:
-    """Every field of sample documents as they are parsed, with what is worked out of them."""
-    found = parse_settings(orjson.dumps(SETTINGS), "sample")
-    least = {k: v for k, v in SETTINGS["settings"].items() if k in ("zones", "workers", "cloud")}
+    """Every field of the parsed sample documents, and the values derived from them."""
+    parsed = parse_settings(orjson.dumps(SETTINGS), "sample")
+    required = {k: v for k, v in SETTINGS["settings"].items() if k in ("zones", "workers", "cloud")}
     state = {k: v for k, v in SETTINGS["settings"]["state"].items() if k != "next"}
-    bare = {k: v for k, v in SETTINGS.items() if k != "site"} | {
+    fewest_fields = {k: v for k, v in SETTINGS.items() if k != "site"} | {
         "seeds": [],
-        "settings": least | {"teams": [], "state": state},
+        "settings": required | {"teams": [], "state": state},
     }
-    params = found.settings
+    params = parsed.settings
     return {
-        "every field": msgspec.to_builtins(found),
-        "fewest fields": msgspec.to_builtins(parse_settings(orjson.dumps(bare), "sample")),
+        "every field": msgspec.to_builtins(parsed),
+        "fewest fields": msgspec.to_builtins(parse_settings(orjson.dumps(fewest_fields), "sample")),
         "team limits": [[str(t.cpu_limit), str(t.gpu_limit)] for t in params.teams],
         "report gap": params.workers.heartbeat_gap_s,
         "quiet": params.workers.quiet_s,
@@ -595,11 +603,11 @@
     }
 
 
-def _standby_text(given: dict[str, str]) -> str:
-    return "[standby]\n" + "".join(f"{key} = {value}\n" for key, value in given.items())
+def _standby_text(values: dict[str, str]) -> str:
+    return "[standby]\n" + "".join(f"{key} = {value}\n" for key, value in values.items())
 
 
-def _error(parse: Callable[[], Any]) -> str:
+def _settings_error(parse: Callable[[], Any]) -> str:
     try:
         parse()
     except UserError as exc:
@@ -607,46 +615,48 @@
     return "accepted"
 
 
-def _changed(place: tuple[Any, ...], change: Callable[[Any, Any], None]) -> bytes:
+def _changed_settings(path: tuple[Any, ...], change: Callable[[Any, Any], None]) -> bytes:
     data = orjson.loads(orjson.dumps(SETTINGS))
     inner = data
-    for step in place[:-1]:
+    for step in path[:-1]:
         inner = inner[step]
-    change(inner, place[-1])
+    change(inner, path[-1])
     return orjson.dumps(data)
 
 
-def _places(value: Any, at: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+def _field_paths(value: Any, prefix: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
     steps: list[Any] = []
     if isinstance(value, dict):
         steps = list(value)
     elif isinstance(value, list):
         steps = list(range(len(value)))
-    return [p for s in steps for p in [(*at, s), *_places(value[s], (*at, s))]]
+    return [p for s in steps for p in [(*prefix, s), *_field_paths(value[s], (*prefix, s))]]
 
 
 def settings_errors() -> dict[str, str]:
-    """Each field left out, of another type and negative; and what is checked across fields."""
-    found: dict[str, str] = {}
+    """Errors for each field missing, of another type, negative or empty, and across fields."""
+    errors: dict[str, str] = {}
 
-    def put(value: Any, inner: Any, step: Any) -> None:
+    def assign(value: Any, inner: Any, step: Any) -> None:
         inner[step] = value
 
-    def try_one(name: str, raw: bytes) -> None:
-        found[name] = _error(lambda: parse_settings(raw, "sample"))
+    def record_error(name: str, raw: bytes) -> None:
+        errors[name] = _settings_error(lambda: parse_settings(raw, "sample"))
 
-    for place in _places(SETTINGS):
-        name = ".".join(map(str, place))
-        if isinstance(place[-1], str):
-            try_one(f"{name}: missing", _changed(place, lambda inner, step: inner.pop(step)))
+    for path in _field_paths(SETTINGS):
+        name = ".".join(map(str, path))
+        if isinstance(path[-1], str):
+            record_error(
+                f"{name}: missing", _changed_settings(path, lambda inner, step: inner.pop(step))
+            )
         changes: list[tuple[str, Any]] = [
             ("of another type", True),
             ("negative", -1),
             ("empty", ""),
         ]
-        for word, value in changes:
-            try_one(f"{name}: {word}", _changed(place, partial(put, value)))
-    across: list[tuple[str, tuple[Any, ...], Any]] = [
+        for change, value in changes:
+            record_error(f"{name}: {change}", _changed_settings(path, partial(assign, value)))
+    cross_field_cases: list[tuple[str, tuple[Any, ...], Any]] = [
         ("two seeds of one label", ("seeds", 0, "label"), "n2"),
         ("a seed of the own label", ("seeds", 0, "label"), "n0"),
         ("no zones", ("settings", "zones"), []),
@@ -655,33 +665,35 @@
         ("no port", ("outside", "cloud"), "cloud"),
         ("an unknown field", ("novelty",), 1),
     ]
-    for name, place, value in across:
-        try_one(name, _changed(place, partial(put, value)))
-    try_one("not JSON", b"{")
-    try_one("not an object", b"[]")
+    for name, path, value in cross_field_cases:
+        record_error(name, _changed_settings(path, partial(assign, value)))
+    record_error("not JSON", b"{")
+    record_error("not an object", b"[]")
     for key in STANDBY_KEYS:
         for value in ("-1", '"x"', "1000"):
             text = _standby_text({key: value})
-            found[f"standby: {key} = {value}"] = _error(partial(parse_standby, text, "sample"))
+            errors[f"standby: {key} = {value}"] = _settings_error(
+                partial(parse_standby, text, "sample")
+            )
     for text in ("", "[standby", "[standby]\nnovelty = 1", "[other]", "standby = 1"):
-        found[f"standby: {text!r}"] = _error(partial(parse_standby, text, "sample"))
-    return found
+        errors[f"standby: {text!r}"] = _settings_error(partial(parse_standby, text, "sample"))
+    return errors
 
 
-def _without(kind: str, sample: Any, parse: Callable[[bytes], Any]) -> dict[str, str]:
-    found: dict[str, str] = {}
+def _field_errors(message: str, sample: Any, parse: Callable[[bytes], Any]) -> dict[str, str]:
+    errors: dict[str, str] = {}
     for field in sample:
-        for word, changed in (
+        for change, changed in (
             ("missing", {k: v for k, v in sample.items() if k != field}),
             ("of another type", sample | {field: {}}),
             ("null", sample | {field: None}),
             ("negative", sample | {field: -1}),
         ):
-            found[f"{kind}: {field}: {word}"] = _refusal(parse, orjson.dumps(changed))
-    return found
+            errors[f"{message}: {field}: {change}"] = _malformed_error(parse, orjson.dumps(changed))
+    return errors
 
 
-def _refusal(parse: Callable[[bytes], Any], raw: bytes) -> str:
+def _malformed_error(parse: Callable[[bytes], Any], raw: bytes) -> str:
     try:
         parse(raw)
     except messages.MalformedError as exc:
@@ -690,14 +702,14 @@
 
 
 def message_errors() -> dict[str, str]:
-    """What is said of messages that do not follow the protocol."""
-    submission = commands.to_json_object(ARRAY_WITH_ALL)
+    """Error texts for messages that violate the protocol."""
+    submission = commands.to_json_object(ARRAY_WITH_EVERY_FIELD)
     heartbeat = commands.to_json_object(_heartbeat(terminates_in_s=1.0))
-    task = commands.to_json_object(TASK_REPORTS[0])
+    task = commands.to_json_object(TASK_STATUSES[0])
     return (
-        _without("submission", submission, messages.parse_submission)
-        | _without("report", heartbeat, messages.parse_heartbeat)
-        | _without(
+        _field_errors("submission", submission, messages.parse_submission)
+        | _field_errors("report", heartbeat, messages.parse_heartbeat)
+        | _field_errors(
             "task report",
             task,
             lambda raw: messages.parse_heartbeat(
@@ -705,17 +717,17 @@
             ),
         )
         | {
-            f"submission: {text}": _refusal(messages.parse_submission, text.encode())
+            f"submission: {text}": _malformed_error(messages.parse_submission, text.encode())
             for text in ("", "{", "[]", "null", '"x"', "{}")
         }
         | {
-            f"task name: {name}": _refusal(
+            f"task name: {name}": _malformed_error(
                 lambda raw: messages.parse_task_name(raw.decode()), name.encode()
             )
             for name in ("", "job-000001", "job-1/0", "job-000001/x", "job-000001/", "/0")
         }
         | {
-            "report: ended without a cause": _refusal(
+            "report: ended without a cause": _malformed_error(
                 messages.parse_heartbeat,
                 orjson.dumps(heartbeat | {"pieces": [task | {"stage": "ended", "cause": None}]}),
             )
@@ -723,12 +735,15 @@
     )
 
 
-PLAIN: dict[str, Callable[[], dict[str, Any]]] = {
+VALUE_RECORDERS: dict[str, Callable[[], dict[str, Any]]] = {
     "requests": requests,
     "readings": readings,
-    "paths": all_paths,
+    "paths": paths_and_keys,
     "settings": parsed_settings,
     "settings_errors": settings_errors,
     "message_errors": message_errors,
 }
-FORMS: dict[str, dict[str, Form]] = {"stored_records": STORED, "messages": MESSAGES}
+CODEC_CASES: dict[str, dict[str, CodecCase]] = {
+    "stored_records": STORED_RECORDS,
+    "messages": MESSAGES,
+}
--- a/tests/recorded/plans/__init__.py
+++ b/tests/recorded/plans/__init__.py
@@ -1,1 +1,1 @@
-"""Recorded answers of the pure parts, on inputs made from seeds."""
+"""Recorded results of the pure planning functions, on inputs generated from seeds."""
--- a/tests/recorded/plans/adapter.py
+++ b/tests/recorded/plans/adapter.py
@@ -1,4 +1,7 @@
-"""The only place that knows the code's names: inputs into its types, its answers into JSON."""
+"""Converts inputs to the product's types and its results to JSON.
+
+The only module of the recorded plans that uses names of the product.
+"""
 
 from __future__ import annotations
 
@@ -30,24 +33,24 @@
 from spoolcourse.policy.keys import Policy
 from spoolcourse.wire.identities import TaskId
 from spoolcourse.wire.messages import HostStage, MachineType
-from tests.recorded.plans.inputs import NOW, SIZES, Fields
+from tests.recorded.plans.inputs import MACHINE_SIZES, NOW, Fields
 
 # -- inputs ---------------------------------------------------------------------------
 
 
 def _task(task: Fields) -> RunningTask:
     return RunningTask(
-        expected_end=task["end"],
+        expected_end=task["expected_end"],
         cpus=task["cpus"],
         gpus=task["gpus"],
         memory_gb=task["memory_gb"],
-        attempt_number=task["reference"],
+        attempt_number=task["attempt_number"],
         rank=task["rank"],
         team=task["team"],
-        checkpoint_loss_cpu_s=task["lost_cpu_s"],
+        checkpoint_loss_cpu_s=task["checkpoint_loss_cpu_s"],
         stopping=task["stopping"],
         within_guarantee=task["within_guarantee"],
-        unsaved_since=task["running_since"],
+        unsaved_since=task["unsaved_since"],
     )
 
 
@@ -60,14 +63,14 @@
         cpus=machine["free_cpus"],
         gpus=machine["free_gpus"],
         memory_gb=machine["free_memory_gb"],
-        total_cpus=machine["size_cpus"],
+        total_cpus=machine["total_cpus"],
         fetch_gb_per_s=machine["fetch_gb_per_s"],
         cached_images=set(machine["cached_images"]),
-        fetch_left_gb=dict(machine["fetches"]),
+        fetch_left_gb=dict(machine["fetch_left_gb"]),
         tasks=[_task(task) for task in machine["tasks"]],
         ready_at=machine["ready_at"],
-        scale_in_candidate=machine["surplus"],
-        has_scarce_type=machine["rare"],
+        scale_in_candidate=machine["scale_in_candidate"],
+        has_scarce_type=machine["has_scarce_type"],
         cpus_being_freed=freed_cpus,
         gpus_being_freed=freed_gpus,
         memory_gb_being_freed=freed_memory_gb,
@@ -77,7 +80,7 @@
 def _job(job: Fields) -> PlacementJob:
     types = job["machine_types"]
     return PlacementJob(
-        pending_tasks=job["waiting_tasks"],
+        pending_tasks=job["pending_tasks"],
         cpus=job["cpus"],
         gpus=job["gpus"],
         memory_gb=job["memory_gb"],
@@ -89,15 +92,15 @@
         zone=job["zone"],
         spot_allowed=job["spot_allowed"],
         one_zone=job["one_zone"],
-        max_tasks_per_zone=job["most_in_a_zone"],
-        tasks_by_zone=dict(job["held_by_zone"]),
+        max_tasks_per_zone=job["max_tasks_per_zone"],
+        tasks_by_zone=dict(job["tasks_by_zone"]),
         tasks_in_unknown_zones=job["tasks_in_unknown_zones"],
         avoided_machines=frozenset(job["avoided_machines"]),
         rank=job["rank"],
-        may_preempt=job["claim"],
+        may_preempt=job["may_preempt"],
         within_guarantee=job["within_guarantee"],
         replicas_by_machine=dict(job["replicas_by_machine"]),
-        is_service=job["service"],
+        is_service=job["is_service"],
         ordinary_machines_from=job["ordinary_machines_from"],
     )
 
@@ -116,7 +119,7 @@
         jobs=[_job(job) for job in cluster["jobs"]],
         machines=[_machine(machine) for machine in cluster["machines"]],
         teams=[_team(team) for team in cluster["teams"]],
-        zone_count=cluster["zones"],
+        zone_count=cluster["zone_count"],
         fetches_per_machine=cluster["fetches_per_machine"],
         fetches_per_zone=cluster["fetches_per_zone"],
     )
@@ -149,29 +152,29 @@
             boot_s=30.0,
             zones=["a"],
         )
-        for number, (cpus, gpus, memory_gb) in enumerate(SIZES)
+        for number, (cpus, gpus, memory_gb) in enumerate(MACHINE_SIZES)
     }
 
 
 def _known_machine(machine: Fields) -> Machine:
     number = machine["machine_type"]
-    known = Machine(
+    known_machine = Machine(
         id=machine["name"],
         first_seen_at=0.0,
         machine_type=None if number is None else f"type-{number}",
         spot=machine["spot"],
         confirmed=machine["confirmed"],
-        last_heartbeat_at=machine["heard_at"],
-        deletion_requested=machine["deleting"],
+        last_heartbeat_at=machine["last_heartbeat_at"],
+        deletion_requested=machine["deletion_requested"],
         listed_stage=HostStage.FAILED if machine["failed"] else None,
-        scale_in_candidate=machine["surplus"],
+        scale_in_candidate=machine["scale_in_candidate"],
     )
-    for task in range(machine["attempts"]):  # only their number counts
-        known.attempts[TaskId(machine["name"], task)] = cast(Attempt, None)
-    return known
+    for task in range(machine["attempt_count"]):  # only the number of attempts matters
+        known_machine.attempts[TaskId(machine["name"], task)] = cast(Attempt, None)
+    return known_machine
 
 
-# -- answers --------------------------------------------------------------------------
+# -- results --------------------------------------------------------------------------
 
 
 def _plan(plan: Plan) -> Fields:
@@ -198,47 +201,47 @@
     return {"victims": choose_victims(snapshot, plan, cluster["preemption_patience_s"])}
 
 
-def provisioning(asked: Fields) -> Fields:
-    """For all the waiting work, and for what the placement pass leaves over, as in service."""
-    offers = [_offer(offer) for offer in asked["offers"]]
-    limit = {} if asked["most_machines"] is None else {"max_machines": asked["most_machines"]}
-    snapshot = _snapshot(asked["cluster"])
-    room = asked["free_cpus_by_team"]
-    everything = [JobDemand(snapshot.jobs[number], tasks) for number, tasks in asked["demand"]]
-    for_all = plan_provisioning(
-        demand=everything,
+def provisioning(request: Fields) -> Fields:
+    """Plans for all pending tasks, and for those left unplaced, as the product does."""
+    offers = [_offer(offer) for offer in request["offers"]]
+    limit = {} if request["max_machines"] is None else {"max_machines": request["max_machines"]}
+    snapshot = _snapshot(request["cluster"])
+    free_cpus_by_team = request["free_cpus_by_team"]
+    all_demand = [JobDemand(snapshot.jobs[number], tasks) for number, tasks in request["demand"]]
+    requests_for_all = plan_provisioning(
+        demand=all_demand,
         machines=snapshot.machines,
         offers=offers,
         now=snapshot.now,
-        team_cpus=room,
+        team_cpus=free_cpus_by_team,
         **limit,
     )
     unplaced = place(snapshot).unplaced_tasks
-    for_unplaced = plan_provisioning(
+    requests_for_unplaced = plan_provisioning(
         demand=[JobDemand(snapshot.jobs[number], tasks) for number, tasks in unplaced.items()],
         machines=snapshot.machines,
         offers=offers,
         now=snapshot.now,
-        team_cpus=room,
+        team_cpus=free_cpus_by_team,
         **limit,
     )
-    spare = top_up(
-        missing_cpus=asked["missing_cpus"], offers=offers, fleet_size=asked["machines_in_all"]
+    headroom_requests = top_up(
+        missing_cpus=request["missing_cpus"], offers=offers, fleet_size=request["fleet_size"]
     )
     return {
-        "provisions": _provisions(for_all),
-        "provisions_for_unplaced": _provisions(for_unplaced),
-        "spare_provisions": _provisions(spare),
+        "provisions": _provisions(requests_for_all),
+        "provisions_for_unplaced": _provisions(requests_for_unplaced),
+        "spare_provisions": _provisions(headroom_requests),
     }
 
 
 def demand_peaks(history: Fields) -> Fields:
-    demand = DemandHistory(retention_s=history["memory_s"])
+    demand = DemandHistory(retention_s=history["retention_s"])
     for moment, cpus in history["samples"]:
         demand.record(now=moment, cpus=cpus)
     return {
         "peaks": [
-            demand.peak_cpus(now=history["asked_at"], window_s=window)
+            demand.peak_cpus(now=history["queried_at"], window_s=window)
             for window in history["windows_s"]
         ]
     }
@@ -246,18 +249,20 @@
 
 def surplus_machines(fleet: Fields) -> Fields:
     machines = {machine["name"]: _known_machine(machine) for machine in fleet["machines"]}
-    rare = {f"type-{number}" for number in fleet["rare_machine_types"]}
+    scarce = {f"type-{number}" for number in fleet["scarce_machine_types"]}
     policy = Policy(keep_s=60.0, headroom=1.25, ordinary_keep_s=120.0, ordinary_headroom=1.0)
     excess_capacity = ExcessCapacity(
         policy=policy,
         registry=cast(Any, SimpleNamespace(machines=machines)),
         types=MachineTypeLookup(machine_types=_catalog),
-        is_scarce_type=rare.__contains__,
+        is_scarce_type=scarce.__contains__,
     )
-    excess_capacity.demand.record(now=NOW - 90.0, cpus=1.5 * fleet["wanted_cpus"])
-    excess_capacity.demand.record(now=NOW, cpus=fleet["wanted_cpus"])
+    excess_capacity.demand.record(now=NOW - 90.0, cpus=1.5 * fleet["demand_cpus"])
+    excess_capacity.demand.record(now=NOW, cpus=fleet["demand_cpus"])
     excess_capacity.mark_scale_in_candidates(
-        now=NOW, initial_machines=frozenset(fleet["base"]), reserved=set(fleet["reserved"])
+        now=NOW,
+        initial_machines=frozenset(fleet["initial_machines"]),
+        reserved=set(fleet["reserved"]),
     )
     return {
         "missing_cpus": excess_capacity.missing_cpus(now=NOW),
--- a/tests/recorded/plans/generate.py
+++ b/tests/recorded/plans/generate.py
@@ -1,7 +1,7 @@
-"""Records the answers: `python -m tests.recorded.plans.generate` writes the data files again.
+"""Rewrites the recorded results: `python -m tests.recorded.plans.generate`.
 
-Only to be run on purpose, when a plan is meant to change; the commit says which and why.
-`tests/recorded/test_recorded_plans.py` compares the code's answers with the record.
+Run it only when a plan is meant to change; the commit says which and why.
+`tests/recorded/test_recorded_plans.py` compares the current results with the recorded ones.
 """
 
 from __future__ import annotations
@@ -14,32 +14,32 @@
 from tests.recorded.plans import adapter, inputs
 from tests.recorded.plans.inputs import Fields
 
-Record = dict[int, Fields]
+ResultsBySeed = dict[int, Fields]
 
 
 @dataclass(frozen=True, slots=True)
 class Suite:
-    """Cases of one kind: what the code answers to the input of each seed."""
+    """Cases of one function: its result for the input of each seed."""
 
     name: str
     seeds: range
-    ask: Callable[[int], Fields]
+    compute: Callable[[int], Fields]
 
     @property
     def path(self) -> Path:
         return Path(__file__).parent / f"{self.name}.json"
 
-    def answer(self, seed: int) -> Fields:
-        """As it is read back from JSON, which keeps floats exactly."""
-        answer: Fields = json.loads(json.dumps(self.ask(seed), allow_nan=False))
-        return answer
+    def result(self, seed: int) -> Fields:
+        """The result after a JSON round trip, which preserves floats exactly."""
+        result: Fields = json.loads(json.dumps(self.compute(seed), allow_nan=False))
+        return result
 
-    def recorded(self) -> Record:
-        return {int(seed): answer for seed, answer in json.loads(self.path.read_text()).items()}
+    def recorded(self) -> ResultsBySeed:
+        return {int(seed): result for seed, result in json.loads(self.path.read_text()).items()}
 
     def write(self) -> None:
         lines = [
-            f'"{seed}":' + json.dumps(self.answer(seed), separators=(",", ":"))
+            f'"{seed}":' + json.dumps(self.result(seed), separators=(",", ":"))
             for seed in self.seeds
         ]
         self.path.write_text("{\n" + ",\n".join(lines) + "\n}\n")
@@ -74,5 +74,5 @@
 
 
 if __name__ == "__main__":
-    for each in SUITES.values():
-        each.write()
+    for suite in SUITES.values():
+        suite.write()
--- a/tests/recorded/test_external_names.py
+++ b/tests/recorded/test_external_names.py
@@ -1,7 +1,7 @@
-"""Names that leave the process keep their spelling, letter for letter.
+"""Names visible outside the process keep their exact spelling.
 
-A rename in the code that reaches the wire, the stored data, the settings or the metrics breaks
-other versions that run beside this one, and operators' tools.
+Renaming one on the wire, in stored data, settings or metrics breaks controllers of other versions
+in the same cluster, and operators' tools.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 from tests.recorded.external_names import collect_names
 
-# One name a line, after its kind and a tab.
-LIST = Path(__file__).parent / "external_names.txt"
+# Each line holds a kind, a tab and a name.
+EXTERNAL_NAMES_FILE = Path(__file__).parent / "external_names.txt"
 
 
 @cache
 def listed_names() -> dict[str, set[str]]:
     names: defaultdict[str, set[str]] = defaultdict(set)
-    for line in LIST.read_text(encoding="utf-8").splitlines():
+    for line in EXTERNAL_NAMES_FILE.read_text(encoding="utf-8").splitlines():
         kind, name = line.split("\t")
         names[kind].add(name)
     return dict(names)
@@ -33,5 +33,5 @@
 
 
 @pytest.mark.parametrize("kind", sorted(listed_names()))
-def test_listed_names_still_leave_the_process_and_no_others(kind: str) -> None:
+def test_collected_names_equal_the_listed_ones(kind: str) -> None:
     assert sorted(collect_names()[kind]) == sorted(listed_names()[kind])
