--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,9 +1,8 @@
-"""Coroutine tests run on the fake clock.
+"""Runs coroutine tests on the fake clock.
 
-A test written as `async def test_x() -> None` is a scenario: `tests.fakes.clock.play` runs it on
-an event loop of its own, whose time passes at once whenever nothing is left to do. Fixtures and
-parameters are passed as to any other test. No plugin is needed, and none may be installed beside
-this: the first hook that returns a value runs the test.
+`tests.fakes.clock.play` runs each `async def test_x() -> None` on its own event loop, whose clock
+advances immediately whenever no callback is ready. Fixtures and parameters are passed as to any
+other test. Don't install an asyncio plugin: the first hook that returns a value runs the test.
 """
 
 from __future__ import annotations
@@ -17,7 +16,7 @@
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_pyfunc_call(pyfuncitem: pytest.Function) -> bool | None:
-    """Run a coroutine test to its end in simulated time; leave other tests to pytest."""
+    """Runs a coroutine test to its end in simulated time; leaves other tests to pytest."""
     test = pyfuncitem.obj
     if not inspect.iscoroutinefunction(test):
         return None
--- a/tests/controller/test_start.py
+++ b/tests/controller/test_start.py
@@ -1,4 +1,7 @@
-"""What a start costs decides how many leases run out when all controllers are down."""
+"""Start-up cost of a controller.
+
+It decides how many worker leases expire when all controllers are down.
+"""
 
 from __future__ import annotations
 
@@ -9,38 +12,38 @@
 ROOT = Path(__file__).resolve().parents[2]
 
 
-def run(code: str) -> str:
-    done = subprocess.run(
+def run_python(code: str) -> str:
+    process = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
     )
-    return done.stdout.strip()
+    return process.stdout.strip()
 
 
-def test_no_certificates_are_read_and_nothing_else_is_left_without_ssl() -> None:
+def test_start_loads_no_certificates_and_leaves_ssl_usable() -> None:
     code = """
 import ssl
-made = []
-real = ssl.SSLContext.__new__
-ssl.SSLContext.__new__ = lambda *a, **k: (made.append(a), real(*a, **k))[1]
+contexts = []
+original_new = ssl.SSLContext.__new__
+ssl.SSLContext.__new__ = lambda *a, **k: (contexts.append(a), original_new(*a, **k))[1]
 import spoolcourse.control.controller
 import urllib.request, sys
-print(len(made), hasattr(urllib.request, "HTTPSHandler"), sys.modules["ssl"] is ssl)
+print(len(contexts), hasattr(urllib.request, "HTTPSHandler"), sys.modules["ssl"] is ssl)
 """
-    assert run(code) == "0 True True"
+    assert run_python(code) == "0 True True"
 
 
-def test_what_only_operators_or_users_need_is_not_loaded() -> None:
+def test_start_does_not_import_packages_needed_only_for_operators_or_users() -> None:
     code = """
 import sys
 import spoolcourse.control.controller
-unwanted = {"prometheus_client", "certifi", "opentelemetry"}
-print(sorted({m.split(".")[0] for m in sys.modules} & unwanted))
+unneeded = {"prometheus_client", "certifi", "opentelemetry"}
+print(sorted({m.split(".")[0] for m in sys.modules} & unneeded))
 """
-    assert run(code) == "[]"
+    assert run_python(code) == "[]"
 
 
-def test_reads_are_small_enough_to_need_no_mapping_of_memory() -> None:
-    # Measured: with asyncio's 256 KiB, three more calls into the kernel for every heartbeat.
+def test_read_buffers_are_too_small_to_be_memory_mapped() -> None:
+    # asyncio's default of 256 KiB costs three more system calls per heartbeat.
     code = """
 import asyncio
 from spoolcourse.control.http_client import Response
@@ -55,4 +58,4 @@
     print(writer.transport.max_size)
 asyncio.run(main())
 """
-    assert 1024 <= int(run(code)) < 128 * 1024
+    assert 1024 <= int(run_python(code)) < 128 * 1024
--- a/tests/http/test_routes.py
+++ b/tests/http/test_routes.py
@@ -1,4 +1,4 @@
-"""Which handler a request's method and path lead to."""
+"""Routing of requests to handlers by method and path."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from spoolcourse.control.routes import ANY_METHOD, Route, Router
 
 
-def named(name: str) -> Handler:
+def handler_returning(name: str) -> Handler:
     return lambda request: Response(200, name)
 
 
 ROUTER = Router(
     [
-        Route("POST", "/report", named("report")),
-        Route(ANY_METHOD, "/health", named("health")),
-        Route(ANY_METHOD, "/jobs", named("jobs"), subtree=True),
-        Route("GET", "/tree", named("tree"), subtree=True),
+        Route("POST", "/report", handler_returning("report")),
+        Route(ANY_METHOD, "/health", handler_returning("health")),
+        Route(ANY_METHOD, "/jobs", handler_returning("jobs"), subtree=True),
+        Route("GET", "/tree", handler_returning("tree"), subtree=True),
     ]
 )
 NOT_FOUND = {"error": "no such resource"}
@@ -46,9 +46,7 @@
         ("GET", "", NOT_FOUND),
     ],
 )
-def test_a_request_is_answered_by_the_route_of_its_method_and_path(
-    method: str, path: str, expected: Any
-) -> None:
+def test_requests_are_routed_by_method_and_path(method: str, path: str, expected: Any) -> None:
     response = ROUTER.handle(Request(method, path))
     assert isinstance(response, Response)
     assert (response.status, response.data) == (404 if expected is NOT_FOUND else 200, expected)
--- a/tests/policy/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -1,4 +1,4 @@
-"""The operators' policy: what the checker lets through always has a usable value."""
+"""The operators' policy: a checked expression always evaluates to a value in its range."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from spoolcourse.policy.lang import Expression, Range, compile_expression
 from tests.test_cli import write_settings
 
-WIDE = Range(-1e12, 1e12)
+WIDE_RANGE = Range(-1e12, 1e12)
 
 
-def compiled(text: str) -> Expression:
-    found = compile_expression(text, INPUTS, WIDE)
-    assert isinstance(found, Expression), found
-    return found
+def compile_valid(text: str) -> Expression:
+    expression = compile_expression(text, INPUTS, WIDE_RANGE)
+    assert isinstance(expression, Expression), expression
+    return expression
 
 
 @pytest.mark.parametrize(
@@ -34,14 +34,14 @@
         ("machines / max(1, waiting_jobs)", 0.5),
     ],
 )
-def test_values(text: str, value: float) -> None:
+def test_expressions_evaluate_to_their_values(text: str, value: float) -> None:
     inputs = {name: r.low for name, r in INPUTS.items()}
     inputs |= {"load": 2.0, "waiting_jobs": 10.0, "machines": 5.0}
-    assert compiled(text).evaluate(inputs) == value
+    assert compile_valid(text).evaluate(inputs) == value
 
 
 @pytest.mark.parametrize(
-    ("text", "column", "word"),
+    ("text", "column", "reason"),
     [
         ("1 / load", 5, "zero"),
         ("1 / (machines - 3)", 6, "zero"),
@@ -59,22 +59,24 @@
         ("", 1, "cannot be read"),
     ],
 )
-def test_flaws(text: str, column: int, word: str) -> None:
-    found = compile_expression(text, INPUTS, WIDE)
-    assert not isinstance(found, Expression)
-    assert word in found[0].reason
-    assert found[0].column == column
+def test_invalid_expressions_are_rejected_with_column_and_reason(
+    text: str, column: int, reason: str
+) -> None:
+    errors = compile_expression(text, INPUTS, WIDE_RANGE)
+    assert not isinstance(errors, Expression)
+    assert reason in errors[0].reason
+    assert errors[0].column == column
 
 
 def test_a_checked_expression_never_raises_and_stays_in_its_range() -> None:
-    luck = random.Random(5)
+    rng = random.Random(5)
     names = list(INPUTS)
 
-    def grow(depth: int) -> str:
+    def random_expression(depth: int) -> str:
         if depth == 0:
-            return luck.choice([*names, "0", "0.5", "3", "-2"])
-        a, b = grow(depth - 1), grow(depth - 1)
-        return luck.choice(
+            return rng.choice([*names, "0", "0.5", "3", "-2"])
+        a, b = random_expression(depth - 1), random_expression(depth - 1)
+        return rng.choice(
             [
                 f"({a} + {b})",
                 f"({a} - {b})",
@@ -88,22 +90,22 @@
 
     checked = 0
     for _ in range(600):
-        found = compile_expression(grow(luck.randint(0, 4)), INPUTS, WIDE)
-        if not isinstance(found, Expression):
+        expression = compile_expression(random_expression(rng.randint(0, 4)), INPUTS, WIDE_RANGE)
+        if not isinstance(expression, Expression):
             continue
         checked += 1
         for _ in range(5):
-            inputs = {name: luck.choice([-1e18, 0.0, 1.0, 7.7, 1e18]) for name in names}
-            value = found.evaluate(inputs)
-            slack = 1e-6 * max(1.0, abs(found.range.low), abs(found.range.high))
-            assert found.range.low - slack <= value <= found.range.high + slack
+            inputs = {name: rng.choice([-1e18, 0.0, 1.0, 7.7, 1e18]) for name in names}
+            value = expression.evaluate(inputs)
+            tolerance = 1e-6 * max(1.0, abs(expression.range.low), abs(expression.range.high))
+            assert expression.range.low - tolerance <= value <= expression.range.high + tolerance
     assert checked > 100
 
 
 def test_all_problems_are_reported_at_once() -> None:
-    with pytest.raises(UserError) as caught:
+    with pytest.raises(UserError) as raised:
         check_policy({"headroom": "load", "pace": 1, "keep_s": True, "idle_boots": "1 /"}, "p.toml")
-    lines = str(caught.value).splitlines()
+    lines = str(raised.value).splitlines()
     assert len(lines) == 4
     for line, words in zip(
         lines,
@@ -115,7 +117,7 @@
         assert all(word in line for word in words), line
 
 
-def test_defaults_and_files(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_policy_files_and_defaults(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     policy = load_policy(None).initial()
     assert policy.pass_gap_s == 0.1
     assert policy.node_fetches == 2
@@ -126,7 +128,7 @@
     source.refresh(policy, dict.fromkeys(INPUTS, 100.0))
     assert policy.zone_fetches == 14
     assert policy.headroom == 2
-    assert policy.pass_gap_s == 2, "rounds widen with the load, up to a bound"
+    assert policy.pass_gap_s == 2, "the gap between passes grows with the load, up to a bound"
     config = write_settings(tmp_path / "s.json")
     for text in ("[policy]\nheadroom = 99\n", "x", "[other]\n", "policy = 3\n"):
         bad = tmp_path / "bad.toml"
--- a/tests/test_documented_names.py
+++ b/tests/test_documented_names.py
@@ -1,4 +1,4 @@
-"""Paths, classes, tests, other names and log lines that the documents name exist."""
+"""Paths, classes, tests, other names and log lines that the documents mention exist."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import pytest
 
-# Wherever this file lies below `tests`.
+# The nearest parent with pyproject.toml, so that this file can move within `tests`.
 ROOT = next(path for path in Path(__file__).parents if (path / "pyproject.toml").is_file())
 DOCUMENTS = (
     "CONTRIBUTING.md",
@@ -23,58 +23,66 @@
     "docs/standby.md",
     "docs/standby-operating.md",
 )
-WITH_FAILURES_TABLE = "docs/operating.md"
+FAILURES_TABLE_DOCUMENT = "docs/operating.md"
 
-# Names that are not this repository's own.
-STORED_KEY = re.compile(r"(live|fin)/[\w/]+")  # the keys' spelling: `store/keys.py`
+# Documented names that are not defined in this repository.
+STORED_KEY_PATTERN = re.compile(r"(live|fin)/[\w/]+")  # as spelled in `store/keys.py`
 BUILD_OUTPUT = {"target/deps", "target/app"}
-RULES_OF_THE_BENCH = {"nothing_ran", "wrong_place", "went_back"}
-MACHINE_TYPES_OF_A_SITE = {"goemon", "chaloupe", "thonier"}
-TOOLS = {"mypy", "strace"}
+BENCHMARK_RULES = {"nothing_ran", "wrong_place", "went_back"}
+SITE_MACHINE_TYPES = {"goemon", "chaloupe", "thonier"}
+EXTERNAL_TOOLS = {"mypy", "strace"}
 PROPOSED_PATHS = {"spoolcourse/agent"}  # design.md, "Room for agents"
-OUTSIDE = RULES_OF_THE_BENCH | MACHINE_TYPES_OF_A_SITE | TOOLS
-NOT_LOGGED = {"status 503"}  # in the reason that a log line gives
+EXEMPT_NAMES = BENCHMARK_RULES | SITE_MACHINE_TYPES | EXTERNAL_TOOLS
+NOT_LOGGED = {"status 503"}  # part of the reason in a log line
 PYTHON_VALUES = {"None", "True", "False"}
 
-BACKTICKED = re.compile(r"`([^`\n]+)`")
-PATH = re.compile(r"[\w.-]+(/[\w.-]+)+/?|[\w-]+\.(py|md|toml)|journal/")
-NAME = re.compile(r"(?:not )?(_?[A-Za-z]\w*)(?:\.(\w+))?(?:\(.*\))?")
-CLASS = re.compile(r"_?[A-Z]\w*[a-z]\w*")
-LOG_SAYS = re.compile(r"log\s+says\s+`([^`\n]+)`(?:, then `([^`\n]+)`)?")
+BACKTICKED_PATTERN = re.compile(r"`([^`\n]+)`")
+PATH_PATTERN = re.compile(r"[\w.-]+(/[\w.-]+)+/?|[\w-]+\.(py|md|toml)|journal/")
+NAME_PATTERN = re.compile(r"(?:not )?(_?[A-Za-z]\w*)(?:\.(\w+))?(?:\(.*\))?")
+CLASS_PATTERN = re.compile(r"_?[A-Z]\w*[a-z]\w*")
+LOG_LINE_PATTERN = re.compile(r"log\s+says\s+`([^`\n]+)`(?:, then `([^`\n]+)`)?")
 
 
 # -- the documents ----------------------------------------------------------------------------
 
 
 def documented(document: str) -> list[str]:
-    """What stands in backticks."""
-    return BACKTICKED.findall((ROOT / document).read_text())
+    """All text in backticks."""
+    return BACKTICKED_PATTERN.findall((ROOT / document).read_text())
 
 
 def documented_paths(document: str) -> list[str]:
-    """The paths among it, without stored keys and build output."""
+    """The paths in backticks, except stored keys and build output."""
     return [
         name
         for name in documented(document)
-        if PATH.fullmatch(name) and not STORED_KEY.fullmatch(name) and name not in BUILD_OUTPUT
+        if PATH_PATTERN.fullmatch(name)
+        and not STORED_KEY_PATTERN.fullmatch(name)
+        and name not in BUILD_OUTPUT
     ]
 
 
 def documented_names(document: str) -> list[tuple[str, str]]:
-    """The names among it, with the attribute that is named, or an empty string."""
-    matches = (NAME.fullmatch(name) for name in documented(document) if not PATH.fullmatch(name))
+    """The names in backticks, each with its attribute or an empty string."""
+    matches = (
+        NAME_PATTERN.fullmatch(name)
+        for name in documented(document)
+        if not PATH_PATTERN.fullmatch(name)
+    )
     return [(match[1], match[2] or "") for match in matches if match]
 
 
 def documented_log_lines() -> list[str]:
-    """The log lines that operators are told to look for."""
+    """The log lines that the documents tell operators to look for."""
     lines = []
     for document in DOCUMENTS:
-        for groups in LOG_SAYS.findall((ROOT / document).read_text()):
+        for groups in LOG_LINE_PATTERN.findall((ROOT / document).read_text()):
             lines += [line for line in groups if line]
-    text = (ROOT / WITH_FAILURES_TABLE).read_text().partition("## What failures look like")[2]
+    text = (ROOT / FAILURES_TABLE_DOCUMENT).read_text().partition("## What failures look like")[2]
     for row in re.findall(r"^\| .* \| (.*) \| .* \|$", text, re.MULTILINE):
-        lines += [line for line in BACKTICKED.findall(row) if " " in line or line.endswith(":")]
+        lines += [
+            line for line in BACKTICKED_PATTERN.findall(row) if " " in line or line.endswith(":")
+        ]
     return [line for line in lines if line not in NOT_LOGGED]
 
 
@@ -89,41 +97,44 @@
 
 @cache
 def repository_paths() -> tuple[Path, ...]:
-    """Files and directories that documents name, relative to the root."""
-    found = [*ROOT.glob("*"), *(ROOT / "docs").rglob("*"), *(ROOT / "deploy").rglob("*")]
-    found += [*(ROOT / "spoolcourse").rglob("*"), *(ROOT / "tests").rglob("*"), ROOT / ".ci/run"]
-    return tuple(path.relative_to(ROOT) for path in found)
+    """Files and directories that documents may mention, relative to the root."""
+    paths = [*ROOT.glob("*"), *(ROOT / "docs").rglob("*"), *(ROOT / "deploy").rglob("*")]
+    paths += [*(ROOT / "spoolcourse").rglob("*"), *(ROOT / "tests").rglob("*"), ROOT / ".ci/run"]
+    return tuple(path.relative_to(ROOT) for path in paths)
 
 
 def exists(name: str) -> bool:
-    """Whether some file or directory has this path, or ends with it."""
+    """Whether the path of some file or directory equals `name` or ends with it."""
     parts = Path(name).parts
     return any(path.parts[-len(parts) :] == parts for path in repository_paths())
 
 
 @cache
 def words() -> frozenset[str]:
-    """All words of the sources, settings and recorded interfaces, but for this file."""
-    found: set[str] = set()
+    """All words of the sources, settings and recorded interfaces, except this file."""
+    source_words: set[str] = set()
     for pattern in ("spoolcourse/**/*.py", "tests/**/*.py", "tests/**/*.json", "*.toml", "*.py"):
         for path in ROOT.glob(pattern):
             if path != Path(__file__):
-                found.update(re.findall(r"\w+", path.read_text()))
-    return frozenset(found | {path.stem for path in repository_paths()})
+                source_words.update(re.findall(r"\w+", path.read_text()))
+    return frozenset(source_words | {path.stem for path in repository_paths()})
 
 
 @cache
 def functions() -> frozenset[str]:
     """The names of all functions."""
-    kinds = (ast.FunctionDef, ast.AsyncFunctionDef)
+    function_types = (ast.FunctionDef, ast.AsyncFunctionDef)
     return frozenset(
-        node.name for tree in sources() for node in ast.walk(tree) if isinstance(node, kinds)
+        node.name
+        for tree in sources()
+        for node in ast.walk(tree)
+        if isinstance(node, function_types)
     )
 
 
 @cache
 def classes() -> dict[str, set[str]]:
-    """The members of each class, those of its bases included."""
+    """The members of each class, including those of its direct bases."""
     own: defaultdict[str, set[str]] = defaultdict(set)
     bases: defaultdict[str, set[str]] = defaultdict(set)
     for tree in sources():
@@ -136,25 +147,25 @@
 
 def members(node: ast.ClassDef) -> set[str]:
     """Methods, fields, and attributes that methods set."""
-    found: set[str] = set()
+    names: set[str] = set()
     for inner in ast.walk(node):
         match inner:
             case ast.FunctionDef(name=name) | ast.AsyncFunctionDef(name=name):
-                found.add(name)
+                names.add(name)
             case ast.AnnAssign(target=ast.Name(id=name)):
-                found.add(name)
+                names.add(name)
             case ast.Name(id=name, ctx=ast.Store()):
-                found.add(name)
+                names.add(name)
             case ast.Attribute(value=ast.Name(id="self"), attr=name, ctx=ast.Store()):
-                found.add(name)
-    return found
+                names.add(name)
+    return names
 
 
 @cache
 def log_formats() -> frozenset[str]:
-    """What the program logs, each value as `%`."""
+    """The format strings of all log calls, with each placeholder as `%`."""
     levels = ("debug", "info", "warning", "error", "exception")
-    found = set()
+    formats = set()
     for tree in sources():
         for node in ast.walk(tree):
             match node:
@@ -162,43 +173,43 @@
                     func=ast.Attribute(value=ast.Name(id="log"), attr=level),
                     args=[ast.Constant(value=str(text)), *_],
                 ) if level in levels:
-                    found.add(re.sub(r"%[.\d]*[a-z]", "%", text))
-    return frozenset(found)
+                    formats.add(re.sub(r"%[.\d]*[a-z]", "%", text))
+    return frozenset(formats)
 
 
 @cache
 def deletion_reasons() -> frozenset[str]:
-    """The values of `DeletionReason`, as the log shows them."""
+    """The values of `DeletionReason`, as logged."""
     nodes = [node for tree in sources() for node in ast.walk(tree)]
-    [reasons] = [n for n in nodes if isinstance(n, ast.ClassDef) and n.name == "DeletionReason"]
+    [reason_enum] = [n for n in nodes if isinstance(n, ast.ClassDef) and n.name == "DeletionReason"]
     return frozenset(
         n.value
-        for n in ast.walk(reasons)
+        for n in ast.walk(reason_enum)
         if isinstance(n, ast.Constant) and isinstance(n.value, str)
     )
 
 
 def is_logged(line: str) -> bool:
-    """Whether a log line begins like this; values stand as `=N`, or as `...` at the end."""
+    """Whether a log line starts with `line`, where `=N` or a final `...` replaces a value."""
     if line.startswith("reason="):
         return line.removeprefix("reason=") in deletion_reasons()
-    begin = re.sub(r"=\w+", "=%", line.removesuffix(" ..."))
-    return any(text.startswith(begin) for text in log_formats())
+    prefix = re.sub(r"=\w+", "=%", line.removesuffix(" ..."))
+    return any(text.startswith(prefix) for text in log_formats())
 
 
 # -- the checks -------------------------------------------------------------------------------
 
 
 def unknown_names(names: list[tuple[str, str]]) -> list[str]:
-    """Tests, classes with their members, and other names that do not exist."""
+    """The tests, classes, members and other names that do not exist."""
     unknown = []
     for name, attribute in names:
         if name.startswith("test_"):
             is_known = name in functions()
-        elif CLASS.fullmatch(name) and name not in PYTHON_VALUES:
+        elif CLASS_PATTERN.fullmatch(name) and name not in PYTHON_VALUES:
             is_known = name in classes() and (not attribute or attribute in classes()[name])
         else:
-            is_known = {name, attribute or name} <= words() | OUTSIDE | PYTHON_VALUES
+            is_known = {name, attribute or name} <= words() | EXEMPT_NAMES | PYTHON_VALUES
         if not is_known:
             unknown.append(f"{name}.{attribute}" if attribute else name)
     return unknown
@@ -221,23 +232,23 @@
     assert [line for line in lines if not is_logged(line)] == []
 
 
-def test_every_exception_is_needed() -> None:
+def test_every_exempt_name_is_documented() -> None:
     named = {name for document in DOCUMENTS for name in documented(document)}
-    allowed = BUILD_OUTPUT | OUTSIDE | PROPOSED_PATHS | NOT_LOGGED
-    assert allowed <= named
+    exempt = BUILD_OUTPUT | EXEMPT_NAMES | PROPOSED_PATHS | NOT_LOGGED
+    assert exempt <= named
     assert not any(exists(path) for path in BUILD_OUTPUT | PROPOSED_PATHS)
 
 
-def test_the_checks_find_what_does_not_exist() -> None:
+def test_checks_report_names_that_do_not_exist() -> None:
     assert not exists("jobs/no_such_module.py")
-    assert not exists("store/job_queue.py")  # it lies elsewhere
-    wrong = [
+    assert not exists("store/job_queue.py")  # the module is in another package
+    unknown = [
         ("test_no_such_" + "test", ""),
         ("NoSuch" + "Class", ""),
         ("JobQueue", "no_such_member"),
         ("no_such_" + "name", ""),
     ]
-    assert len(unknown_names(wrong)) == len(wrong)
+    assert len(unknown_names(unknown)) == len(unknown)
     assert not is_logged("returned: it is silent")
     assert not is_logged("reason=it is silent")
     assert len(documented_paths("docs/architecture.md")) > 15
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -1,4 +1,4 @@
-"""The protocol's spelling stays in `wire/` and in the codec of stored records."""
+"""Protocol spellings occur only in `wire/` and in the codec of stored records."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 import tokenize
 from pathlib import Path
 
-ROOT = Path(__file__).parent.parent / "spoolcourse"
-SPELLINGS = frozenset(
+SOURCE_DIRECTORY = Path(__file__).parent.parent / "spoolcourse"
+PROTOCOL_SPELLINGS = frozenset(
     [
         "lane",
         "crew",
@@ -53,30 +53,30 @@
         "standing",
     ]
 )
-SPELLED_HERE = ("wire/", "control/store/records.py")
-# Operators' tools know the fields of a waiting job's row.
-OPERATORS_ROWS = {"control/status.py": {"lane", "crew", "pieces"}}
+PROTOCOL_MODULES = ("wire/", "control/store/records.py")
+# Operators' tools read these fields of a pending job's row in `/status`.
+STATUS_ROW_FIELDS = {"control/status.py": {"lane", "crew", "pieces"}}
 
 
-def names_and_words(source: str) -> set[str]:
-    """Names, and strings that are a single word: keys of messages would be such strings."""
-    found = set()
+def names_and_strings(source: str) -> set[str]:
+    """Names and whole string literals; a message key would occur as such a literal."""
+    names = set()
     for token in tokenize.generate_tokens(io.StringIO(source).readline):
         if token.type == tokenize.NAME:
-            found.add(token.string.strip("_"))
+            names.add(token.string.strip("_"))
         elif token.type == tokenize.STRING:
-            found.add(token.string.strip("\"'"))
-    return found
+            names.add(token.string.strip("\"'"))
+    return names
 
 
-def test_no_protocol_spelling_outside_the_messages_and_the_record_codec() -> None:
-    assert {"baton", "piece"} <= names_and_words('{"baton": 1, **{"piece": x}}')
+def test_protocol_spellings_occur_only_in_wire_and_the_record_codec() -> None:
+    assert {"baton", "piece"} <= names_and_strings('{"baton": 1, **{"piece": x}}')
     checked = 0
-    for path in ROOT.rglob("*.py"):
-        name = path.relative_to(ROOT).as_posix()
-        if name.startswith(SPELLED_HERE):
+    for path in SOURCE_DIRECTORY.rglob("*.py"):
+        name = path.relative_to(SOURCE_DIRECTORY).as_posix()
+        if name.startswith(PROTOCOL_MODULES):
             continue
-        spelled = names_and_words(path.read_text()) & SPELLINGS
-        assert spelled <= OPERATORS_ROWS.get(name, set()), name
+        forbidden = names_and_strings(path.read_text()) & PROTOCOL_SPELLINGS
+        assert forbidden <= STATUS_ROW_FIELDS.get(name, set()), name
         checked += 1
     assert checked > 40
--- a/tests/wire/test_standby_settings.py
+++ b/tests/wire/test_standby_settings.py
@@ -1,4 +1,4 @@
-"""The file that turns the warm standby on is checked before anything starts."""
+"""The settings file of the warm standby is validated before the controller starts."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from spoolcourse.errors import UserError
 from spoolcourse.wire.standby_settings import OFF, load_standby, parse_standby
 
-DEPLOYED = Path(__file__).resolve().parents[2] / "deploy" / "standby.toml"
+DEPLOYED_FILE = Path(__file__).resolve().parents[2] / "deploy" / "standby.toml"
 
 
-def test_the_deployed_file_turns_the_standby_on_and_without_a_file_it_is_off() -> None:
-    assert load_standby(str(DEPLOYED)).enabled
+def test_the_deployed_file_enables_the_standby_and_the_default_is_off() -> None:
+    assert load_standby(str(DEPLOYED_FILE)).enabled
     assert load_standby(None) is OFF
     assert not parse_standby("[standby]\n", "f").enabled
 
