--- a/spoolcourse/control/autoscaling/planner.py
+++ b/spoolcourse/control/autoscaling/planner.py
@@ -173,7 +173,7 @@
         zone_tasks_left = allowance.tasks_left(offer.zone)
         if not job.runs_on(offer.machine_type, offer.spot) or zone_tasks_left < 1:
             continue
-        if not offer.spot and job.spot_allowed and now < job.ordinary_machines_from:
+        if not offer.spot and job.spot_allowed and now < job.on_demand_from:
             continue
         tasks_on_machine = min(task_count, _tasks_per_machine(job, offer), zone_tasks_left)
         if tasks_on_machine < 1:
--- a/spoolcourse/control/placement/model.py
+++ b/spoolcourse/control/placement/model.py
@@ -134,7 +134,7 @@
     within_guarantee: bool = False  # the job fits into its team's guarantee
     replicas_by_machine: dict[int, int] = msgspec.field(default_factory=dict)  # of a service
     is_service: bool = False
-    ordinary_machines_from: float = 0.0  # when on-demand machines may be provisioned
+    on_demand_from: float = 0.0  # when on-demand machines may be provisioned
 
     def runs_on(self, machine_type: int, spot: bool) -> bool:
         """Whether the job may run on spot or on-demand machines of this type."""
--- a/spoolcourse/control/scheduling/job_views.py
+++ b/spoolcourse/control/scheduling/job_views.py
@@ -97,7 +97,7 @@
             rank=submission.rank_number,
             within_guarantee=within_guarantee,
             may_preempt=within_guarantee or self._is_latency_sensitive(submission),
-            ordinary_machines_from=self._on_demand_from(job_state, context.boot_s),
+            on_demand_from=self._on_demand_from(job_state, context.boot_s),
             is_service=submission.is_service,
         )
         if submission.is_service:
--- a/tests/autoscaling/test_scale_out_planning.py
+++ b/tests/autoscaling/test_scale_out_planning.py
@@ -16,33 +16,31 @@
 def test_renting_takes_the_cheapest_and_counts_what_is_on_its_way() -> None:
     offers = [offer(0.3, True), offer(1.0, False)]
     provisions = plan_provisioning(
-        [JobDemand(job(8, 2.0, ordinary_machines_from=0.0), 8)], [], offers, 100.0, [1000.0]
+        [JobDemand(job(8, 2.0, on_demand_from=0.0), 8)], [], offers, 100.0, [1000.0]
     )
     assert [(r.offer.spot, r.count) for r in provisions] == [(True, 2)]
     booting = [machine(ready_at=110.0)]
     provisions = plan_provisioning(
-        [JobDemand(job(8, 2.0, ordinary_machines_from=0.0), 8)], booting, offers, 100.0, [1000.0]
+        [JobDemand(job(8, 2.0, on_demand_from=0.0), 8)], booting, offers, 100.0, [1000.0]
     )
     assert [r.count for r in provisions] == [1]
     # Ordinary machines are asked for once a job has waited for spot ones.
     only = [offer(1.0, False)]
     assert (
-        plan_provisioning(
-            [JobDemand(job(1, ordinary_machines_from=110.0), 1)], [], only, 100.0, [1000.0]
-        )
+        plan_provisioning([JobDemand(job(1, on_demand_from=110.0), 1)], [], only, 100.0, [1000.0])
         == []
     )
     assert (
         len(
             plan_provisioning(
-                [JobDemand(job(1, ordinary_machines_from=90.0), 1)], [], only, 100.0, [1000.0]
+                [JobDemand(job(1, on_demand_from=90.0), 1)], [], only, 100.0, [1000.0]
             )
         )
         == 1
     )
     # Never more than the team may use.
     provisions = plan_provisioning(
-        [JobDemand(job(8, 2.0, ordinary_machines_from=0.0), 8)], [], offers, 100.0, [4.0]
+        [JobDemand(job(8, 2.0, on_demand_from=0.0), 8)], [], offers, 100.0, [4.0]
     )
     assert [r.count for r in provisions] == [1]
 
@@ -58,24 +56,20 @@
         found = plan_provisioning([JobDemand(wanted, 2)], list(machines), offers, 100.0, [1000.0])
         return sum(r.count for r in found)
 
-    plain = job(2, 4.0, ordinary_machines_from=0.0)
+    plain = job(2, 4.0, on_demand_from=0.0)
     assert rented(plain, ending()) == 0, "it waits for room that frees up by itself"
-    assert rented(job(2, 4.0, ordinary_machines_from=0.0, spot_allowed=False), ending()) == 1
-    assert (
-        rented(job(2, 4.0, ordinary_machines_from=0.0, spot_allowed=False), ending(spot=False)) == 0
-    )
-    assert rented(job(2, 4.0, ordinary_machines_from=0.0, zone=0), ending(zone=1)) == 1
+    assert rented(job(2, 4.0, on_demand_from=0.0, spot_allowed=False), ending()) == 1
+    assert rented(job(2, 4.0, on_demand_from=0.0, spot_allowed=False), ending(spot=False)) == 0
+    assert rented(job(2, 4.0, on_demand_from=0.0, zone=0), ending(zone=1)) == 1
     assert (
         rented(
-            job(2, 4.0, ordinary_machines_from=0.0, max_tasks_per_zone=1, tasks_by_zone={1: 1}),
+            job(2, 4.0, on_demand_from=0.0, max_tasks_per_zone=1, tasks_by_zone={1: 1}),
             ending(zone=1),
         )
         == 1
     )
-    assert (
-        rented(job(2, 4.0, ordinary_machines_from=0.0, machine_types=frozenset({0})), ending()) == 0
-    )
-    assert rented(job(2, 12.0, ordinary_machines_from=0.0), ending(), ending()) == 2, "too small"
+    assert rented(job(2, 4.0, on_demand_from=0.0, machine_types=frozenset({0})), ending()) == 0
+    assert rented(job(2, 12.0, on_demand_from=0.0), ending(), ending()) == 2, "too small"
 
 
 def test_headroom_is_filled_with_cheap_spot_machines_only() -> None:
@@ -89,7 +83,7 @@
     # Two of a spread job's four pieces run in zone 0; what it lacks can't be started there, so
     # machines there would be rented and returned forever.
     here, there = offer(0.5, False), Offer(0, 1, False, 8.0, 0.0, 64.0, 1.0, 20.0)
-    spread = job(2, max_tasks_per_zone=2, tasks_by_zone={0: 2}, ordinary_machines_from=0.0)
+    spread = job(2, max_tasks_per_zone=2, tasks_by_zone={0: 2}, on_demand_from=0.0)
     provisions = plan_provisioning([JobDemand(spread, 2)], [], [here, there], 100.0, [1000.0])
     assert [(r.offer.zone, r.count) for r in provisions] == [(1, 1)]
     assert plan_provisioning([JobDemand(spread, 2)], [], [here], 100.0, [1000.0]) == []
@@ -98,7 +92,7 @@
         r.offer.zone
         for r in plan_provisioning([JobDemand(spread, 2)], coming, [there], 100.0, [99.0])
     ] == [1]
-    one = job(8, 2.0, one_zone=True, ordinary_machines_from=0.0)
+    one = job(8, 2.0, one_zone=True, on_demand_from=0.0)
     provisions = plan_provisioning([JobDemand(one, 8)], [], [here, there], 100.0, [1000.0])
     assert [(r.offer.zone, r.count) for r in provisions] == [(0, 2)]
 
--- a/tests/recorded/plans/adapter.py
+++ b/tests/recorded/plans/adapter.py
@@ -98,7 +98,7 @@
         within_guarantee=job["within_guarantee"],
         replicas_by_machine=dict(job["replicas_by_machine"]),
         is_service=job["service"],
-        ordinary_machines_from=job["ordinary_machines_from"],
+        on_demand_from=job["ordinary_machines_from"],
     )
 
 
--- a/tests/scheduling/test_ordinary_machines.py
+++ b/tests/scheduling/test_ordinary_machines.py
@@ -25,7 +25,7 @@
     world = RegistryHarness(**fields)
     policy = check_policy({}, "test").initial()
     builder = SnapshotBuilder(world.job_queue, world.registry, params, policy)
-    return builder.build_snapshot(world.now, CATALOG).jobs[0].ordinary_machines_from - world.now
+    return builder.build_snapshot(world.now, CATALOG).jobs[0].on_demand_from - world.now
 
 
 def test_without_a_deadline_the_strictest_objective_of_the_class_counts() -> None:
