--- a/spoolcourse/control/failover/shadow_job_queue.py
+++ b/spoolcourse/control/failover/shadow_job_queue.py
@@ -159,7 +159,7 @@
         self._update_finished(job_state)
 
     def _update_finished(self, job_state: JobState) -> None:
-        if job_state.finished:
+        if job_state.is_finished:
             self._job_queue.queue_final_state_if_finished(job_state)
         else:
             self._job_queue.pending_final_states.pop(job_state.id, None)
--- a/spoolcourse/control/jobs/job_queue.py
+++ b/spoolcourse/control/jobs/job_queue.py
@@ -182,7 +182,7 @@
 
     def queue_final_state_if_finished(self, job_state: JobState) -> None:
         """Queue the final state for writing if the job is finished."""
-        if job_state.finished and not job_state.final_state_persisted:
+        if job_state.is_finished and not job_state.final_state_persisted:
             self.pending_final_states[job_state.id] = job_state
             self._notify_write_listeners()
 
--- a/spoolcourse/control/jobs/model.py
+++ b/spoolcourse/control/jobs/model.py
@@ -175,7 +175,7 @@
         return total
 
     @property
-    def finished(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether only the final state is left to be written."""
         if self.record.cancelled:
             return not self.attempts
--- a/spoolcourse/control/jobs/progress_writer.py
+++ b/spoolcourse/control/jobs/progress_writer.py
@@ -163,7 +163,7 @@
         """Return the job whose final state is next; drop jobs that no longer need one."""
         pending = self._job_queue.pending_final_states
         for job_state in list(pending.values()):
-            if job_state.finished and self._job_queue.jobs.get(job_state.id) is job_state:
+            if job_state.is_finished and self._job_queue.jobs.get(job_state.id) is job_state:
                 return job_state
             pending.pop(job_state.id, None)
         return None
--- a/tests/jobs/test_progress_writer.py
+++ b/tests/jobs/test_progress_writer.py
@@ -193,7 +193,7 @@
     )
     write = prepare_final_state(job_state, 4, {TERM_KEY: 7})
     keys = [progress_key(job_state.id, index) for index in range(4)]
-    assert job_state.finished
+    assert job_state.is_finished
     assert write.final_state.key == final_key(job_state.id)
     assert write.final_state.value["stage"] == "done"
     assert write.final_state.value["done"] == 64
--- a/tests/scenarios/test_services.py
+++ b/tests/scenarios/test_services.py
@@ -87,7 +87,7 @@
         harness.heartbeat(on(0, number, stage="ended", cause=cause))
         assert harness.job_state.done_count == 0
         assert harness.job_state.pending_count == 2
-        assert not harness.job_state.finished
+        assert not harness.job_state.is_finished
         backoffs_s.append(harness.job_state.backoff_until - harness.now)
         harness.save()
         harness.heartbeat()
--- a/tests/scheduling/test_snapshot_cache.py
+++ b/tests/scheduling/test_snapshot_cache.py
@@ -110,7 +110,7 @@
     harness.heartbeat(on())
     other = on(stage="ended", number=9, cause="done")
     harness.heartbeat(other, spindle="m-2", address="m-2:9")
-    assert harness.job_state.finished
+    assert harness.job_state.is_finished
     before = snapshot_builder(harness.job_queue, harness.registry).build_snapshot(
         harness.now, MACHINE_TYPES
     )
