--- a/spoolcourse/control/failover/comparison.py
+++ b/spoolcourse/control/failover/comparison.py
@@ -55,7 +55,7 @@
         "chunks": (_chunks(left), _chunks(right)),
         "attempts": (_attempts(left), _attempts(right)),
         "tasks done": (left.done_count, right.done_count),
-        "requeued tasks": (left.requeued, right.requeued),
+        "requeued tasks": (left.requeued_tasks, right.requeued_tasks),
         "first unassigned task": (left.first_unassigned, right.first_unassigned),
         "most held tasks per chunk": (left.max_held_per_chunk, right.max_held_per_chunk),
     }
--- a/spoolcourse/control/jobs/job_queue.py
+++ b/spoolcourse/control/jobs/job_queue.py
@@ -118,7 +118,7 @@
         version = self._add_pending_write(chunk)
         attempt = Attempt(job_state, task, number, machine, version, now)
         job_state.attempts[task] = attempt
-        job_state.requeued.discard(task)
+        job_state.requeued_tasks.discard(task)
         return attempt
 
     def adopt(
@@ -132,7 +132,7 @@
             version = self._add_pending_write(chunk)
         attempt = Attempt(job_state, task, number, machine, version, now, stage=AttemptStage.OPEN)
         job_state.attempts[task] = attempt
-        job_state.requeued.discard(task)
+        job_state.requeued_tasks.discard(task)
         return attempt
 
     def drop(self, attempt: Attempt) -> None:
@@ -148,7 +148,7 @@
         chunk.progress.held.pop(attempt.task, None)
         self._add_pending_write(chunk)
         if not job_state.is_done(attempt.task):
-            job_state.requeued.add(attempt.task)
+            job_state.requeued_tasks.add(attempt.task)
         self.queue_final_state_if_finished(job_state)
 
     def complete(self, job_state: JobState, task: int) -> None:
@@ -162,7 +162,7 @@
         chunk = job_state.chunk(task)
         chunk.progress.done |= 1 << (task % job_state.record.tasks_per_chunk)
         job_state.done_count += 1
-        job_state.requeued.discard(task)
+        job_state.requeued_tasks.discard(task)
         self._add_pending_write(chunk)
         self.queue_final_state_if_finished(job_state)
 
--- a/spoolcourse/control/jobs/model.py
+++ b/spoolcourse/control/jobs/model.py
@@ -121,7 +121,7 @@
     chunks: dict[int, Chunk] = field(default_factory=dict)
     attempts: dict[int, Attempt] = field(default_factory=dict)
     done_count: int = 0
-    requeued: set[int] = field(default_factory=set)  # tasks whose attempt was dropped
+    requeued_tasks: set[int] = field(default_factory=set)  # tasks whose attempt was dropped
     first_unassigned: int = 0  # from here on, tasks neither held nor done were never assigned
     backoff_until: float = 0.0  # no task is placed before this time
     consecutive_failures: int = 0  # attempts in a row that ended in error
@@ -211,10 +211,10 @@
                 yield task
 
     def _pending_tasks(self) -> Iterator[int]:
-        yield from sorted(t for t in self.requeued if t not in self.attempts)
+        yield from sorted(t for t in self.requeued_tasks if t not in self.attempts)
         task = self.first_unassigned
         while task < self.record.submission.task_count:
-            if task not in self.attempts and task not in self.requeued:
+            if task not in self.attempts and task not in self.requeued_tasks:
                 if not self.is_done(task):
                     yield task
                 elif task == self.first_unassigned:
