--- a/spoolcourse/control/failover/shadow_job_queue.py
+++ b/spoolcourse/control/failover/shadow_job_queue.py
@@ -89,7 +89,7 @@
         for job_state in self._job_queue.jobs.values():
             job_state.cancelled_known_at = now
             for attempt in job_state.attempts.values():
-                attempt.since = now
+                attempt.stage_since = now
         leftover_keys = [
             progress_key(job, index)
             for job, chunks in self._orphaned_chunks.items()
--- a/spoolcourse/control/jobs/model.py
+++ b/spoolcourse/control/jobs/model.py
@@ -44,7 +44,7 @@
     number: int
     machine: str
     chunk_version: int  # version of its chunk when the attempt was added
-    since: float  # when `stage` began, in seconds of the monotonic clock
+    stage_since: float  # when `stage` began, in seconds of the monotonic clock
     stage: AttemptStage = AttemptStage.ASSIGNED
     start_sent_with: HeartbeatId | None = None  # the heartbeat whose response carried the start
     sent_directly: bool = False  # the start was also sent to the machine's address
--- a/spoolcourse/control/scheduling/snapshot_cache.py
+++ b/spoolcourse/control/scheduling/snapshot_cache.py
@@ -194,16 +194,16 @@
             stopping=attempt.stopping,
             within_guarantee=attempt.exempt_from_preemption
             or attempt.job_state.id in self._within_guarantee,
-            unsaved_since=attempt.since if is_executing and not has_checkpoints else None,
+            unsaved_since=attempt.stage_since if is_executing and not has_checkpoints else None,
         )
 
     def _expected_end(self, attempt: Attempt, now: float, fetch_s: float) -> tuple[float, bool]:
         """Return the expected end, and whether it stays the same as time passes."""
         estimate_s = run_estimate_s(attempt.job_state, self._policy)
-        elapsed_s = now - attempt.since
+        elapsed_s = now - attempt.stage_since
         if attempt.is_executing:
             if elapsed_s < estimate_s:
-                return attempt.since + estimate_s, True
+                return attempt.stage_since + estimate_s, True
             # A task that overran its estimate is expected to need another half of its elapsed
             # time. Otherwise it would be expected to end at any moment and delay the head forever.
             return now + elapsed_s * OVERRUN_REMAINING_FRACTION + MIN_OVERRUN_REMAINING_S, False
--- a/spoolcourse/control/scheduling/termination_notices.py
+++ b/spoolcourse/control/scheduling/termination_notices.py
@@ -57,7 +57,9 @@
             return self._must_move(attempt, remaining_s)
         if submission.checkpoint_every_s > 0:
             return remaining_s < submission.checkpoint_cost_s + self._stop_lead_s
-        ran_s = self._clock() - attempt.since if attempt.stage is AttemptStage.RUNNING else 0.0
+        ran_s = (
+            self._clock() - attempt.stage_since if attempt.stage is AttemptStage.RUNNING else 0.0
+        )
         needed_s = run_estimate_s(attempt.job_state, self._policy) - ran_s
         return needed_s > MAX_NEEDED_TIME_RATIO * remaining_s
 
--- a/spoolcourse/control/workers/reconciliation.py
+++ b/spoolcourse/control/workers/reconciliation.py
@@ -95,13 +95,13 @@
                 attempt.number,
                 machine.id,
             )
-            attempt.stage, attempt.since = stage, now
+            attempt.stage, attempt.stage_since = stage, now
             machine.change_count += 1
         if attempt.is_executing:
             job_state = attempt.job_state
             self._record_cached_image(machine, job_state.record.submission)
             machine.failed_jobs.discard(job_state.id)
-            is_healthy = now - attempt.since > HEALTHY_REPLICA_S
+            is_healthy = now - attempt.stage_since > HEALTHY_REPLICA_S
             if (
                 job_state.record.submission.is_service
                 and job_state.consecutive_failures
