--- a/spoolcourse/control/jobs/model.py
+++ b/spoolcourse/control/jobs/model.py
@@ -46,7 +46,7 @@
     chunk_version: int  # version of its chunk when the attempt was added
     stage_since: float  # when `stage` began, in seconds of the monotonic clock
     stage: AttemptStage = AttemptStage.ASSIGNED
-    start_sent_with: HeartbeatId | None = None  # the heartbeat whose response carried the start
+    start_heartbeat_id: HeartbeatId | None = None  # the heartbeat whose response carried the start
     sent_directly: bool = False  # the start was also sent to the machine's address
     in_flight_incarnation: int | None = None  # which the direct start may still reach
     # Placed ahead of its rank so that its job begins; it is not preempted.
@@ -69,7 +69,7 @@
         """Whether no start was sent that has arrived or may still arrive."""
         return (
             self.stage is AttemptStage.ASSIGNED
-            and self.start_sent_with is None
+            and self.start_heartbeat_id is None
             and self.in_flight_incarnation is None
         )
 
--- a/spoolcourse/control/workers/command_builder.py
+++ b/spoolcourse/control/workers/command_builder.py
@@ -96,7 +96,7 @@
             if len(commands) >= MAX_COMMANDS_PER_MESSAGE:
                 return
             if attempt.stage is AttemptStage.ASSIGNED and _is_startable(attempt):
-                attempt.start_sent_with = HeartbeatId(heartbeat.incarnation, heartbeat.sequence)
+                attempt.start_heartbeat_id = HeartbeatId(heartbeat.incarnation, heartbeat.sequence)
                 self._leader.record_phase(FailoverPhase.FIRST_START)
                 commands.append(Start(attempt.name, attempt.number))
 
--- a/spoolcourse/control/workers/reconciliation.py
+++ b/spoolcourse/control/workers/reconciliation.py
@@ -209,10 +209,10 @@
             )
             self._machines.release_attempt(attempt)
             return
-        sent_with = attempt.start_sent_with
+        sent_with = attempt.start_heartbeat_id
         if sent_with is not None and sent_with >= (heartbeat.incarnation, heartbeat.sequence):
             return
-        attempt.start_sent_with = None  # that start did not arrive and no longer can
+        attempt.start_heartbeat_id = None  # that start did not arrive and no longer can
         unwanted = attempt.job_state.record.cancelled or attempt.stopping or machine.is_unresponsive
         if unwanted and attempt.in_flight_incarnation is None:
             self._machines.release_attempt(attempt)
@@ -220,7 +220,7 @@
 
 def _is_start_unconfirmed(attempt: Attempt) -> bool:
     """Whether an answer carried the start, so that the next heartbeat should list the attempt."""
-    return attempt.stage is AttemptStage.ASSIGNED and attempt.start_sent_with is not None
+    return attempt.stage is AttemptStage.ASSIGNED and attempt.start_heartbeat_id is not None
 
 
 def _is_wanted(job_state: JobState, task: int) -> bool:
--- a/tests/workers/test_worker_registry.py
+++ b/tests/workers/test_worker_registry.py
@@ -32,7 +32,7 @@
     assert harness.heartbeat() == [START]
     assert harness.heartbeat(tick=1) is None, "a late copy"
     harness.sequence -= 1
-    assert attempt.start_sent_with == (1, 2)
+    assert attempt.start_heartbeat_id == (1, 2)
     assert harness.heartbeat() == [START], "a newer heartbeat without it: it never arrived"
     assert harness.heartbeat(on()) == []
     assert attempt.stage is AttemptStage.RUNNING
