--- a/spoolcourse/control/jobs/job_index.py
+++ b/spoolcourse/control/jobs/job_index.py
@@ -49,7 +49,7 @@
             job, chunk = parse_progress_key(key)
             self._apply_progress(job, chunk, value)
         elif key.startswith(FINAL_PREFIX) and value is not None:
-            self.remember_final(key[len(FINAL_PREFIX) :], FinalState.from_value(value))
+            self.cache_final_state(key[len(FINAL_PREFIX) :], FinalState.from_value(value))
 
     def _apply_record(self, job: str, value: dict[str, Any] | None, revision: int) -> None:
         if value is None:
@@ -79,7 +79,7 @@
                 job_key(cancellation.job), cancelled.value(), cancellation.revision
             )
 
-    def remember_final(self, job: str, final_state: FinalState) -> None:
+    def cache_final_state(self, job: str, final_state: FinalState) -> None:
         """Cache the final state of a job; the oldest ones are evicted."""
         self._final_states[job] = final_state
         self._final_states.move_to_end(job)
--- a/spoolcourse/control/jobs/job_records.py
+++ b/spoolcourse/control/jobs/job_records.py
@@ -58,7 +58,7 @@
         if entry is None:
             return None
         final_state = FinalState.from_value(entry.value)
-        self._job_index.remember_final(job, final_state)
+        self._job_index.cache_final_state(job, final_state)
         return final_status(job, final_state)
 
     async def accept(self, submission: Submission, accepted_at: float) -> bool:
--- a/spoolcourse/control/user_api/peer_fallback.py
+++ b/spoolcourse/control/user_api/peer_fallback.py
@@ -87,4 +87,4 @@
             log.debug("peer response is not a job status: %s", exc)
             return
         if status.stage.is_final:
-            self._job_index.remember_final(status.id, FinalState(status.stage, status.done))
+            self._job_index.cache_final_state(status.id, FinalState(status.stage, status.done))
