--- a/spoolcourse/control/jobs/cancellation_query.py
+++ b/spoolcourse/control/jobs/cancellation_query.py
@@ -24,7 +24,9 @@
 STORE_READ_AGE_MAX_S = 2.0  # peers are queried beyond it; the health check reads each second
 
 
-def answer_query(job_index: JobIndex, watch_cache: WatchCache, query: str) -> dict[str, Any]:
+def answer_cancellations_query(
+    job_index: JobIndex, watch_cache: WatchCache, query: str
+) -> dict[str, Any]:
     """Answer a leader that has applied every change up to the revision in its query.
 
     Raises `MalformedError` if the query has no valid revision.
