--- a/spoolcourse/control/leadership/feature_level.py
+++ b/spoolcourse/control/leadership/feature_level.py
@@ -32,7 +32,7 @@
     return feature_level_value(SERVICES_LEVEL)
 
 
-def all_support_services(watch_cache: WatchCache) -> bool:
+def all_controllers_support_services(watch_cache: WatchCache) -> bool:
     """Whether the store records that every controller can read the formats of services."""
     entry = watch_cache.get(FEATURE_LEVEL_KEY)
     return entry is not None and feature_level_of(entry.value) >= SERVICES_LEVEL
@@ -57,7 +57,7 @@
 
     async def run(self) -> None:
         """Query the peers until all of them have this version's level, then record it."""
-        while not all_support_services(self._watch_cache):
+        while not all_controllers_support_services(self._watch_cache):
             replies = await query_peers(self._http_client, self._peers, LEVEL_QUERY)
             if all(reply is not None and reply.level >= SERVICES_LEVEL for reply in replies):
                 await self._record_level()
--- a/spoolcourse/control/user_api/submissions.py
+++ b/spoolcourse/control/user_api/submissions.py
@@ -14,7 +14,7 @@
 
 from spoolcourse.control.http_client import Response, error_response, retry_later
 from spoolcourse.control.jobs.job_records import JobRecords, RecordTooLargeError
-from spoolcourse.control.leadership.feature_level import all_support_services
+from spoolcourse.control.leadership.feature_level import all_controllers_support_services
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.control.user_api.checks import rejection_reason, usable_machine_types
 from spoolcourse.control.user_api.job_states import CannotAnswerError, JobStates
@@ -88,10 +88,10 @@
         Peers are not asked: they know no more than a read barrier shows here, and asking them
         delayed users by a second or more when one was partitioned.
         """
-        if all_support_services(self._watch_cache):
+        if all_controllers_support_services(self._watch_cache):
             return True
         await self._job_states.pass_read_barrier()
-        return all_support_services(self._watch_cache)
+        return all_controllers_support_services(self._watch_cache)
 
     async def _accept(self, submission: Submission) -> Response:
         job = submission.id
