--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -16,7 +16,7 @@
 
 from spoolcourse.control.async_utils import wait_for_event
 from spoolcourse.control.leadership.candidate import Candidate, WonElection
-from spoolcourse.control.leadership.renewal_deadline import CLOCK_DRIFT
+from spoolcourse.control.leadership.renewal_deadline import MAX_RELATIVE_CLOCK_DRIFT
 from spoolcourse.control.leadership.term import Term
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.errors import LeaseExpiredError, StoreUnavailableError
@@ -231,4 +231,4 @@
         return entry is not None and entry.revision == term.revision
 
     def _extend_lease(self, requested_at: float) -> None:
-        self._lease_expires_at = requested_at + self._lease_ttl_s * (1 - CLOCK_DRIFT)
+        self._lease_expires_at = requested_at + self._lease_ttl_s * (1 - MAX_RELATIVE_CLOCK_DRIFT)
--- a/spoolcourse/control/leadership/renewal_deadline.py
+++ b/spoolcourse/control/leadership/renewal_deadline.py
@@ -16,7 +16,7 @@
 
 from spoolcourse.wire.settings import Workers
 
-CLOCK_DRIFT = 0.001  # relative, between two clocks that are each up to 0.05% off
+MAX_RELATIVE_CLOCK_DRIFT = 0.001  # relative, between two clocks that are each up to 0.05% off
 TASK_END_MARGIN_S = 1.5  # for the worker to end its tasks, and for network delays
 
 
@@ -24,8 +24,10 @@
     """Tracks until when heartbeats of workers may be answered."""
 
     def __init__(self, workers: Workers) -> None:
-        cancel_s = workers.cancel_s * (1 - CLOCK_DRIFT)
-        self.renewal_window_s = cancel_s - workers.lease_s * (1 + CLOCK_DRIFT) - TASK_END_MARGIN_S
+        cancel_s = workers.cancel_s * (1 - MAX_RELATIVE_CLOCK_DRIFT)
+        self.renewal_window_s = (
+            cancel_s - workers.lease_s * (1 + MAX_RELATIVE_CLOCK_DRIFT) - TASK_END_MARGIN_S
+        )
         # Every cancellation confirmed up to this time is known to this controller.
         self.caught_up_at = float("-inf")
 
--- a/spoolcourse/control/workers/worker_registry.py
+++ b/spoolcourse/control/workers/worker_registry.py
@@ -13,7 +13,7 @@
 from spoolcourse.control.jobs.job_queue import JobQueue
 from spoolcourse.control.leadership.failover_proof import FailoverProof
 from spoolcourse.control.leadership.failover_timeline import FailoverPhase
-from spoolcourse.control.leadership.renewal_deadline import CLOCK_DRIFT
+from spoolcourse.control.leadership.renewal_deadline import MAX_RELATIVE_CLOCK_DRIFT
 from spoolcourse.control.workers.command_builder import CommandBuilder
 from spoolcourse.control.workers.leader_interface import Leader
 from spoolcourse.control.workers.machine import Machine
@@ -66,7 +66,9 @@
         self.leader = leader
         self._lease_s = workers.lease_s
         # A lease that began longer ago has certainly expired, and its tasks have ended.
-        self._lease_expired_after_s = workers.lease_s * (1 + CLOCK_DRIFT) + LEASE_EXPIRY_MARGIN_S
+        self._lease_expired_after_s = (
+            workers.lease_s * (1 + MAX_RELATIVE_CLOCK_DRIFT) + LEASE_EXPIRY_MARGIN_S
+        )
         self._clock = clock
         self.leader = leader
         self._reconciler = HeartbeatReconciler(self, leader)
