--- a/spoolcourse/control/leader/leader_term.py
+++ b/spoolcourse/control/leader/leader_term.py
@@ -44,8 +44,8 @@
         self._renewal_deadline = RenewalDeadline(context.params.workers)
         self._supervisor = LoopSupervisor(leadership.step_down, END_TERM_ON_FAILURE)
         self.timeline = FailoverTimeline(context.clock, on_failover_complete)
-        if leadership.vacant_at is not None:
-            self.timeline.record(FailoverPhase.VACANT, leadership.vacant_at)
+        if leadership.leaderless_since is not None:
+            self.timeline.record(FailoverPhase.VACANT, leadership.leaderless_since)
         self.timeline.record(FailoverPhase.ELECTED)
         self.active: ActiveLeader | None = None
 
--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -74,7 +74,7 @@
         self.term: Term | None = None
         self.elections_won = 0
         # When this controller saw that there is no leader, in seconds of the monotonic clock.
-        self.vacant_at: float | None = None
+        self.leaderless_since: float | None = None
         self._lease_expires_at = float("-inf")
         self._candidacy_allowed_at = float("-inf")
         self._leader_changed = asyncio.Event()
@@ -140,10 +140,10 @@
 
     def _record_vacancy(self, leader_value: Any) -> None:
         if leader_value is None:
-            self.vacant_at = asyncio.get_running_loop().time()
+            self.leaderless_since = asyncio.get_running_loop().time()
         elif LeaderRecord.label_of(leader_value) != self._label:
             # If this controller is elected later, its failover starts at the next vacancy.
-            self.vacant_at = None
+            self.leaderless_since = None
 
     # -- election -----------------------------------------------------------------------
 
--- a/tests/failover/test_standby_failover.py
+++ b/tests/failover/test_standby_failover.py
@@ -36,7 +36,7 @@
     successor = await wait_for_failover(world, former)
     follower = next(n for n in world.nodes if n != successor)
     await world.until(lambda: world.nodes[follower].leadership.leader_label == successor, 5)
-    assert world.nodes[follower].leadership.vacant_at is None, "another has filled it"
+    assert world.nodes[follower].leadership.leaderless_since is None, "another has filled it"
     proof = world.active(successor).proof
     assert proof.source is ProofSource.SHADOW
     assert proof.applied_revision >= proof.claim_revision
