--- a/spoolcourse/control/jobs/progress_writer.py
+++ b/spoolcourse/control/jobs/progress_writer.py
@@ -99,7 +99,7 @@
 
     async def _write_chunks(self, chunk_ids: list[ChunkId]) -> None:
         """Write as many of the chunks, in their order, as fit into one transaction."""
-        limits = BatchLimits(self._client.value_bytes, self._client.max_operations)
+        limits = BatchLimits(self._client.max_value_bytes, self._client.max_operations)
         batch = select_batch(
             self._job_queue, chunk_ids, limits, self._transactions.expected_revisions()
         )
--- a/spoolcourse/control/store/client.py
+++ b/spoolcourse/control/store/client.py
@@ -64,7 +64,7 @@
 
     Attributes:
         limits: The store's limits; where a change is announced, the lower of both values.
-        value_bytes: The largest value that may be written at present, in bytes.
+        max_value_bytes: The largest value that may be written at present, in bytes.
         requests_sent: Requests sent, successful or not.
         requests_failed: Those of them that were refused by the store or whose outcome is unknown.
         operations_sent: Puts and deletes in the transactions sent.
@@ -92,7 +92,7 @@
         # Announced lower limits may take effect at any moment, so new data keeps to them. Only
         # values written before may be larger, until the store refuses one.
         self.limits = state.least
-        self.value_bytes = int(state.value_kb * 1024)
+        self.max_value_bytes = int(state.value_kb * 1024)
         self._timeout_s = timeout_s
         self._budget = StoreBudget(self.limits, controllers)
         self.requests_sent = self.requests_failed = self.operations_sent = 0
@@ -184,7 +184,7 @@
 
         Raises:
             LeaseExpiredError: A put names a lease that has expired.
-            ValueTooLargeError: The store's limits were lowered; `value_bytes` is lower now.
+            ValueTooLargeError: The store's limits were lowered; `max_value_bytes` is lower now.
         """
         request = _describe_transaction(expected_revisions)
         if operations:
@@ -204,11 +204,11 @@
         if reply.status == 400 and reply.data and reply.data.get("error") == wire.NO_SUCH_LEASE:
             return LeaseExpiredError(request, _lease_ids(operations))
         detail = f"status {reply.status}: {reply.data}"
-        if reply.status == 400 and self.value_bytes > self.limits.value_kb * 1024:
+        if reply.status == 400 and self.max_value_bytes > self.limits.value_kb * 1024:
             # A value written under the former limit may exceed the announced one.
             log.info("the key-value store now applies its lower limits")
-            self.value_bytes = int(self.limits.value_kb * 1024)
-            return ValueTooLargeError(request, detail, self.value_bytes)
+            self.max_value_bytes = int(self.limits.value_kb * 1024)
+            return ValueTooLargeError(request, detail, self.max_value_bytes)
         return RequestRefusedError(request, detail)
 
     # -- leases ---------------------------------------------------------------------------
--- a/spoolcourse/control/store/errors.py
+++ b/spoolcourse/control/store/errors.py
@@ -53,12 +53,12 @@
     """A limit was lowered: the store will not accept the transaction as it is.
 
     Attributes:
-        value_bytes: The largest value that is accepted from now on, in bytes.
+        max_value_bytes: The largest value that is accepted from now on, in bytes.
     """
 
-    def __init__(self, request: str, detail: str, value_bytes: int) -> None:
+    def __init__(self, request: str, detail: str, max_value_bytes: int) -> None:
         super().__init__(request, detail)
-        self.value_bytes = value_bytes
+        self.max_value_bytes = max_value_bytes
 
 
 class OutcomeUnknownError(StoreUnavailableError):
--- a/tests/store/test_store_client.py
+++ b/tests/store/test_store_client.py
@@ -105,10 +105,10 @@
         return Response(400, {"error": "too large"})
 
     client = client_of(serve, State(200.0, 100.0, 8.0, 24, NextLimits(value_kb=1.0)))
-    assert client.value_bytes == 8192
+    assert client.max_value_bytes == 8192
     with pytest.raises(ValueTooLargeError) as caught:
         await client.compare_and_swap({"a": 0}, [Put("a", {})])
-    assert caught.value.value_bytes == client.value_bytes == 1024
+    assert caught.value.max_value_bytes == client.max_value_bytes == 1024
     with pytest.raises(RequestRefusedError) as again:
         await client.compare_and_swap({"a": 0}, [Put("a", {})])
     assert type(again.value) is RequestRefusedError, "it is lowered once"
