--- a/spoolcourse/control/jobs/progress_writer.py
+++ b/spoolcourse/control/jobs/progress_writer.py
@@ -99,7 +99,7 @@
 
     async def _write_chunks(self, chunk_ids: list[ChunkId]) -> None:
         """Write as many of the chunks, in their order, as fit into one transaction."""
-        limits = BatchLimits(self._client.max_value_bytes, self._client.max_operations)
+        limits = BatchLimits(self._client.max_value_bytes, self._client.max_transaction_operations)
         batch = select_batch(
             self._job_queue, chunk_ids, limits, self._transactions.expected_revisions()
         )
@@ -147,7 +147,9 @@
         if job_state is None:
             return
         write = prepare_final_state(
-            job_state, self._client.max_operations, self._transactions.expected_revisions()
+            job_state,
+            self._client.max_transaction_operations,
+            self._transactions.expected_revisions(),
         )
         outcome = await self._transactions.commit(write.expected_revisions, write.operations)
         if not outcome.succeeded:
@@ -183,7 +185,7 @@
 
         Raises RequestRefusedError or OutcomeUnknownError; the next term deletes the remaining keys.
         """
-        batch_size = self._client.max_operations
+        batch_size = self._client.max_transaction_operations
         for start in range(0, len(keys), batch_size):
             batch_keys = keys[start : start + batch_size]
             outcome = await self._transactions.commit(
--- a/spoolcourse/control/store/budget.py
+++ b/spoolcourse/control/store/budget.py
@@ -42,7 +42,7 @@
         self._operation_bucket.set_rate(self._limits.write_rps * share)
 
     @property
-    def max_operations(self) -> int:
+    def max_transaction_operations(self) -> int:
         """The most puts and deletes in one transaction: what the bucket can grant at once."""
         return min(
             self._limits.txn_ops, max(MIN_TRANSACTION_OPERATIONS, int(self._operation_bucket.burst))
--- a/spoolcourse/control/store/client.py
+++ b/spoolcourse/control/store/client.py
@@ -105,9 +105,9 @@
         self._budget.set_leader(leading)
 
     @property
-    def max_operations(self) -> int:
+    def max_transaction_operations(self) -> int:
         """The most puts and deletes in one transaction: what the budget can grant at once."""
-        return self._budget.max_operations
+        return self._budget.max_transaction_operations
 
     def has_spare_writes(self) -> bool:
         """Whether at least half of the write budget is left."""
@@ -179,7 +179,7 @@
 
         Args:
             expected_revisions: Revisions by key; 0 means that the key must not exist.
-            operations: Puts and deletes, `max_operations` at most.
+            operations: Puts and deletes, `max_transaction_operations` at most.
             urgent: Don't wait for the budget.
 
         Raises:
