--- a/spoolcourse/control/failover/standby_readiness.py
+++ b/spoolcourse/control/failover/standby_readiness.py
@@ -27,7 +27,7 @@
         self._settings = settings
 
     @property
-    def silence_s(self) -> float:
+    def store_response_age_s(self) -> float:
         """Seconds since the key-value store's last response, with or without changes."""
         return self._clock() - self._watch_cache.synced_at
 
@@ -35,7 +35,7 @@
     def caught_up(self) -> bool:
         """Whether a failover to this follower would need no restore."""
         is_usable = self._shadow_status.state is ShadowState.USABLE
-        return is_usable and self.silence_s <= self._settings.behind_s
+        return is_usable and self.store_response_age_s <= self._settings.behind_s
 
     def candidacy_delay_s(self) -> float:
         """Seconds to wait before a candidacy, so that other controllers may stand first."""
@@ -52,7 +52,7 @@
     def _not_caught_up_reason(self) -> str:
         status = self._shadow_status
         if status.state is ShadowState.USABLE:
-            return f"it has not heard of the state service for {self.silence_s:.1f} s"
+            return f"it has not heard of the state service for {self.store_response_age_s:.1f} s"
         reason = f"its shadow is {status.state.value}"
         if status.state is ShadowState.STALE:
             reason += f": {status.stale_reason}"
--- a/spoolcourse/control/status.py
+++ b/spoolcourse/control/status.py
@@ -120,7 +120,7 @@
         caught_up=standby.readiness.caught_up,
         revision=revision,
         revisions_behind=max(0, standby.hints.leader_revision - revision),
-        silence_s=round(min(standby.readiness.silence_s, MAX_SILENCE_SHOWN_S), 3),
+        silence_s=round(min(standby.readiness.store_response_age_s, MAX_SILENCE_SHOWN_S), 3),
         rebuilds=status.rebuilds,
         jobs=shadow.job_count if shadow else 0,
         attempts=shadow.attempt_count if shadow else 0,
