--- a/spoolcourse/control/workers/heartbeat_relay.py
+++ b/spoolcourse/control/workers/heartbeat_relay.py
@@ -84,11 +84,11 @@
             return redirect_to_leader
         if response is None:
             return redirect(None)
-        receives_no_heartbeats = bool(response.hears_no_worker)
+        receives_no_heartbeats = bool(response.receives_no_heartbeats)
         if receives_no_heartbeats and previous is None:
             self._probed_at = now  # this worker has just tried the leader
         self._relayed[worker] = RelayedHeartbeat(now, receives_no_heartbeats)
-        return Response(200, to_json_object(replace(response, hears_no_worker=None)))
+        return Response(200, to_json_object(replace(response, receives_no_heartbeats=None)))
 
     def _recently_relayed(self, worker: str, now: float) -> RelayedHeartbeat | None:
         relayed = self._relayed.get(worker)
--- a/spoolcourse/wire/commands.py
+++ b/spoolcourse/wire/commands.py
@@ -56,13 +56,13 @@
 class HeartbeatResponse(msgspec.Struct, frozen=True, omit_defaults=True):
     """The response to a heartbeat. Without a fencing token it renews no lease (PROTOCOL, Tokens).
 
-    `hears_no_worker` is set only for a follower that forwarded the heartbeat: whether the leader
-    receives no heartbeats directly, so that the worker should keep sending to the follower.
+    `receives_no_heartbeats` is set only for a follower that forwarded the heartbeat: whether the
+    leader receives no heartbeats directly, so that the worker should keep sending to the follower.
     """
 
     commands: list[Command] = msgspec.field(name="orders")
     fencing_token: int | None = msgspec.field(name="baton", default=None)
-    hears_no_worker: bool | None = msgspec.field(name="deaf", default=None)
+    receives_no_heartbeats: bool | None = msgspec.field(name="deaf", default=None)
 
 
 class Redirect(msgspec.Struct, frozen=True, omit_defaults=True):
--- a/tests/recorded/forms/adapter.py
+++ b/tests/recorded/forms/adapter.py
@@ -306,10 +306,10 @@
     "report reply": _message(commands.HeartbeatResponse(commands=COMMANDS, fencing_token=3)),
     "report reply, no lease": _message(commands.HeartbeatResponse(commands=[])),
     "report reply, relayed": _message(
-        commands.HeartbeatResponse(commands=COMMANDS, fencing_token=3, hears_no_worker=True)
+        commands.HeartbeatResponse(commands=COMMANDS, fencing_token=3, receives_no_heartbeats=True)
     ),
     "report reply, relayed, leader hears others": _message(
-        commands.HeartbeatResponse(commands=[], fencing_token=3, hears_no_worker=False)
+        commands.HeartbeatResponse(commands=[], fencing_token=3, receives_no_heartbeats=False)
     ),
     "redirect": _message(commands.Redirect(leader="n1")),
     "redirect, no leader": _message(commands.Redirect()),
