--- a/spoolcourse/control/scheduling/snapshot_builder.py
+++ b/spoolcourse/control/scheduling/snapshot_builder.py
@@ -128,5 +128,5 @@
         """Whether the machine accepts tasks now, or will after booting."""
         if machine.last_heartbeat_at is None and machine.expected_ready_at is not None:
             return not machine.deletion_requested and machine.listed_stage is not HostStage.FAILED
-        placeable = machine.is_schedulable and machine.no_room_until <= now
+        placeable = machine.is_schedulable and machine.start_refused_until <= now
         return placeable and not self._registry.is_suspect(machine)
--- a/spoolcourse/control/workers/machine.py
+++ b/spoolcourse/control/workers/machine.py
@@ -60,7 +60,7 @@
 
     # Reachability and free capacity.
     unreachable_until: float = 0.0  # its address did not answer; no calls until then
-    no_room_until: float = 0.0  # it refused a start; no starts until then
+    start_refused_until: float = 0.0  # it refused a start; no starts until then
 
     # State of the cloud instance.
     listed_stage: HostStage | None = None  # in the cloud's list
--- a/spoolcourse/control/workers/reconciliation.py
+++ b/spoolcourse/control/workers/reconciliation.py
@@ -130,7 +130,7 @@
         elif cause == EndCause.ERROR:
             _record_error(machine, attempt, now)
         elif cause == EndCause.NO_ROOM:
-            machine.no_room_until = now + REFUSED_START_RETRY_DELAY_S
+            machine.start_refused_until = now + REFUSED_START_RETRY_DELAY_S
             _log_refused_start(machine, attempt, cause)
         elif cause in (EndCause.OTHER_ATTEMPT_THERE, EndCause.NO_SUCH_TASK):
             job_state.backoff_until = now + REFUSED_START_RETRY_DELAY_S
