--- a/spoolcourse/control/autoscaling/planner.py
+++ b/spoolcourse/control/autoscaling/planner.py
@@ -213,7 +213,9 @@
     )
 
 
-def top_up(missing_cpus: float, offers: list[Offer], fleet_size: int = 0) -> list[ProvisionRequest]:
+def plan_headroom(
+    missing_cpus: float, offers: list[Offer], fleet_size: int = 0
+) -> list[ProvisionRequest]:
     """Plan spot machines, the cheapest per CPU first, for `missing_cpus` CPUs of headroom.
 
     Tasks that start there later need not wait for a boot. `fleet_size` counts the existing
--- a/spoolcourse/control/scheduling/capacity_planning.py
+++ b/spoolcourse/control/scheduling/capacity_planning.py
@@ -7,8 +7,8 @@
     JobDemand,
     Offer,
     ProvisionRequest,
+    plan_headroom,
     plan_provisioning,
-    top_up,
 )
 from spoolcourse.control.autoscaling.scale_out import ScaleOutRequest
 from spoolcourse.control.cloud.client import max_provisions
@@ -53,7 +53,7 @@
             max_machines=max_provisions(self._params.cloud.rps),
         )
         missing_cpus -= sum(request.count * request.offer.cpus for request in requests)
-        requests += top_up(missing_cpus, offers, len(snapshot.machines))
+        requests += plan_headroom(missing_cpus, offers, len(snapshot.machines))
         if requests:
             self._autoscaler.scale_out.request(
                 [
--- a/tests/autoscaling/test_scale_out_planning.py
+++ b/tests/autoscaling/test_scale_out_planning.py
@@ -4,7 +4,12 @@
 
 from math import inf
 
-from spoolcourse.control.autoscaling.planner import JobDemand, Offer, plan_provisioning, top_up
+from spoolcourse.control.autoscaling.planner import (
+    JobDemand,
+    Offer,
+    plan_headroom,
+    plan_provisioning,
+)
 from spoolcourse.control.placement.model import PlacementJob, PlacementMachine, RunningTask
 from tests.fakes.placement import job, machine, placed, run
 
@@ -74,9 +79,9 @@
 
 def test_headroom_is_filled_with_cheap_spot_machines_only() -> None:
     offers = [offer(0.3, True), offer(0.5, True, cpus=32.0), offer(0.1, False)]
-    assert [(r.offer.cpus, r.count) for r in top_up(50.0, offers)] == [(32.0, 1), (8.0, 2)]
-    assert top_up(7.0, offers) == []
-    assert top_up(-5.0, offers) == []
+    assert [(r.offer.cpus, r.count) for r in plan_headroom(50.0, offers)] == [(32.0, 1), (8.0, 2)]
+    assert plan_headroom(7.0, offers) == []
+    assert plan_headroom(-5.0, offers) == []
 
 
 def test_machines_are_rented_in_zones_that_take_more_of_the_job() -> None:
--- a/tests/recorded/plans/adapter.py
+++ b/tests/recorded/plans/adapter.py
@@ -12,8 +12,8 @@
     JobDemand,
     Offer,
     ProvisionRequest,
+    plan_headroom,
     plan_provisioning,
-    top_up,
 )
 from spoolcourse.control.jobs.model import Attempt
 from spoolcourse.control.placement.backfill import place
@@ -222,7 +222,7 @@
         team_cpus=room,
         **limit,
     )
-    spare = top_up(
+    spare = plan_headroom(
         missing_cpus=asked["missing_cpus"], offers=offers, fleet_size=asked["machines_in_all"]
     )
     return {
