--- a/spoolcourse/control/autoscaling/early_deletion.py
+++ b/spoolcourse/control/autoscaling/early_deletion.py
@@ -85,7 +85,7 @@
             if len(chosen) >= deletions_allowed:
                 break
             replicas = replicas_on(machine)
-            if replicas and all(map(self._places.has_place_elsewhere, replicas)):
+            if replicas and all(map(self._places.can_run_elsewhere, replicas)):
                 chosen.add(machine.id)
         return chosen
 
--- a/spoolcourse/control/autoscaling/replica_places.py
+++ b/spoolcourse/control/autoscaling/replica_places.py
@@ -34,7 +34,7 @@
         # A machine whose last heartbeat is older is late.
         self.late_after_s = workers.heartbeat_gap_s + HEARTBEAT_TRANSIT_S
 
-    def has_place_elsewhere(self, replica: Attempt) -> bool:
+    def can_run_elsewhere(self, replica: Attempt) -> bool:
         """Whether the rules for starting tasks allow the replica on some other machine.
 
         Work of lower priority does not count: it is preempted for a replica.
--- a/spoolcourse/control/scheduling/termination_notices.py
+++ b/spoolcourse/control/scheduling/termination_notices.py
@@ -72,4 +72,4 @@
         """
         if remaining_s < self._stop_lead_s:
             return True
-        return replica.job_state.all_running and self._replica_places.has_place_elsewhere(replica)
+        return replica.job_state.all_running and self._replica_places.can_run_elsewhere(replica)
