--- a/spoolcourse/control/context.py
+++ b/spoolcourse/control/context.py
@@ -25,7 +25,7 @@
     """
 
     http_client: HttpClient
-    client: StoreClient
+    store_client: StoreClient
     watch_cache: WatchCache
     job_index: JobIndex
     cloud: CloudClient
--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -61,7 +61,7 @@
     """Clients of other hosts, and the local cache and job index of the key-value store."""
 
     http_client: HttpClient
-    client: StoreClient
+    store_client: StoreClient
     watch_cache: WatchCache
     job_index: JobIndex
     cloud: CloudClient
@@ -88,7 +88,7 @@
         self.job_index = clients.job_index
         self._lifecycle = TermLifecycle(self.watch_cache, self._build_term, self._resume_shadowing)
         self.leadership = Leadership(
-            clients.client,
+            clients.store_client,
             self.watch_cache,
             settings.label,
             run_id or _random_run_id(),
@@ -96,7 +96,7 @@
             candidacy_delay_s=self._candidacy_delay_s,
         )
         self._catalog = CatalogLoop(
-            clients.cloud, clients.client, self.watch_cache, self.leadership
+            clients.cloud, clients.store_client, self.watch_cache, self.leadership
         )
         policy = policy or check_policy({}, "defaults")
         self._context = _build_context(settings, clients, self._catalog, policy, wall_clock)
@@ -185,7 +185,7 @@
     watch_cache = WatchCache(client, PREFIX)
     return Clients(
         http_client=http_client,
-        client=client,
+        store_client=client,
         watch_cache=watch_cache,
         job_index=JobIndex(watch_cache),
         cloud=CloudClient(http_client, endpoints.cloud, params.cloud.rps),
@@ -201,7 +201,7 @@
 ) -> ControllerContext:
     return ControllerContext(
         http_client=clients.http_client,
-        client=clients.client,
+        store_client=clients.store_client,
         watch_cache=clients.watch_cache,
         job_index=clients.job_index,
         cloud=clients.cloud,
--- a/spoolcourse/control/leader/active_leader.py
+++ b/spoolcourse/control/leader/active_leader.py
@@ -89,7 +89,7 @@
 
     def _build_writer(self) -> ProgressWriter:
         return ProgressWriter(
-            self._context.client,
+            self._context.store_client,
             self._context.watch_cache,
             self.job_queue,
             self.proof,
--- a/spoolcourse/control/leader/initial_machines.py
+++ b/spoolcourse/control/leader/initial_machines.py
@@ -26,7 +26,7 @@
     """Reads the recorded names, and records them if they have not been."""
 
     def __init__(self, context: ControllerContext, term: Term) -> None:
-        self._client = context.client
+        self._client = context.store_client
         self._watch_cache = context.watch_cache
         self._value_bytes = context.params.state.least.value_kb * 1024
         self._term = term
--- a/spoolcourse/control/leader/leader_term.py
+++ b/spoolcourse/control/leader/leader_term.py
@@ -66,7 +66,11 @@
             step_down,
         )
         feature_level = FeatureLevel(
-            context.http_client, context.client, context.watch_cache, context.peers, self._term
+            context.http_client,
+            context.store_client,
+            context.watch_cache,
+            context.peers,
+            self._term,
         )
         self._supervisor.spawn(self._run_failover)
         self._supervisor.spawn(cancellation_query.run)
--- a/spoolcourse/control/user_api/api.py
+++ b/spoolcourse/control/user_api/api.py
@@ -41,11 +41,11 @@
     def __init__(
         self, context: ControllerContext, leadership: Leadership, health: HealthCheck
     ) -> None:
-        self._client = context.client
+        self._client = context.store_client
         self._job_index = context.job_index
         self._wall_clock = context.wall_clock
         self._health = health
-        self._job_records = JobRecords(context.client, context.watch_cache, context.job_index)
+        self._job_records = JobRecords(context.store_client, context.watch_cache, context.job_index)
         self._job_states = JobStates(context.job_index, self._job_records, context.watch_cache)
         self._submissions = Submissions(
             self._job_records,
