--- a/spoolcourse/control/autoscaling/autoscaler.py
+++ b/spoolcourse/control/autoscaling/autoscaler.py
@@ -23,7 +23,7 @@
 from spoolcourse.control.cloud.client import max_deletions
 from spoolcourse.control.cloud.errors import CloudError
 from spoolcourse.control.leader_context import LeaderContext
-from spoolcourse.control.process_load import SUMMARY_S
+from spoolcourse.control.process_load import LOAD_SUMMARY_PERIOD_S
 from spoolcourse.wire.cloud import DELETE_MAX
 
 log = logging.getLogger(__name__)
@@ -84,7 +84,10 @@
         while True:
             await asyncio.sleep(SCALE_IN_PERIOD_S)
             self._registry.expire_leases()
-            if log.isEnabledFor(logging.INFO) and self._clock() - summary_logged_at > SUMMARY_S:
+            if (
+                log.isEnabledFor(logging.INFO)
+                and self._clock() - summary_logged_at > LOAD_SUMMARY_PERIOD_S
+            ):
                 summary_logged_at = self._clock()
                 log_fleet_summary(self._registry, self._types)
                 self._owner.on_fleet_summary()
--- a/spoolcourse/control/process_load.py
+++ b/spoolcourse/control/process_load.py
@@ -16,7 +16,7 @@
 log = logging.getLogger(__name__)
 
 LAG_SAMPLE_PERIOD_S = 1.0
-SUMMARY_S = 10.0
+LOAD_SUMMARY_PERIOD_S = 10.0
 
 
 @dataclass(slots=True)
@@ -28,7 +28,7 @@
 
 
 class ProcessLoad:
-    """Measures this process, in periods of `SUMMARY_S`."""
+    """Measures this process, in periods of `LOAD_SUMMARY_PERIOD_S`."""
 
     def __init__(self) -> None:
         self.blocks: dict[str, BlockStats] = {}
@@ -63,7 +63,7 @@
     async def _measure_period(self) -> None:
         loop = asyncio.get_running_loop()
         started_at, cpu_time_at_start_s, max_lag_s = loop.time(), time.process_time(), 0.0
-        while loop.time() - started_at < SUMMARY_S:
+        while loop.time() - started_at < LOAD_SUMMARY_PERIOD_S:
             sample_started_at = loop.time()
             await asyncio.sleep(LAG_SAMPLE_PERIOD_S)
             max_lag_s = max(max_lag_s, loop.time() - sample_started_at - LAG_SAMPLE_PERIOD_S)
