--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -172,7 +172,7 @@
                 standby=self.standby,
             )
             self.nodes[label] = node
-            self.network.hosts[f"{label}:80"] = self._door(node.public)
+            self.network.hosts[f"{label}:80"] = self._door(node.public_handler)
             self.network.hosts[f"{label}:81"] = self._door(node.peers)
             node.start()
 
--- a/tests/recorded/forms/interfaces.py
+++ b/tests/recorded/forms/interfaces.py
@@ -338,7 +338,7 @@
         self, name: str, role: str, method: str, path: str, raw: bytes = b"", peers: bool = False
     ) -> None:
         node = self.world.nodes[_roles(self.world)[role]]
-        reply = await _asked(node.peers if peers else node.public, method, path, raw)
+        reply = await _asked(node.peers if peers else node.public_handler, method, path, raw)
         assert name not in self.found, name
         self.found[name] = normalised(encode_response(reply).decode())
 
@@ -477,7 +477,7 @@
             starting = _Table(world)
             raw = orjson.dumps(job())
             for method, path in (("POST", "/submissions"), ("GET", "/healthz")):
-                reply = await _asked(world.nodes["n0"].public, method, path, raw)
+                reply = await _asked(world.nodes["n0"].public_handler, method, path, raw)
                 starting.found[f"starting: {method} {path}"] = normalised(
                     encode_response(reply).decode()
                 )
