--- a/spoolcourse/cli.py
+++ b/spoolcourse/cli.py
@@ -114,7 +114,7 @@
 
     controller = Controller(settings, AiohttpClient(), policy, standby=standby)
     for field, handler in (
-        ("cluster_listen", controller.peers),
+        ("cluster_listen", controller.cluster_handler),
         ("listen", controller.public_handler),
     ):
         address = getattr(settings, field)
--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -108,7 +108,7 @@
         self.watch_cache.add_listener(self._lifecycle.on_change)
         self._supervisor = LoopSupervisor(self.leadership.step_down, CONTROLLER_LOOP_POLICY)
         self.health = _build_health(self._context)
-        self.public_handler, self.peers = self._build_handlers(settings)
+        self.public_handler, self.cluster_handler = self._build_handlers(settings)
 
     # -- composition ----------------------------------------------------------------------
 
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -173,7 +173,7 @@
             )
             self.nodes[label] = node
             self.network.hosts[f"{label}:80"] = self._door(node.public_handler)
-            self.network.hosts[f"{label}:81"] = self._door(node.peers)
+            self.network.hosts[f"{label}:81"] = self._door(node.cluster_handler)
             node.start()
 
     @staticmethod
--- a/tests/recorded/forms/interfaces.py
+++ b/tests/recorded/forms/interfaces.py
@@ -125,7 +125,9 @@
         async def story(variant: str = variant) -> dict[str, Any]:
             world = await _busy(variant)
             return {
-                f"{role}, {variant}": read(await _asked(world.nodes[node].peers, "GET", path))
+                f"{role}, {variant}": read(
+                    await _asked(world.nodes[node].cluster_handler, "GET", path)
+                )
                 for role, node in _roles(world).items()
             }
 
@@ -338,7 +340,9 @@
         self, name: str, role: str, method: str, path: str, raw: bytes = b"", peers: bool = False
     ) -> None:
         node = self.world.nodes[_roles(self.world)[role]]
-        reply = await _asked(node.peers if peers else node.public_handler, method, path, raw)
+        reply = await _asked(
+            node.cluster_handler if peers else node.public_handler, method, path, raw
+        )
         assert name not in self.found, name
         self.found[name] = normalised(encode_response(reply).decode())
 
--- a/tests/recorded/test_stored_forms.py
+++ b/tests/recorded/test_stored_forms.py
@@ -303,7 +303,7 @@
             body = body | {"baton": world.state.value("spoolcourse/live/term")["term"]}
         raw = b"" if body is None else orjson.dumps(body)
         node = leader if path == "/v1/report" else follower
-        found = node.peers(Request(method, path, raw))
+        found = node.cluster_handler(Request(method, path, raw))
         return found if isinstance(found, Response) else await found
 
     for (method, recorded_path), (body, answer) in PEERS_B0E3A7B.items():
--- a/tests/scenarios/test_services.py
+++ b/tests/scenarios/test_services.py
@@ -44,7 +44,7 @@
         reply = await world.poll(1, label)
         assert (reply.data["stage"], reply.data["done"]) == ("running", 0)
     leader = world.nodes[str(world.leader)]
-    text = leader.peers(Request("GET", "/metrics")).data.decode()  # type: ignore[union-attr]
+    text = leader.cluster_handler(Request("GET", "/metrics")).data.decode()  # type: ignore[union-attr]
     assert "spoolcourse_services 1.0" in text
     assert "spoolcourse_replicas_missing 0.0" in text
     assert len(world.cloud.starts) == 2
--- a/tests/user_api/test_user_api.py
+++ b/tests/user_api/test_user_api.py
@@ -166,7 +166,7 @@
     other = next(n for n in LABELS if n != leader)
     status = await world.network.call("op", f"{other}:81", "GET", "/status", None, 2.0)
     assert (status.data["role"], status.data["leader"]) == ("follower", leader)
-    reply = world.nodes[leader].peers(Request("GET", "/metrics"))
+    reply = world.nodes[leader].cluster_handler(Request("GET", "/metrics"))
     assert isinstance(reply, Response)
     text = reply.data.decode()
     assert "spoolcourse_leader 1.0" in text
