--- a/spoolcourse/cli.py
+++ b/spoolcourse/cli.py
@@ -119,8 +119,8 @@
     ):
         address = getattr(settings, field)
         try:
-            sockets = settings.settings.machine_limits.sockets
-            await listen(split_address(address, field), handler, sockets=sockets)
+            max_sockets = settings.settings.machine_limits.sockets
+            await listen(split_address(address, field), handler, max_sockets=max_sockets)
         except OSError as exc:
             raise UserError(f"{field}: cannot listen on {address}: {exc.strerror}") from exc
     logging.getLogger(__name__).info(
--- a/spoolcourse/control/http_server.py
+++ b/spoolcourse/control/http_server.py
@@ -55,18 +55,18 @@
     handler: Handler,
     idle_timeout_s: float = IDLE_TIMEOUT_S,
     sweep_period_s: float = IDLE_SWEEP_PERIOD_S,
-    sockets: int = 0,
+    max_sockets: int = 0,
 ) -> HttpServer:
     """Serve `handler` on an address.
 
-    `sockets`: the process' socket limit; 0 if it is unknown.
+    `max_sockets`: the process' socket limit; 0 if it is unknown.
 
     Raises:
         OSError: Listening on the address failed.
     """
     loop = asyncio.get_running_loop()
     connections: set[Connection] = set()
-    max_keep_alive_connections = sockets * KEEP_ALIVE_SOCKET_SHARE if sockets else inf
+    max_keep_alive_connections = max_sockets * KEEP_ALIVE_SOCKET_SHARE if max_sockets else inf
     server = await loop.create_server(
         lambda: Connection(handler, connections, max_keep_alive_connections),
         *address,
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -159,7 +159,7 @@
         for _, writer in clients:
             writer.close()
 
-    serve(story, sockets=10)
+    serve(story, max_sockets=10)
 
 
 async def _is_ended(reader: asyncio.StreamReader) -> bool:
