--- a/spoolcourse/control/cloud/client.py
+++ b/spoolcourse/control/cloud/client.py
@@ -92,7 +92,7 @@
         except NoResponseError as exc:
             raise CloudRequestFailedError(method, path, None, str(exc)) from exc
         if reply.status == TOO_MANY_REQUESTS:
-            self._request_budget.empty()
+            self._request_budget.drain()
         if reply.status == UNAVAILABLE and reply.data and reply.data.get("error") == NO_CAPACITY:
             raise NoCapacityError(method, path, reply.status, NO_CAPACITY)
         if reply.status != OK:
--- a/spoolcourse/control/rate_limit.py
+++ b/spoolcourse/control/rate_limit.py
@@ -72,7 +72,7 @@
         self._refill()
         return self._tokens >= self.burst * SPARE_TOKEN_SHARE
 
-    def empty(self) -> None:
+    def drain(self) -> None:
         """Drop all tokens, after a 429: fewer were left than assumed."""
         self._refill()
         self._tokens = min(self._tokens, 0.0)
--- a/spoolcourse/control/store/budget.py
+++ b/spoolcourse/control/store/budget.py
@@ -62,7 +62,7 @@
 
     def on_too_many_requests(self) -> None:
         """Empty the request bucket, as the store answered 429."""
-        self._request_bucket.empty()
+        self._request_bucket.drain()
 
 
 async def _acquire(bucket: TokenBucket, tokens: int, request: str, urgent: bool) -> None:
--- a/tests/store/test_store_client.py
+++ b/tests/store/test_store_client.py
@@ -159,7 +159,7 @@
     assert caught.value.retry_after_s == pytest.approx(1.5)
     await bucket.acquire(2)
     assert now() - began == pytest.approx(1.0, abs=0.05), "the refused call took no tokens"
-    bucket.empty()
+    bucket.drain()
     await bucket.acquire(9, urgent=True)
     assert now() - began == pytest.approx(1.0, abs=0.05), "urgent calls do not wait"
 
