--- a/spoolcourse/control/context.py
+++ b/spoolcourse/control/context.py
@@ -13,7 +13,7 @@
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.policy.keys import PolicySource
 from spoolcourse.wire.messages import MachineType
-from spoolcourse.wire.settings import Params, Seed
+from spoolcourse.wire.settings import Params, Peer
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -29,7 +29,7 @@
     watch_cache: WatchCache
     job_index: JobIndex
     cloud: CloudClient
-    peers: list[Seed]
+    peers: list[Peer]
     params: Params
     policy_source: PolicySource
     machine_types: Callable[[], dict[str, MachineType]]
--- a/spoolcourse/control/failover/hint_loop.py
+++ b/spoolcourse/control/failover/hint_loop.py
@@ -21,7 +21,7 @@
 from spoolcourse.control.leadership.term import known_term_number
 from spoolcourse.wire.messages import MalformedError, parse
 from spoolcourse.wire.peers import HintPage
-from spoolcourse.wire.settings import Seed
+from spoolcourse.wire.settings import Peer
 from spoolcourse.wire.standby_settings import StandbySettings
 
 log = logging.getLogger(__name__)
@@ -59,7 +59,7 @@
                 delay_s = await self._request_page(leader)
             await asyncio.sleep(delay_s)
 
-    async def _request_page(self, leader: Seed) -> float:
+    async def _request_page(self, leader: Peer) -> float:
         """Request the next page; returns the seconds to wait before the following request."""
         query = HintQuery(self._next_page_after, self._settings.hint_machines)
         self._next_page_after = ""
--- a/spoolcourse/control/health.py
+++ b/spoolcourse/control/health.py
@@ -9,7 +9,7 @@
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire import paths
 from spoolcourse.wire.messages import MachineType
-from spoolcourse.wire.settings import Seed
+from spoolcourse.wire.settings import Peer
 
 CHECK_PERIOD_S = 1.0
 RECENT_SYNC_S = 2.0  # a watch that synced this recently needs no read barrier
@@ -28,7 +28,7 @@
     def __init__(
         self,
         http_client: HttpClient,
-        peers: list[Seed],
+        peers: list[Peer],
         watch_cache: WatchCache,
         machine_types: Callable[[], dict[str, MachineType]],
         clock: Callable[[], float],
@@ -58,7 +58,7 @@
         peers_ready = await asyncio.gather(*(self._is_peer_ready(peer) for peer in self._peers))
         return not self._peers or any(peers_ready)
 
-    async def _is_peer_ready(self, peer: Seed) -> bool:
+    async def _is_peer_ready(self, peer: Peer) -> bool:
         try:
             response = await self._http_client.call(
                 peer.endpoint, "GET", paths.HEALTH, timeout_s=PEER_TIMEOUT_S
--- a/spoolcourse/control/jobs/cancellation_query.py
+++ b/spoolcourse/control/jobs/cancellation_query.py
@@ -18,7 +18,7 @@
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.commands import to_json_object
 from spoolcourse.wire.peers import CancellationReply, parse_since_revision
-from spoolcourse.wire.settings import Seed
+from spoolcourse.wire.settings import Peer
 
 QUERY_PERIOD_S = 1.0
 STORE_READ_AGE_MAX_S = 2.0  # peers are queried beyond it; the health check reads each second
@@ -46,7 +46,7 @@
     def __init__(
         self,
         http_client: HttpClient,
-        peers: list[Seed],
+        peers: list[Peer],
         watch_cache: WatchCache,
         job_index: JobIndex,
         clock: Callable[[], float],
--- a/spoolcourse/control/leadership/feature_level.py
+++ b/spoolcourse/control/leadership/feature_level.py
@@ -19,7 +19,7 @@
 from spoolcourse.control.store.keys import FEATURE_LEVEL_KEY
 from spoolcourse.control.store.records import feature_level_of, feature_level_value
 from spoolcourse.control.store.watch_cache import WatchCache
-from spoolcourse.wire.settings import Seed
+from spoolcourse.wire.settings import Peer
 
 log = logging.getLogger(__name__)
 
@@ -46,7 +46,7 @@
         http_client: HttpClient,
         client: StoreClient,
         watch_cache: WatchCache,
-        peers: list[Seed],
+        peers: list[Peer],
         term: Term,
     ) -> None:
         self._http_client = http_client
--- a/spoolcourse/control/leadership/peers.py
+++ b/spoolcourse/control/leadership/peers.py
@@ -16,7 +16,7 @@
     StandbyReply,
     cancellations_path,
 )
-from spoolcourse.wire.settings import Seed
+from spoolcourse.wire.settings import Peer
 
 log = logging.getLogger(__name__)
 
@@ -43,7 +43,7 @@
 
 
 async def query_peers(
-    http_client: HttpClient, peers: list[Seed], query: PeerQuery[Reply]
+    http_client: HttpClient, peers: list[Peer], query: PeerQuery[Reply]
 ) -> list[Reply | None]:
     """Query all peers concurrently; return their replies in the order of the peers.
 
@@ -52,7 +52,7 @@
     return await asyncio.gather(*(_query_peer(http_client, peer, query) for peer in peers))
 
 
-async def _query_peer(http_client: HttpClient, peer: Seed, query: PeerQuery[Reply]) -> Reply | None:
+async def _query_peer(http_client: HttpClient, peer: Peer, query: PeerQuery[Reply]) -> Reply | None:
     try:
         response = await http_client.call(
             peer.endpoint, "GET", query.path, timeout_s=QUERY_TIMEOUT_S
--- a/spoolcourse/control/user_api/peer_fallback.py
+++ b/spoolcourse/control/user_api/peer_fallback.py
@@ -17,7 +17,7 @@
 from spoolcourse.control.leadership.election import Leadership
 from spoolcourse.control.store.records import FinalState
 from spoolcourse.wire.messages import JobStatus, MalformedError, parse
-from spoolcourse.wire.settings import Seed
+from spoolcourse.wire.settings import Peer
 
 log = logging.getLogger(__name__)
 
@@ -33,7 +33,7 @@
     def __init__(
         self,
         http_client: HttpClient,
-        peers: list[Seed],
+        peers: list[Peer],
         leadership: Leadership,
         job_index: JobIndex,
     ) -> None:
@@ -62,11 +62,11 @@
                 return Response(response.status, response.data)
         return retry_later("try again", retry_after_s)
 
-    def _peers_leader_first(self) -> list[Seed]:
+    def _peers_leader_first(self) -> list[Peer]:
         leader_label = self._leadership.leader_label
         return sorted(self._peers, key=lambda peer: peer.label != leader_label)
 
-    async def _forward(self, peer: Seed, request: Request, timeout_s: float) -> Response | None:
+    async def _forward(self, peer: Peer, request: Request, timeout_s: float) -> Response | None:
         try:
             return await self._http_client.call(
                 peer.endpoint,
--- a/spoolcourse/control/workers/heartbeat_relay.py
+++ b/spoolcourse/control/workers/heartbeat_relay.py
@@ -18,7 +18,7 @@
 from spoolcourse.wire import paths
 from spoolcourse.wire.commands import HeartbeatResponse, Redirect, to_json_object
 from spoolcourse.wire.messages import MalformedError, parse
-from spoolcourse.wire.settings import Seed
+from spoolcourse.wire.settings import Peer
 
 log = logging.getLogger(__name__)
 
@@ -44,11 +44,11 @@
     """Forwards heartbeats, and decides when to redirect a worker to the leader."""
 
     def __init__(
-        self, http_client: HttpClient, label: str, seeds: list[Seed], heartbeat_interval_s: float
+        self, http_client: HttpClient, label: str, peers: list[Peer], heartbeat_interval_s: float
     ) -> None:
         self._http_client = http_client
         self._label = label
-        self._peers = {seed.label: seed.endpoint for seed in seeds}
+        self._peers = {peer.label: peer.endpoint for peer in peers}
         self._recent_window_s = RECENT_HEARTBEAT_INTERVALS * heartbeat_interval_s
         self._relayed: dict[str, RelayedHeartbeat] = {}  # by worker
         self._pruned_at = float("-inf")
--- a/spoolcourse/wire/settings.py
+++ b/spoolcourse/wire/settings.py
@@ -18,7 +18,7 @@
 Count = Annotated[int, msgspec.Meta(ge=1)]
 
 
-class Seed(msgspec.Struct, frozen=True):
+class Peer(msgspec.Struct, frozen=True):
     """Another controller, with its peer address."""
 
     label: str
@@ -145,7 +145,7 @@
     label: str
     listen: str
     cluster_listen: str
-    seeds: list[Seed]
+    seeds: list[Peer]
     outside: Outside
     settings: Params
     site: str = ""
@@ -174,10 +174,10 @@
         ("cluster_listen", settings.cluster_listen),
         ("outside.cloud", settings.outside.cloud),
         ("outside.state", settings.outside.state),
-        *((f"seeds[{i}].endpoint", seed.endpoint) for i, seed in enumerate(settings.seeds)),
+        *((f"seeds[{i}].endpoint", peer.endpoint) for i, peer in enumerate(settings.seeds)),
     ):
         split_address(text, field)
-    labels = [settings.label, *(seed.label for seed in settings.seeds)]
+    labels = [settings.label, *(peer.label for peer in settings.seeds)]
     if "" in labels or len(set(labels)) != len(labels):
         raise UserError(f"{source}: settings: seeds: labels must be distinct and not empty")
     if not settings.settings.zones:
--- a/tests/leadership/test_election_and_peers.py
+++ b/tests/leadership/test_election_and_peers.py
@@ -19,7 +19,7 @@
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.messages import MalformedError
 from spoolcourse.wire.peers import CancellationReply, LevelReply, parse_since_revision
-from spoolcourse.wire.settings import Seed
+from spoolcourse.wire.settings import Peer
 from tests.fakes.key_value_store import FakeKeyValueStore
 from tests.fakes.network import FakeNetwork
 from tests.fakes.proof import LIMITS
@@ -145,7 +145,7 @@
 
         return serve
 
-    peers = [Seed(label, f"{label}:81") for label in ("n1", "n2", "n3", "n4")]
+    peers = [Peer(label, f"{label}:81") for label in ("n1", "n2", "n3", "n4")]
     store.network.hosts["n1:81"] = host(200, {"level": 1})
     store.network.hosts["n2:81"] = host(404, {"error": "no such resource"})
     store.network.hosts["n3:81"] = host(200, {"level": "x"})
--- a/tests/scenarios/test_scale.py
+++ b/tests/scenarios/test_scale.py
@@ -26,7 +26,7 @@
 from spoolcourse.control.workers.heartbeat_relay import HeartbeatRelay
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.control.workers.machine_table import DELETED_NAME_RETENTION_S
-from spoolcourse.wire.settings import Seed
+from spoolcourse.wire.settings import Peer
 from tests.fakes.registry import RegistryHarness
 from tests.fakes.world import World, job
 
@@ -101,7 +101,7 @@
         async def call(self, *args: Any, **options: Any) -> Response:
             return Response(200, {"baton": 1, "orders": []})
 
-    relay = HeartbeatRelay(LeaderNet(), "n0", [Seed("n1", "n1:81")], heartbeat_interval_s=1.5)
+    relay = HeartbeatRelay(LeaderNet(), "n0", [Peer("n1", "n1:81")], heartbeat_interval_s=1.5)
     statuses = []
     for _ in range(2):
         for number in range(3 * FLEET):
