--- a/spoolcourse/wire/settings.py
+++ b/spoolcourse/wire/settings.py
@@ -26,7 +26,7 @@
     site: str = ""
 
 
-class Outside(msgspec.Struct, frozen=True):
+class ExternalServices(msgspec.Struct, frozen=True):
     """The addresses of the cloud and the key-value store."""
 
     cloud: str
@@ -146,7 +146,7 @@
     listen: str
     cluster_listen: str
     seeds: list[Peer]
-    outside: Outside
+    outside: ExternalServices
     settings: Params
     site: str = ""
 
