--- a/spoolcourse/control/store/budget.py
+++ b/spoolcourse/control/store/budget.py
@@ -8,7 +8,7 @@
 
 from spoolcourse.control.rate_limit import RateLimitExceededError, TokenBucket
 from spoolcourse.control.store.errors import RequestRefusedError
-from spoolcourse.wire.settings import State
+from spoolcourse.wire.settings import StoreLimits
 
 UNUSED_CONTROLLER_SHARES = 0.5  # of the request limit, in units of one controller's share
 LEADER_WRITE_SHARE = 0.5  # of the write limit; the leader makes most of the writes
@@ -19,7 +19,7 @@
 class StoreBudget:
     """Token buckets for requests, and for puts and deletes."""
 
-    def __init__(self, limits: State, controllers: int) -> None:
+    def __init__(self, limits: StoreLimits, controllers: int) -> None:
         """Divide the limits among the controllers; starts with a follower's share.
 
         Args:
--- a/spoolcourse/control/store/client.py
+++ b/spoolcourse/control/store/client.py
@@ -32,7 +32,7 @@
     Put,
     WatchResult,
 )
-from spoolcourse.wire.settings import State
+from spoolcourse.wire.settings import StoreLimits
 
 log = logging.getLogger(__name__)
 
@@ -74,7 +74,7 @@
         self,
         http_client: HttpClient,
         addr: str,
-        state: State,
+        limits: StoreLimits,
         controllers: int,
         timeout_s: float = REQUEST_TIMEOUT_S,
     ):
@@ -83,7 +83,7 @@
         Args:
             http_client: Sends the HTTP requests.
             addr: The store's address, host and port.
-            state: The store's current limits, and the announced ones.
+            limits: The store's current limits, and the announced ones.
             controllers: The number of controllers that share the limits.
             timeout_s: Timeout of each request, in addition to the time that the store may block it.
         """
@@ -91,8 +91,8 @@
         self._addr = addr
         # Announced lower limits may take effect at any moment, so new data keeps to them. Only
         # values written before may be larger, until the store refuses one.
-        self.limits = state.least
-        self.max_value_bytes = int(state.value_kb * 1024)
+        self.limits = limits.least
+        self.max_value_bytes = int(limits.value_kb * 1024)
         self._timeout_s = timeout_s
         self._budget = StoreBudget(self.limits, controllers)
         self.requests_sent = self.requests_failed = self.operations_sent = 0
--- a/spoolcourse/wire/settings.py
+++ b/spoolcourse/wire/settings.py
@@ -90,7 +90,7 @@
     txn_ops: Count | None = None
 
 
-class State(msgspec.Struct, frozen=True):
+class StoreLimits(msgspec.Struct, frozen=True):
     """The limits of the key-value store."""
 
     rps: Positive
@@ -100,12 +100,12 @@
     next: NextLimits | None = None
 
     @property
-    def least(self) -> State:
+    def least(self) -> StoreLimits:
         """The lower of the current and the next limits: the change is not announced."""
         if self.next is None:
             return self
         upcoming = self.next
-        return State(
+        return StoreLimits(
             min(self.rps, upcoming.rps or self.rps),
             min(self.write_rps, upcoming.write_rps or self.write_rps),
             min(self.value_kb, upcoming.value_kb or self.value_kb),
@@ -132,7 +132,7 @@
     zones: list[str]
     teams: list[Team]
     workers: Workers
-    state: State
+    state: StoreLimits
     cloud: Cloud
     objectives: list[Objective] = []
     machine_limits: MachineLimits = MachineLimits()
--- a/tests/fakes/proof.py
+++ b/tests/fakes/proof.py
@@ -7,10 +7,10 @@
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.keys import PREFIX, TERM_KEY
 from spoolcourse.control.store.watch_cache import WatchCache
-from spoolcourse.wire.settings import State
+from spoolcourse.wire.settings import StoreLimits
 from tests.fakes.network import FakeNetwork
 
-LIMITS = State(rps=100.0, write_rps=30.0, value_kb=8.0, txn_ops=24)
+LIMITS = StoreLimits(rps=100.0, write_rps=30.0, value_kb=8.0, txn_ops=24)
 
 
 def cache_at(store_revision: int) -> WatchCache:
--- a/tests/jobs/test_progress_writer.py
+++ b/tests/jobs/test_progress_writer.py
@@ -18,7 +18,7 @@
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.key_value_store import Put
 from spoolcourse.wire.messages import Submission, parse
-from spoolcourse.wire.settings import NextLimits, State
+from spoolcourse.wire.settings import NextLimits, StoreLimits
 from tests.fakes.key_value_store import FakeKeyValueStore
 from tests.fakes.network import FakeNetwork
 from tests.fakes.world import job
@@ -27,7 +27,7 @@
 class WriterHarness:
     """A term's progress writer, its job queue and its key-value store; created within `play`."""
 
-    def __init__(self, limits: State) -> None:
+    def __init__(self, limits: StoreLimits) -> None:
         self.store, network = FakeKeyValueStore(), FakeNetwork()
         network.hosts["state:1"] = self.store.serve
         self.client = StoreClient(network.end_of("n0"), "state:1", limits, controllers=1)
@@ -63,7 +63,7 @@
 
 
 async def test_starts_are_written_by_rank_and_before_results() -> None:
-    harness = WriterHarness(State(rps=200.0, write_rps=6.0, value_kb=8.0, txn_ops=12))
+    harness = WriterHarness(StoreLimits(rps=200.0, write_rps=6.0, value_kb=8.0, txn_ops=12))
     queue = harness.job_queue
     term_revision = await harness.write(TERM_KEY, {"term": 1})
     ranks = ["standard"] * 20 + ["best_effort", "high"]
@@ -92,7 +92,7 @@
 
 
 async def test_a_value_above_a_lowered_limit_is_not_retried_repeatedly() -> None:
-    harness = WriterHarness(State(200.0, 100.0, 8.0, 24, NextLimits(value_kb=1.0)))
+    harness = WriterHarness(StoreLimits(200.0, 100.0, 8.0, 24, NextLimits(value_kb=1.0)))
     store, queue = harness.store, harness.job_queue
     term_revision = await harness.write(TERM_KEY, {"term": 1})
     job_state = await harness.add_job(pieces=170)
@@ -114,7 +114,7 @@
 
 
 async def test_a_start_write_stays_pending_after_a_conflict() -> None:
-    harness = WriterHarness(State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24))
+    harness = WriterHarness(StoreLimits(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24))
     queue = harness.job_queue
     term_revision = await harness.write(TERM_KEY, {"term": 1})
     job_state = await harness.add_job(pieces=2)
@@ -142,7 +142,7 @@
 
 
 async def test_a_writer_of_a_superseded_term_changes_nothing_and_steps_down() -> None:
-    harness = WriterHarness(State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24))
+    harness = WriterHarness(StoreLimits(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24))
     term_revision = await harness.write(TERM_KEY, {"term": 1})
     job_state = await harness.add_job(pieces=2)
     running = await harness.start(term_revision)
--- a/tests/scenarios/test_late_messages.py
+++ b/tests/scenarios/test_late_messages.py
@@ -22,7 +22,7 @@
     parse_progress_key,
 )
 from spoolcourse.control.store.watch_cache import WatchCache
-from spoolcourse.wire.settings import State
+from spoolcourse.wire.settings import StoreLimits
 from tests.fakes.clock import spawn
 from tests.fakes.key_value_store import FakeKeyValueStore
 from tests.fakes.meetings import ended, insist, shift_leader
@@ -95,7 +95,7 @@
     # attached to the first one's, which nobody renews.
     store, network = FakeKeyValueStore(), FakeNetwork()
     network.hosts["state:1"] = store.serve
-    limits = State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
+    limits = StoreLimits(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
     client = StoreClient(network.end_of("n0"), "state:1", limits, controllers=2)
     watch_cache = WatchCache(client, PREFIX)
     leadership = Leadership(client, watch_cache, "n0", "run-0")
--- a/tests/scenarios/test_troubles.py
+++ b/tests/scenarios/test_troubles.py
@@ -12,7 +12,7 @@
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.keys import PREFIX, TERM_KEY
 from spoolcourse.control.store.watch_cache import WatchCache
-from spoolcourse.wire.settings import State
+from spoolcourse.wire.settings import StoreLimits
 from tests.fakes.key_value_store import FakeKeyValueStore
 from tests.fakes.network import FakeNetwork
 from tests.fakes.world import LABELS, World, job
@@ -214,7 +214,7 @@
     # term 1, the second over the first.
     state, network = FakeKeyValueStore(), FakeNetwork()
     network.hosts["state:1"] = state.serve
-    limits = State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
+    limits = StoreLimits(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
     candidates = []
     for label in ("n0", "n1"):
         client = StoreClient(network.end_of(label), "state:1", limits, controllers=2)
--- a/tests/store/test_store_client.py
+++ b/tests/store/test_store_client.py
@@ -24,15 +24,15 @@
 from spoolcourse.control.store.keys import PREFIX, TERM_KEY
 from spoolcourse.control.store.watch_cache import WatchCache, WatchGap
 from spoolcourse.wire.key_value_store import Delete, Operation, Put
-from spoolcourse.wire.settings import NextLimits, State
+from spoolcourse.wire.settings import NextLimits, StoreLimits
 from tests.fakes.key_value_store import FakeKeyValueStore
 from tests.fakes.network import FakeNetwork
 
-LIMITS = State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
+LIMITS = StoreLimits(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
 Request = Callable[[StoreClient], Awaitable[Any]]
 
 
-def client_of(serve: Any, limits: State = LIMITS) -> StoreClient:
+def client_of(serve: Any, limits: StoreLimits = LIMITS) -> StoreClient:
     network = FakeNetwork()
     network.hosts["state:1"] = serve
     return StoreClient(network.end_of("n0"), "state:1", limits, controllers=1)
@@ -104,7 +104,7 @@
     async def serve(method: str, path: str, body: Any) -> Response:
         return Response(400, {"error": "too large"})
 
-    client = client_of(serve, State(200.0, 100.0, 8.0, 24, NextLimits(value_kb=1.0)))
+    client = client_of(serve, StoreLimits(200.0, 100.0, 8.0, 24, NextLimits(value_kb=1.0)))
     assert client.max_value_bytes == 8192
     with pytest.raises(ValueTooLargeError) as caught:
         await client.compare_and_swap({"a": 0}, [Put("a", {})])
@@ -132,7 +132,7 @@
 
 async def test_a_used_up_budget_refuses_at_once_and_says_until_when() -> None:
     state = FakeKeyValueStore()
-    client = client_of(state.serve, State(200.0, 4.0, 8.0, 24))
+    client = client_of(state.serve, StoreLimits(200.0, 4.0, 8.0, 24))
     puts = [Put("a", {}), Put("b", {}), Put("c", {})]
 
     async def use_up_budget() -> None:
