--- a/spoolcourse/control/failover/restore.py
+++ b/spoolcourse/control/failover/restore.py
@@ -23,7 +23,7 @@
 
 def empty_job_queue(context: ControllerContext) -> JobQueue:
     """An empty job queue, with chunks sized for the key-value store's limits."""
-    return JobQueue(chunk_tasks(context.params.state.least.value_kb))
+    return JobQueue(chunk_tasks(context.params.state.lower_limits.value_kb))
 
 
 def restore_from_records(context: ControllerContext) -> RestoredJobs:
--- a/spoolcourse/control/leader/initial_machines.py
+++ b/spoolcourse/control/leader/initial_machines.py
@@ -28,7 +28,7 @@
     def __init__(self, context: ControllerContext, term: Term) -> None:
         self._client = context.store_client
         self._watch_cache = context.watch_cache
-        self._value_bytes = context.params.state.least.value_kb * 1024
+        self._value_bytes = context.params.state.lower_limits.value_kb * 1024
         self._term = term
 
     def names(self) -> frozenset[str]:
--- a/spoolcourse/control/store/client.py
+++ b/spoolcourse/control/store/client.py
@@ -91,7 +91,7 @@
         self._addr = addr
         # Announced lower limits may take effect at any moment, so new data keeps to them. Only
         # values written before may be larger, until the store refuses one.
-        self.limits = limits.least
+        self.limits = limits.lower_limits
         self.max_value_bytes = int(limits.value_kb * 1024)
         self._timeout_s = timeout_s
         self._budget = StoreBudget(self.limits, controllers)
--- a/spoolcourse/wire/settings.py
+++ b/spoolcourse/wire/settings.py
@@ -100,7 +100,7 @@
     next: NextLimits | None = None
 
     @property
-    def least(self) -> StoreLimits:
+    def lower_limits(self) -> StoreLimits:
         """The lower of the current and the next limits: the change is not announced."""
         if self.next is None:
             return self
--- a/tests/scenarios/test_upgrade.py
+++ b/tests/scenarios/test_upgrade.py
@@ -88,10 +88,12 @@
 
 
 def test_limits_to_come_are_read_and_checked() -> None:
-    assert settings().settings.state.least == settings().settings.state
-    assert settings(**with_next()).settings.state.least.txn_ops == 24
-    least = settings(**with_next(value_kb=2.0, txn_ops=4, write_rps=150.0)).settings.state.least
-    assert (least.value_kb, least.txn_ops, least.write_rps) == (2.0, 4, 100.0)
+    assert settings().settings.state.lower_limits == settings().settings.state
+    assert settings(**with_next()).settings.state.lower_limits.txn_ops == 24
+    lower = settings(
+        **with_next(value_kb=2.0, txn_ops=4, write_rps=150.0)
+    ).settings.state.lower_limits
+    assert (lower.value_kb, lower.txn_ops, lower.write_rps) == (2.0, 4, 100.0)
     for wrong in ({"value_kb": 0}, {"txn_ops": -1}, {"write_rps": "x"}, {"rps": 0.0}):
         with pytest.raises(UserError, match=r"state\.next"):
             settings(**with_next(**wrong))
