--- a/spoolcourse/control/context.py
+++ b/spoolcourse/control/context.py
@@ -13,7 +13,7 @@
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.policy.keys import PolicySource
 from spoolcourse.wire.messages import MachineType
-from spoolcourse.wire.settings import Params, Peer
+from spoolcourse.wire.settings import DeploymentSettings, Peer
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -30,7 +30,7 @@
     job_index: JobIndex
     cloud: CloudClient
     peers: list[Peer]
-    params: Params
+    params: DeploymentSettings
     policy_source: PolicySource
     machine_types: Callable[[], dict[str, MachineType]]
     clock: Callable[[], float]  # monotonic, in seconds
--- a/spoolcourse/control/scheduling/snapshot_builder.py
+++ b/spoolcourse/control/scheduling/snapshot_builder.py
@@ -15,7 +15,7 @@
 from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.policy.keys import Policy
 from spoolcourse.wire.messages import HostStage, MachineType
-from spoolcourse.wire.settings import Params
+from spoolcourse.wire.settings import DeploymentSettings
 
 MIN_REMAINING_BOOT_S = 1.0  # at least this long until a booting machine is ready
 
@@ -27,7 +27,7 @@
         self,
         job_queue: JobQueue,
         registry: WorkerRegistry,
-        params: Params,
+        params: DeploymentSettings,
         policy: Policy,
     ) -> None:
         self._job_queue = job_queue
--- a/spoolcourse/control/user_api/checks.py
+++ b/spoolcourse/control/user_api/checks.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from spoolcourse.wire.messages import MachineType, Submission, fits
-from spoolcourse.wire.settings import Params, Team
+from spoolcourse.wire.settings import DeploymentSettings, Team
 
 
 def usable_machine_types(
@@ -19,7 +19,7 @@
 
 
 def rejection_reason(
-    submission: Submission, machine_types: dict[str, MachineType], params: Params
+    submission: Submission, machine_types: dict[str, MachineType], params: DeploymentSettings
 ) -> str | None:
     """Why the job can never run; None if it can."""
     team = next((t for t in params.teams if t.name == submission.team), None)
--- a/spoolcourse/control/user_api/submissions.py
+++ b/spoolcourse/control/user_api/submissions.py
@@ -30,7 +30,7 @@
     decode,
     parse_submission,
 )
-from spoolcourse.wire.settings import Params
+from spoolcourse.wire.settings import DeploymentSettings
 
 log = logging.getLogger(__name__)
 
@@ -43,7 +43,7 @@
         job_records: JobRecords,
         job_states: JobStates,
         watch_cache: WatchCache,
-        params: Params,
+        params: DeploymentSettings,
         machine_types: Callable[[], dict[str, MachineType]],
         wall_clock: Callable[[], float],
     ) -> None:
--- a/spoolcourse/wire/settings.py
+++ b/spoolcourse/wire/settings.py
@@ -126,7 +126,7 @@
     sockets: Annotated[int, msgspec.Meta(ge=0)] = 0
 
 
-class Params(msgspec.Struct, frozen=True):
+class DeploymentSettings(msgspec.Struct, frozen=True):
     """The parameters of the deployment."""
 
     zones: list[str]
@@ -147,7 +147,7 @@
     cluster_listen: str
     seeds: list[Peer]
     outside: ExternalServices
-    settings: Params
+    settings: DeploymentSettings
     site: str = ""
 
 
