--- a/spoolcourse/control/autoscaling/cancelled_work.py
+++ b/spoolcourse/control/autoscaling/cancelled_work.py
@@ -10,7 +10,7 @@
 
 from spoolcourse.control.jobs.job_queue import JobQueue
 from spoolcourse.control.workers.machine import Machine
-from spoolcourse.wire.settings import Workers
+from spoolcourse.wire.settings import WorkerSettings
 
 # Of `cancel_s`: tasks should have ended by then, and the deletion may need retries.
 OVERDUE_SHARE = 0.4
@@ -26,7 +26,7 @@
     def __init__(
         self,
         job_queue: JobQueue,
-        workers: Workers,
+        workers: WorkerSettings,
         skew_s: float,
         clock: Callable[[], float],
         wall_clock: Callable[[], float],
--- a/spoolcourse/control/autoscaling/replica_places.py
+++ b/spoolcourse/control/autoscaling/replica_places.py
@@ -13,7 +13,7 @@
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.wire.messages import MachineType, fits
-from spoolcourse.wire.settings import Workers
+from spoolcourse.wire.settings import WorkerSettings
 
 HEARTBEAT_TRANSIT_S = 1.0  # including the wait until this process handles the heartbeat
 
@@ -24,7 +24,7 @@
     def __init__(
         self,
         registry: WorkerRegistry,
-        workers: Workers,
+        workers: WorkerSettings,
         clock: Callable[[], float],
         machine_types: Callable[[], dict[str, MachineType]],
     ) -> None:
--- a/spoolcourse/control/leadership/renewal_deadline.py
+++ b/spoolcourse/control/leadership/renewal_deadline.py
@@ -14,7 +14,7 @@
 
 from collections.abc import Iterable
 
-from spoolcourse.wire.settings import Workers
+from spoolcourse.wire.settings import WorkerSettings
 
 MAX_RELATIVE_CLOCK_DRIFT = 0.001  # relative, between two clocks that are each up to 0.05% off
 TASK_END_MARGIN_S = 1.5  # for the worker to end its tasks, and for network delays
@@ -23,7 +23,7 @@
 class RenewalDeadline:
     """Tracks until when heartbeats of workers may be answered."""
 
-    def __init__(self, workers: Workers) -> None:
+    def __init__(self, workers: WorkerSettings) -> None:
         cancel_s = workers.cancel_s * (1 - MAX_RELATIVE_CLOCK_DRIFT)
         self.renewal_window_s = (
             cancel_s - workers.lease_s * (1 + MAX_RELATIVE_CLOCK_DRIFT) - TASK_END_MARGIN_S
--- a/spoolcourse/control/workers/worker_registry.py
+++ b/spoolcourse/control/workers/worker_registry.py
@@ -22,7 +22,7 @@
 from spoolcourse.wire.commands import Command
 from spoolcourse.wire.messages import Heartbeat
 from spoolcourse.wire.peers import Hint
-from spoolcourse.wire.settings import Workers
+from spoolcourse.wire.settings import WorkerSettings
 
 log = logging.getLogger(__name__)
 
@@ -56,7 +56,7 @@
         self,
         job_queue: JobQueue,
         proof: FailoverProof,
-        workers: Workers,
+        workers: WorkerSettings,
         clock: Callable[[], float],
         leader: Leader,
     ) -> None:
--- a/spoolcourse/wire/settings.py
+++ b/spoolcourse/wire/settings.py
@@ -63,7 +63,7 @@
     times: float = 0.0
 
 
-class Workers(msgspec.Struct, frozen=True):
+class WorkerSettings(msgspec.Struct, frozen=True):
     """Heartbeats and leases of workers, and the time within which cancelled work must end."""
 
     heartbeat_interval_s: Positive = msgspec.field(name="report_s")
@@ -131,7 +131,7 @@
 
     zones: list[str]
     teams: list[Team]
-    workers: Workers
+    workers: WorkerSettings
     state: StoreLimits
     cloud: Cloud
     objectives: list[Objective] = []
--- a/tests/fakes/registry.py
+++ b/tests/fakes/registry.py
@@ -11,7 +11,7 @@
 from spoolcourse.control.workers.worker_registry import AcceptedHeartbeat, WorkerRegistry
 from spoolcourse.wire.commands import to_json_object
 from spoolcourse.wire.messages import Heartbeat, Submission, parse
-from spoolcourse.wire.settings import Workers
+from spoolcourse.wire.settings import WorkerSettings
 from tests.fakes.proof import proven
 from tests.fakes.world import job
 
@@ -28,7 +28,7 @@
         self.registry = WorkerRegistry(
             self.job_queue,
             proven(TERM),
-            Workers(heartbeat_interval_s=1.5, lease_s=10.0, cancel_s=40.0),
+            WorkerSettings(heartbeat_interval_s=1.5, lease_s=10.0, cancel_s=40.0),
             lambda: self.now,
             self,
         )
--- a/tests/scenarios/test_isolated_leader.py
+++ b/tests/scenarios/test_isolated_leader.py
@@ -11,7 +11,7 @@
 from spoolcourse.control.jobs.cancellations import Cancellations
 from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
 from spoolcourse.wire.peers import Cancellation
-from spoolcourse.wire.settings import Workers
+from spoolcourse.wire.settings import WorkerSettings
 from tests.fakes.half_open import half_open
 from tests.fakes.isolated_leader import CANCEL_S, IsolatedLeader
 from tests.fakes.world import LABELS
@@ -169,7 +169,7 @@
 
 def test_renewal_ends_early_enough_for_an_unknown_cancellation() -> None:
     renewal_deadline = RenewalDeadline(
-        Workers(heartbeat_interval_s=1.5, lease_s=10.0, cancel_s=40.0)
+        WorkerSettings(heartbeat_interval_s=1.5, lease_s=10.0, cancel_s=40.0)
     )
     assert not renewal_deadline.may_renew(0.0)
     renewal_deadline.record_store_read(100.0)
