--- a/spoolcourse/control/autoscaling/cancelled_work.py
+++ b/spoolcourse/control/autoscaling/cancelled_work.py
@@ -78,4 +78,4 @@
         """
         next_heartbeat_s = self._workers.heartbeat_gap_s + HEARTBEAT_TRANSIT_S
         remaining_s = self._workers.cancel_s - DELETION_TIME_S - age_when_learned_s
-        return min(self._workers.quiet_s, max(remaining_s, next_heartbeat_s))
+        return min(self._workers.suspect_after_s, max(remaining_s, next_heartbeat_s))
--- a/spoolcourse/control/autoscaling/machine_faults.py
+++ b/spoolcourse/control/autoscaling/machine_faults.py
@@ -78,7 +78,7 @@
         known_for_s = now - machine.first_seen_at
         return (
             booting_for_s > self._policy.boot_patience * boot_s
-            and known_for_s > self._workers.quiet_s + 2 * self._list_lag_s
+            and known_for_s > self._workers.suspect_after_s + 2 * self._list_lag_s
         )
 
 
--- a/spoolcourse/control/leader/heartbeat_handler.py
+++ b/spoolcourse/control/leader/heartbeat_handler.py
@@ -41,7 +41,7 @@
         self._watch_cache = context.watch_cache
         self._clock = context.clock
         self._load = context.load
-        self._suspect_after_s = context.params.workers.quiet_s
+        self._suspect_after_s = context.params.workers.suspect_after_s
         self._leadership = leadership
         self._registry = registry
         self._renewal_deadline = renewal_deadline
@@ -49,7 +49,7 @@
         self._last_direct_heartbeat_at = self._clock()
 
     def receives_no_heartbeats(self) -> bool:
-        """Whether no worker has reached this controller directly for `quiet_s`."""
+        """Whether no worker has reached this controller directly for `suspect_after_s`."""
         return self._clock() - self._last_direct_heartbeat_at > self._suspect_after_s
 
     def handle(self, heartbeat: Heartbeat, relayed: bool) -> Response:
--- a/spoolcourse/control/workers/worker_registry.py
+++ b/spoolcourse/control/workers/worker_registry.py
@@ -60,7 +60,7 @@
         clock: Callable[[], float],
         leader: Leader,
     ) -> None:
-        super().__init__(job_queue, clock, workers.quiet_s, leader.on_capacity_change)
+        super().__init__(job_queue, clock, workers.suspect_after_s, leader.on_capacity_change)
         self.proof = proof
         self.fencing_token = proof.fencing_token
         self.leader = leader
--- a/spoolcourse/wire/settings.py
+++ b/spoolcourse/wire/settings.py
@@ -76,7 +76,7 @@
         return MAX_HEARTBEAT_INTERVAL_FACTOR * self.heartbeat_interval_s
 
     @property
-    def quiet_s(self) -> float:
+    def suspect_after_s(self) -> float:
         """After this time without a heartbeat, a worker has certainly missed two."""
         return 3 * self.heartbeat_interval_s + 1.0
 
--- a/tests/autoscaling/test_deletion_reasons.py
+++ b/tests/autoscaling/test_deletion_reasons.py
@@ -22,7 +22,7 @@
 
 def faults(*machines: Machine) -> MachineFaults:
     """The judgement of a leader that knows these machines."""
-    workers = SimpleNamespace(lease_s=LEASE_S, quiet_s=SUSPECT_S)
+    workers = SimpleNamespace(lease_s=LEASE_S, suspect_after_s=SUSPECT_S)
     params = SimpleNamespace(workers=workers, cloud=SimpleNamespace(list_lag_s=4.0))
     registry = SimpleNamespace(
         machines={machine.id: machine for machine in machines},
--- a/tests/scenarios/test_unresponsive_machines.py
+++ b/tests/scenarios/test_unresponsive_machines.py
@@ -194,7 +194,7 @@
     leader = str(world.leader)
     active = world.active(leader)
     world.cut_off(names[0])
-    await asyncio.sleep(active._context.params.workers.quiet_s + 0.5)
+    await asyncio.sleep(active._context.params.workers.suspect_after_s + 0.5)
     assert not active.registry.machines[names[0]].lease_expired
     calls: list[str] = []
 
