--- a/spoolcourse/control/autoscaling/cancelled_work.py
+++ b/spoolcourse/control/autoscaling/cancelled_work.py
@@ -76,6 +76,6 @@
         more heartbeat, or a fleet about to receive the stop command would be deleted (leases end
         tasks anyway that no leader unaware of the cancellation may keep alive).
         """
-        next_heartbeat_s = self._workers.heartbeat_gap_s + HEARTBEAT_TRANSIT_S
+        next_heartbeat_s = self._workers.max_heartbeat_interval_s + HEARTBEAT_TRANSIT_S
         remaining_s = self._workers.cancel_s - DELETION_TIME_S - age_when_learned_s
         return min(self._workers.suspect_after_s, max(remaining_s, next_heartbeat_s))
--- a/spoolcourse/control/autoscaling/replica_places.py
+++ b/spoolcourse/control/autoscaling/replica_places.py
@@ -32,7 +32,7 @@
         self._clock = clock
         self._machine_types = machine_types
         # A machine whose last heartbeat is older is late.
-        self.late_after_s = workers.heartbeat_gap_s + HEARTBEAT_TRANSIT_S
+        self.late_after_s = workers.max_heartbeat_interval_s + HEARTBEAT_TRANSIT_S
 
     def can_run_elsewhere(self, replica: Attempt) -> bool:
         """Whether the rules for starting tasks allow the replica on some other machine.
--- a/spoolcourse/wire/settings.py
+++ b/spoolcourse/wire/settings.py
@@ -71,7 +71,7 @@
     cancel_s: Positive
 
     @property
-    def heartbeat_gap_s(self) -> float:
+    def max_heartbeat_interval_s(self) -> float:
         """The longest normal time between two heartbeats."""
         return MAX_HEARTBEAT_INTERVAL_FACTOR * self.heartbeat_interval_s
 
--- a/tests/recorded/forms/adapter.py
+++ b/tests/recorded/forms/adapter.py
@@ -587,7 +587,7 @@
         "every field": msgspec.to_builtins(found),
         "fewest fields": msgspec.to_builtins(parse_settings(orjson.dumps(bare), "sample")),
         "team limits": [[str(t.cpu_limit), str(t.gpu_limit)] for t in params.teams],
-        "report gap": params.workers.heartbeat_gap_s,
+        "report gap": params.workers.max_heartbeat_interval_s,
         "quiet": params.workers.suspect_after_s,
         "least limits": msgspec.to_builtins(params.state.lower_limits),
         "standby, defaults": msgspec.to_builtins(parse_standby("[standby]", "sample")),
