--- a/spoolcourse/wire/settings.py
+++ b/spoolcourse/wire/settings.py
@@ -113,7 +113,7 @@
         )
 
 
-class Cloud(msgspec.Struct, frozen=True):
+class CloudLimits(msgspec.Struct, frozen=True):
     """The cloud's limits."""
 
     rps: Positive
@@ -133,7 +133,7 @@
     teams: list[Team]
     workers: WorkerSettings
     state: StoreLimits
-    cloud: Cloud
+    cloud: CloudLimits
     objectives: list[Objective] = []
     machine_limits: MachineLimits = MachineLimits()
     skew_ms: Amount = 0.0
