--- a/spoolcourse/control/workers/reconciliation.py
+++ b/spoolcourse/control/workers/reconciliation.py
@@ -132,7 +132,7 @@
         elif cause == EndCause.NO_ROOM:
             machine.start_refused_until = now + REFUSED_START_RETRY_DELAY_S
             _log_refused_start(machine, attempt, cause)
-        elif cause in (EndCause.OTHER_ATTEMPT_THERE, EndCause.NO_SUCH_TASK):
+        elif cause in (EndCause.OTHER_ATTEMPT_ON_MACHINE, EndCause.NO_SUCH_TASK):
             job_state.backoff_until = now + REFUSED_START_RETRY_DELAY_S
             _log_refused_start(machine, attempt, cause)
         self._machines.release_attempt(attempt)
--- a/spoolcourse/wire/messages.py
+++ b/spoolcourse/wire/messages.py
@@ -45,7 +45,7 @@
     STOPPED = "halted"
     ERROR = "error"
     NO_ROOM = "no_room"
-    OTHER_ATTEMPT_THERE = "in_use"
+    OTHER_ATTEMPT_ON_MACHINE = "in_use"
     NO_SUCH_TASK = "no_such"
 
 
