--- a/spoolcourse/control/http_connection.py
+++ b/spoolcourse/control/http_connection.py
@@ -18,7 +18,7 @@
 import orjson
 
 from spoolcourse.control.http_client import Request, Response, error_response, retry_later
-from spoolcourse.wire.messages import BODY_LIMIT
+from spoolcourse.wire.messages import MAX_BODY_BYTES
 
 # After `http_client`, which imports aiohttp without `ssl`.
 from aiohttp.base_protocol import BaseProtocol  # isort: skip
@@ -70,7 +70,7 @@
         `max_keep_alive_connections` of them, this one is closed after its next response.
         """
         loop = asyncio.get_running_loop()
-        super().__init__(loop, HttpRequestParser(self, loop, BODY_LIMIT, auto_decompress=False))
+        super().__init__(loop, HttpRequestParser(self, loop, MAX_BODY_BYTES, auto_decompress=False))
         self._handler = handler
         self._open_connections = open_connections
         self._max_keep_alive_connections = max_keep_alive_connections
@@ -210,10 +210,10 @@
 
 
 def _is_body_too_large(message: RawRequestMessage, payload: StreamReader) -> bool:
-    if payload.total_bytes > BODY_LIMIT:
+    if payload.total_bytes > MAX_BODY_BYTES:
         return True
     length = message.headers.get("Content-Length", "")
-    return length.isdigit() and int(length) > BODY_LIMIT
+    return length.isdigit() and int(length) > MAX_BODY_BYTES
 
 
 def _internal_error(request: Request) -> Response:
--- a/spoolcourse/wire/messages.py
+++ b/spoolcourse/wire/messages.py
@@ -20,7 +20,7 @@
 T = TypeVar("T")
 
 RANKS = ("prod", "high", "standard", "best_effort")  # highest first
-BODY_LIMIT = 64 * 1024  # bytes in a request's body
+MAX_BODY_BYTES = 64 * 1024  # bytes in a request's body
 JOB_ID = re.compile(r"job-[0-9]{6,12}")
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -8,7 +8,7 @@
 
 from spoolcourse.control.http_client import AiohttpClient, Request, Response
 from spoolcourse.control.http_server import listen
-from spoolcourse.wire.messages import BODY_LIMIT
+from spoolcourse.wire.messages import MAX_BODY_BYTES
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
@@ -78,9 +78,9 @@
 def test_a_body_above_the_limit_is_refused_before_it_is_read() -> None:
     async def declared(streams: Streams) -> None:
         reader, writer = streams
-        writer.write(post("/a", b"x" * BODY_LIMIT))
+        writer.write(post("/a", b"x" * MAX_BODY_BYTES))
         assert (await read_answer(reader))[0] == 200
-        head = f"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: {BODY_LIMIT + 1}\r\n\r\n"
+        head = f"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: {MAX_BODY_BYTES + 1}\r\n\r\n"
         writer.write(head.encode())
         assert (await read_answer(reader))[0] == 413
 
@@ -88,7 +88,7 @@
         reader, writer = streams
         writer.write(b"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n")
         chunk = b"x" * 8192
-        for _ in range(BODY_LIMIT // len(chunk) + 1):
+        for _ in range(MAX_BODY_BYTES // len(chunk) + 1):
             writer.write(b"%x\r\n%s\r\n" % (len(chunk), chunk))
         assert (await read_answer(reader))[0] == 413
 
--- a/tests/recorded/forms/adapter.py
+++ b/tests/recorded/forms/adapter.py
@@ -452,7 +452,7 @@
         "store, no such lease": key_value_store.NO_SUCH_LEASE,
         "cloud, no capacity": cloud.NO_CAPACITY,
         "cloud limits": [cloud.LIST_PAGE_SIZE, cloud.DELETE_MAX, cloud.PROVISION_MAX],
-        "body limit": messages.BODY_LIMIT,
+        "body limit": messages.MAX_BODY_BYTES,
         "job id": messages.JOB_ID.pattern,
         "progress counts": list(records.Progress.counts_of(progress)),
         "progress chunk": [records.chunk_tasks(kb) for kb in (0.1, 8.0, 64.0)],
--- a/tests/recorded/forms/interfaces.py
+++ b/tests/recorded/forms/interfaces.py
@@ -22,7 +22,7 @@
 from spoolcourse.control.http_connection import Connection, encode_response
 from spoolcourse.errors import UserError
 from spoolcourse.policy import keys as policy_keys
-from spoolcourse.wire.messages import BODY_LIMIT
+from spoolcourse.wire.messages import MAX_BODY_BYTES
 from spoolcourse.wire.standby_settings import OFF, StandbySettings
 from tests.fakes.clock import play
 from tests.fakes.isolated_leader import IsolatedLeader
@@ -534,13 +534,17 @@
 
 
 async def _broken_requests() -> dict[str, Any]:
-    limit = str(BODY_LIMIT).encode()
-    above = str(BODY_LIMIT + 1).encode()
+    limit = str(MAX_BODY_BYTES).encode()
+    above = str(MAX_BODY_BYTES + 1).encode()
     post, host = b"POST /a HTTP/1.1\r\nHost: x\r\n", b"Host: x\r\n"
     found = {}
     for name, raw in {
         "good": post + b"Content-Length: 2\r\n\r\n{}",
-        "as large as may be": post + b"Content-Length: " + limit + b"\r\n\r\n" + b"x" * BODY_LIMIT,
+        "as large as may be": post
+        + b"Content-Length: "
+        + limit
+        + b"\r\n\r\n"
+        + b"x" * MAX_BODY_BYTES,
         "too large": post + b"Content-Length: " + above + b"\r\n\r\n",
         "expects to continue": post + b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n",
         "not HTTP": b"what is this?\r\n\r\n",
