--- a/spoolcourse/control/user_api/api.py
+++ b/spoolcourse/control/user_api/api.py
@@ -25,7 +25,7 @@
 from spoolcourse.control.user_api.peer_fallback import PeerFallback
 from spoolcourse.control.user_api.submissions import Submissions, job_response
 from spoolcourse.wire import paths
-from spoolcourse.wire.messages import JOB_ID, JobAnswer, JobStage
+from spoolcourse.wire.messages import JOB_ID, JobResponse, JobStage
 
 log = logging.getLogger(__name__)
 
@@ -122,10 +122,10 @@
             if status is None:
                 return JOB_NOT_FOUND
             if status.stage.is_final:
-                return job_response(200, JobAnswer(job, status.stage))
+                return job_response(200, JobResponse(job, status.stage))
             if job in self._job_index.live and await self._job_records.cancel(
                 job, self._wall_clock()
             ):
                 log.info("job cancelled: job=%s", job)
-                return job_response(200, JobAnswer(job, JobStage.CANCELLED))
+                return job_response(200, JobResponse(job, JobStage.CANCELLED))
         raise CannotAnswerError("the job kept changing")
--- a/spoolcourse/control/user_api/submissions.py
+++ b/spoolcourse/control/user_api/submissions.py
@@ -21,7 +21,7 @@
 from spoolcourse.wire.commands import to_json_object
 from spoolcourse.wire.messages import (
     JOB_ID,
-    JobAnswer,
+    JobResponse,
     JobStage,
     JobStatus,
     MachineType,
@@ -107,7 +107,7 @@
                 submission.job_class,
                 submission.team,
             )
-            return job_response(201, JobAnswer(job, JobStage.QUEUED))
+            return job_response(201, JobResponse(job, JobStage.QUEUED))
         status = await self._job_states.read(job)
         if status is None:
             raise CannotAnswerError("the record changed while it was read")
@@ -128,9 +128,9 @@
         return rejection if status is None else job_response(200, status)
 
 
-def job_response(status: int, answer: JobStatus | JobAnswer) -> Response:
+def job_response(status: int, body: JobStatus | JobResponse) -> Response:
     """A response with a job's state as its body."""
-    return Response(status, to_json_object(answer))
+    return Response(status, to_json_object(body))
 
 
 def _parse_job_id(body: bytes) -> str | None:
--- a/spoolcourse/wire/messages.py
+++ b/spoolcourse/wire/messages.py
@@ -122,7 +122,7 @@
     )
 
 
-class JobAnswer(msgspec.Struct, frozen=True):
+class JobResponse(msgspec.Struct, frozen=True):
     """The response to an accepted submission and to a cancellation."""
 
     id: str
--- a/tests/recorded/forms/adapter.py
+++ b/tests/recorded/forms/adapter.py
@@ -327,7 +327,7 @@
     "submission, every field": _message(ARRAY_WITH_ALL),
     "submission, service": _message(SERVICE),
     **{
-        f"job answer, {stage.value}": _message(messages.JobAnswer(id="job-000001", stage=stage))
+        f"job answer, {stage.value}": _message(messages.JobResponse(id="job-000001", stage=stage))
         for stage in messages.JobStage
     },
     **{
