--- a/spoolcourse/control/autoscaling/early_deletion.py
+++ b/spoolcourse/control/autoscaling/early_deletion.py
@@ -17,7 +17,7 @@
 from spoolcourse.control.autoscaling.replica_probe import ReplicaProbe
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.control.workers.worker_registry import WorkerRegistry
-from spoolcourse.wire.messages import HostStage
+from spoolcourse.wire.messages import ListedMachineStage
 
 # Above this share of late workers, the zone or this controller is assumed to be cut off.
 LATE_WORKERS_SHARE_MAX = 0.25
@@ -107,7 +107,10 @@
     def _count_late_workers(self, now: float) -> _LateWorkerCounts:
         counts = _LateWorkerCounts()
         for machine in self._registry.machines.values():
-            if machine.last_heartbeat_at is None or machine.listed_stage is HostStage.FAILED:
+            if (
+                machine.last_heartbeat_at is None
+                or machine.listed_stage is ListedMachineStage.FAILED
+            ):
                 continue
             zone = machine.zone or ""
             counts.reporting[zone] += 1
--- a/spoolcourse/control/autoscaling/excess_capacity.py
+++ b/spoolcourse/control/autoscaling/excess_capacity.py
@@ -9,7 +9,7 @@
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.policy.keys import KEYS, Policy
-from spoolcourse.wire.messages import HostStage
+from spoolcourse.wire.messages import ListedMachineStage
 
 
 class ExcessCapacity:
@@ -77,5 +77,5 @@
     return (
         machine.last_heartbeat_at is None
         and not machine.deletion_requested
-        and machine.listed_stage is not HostStage.FAILED
+        and machine.listed_stage is not ListedMachineStage.FAILED
     )
--- a/spoolcourse/control/autoscaling/machine_faults.py
+++ b/spoolcourse/control/autoscaling/machine_faults.py
@@ -9,7 +9,7 @@
 from spoolcourse.control.autoscaling.machine_type_lookup import MachineTypeLookup
 from spoolcourse.control.leader_context import LeaderContext
 from spoolcourse.control.workers.machine import Machine
-from spoolcourse.wire.messages import HostStage
+from spoolcourse.wire.messages import ListedMachineStage
 
 ISOLATION_MACHINES_MIN = 3  # known machines needed to infer isolation from their silence
 FAILED_JOBS_UNTIL_FAULTY = 2  # if tasks of this many jobs fail, the machine is the cause
@@ -87,7 +87,7 @@
     return (
         machine.last_heartbeat_at is None
         and machine.expected_ready_at is not None
-        and machine.listed_stage is not HostStage.RUNNING
+        and machine.listed_stage is not ListedMachineStage.RUNNING
         and not machine.attempts
     )
 
--- a/spoolcourse/control/autoscaling/machine_list.py
+++ b/spoolcourse/control/autoscaling/machine_list.py
@@ -11,7 +11,7 @@
 from spoolcourse.control.leader_context import LeaderContext
 from spoolcourse.control.workers.fencing_token_announcer import FencingTokenAnnouncer
 from spoolcourse.control.workers.machine import Machine
-from spoolcourse.wire.messages import Host, HostStage
+from spoolcourse.wire.messages import ListedMachine, ListedMachineStage
 
 log = logging.getLogger(__name__)
 
@@ -25,7 +25,7 @@
         self,
         leader: LeaderContext,
         types: MachineTypeLookup,
-        on_list: Callable[[list[Host]], Awaitable[None]],
+        on_list: Callable[[list[ListedMachine]], Awaitable[None]],
     ) -> None:
         context = leader.controller
         self._cloud = context.cloud
@@ -43,39 +43,51 @@
         while True:
             try:
                 requested_at = self._clock()
-                hosts = await self._cloud.list_machines()
-                self._update_machines(hosts, requested_at)
-                await self._on_list(hosts)
+                listed_machines = await self._cloud.list_machines()
+                self._update_machines(listed_machines, requested_at)
+                await self._on_list(listed_machines)
                 await self._announcer.announce(
-                    self._unconfirmed_machines(hosts), fleet_size=len(self._registry.machines)
+                    self._unconfirmed_machines(listed_machines),
+                    fleet_size=len(self._registry.machines),
                 )
             except CloudRequestFailedError as exc:
                 log.info("machine list: %s", exc)
             await asyncio.sleep(self._period_s)
 
-    def _update_machines(self, hosts: list[Host], requested_at: float) -> None:
-        for host in hosts:
-            if host.id not in self._registry.deleted_names:
-                self._update_machine(self._registry.ensure_machine(host.id), host, requested_at)
+    def _update_machines(self, listed_machines: list[ListedMachine], requested_at: float) -> None:
+        for listed_machine in listed_machines:
+            if listed_machine.id not in self._registry.deleted_names:
+                self._update_machine(
+                    self._registry.ensure_machine(listed_machine.id), listed_machine, requested_at
+                )
 
-    def _update_machine(self, machine: Machine, host: Host, requested_at: float) -> None:
+    def _update_machine(
+        self, machine: Machine, listed_machine: ListedMachine, requested_at: float
+    ) -> None:
         """Update the stage; fill in unknown values only, as heartbeats are newer than the list."""
-        if host.stage is HostStage.RUNNING and machine.listed_stage is not HostStage.RUNNING:
+        if (
+            listed_machine.stage is ListedMachineStage.RUNNING
+            and machine.listed_stage is not ListedMachineStage.RUNNING
+        ):
             machine.listed_running_since = requested_at
-        machine.listed_stage = host.stage
-        machine.machine_type = machine.machine_type or host.machine_type
-        machine.zone = machine.zone or host.zone
+        machine.listed_stage = listed_machine.stage
+        machine.machine_type = machine.machine_type or listed_machine.machine_type
+        machine.zone = machine.zone or listed_machine.zone
         if machine.spot is None:
-            machine.spot = host.spot
-        machine.address = machine.address or host.address
+            machine.spot = listed_machine.spot
+        machine.address = machine.address or listed_machine.address
         if machine.provisioned_at is None:
-            machine.provisioned_at = requested_at - host.age_s
+            machine.provisioned_at = requested_at - listed_machine.age_s
         if machine.last_heartbeat_at is None and machine.expected_ready_at is None:
             machine.expected_ready_at = machine.provisioned_at + self._types.boot_s(machine)
 
-    def _unconfirmed_machines(self, hosts: list[Host]) -> list[Machine]:
+    def _unconfirmed_machines(self, listed_machines: list[ListedMachine]) -> list[Machine]:
         """Running machines that have sent no heartbeat under the leader's fencing token."""
-        running = [self._registry.machines.get(h.id) for h in hosts if h.stage is HostStage.RUNNING]
+        running = [
+            self._registry.machines.get(m.id)
+            for m in listed_machines
+            if m.stage is ListedMachineStage.RUNNING
+        ]
         return [
             machine
             for machine in running
--- a/spoolcourse/control/autoscaling/owner.py
+++ b/spoolcourse/control/autoscaling/owner.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from spoolcourse.wire.messages import Host
+from spoolcourse.wire.messages import ListedMachine
 
 
 class ScaleInOwner(Protocol):
@@ -26,7 +26,7 @@
         """Whether no other controller can be leader yet, so that machines may be provisioned."""
         ...
 
-    async def on_machine_list(self, hosts: list[Host]) -> None:
+    async def on_machine_list(self, listed_machines: list[ListedMachine]) -> None:
         """Handle a new machine list of the cloud."""
         ...
 
--- a/spoolcourse/control/autoscaling/scale_in.py
+++ b/spoolcourse/control/autoscaling/scale_in.py
@@ -15,7 +15,7 @@
 from spoolcourse.control.autoscaling.service_reserve import ServiceReserve
 from spoolcourse.control.leader_context import LeaderContext
 from spoolcourse.control.workers.machine import Machine
-from spoolcourse.wire.messages import HostStage
+from spoolcourse.wire.messages import ListedMachineStage
 
 log = logging.getLogger(__name__)
 
@@ -112,7 +112,7 @@
         """Return the first reason in `DeletionReason` that applies to the machine, if any."""
         if machine.deletion_requested:
             return DeletionReason.REQUESTED_BEFORE
-        if machine.listed_stage is HostStage.FAILED:
+        if machine.listed_stage is ListedMachineStage.FAILED:
             return DeletionReason.FAILED
         if self._cancelled_work.may_hold_overdue_tasks(machine, round_context.overdue_jobs):
             return DeletionReason.CANCELLED_WORK
--- a/spoolcourse/control/cloud/client.py
+++ b/spoolcourse/control/cloud/client.py
@@ -21,8 +21,8 @@
 )
 from spoolcourse.wire.messages import (
     Catalog,
-    Host,
-    HostPage,
+    ListedMachine,
+    MachineListPage,
     MalformedError,
     ProvisionedMachines,
     parse,
@@ -107,21 +107,21 @@
         except MalformedError as exc:
             raise _malformed("GET", paths.CATALOG, exc) from exc
 
-    async def list_machines(self) -> list[Host]:
+    async def list_machines(self) -> list[ListedMachine]:
         """Return all machines that the cloud lists, which may be outdated by `list_lag_s`."""
-        machines: list[Host] = []
+        machines: list[ListedMachine] = []
         last_name = ""
         while True:
             path = list_path(last_name)
             reply = await self._request("GET", path)
             try:
-                page = parse(reply.data, HostPage)
+                page = parse(reply.data, MachineListPage)
             except MalformedError as exc:
                 raise _malformed("GET", path, exc) from exc
-            machines += page.hosts
-            if not page.has_next or not page.hosts:
+            machines += page.machines
+            if not page.has_next or not page.machines:
                 return machines
-            last_name = page.hosts[-1].id
+            last_name = page.machines[-1].id
 
     def provisioning(self, proof: FailoverProof) -> ProvisioningClient:
         """Return the client that provisions and deletes machines, given the proof of a failover."""
--- a/spoolcourse/control/leader/active_leader.py
+++ b/spoolcourse/control/leader/active_leader.py
@@ -25,7 +25,7 @@
 from spoolcourse.control.supervisor import LoopFunction
 from spoolcourse.control.workers.command_dispatcher import CommandDispatcher
 from spoolcourse.control.workers.worker_registry import WorkerRegistry
-from spoolcourse.wire.messages import Host
+from spoolcourse.wire.messages import ListedMachine
 
 log = logging.getLogger(__name__)
 
@@ -167,9 +167,9 @@
         """Whether a recent job can use only this machine type or few others."""
         return self.snapshot_builder.is_scarce_type(machine_type, self._clock())
 
-    async def on_machine_list(self, hosts: list[Host]) -> None:
+    async def on_machine_list(self, listed_machines: list[ListedMachine]) -> None:
         """Process a new machine list from the cloud."""
-        await self.initial_machines.record_once(hosts)
+        await self.initial_machines.record_once(listed_machines)
 
     def on_fleet_summary(self) -> None:
         """Log a summary of the waiting jobs."""
--- a/spoolcourse/control/leader/initial_machines.py
+++ b/spoolcourse/control/leader/initial_machines.py
@@ -17,7 +17,7 @@
     initial_machines_of,
     initial_machines_values,
 )
-from spoolcourse.wire.messages import Host, HostStage
+from spoolcourse.wire.messages import ListedMachine, ListedMachineStage
 
 FIRST_TERM = 1
 
@@ -43,7 +43,7 @@
                 names |= initial_machines_of(part_entry.value)
         return names
 
-    async def record_once(self, hosts: list[Host]) -> None:
+    async def record_once(self, listed_machines: list[ListedMachine]) -> None:
         """Record the running on-demand machines, unless initial machines are already recorded.
 
         Further parts are written first, as the first value holds their number: it takes effect
@@ -53,7 +53,7 @@
         if self._watch_cache.get(INITIAL_MACHINES_KEY) is not None:
             return
         first, *others = initial_machines_values(
-            self._initial_machine_names(hosts), self._value_bytes
+            self._initial_machine_names(listed_machines), self._value_bytes
         )
         for part, value in enumerate(others, start=1):
             if not await self._write(initial_machines_part_key(part), value, {}):
@@ -68,7 +68,9 @@
             self._client, self._watch_cache, self._term, key, value, expected_revisions
         )
 
-    def _initial_machine_names(self, hosts: list[Host]) -> list[str]:
+    def _initial_machine_names(self, listed_machines: list[ListedMachine]) -> list[str]:
         if self._term.number != FIRST_TERM:
             return []  # an earlier leader may have provisioned some
-        return [h.id for h in hosts if not h.spot and h.stage is HostStage.RUNNING]
+        return [
+            m.id for m in listed_machines if not m.spot and m.stage is ListedMachineStage.RUNNING
+        ]
--- a/spoolcourse/control/scheduling/snapshot_builder.py
+++ b/spoolcourse/control/scheduling/snapshot_builder.py
@@ -14,7 +14,7 @@
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.policy.keys import Policy
-from spoolcourse.wire.messages import HostStage, MachineType
+from spoolcourse.wire.messages import ListedMachineStage, MachineType
 from spoolcourse.wire.settings import DeploymentSettings
 
 MIN_REMAINING_BOOT_S = 1.0  # at least this long until a booting machine is ready
@@ -127,6 +127,9 @@
     def _is_available(self, machine: Machine, now: float) -> bool:
         """Whether the machine accepts tasks now, or will after booting."""
         if machine.last_heartbeat_at is None and machine.expected_ready_at is not None:
-            return not machine.deletion_requested and machine.listed_stage is not HostStage.FAILED
+            return (
+                not machine.deletion_requested
+                and machine.listed_stage is not ListedMachineStage.FAILED
+            )
         placeable = machine.is_schedulable and machine.start_refused_until <= now
         return placeable and not self._registry.is_suspect(machine)
--- a/spoolcourse/control/workers/machine.py
+++ b/spoolcourse/control/workers/machine.py
@@ -12,7 +12,7 @@
 
 from spoolcourse.control.jobs.model import Attempt
 from spoolcourse.wire.identities import AttemptId, TaskId
-from spoolcourse.wire.messages import Heartbeat, HostStage
+from spoolcourse.wire.messages import Heartbeat, ListedMachineStage
 
 log = logging.getLogger(__name__)
 
@@ -63,7 +63,7 @@
     start_refused_until: float = 0.0  # it refused a start; no starts until then
 
     # State of the cloud instance.
-    listed_stage: HostStage | None = None  # in the cloud's list
+    listed_stage: ListedMachineStage | None = None  # in the cloud's list
     listed_running_since: float | None = None
     provisioned_at: float | None = None
     expected_ready_at: float | None = None  # while it boots
--- a/spoolcourse/wire/messages.py
+++ b/spoolcourse/wire/messages.py
@@ -49,7 +49,7 @@
     NO_SUCH_TASK = "no_such"
 
 
-class HostStage(StrEnum):
+class ListedMachineStage(StrEnum):
     """A machine's stage in the cloud's list."""
 
     STARTING = "starting"
@@ -188,22 +188,22 @@
     machine_types: list[MachineType] = msgspec.field(name="builds")
 
 
-class Host(msgspec.Struct, frozen=True):
+class ListedMachine(msgspec.Struct, frozen=True):
     """A machine in the cloud's list."""
 
     id: Name
     machine_type: Name = msgspec.field(name="build")
     zone: Name = msgspec.field(name="yard")
     spot: bool = msgspec.field(name="loaners")
-    stage: HostStage
+    stage: ListedMachineStage
     age_s: float = msgspec.field(name="ageS")
     address: str = ""
 
 
-class HostPage(msgspec.Struct, frozen=True):
+class MachineListPage(msgspec.Struct, frozen=True):
     """One page of the cloud's machine list."""
 
-    hosts: list[Host] = msgspec.field(name="spindles")
+    machines: list[ListedMachine] = msgspec.field(name="spindles")
     has_next: bool = msgspec.field(name="hasNext", default=False)
 
 
--- a/tests/autoscaling/test_deletion_reasons.py
+++ b/tests/autoscaling/test_deletion_reasons.py
@@ -12,7 +12,7 @@
 from spoolcourse.control.autoscaling.machine_type_lookup import MachineTypeLookup
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.policy.keys import Policy
-from spoolcourse.wire.messages import HostStage
+from spoolcourse.wire.messages import ListedMachineStage
 
 NOW = 10_000.0
 LEASE_S = 10.0
@@ -72,9 +72,13 @@
         (booting(180.0), None),
         (booting(181.0), DeletionReason.BOOT_OVERDUE),
         (booting(181.0, first_seen_at=NOW - SUSPECT_S - 8.0), None),
-        (booting(181.0, listed_stage=HostStage.RUNNING), DeletionReason.SILENT),
+        (booting(181.0, listed_stage=ListedMachineStage.RUNNING), DeletionReason.SILENT),
         (
-            booting(181.0, listed_stage=HostStage.RUNNING, listed_running_since=NOW - PATIENCE_S),
+            booting(
+                181.0,
+                listed_stage=ListedMachineStage.RUNNING,
+                listed_running_since=NOW - PATIENCE_S,
+            ),
             None,
         ),
     ],
--- a/tests/recorded/external_names.py
+++ b/tests/recorded/external_names.py
@@ -44,7 +44,7 @@
     "message value": (
         messages.TaskStage,
         messages.EndCause,
-        messages.HostStage,
+        messages.ListedMachineStage,
         messages.JobStage,
     ),
     "status value": (
--- a/tests/recorded/forms/adapter.py
+++ b/tests/recorded/forms/adapter.py
@@ -341,7 +341,7 @@
     "machine type": _message(MACHINE_TYPES[0]),
     **{
         f"host, {stage.value}": _message(
-            messages.Host(
+            messages.ListedMachine(
                 id="m-000000",
                 machine_type="c8",
                 zone="a",
@@ -351,24 +351,24 @@
                 address="m-000000:9000",
             )
         )
-        for stage in messages.HostStage
+        for stage in messages.ListedMachineStage
     },
     "host page": _message(
-        messages.HostPage(
-            hosts=[
-                messages.Host(
+        messages.MachineListPage(
+            machines=[
+                messages.ListedMachine(
                     id="m-000000",
                     machine_type="c8",
                     zone="a",
                     spot=False,
-                    stage=messages.HostStage.STARTING,
+                    stage=messages.ListedMachineStage.STARTING,
                     age_s=0.0,
                 )
             ],
             has_next=True,
         )
     ),
-    "host page, last": _message(messages.HostPage(hosts=[])),
+    "host page, last": _message(messages.MachineListPage(machines=[])),
     "hired": _message(messages.ProvisionedMachines(machines=["m-000000", "m-000001"])),
 }
 
@@ -413,8 +413,11 @@
     (peers.StandbyReply, '{"caught_up":true,"term":1,"revision":2}'),
     (messages.TaskStatus, '{"piece":"job-000001/0","try":1,"stage":"running"}'),
     (messages.JobStatus, '{"id":"job-000001","stage":"queued"}'),
-    (messages.HostPage, '{"spindles":[]}'),
-    (messages.Host, '{"id":"m","build":"c8","yard":"a","loaners":true,"stage":"failed","ageS":1}'),
+    (messages.MachineListPage, '{"spindles":[]}'),
+    (
+        messages.ListedMachine,
+        '{"id":"m","build":"c8","yard":"a","loaners":true,"stage":"failed","ageS":1}',
+    ),
     (commands.HeartbeatResponse, '{"orders":[]}'),
     (commands.Redirect, "{}"),
 ]
--- a/tests/recorded/plans/adapter.py
+++ b/tests/recorded/plans/adapter.py
@@ -29,7 +29,7 @@
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.policy.keys import Policy
 from spoolcourse.wire.identities import TaskId
-from spoolcourse.wire.messages import HostStage, MachineType
+from spoolcourse.wire.messages import ListedMachineStage, MachineType
 from tests.recorded.plans.inputs import NOW, SIZES, Fields
 
 # -- inputs ---------------------------------------------------------------------------
@@ -163,7 +163,7 @@
         confirmed=machine["confirmed"],
         last_heartbeat_at=machine["heard_at"],
         deletion_requested=machine["deleting"],
-        listed_stage=HostStage.FAILED if machine["failed"] else None,
+        listed_stage=ListedMachineStage.FAILED if machine["failed"] else None,
         scale_in_candidate=machine["surplus"],
     )
     for task in range(machine["attempts"]):  # only their number counts
