--- a/spoolcourse/control/autoscaling/autoscaler.py
+++ b/spoolcourse/control/autoscaling/autoscaler.py
@@ -24,7 +24,7 @@
 from spoolcourse.control.cloud.errors import CloudError
 from spoolcourse.control.leader_context import LeaderContext
 from spoolcourse.control.process_load import LOAD_SUMMARY_PERIOD_S
-from spoolcourse.wire.cloud import DELETE_MAX
+from spoolcourse.wire.cloud import MAX_MACHINES_PER_DELETION
 
 log = logging.getLogger(__name__)
 
@@ -92,8 +92,8 @@
                 log_fleet_summary(self._registry, self._types)
                 self._owner.on_fleet_summary()
             names = self._scale_in.machines_to_delete(holds_lease=self._owner.holds_lease())
-            for start in range(0, min(len(names), self._max_deletions), DELETE_MAX):
-                await self._delete(names[start : start + DELETE_MAX])
+            for start in range(0, min(len(names), self._max_deletions), MAX_MACHINES_PER_DELETION):
+                await self._delete(names[start : start + MAX_MACHINES_PER_DELETION])
 
     async def _delete(self, names: list[str]) -> None:
         for name in names:
--- a/spoolcourse/control/autoscaling/planner.py
+++ b/spoolcourse/control/autoscaling/planner.py
@@ -18,7 +18,7 @@
     tasks_that_fit,
     tasks_within_limit,
 )
-from spoolcourse.wire.cloud import PROVISION_MAX
+from spoolcourse.wire.cloud import MAX_MACHINES_PER_PROVISION_REQUEST
 
 PRICED_RUN_TIME_MAX_S = 3600.0  # cap of the run time that prices are computed for
 HEADROOM_MACHINES_SMALL_FLEET = 10  # limit of headroom machines in one pass
@@ -111,7 +111,7 @@
     offers: list[Offer],
     now: float,
     team_cpus: list[float],
-    max_machines: int = PROVISION_MAX,
+    max_machines: int = MAX_MACHINES_PER_PROVISION_REQUEST,
 ) -> list[ProvisionRequest]:
     """Plan the machines to provision for the demand, `max_machines` in total.
 
--- a/spoolcourse/control/autoscaling/scale_out.py
+++ b/spoolcourse/control/autoscaling/scale_out.py
@@ -11,7 +11,7 @@
 from spoolcourse.control.cloud.client import ProvisioningClient
 from spoolcourse.control.cloud.errors import CloudRequestFailedError, NoCapacityError
 from spoolcourse.control.leader_context import LeaderContext
-from spoolcourse.wire.cloud import PROVISION_MAX, MachineKind
+from spoolcourse.wire.cloud import MAX_MACHINES_PER_PROVISION_REQUEST, MachineKind
 
 log = logging.getLogger(__name__)
 
@@ -147,10 +147,10 @@
 
 
 def _split_request(request: ScaleOutRequest) -> Iterator[ScaleOutRequest]:
-    """Split the request into ones of at most `PROVISION_MAX` machines, the limit of the cloud."""
+    """Split the request by the cloud's limit, `MAX_MACHINES_PER_PROVISION_REQUEST` machines."""
     remaining = request.count
     while remaining > 0:
-        part = ScaleOutRequest(request.kind, min(remaining, PROVISION_MAX))
+        part = ScaleOutRequest(request.kind, min(remaining, MAX_MACHINES_PER_PROVISION_REQUEST))
         yield part
         remaining -= part.count
 
--- a/spoolcourse/control/cloud/client.py
+++ b/spoolcourse/control/cloud/client.py
@@ -11,9 +11,9 @@
 from spoolcourse.control.rate_limit import RateLimitExceededError, TokenBucket
 from spoolcourse.wire import paths
 from spoolcourse.wire.cloud import (
-    DELETE_MAX,
+    MAX_MACHINES_PER_DELETION,
+    MAX_MACHINES_PER_PROVISION_REQUEST,
     NO_CAPACITY,
-    PROVISION_MAX,
     MachineKind,
     delete_body,
     list_path,
@@ -42,7 +42,7 @@
 
     `rps` is the request rate limit of the cloud, per second.
     """
-    return PROVISION_MAX * max(1, int(rps * LEADER_RATE_LIMIT_SHARE))
+    return MAX_MACHINES_PER_PROVISION_REQUEST * max(1, int(rps * LEADER_RATE_LIMIT_SHARE))
 
 
 def max_deletions(rps: float) -> int:
@@ -50,7 +50,7 @@
 
     `rps` is the request rate limit of the cloud, per second.
     """
-    return DELETE_MAX * max(1, int(rps * LEADER_RATE_LIMIT_SHARE / 2))
+    return MAX_MACHINES_PER_DELETION * max(1, int(rps * LEADER_RATE_LIMIT_SHARE / 2))
 
 
 class CloudRequest(Protocol):
@@ -161,7 +161,9 @@
             raise _malformed("POST", paths.HOSTS, exc) from exc
 
     async def delete(self, names: list[str]) -> None:
-        """Delete machines, `DELETE_MAX` at most; returns once everything on them has ended.
+        """Delete machines, `MAX_MACHINES_PER_DELETION` at most.
+
+        Returns once everything on them has ended.
 
         Raises:
             CloudError: It is unknown whether they were deleted.
--- a/spoolcourse/wire/cloud.py
+++ b/spoolcourse/wire/cloud.py
@@ -8,8 +8,8 @@
 from spoolcourse.wire import paths
 
 LIST_PAGE_SIZE = 500  # machines in one page of the list, at most
-DELETE_MAX = 100  # machines in one deletion request, at most
-PROVISION_MAX = 50  # machines in one provision request, at most
+MAX_MACHINES_PER_DELETION = 100
+MAX_MACHINES_PER_PROVISION_REQUEST = 50
 NO_CAPACITY = "no capacity"  # error text of a 503 response: no such machine is available
 
 
@@ -23,7 +23,7 @@
 
 
 def provision_body(request_name: str, kind: MachineKind, count: int) -> dict[str, Any]:
-    """The body of a provision request, for `PROVISION_MAX` machines at most.
+    """The body of a provision request, for `MAX_MACHINES_PER_PROVISION_REQUEST` machines at most.
 
     The cloud carries out only one request per name, so a name is never used for another request.
     """
@@ -32,12 +32,12 @@
         "build": kind.machine_type,
         "yard": kind.zone,
         "loaners": kind.spot,
-        "count": min(count, PROVISION_MAX),
+        "count": min(count, MAX_MACHINES_PER_PROVISION_REQUEST),
     }
 
 
 def delete_body(names: list[str]) -> dict[str, Any]:
-    """The body of a deletion request, for `DELETE_MAX` machines at most."""
+    """The body of a deletion request, for `MAX_MACHINES_PER_DELETION` machines at most."""
     return {"spindles": names}
 
 
--- a/tests/recorded/forms/adapter.py
+++ b/tests/recorded/forms/adapter.py
@@ -454,7 +454,11 @@
         ],
         "store, no such lease": key_value_store.NO_SUCH_LEASE,
         "cloud, no capacity": cloud.NO_CAPACITY,
-        "cloud limits": [cloud.LIST_PAGE_SIZE, cloud.DELETE_MAX, cloud.PROVISION_MAX],
+        "cloud limits": [
+            cloud.LIST_PAGE_SIZE,
+            cloud.MAX_MACHINES_PER_DELETION,
+            cloud.MAX_MACHINES_PER_PROVISION_REQUEST,
+        ],
         "body limit": messages.MAX_BODY_BYTES,
         "job id": messages.JOB_ID.pattern,
         "progress counts": list(records.Progress.counts_of(progress)),
