--- a/spoolcourse/control/leadership/peers.py
+++ b/spoolcourse/control/leadership/peers.py
@@ -33,7 +33,7 @@
     reply_type: type[Reply_co]
 
 
-LEVEL_QUERY = PeerQuery(paths.LEVEL, LevelReply)
+LEVEL_QUERY = PeerQuery(paths.FEATURE_LEVEL, LevelReply)
 STANDBY_QUERY = PeerQuery(paths.STANDBY, StandbyReply)
 
 
--- a/spoolcourse/control/routes.py
+++ b/spoolcourse/control/routes.py
@@ -67,7 +67,7 @@
     return [
         Route("POST", paths.HANDOVER, peers.transfer_leadership),
         Route("GET", paths.CANCELLATIONS, peers.get_cancellations),
-        Route("GET", paths.LEVEL, peers.get_feature_level),
+        Route("GET", paths.FEATURE_LEVEL, peers.get_feature_level),
         Route("GET", paths.STATUS, peers.get_status),
         Route("GET", paths.METRICS, peers.get_metrics),
         Route("GET", paths.STANDBY, peers.get_standby),
--- a/spoolcourse/control/workers/worker_client.py
+++ b/spoolcourse/control/workers/worker_client.py
@@ -34,7 +34,7 @@
         MalformedError: The response is not a heartbeat.
     """
     response = await http_client.call(
-        address, "GET", paths.SHOW, timeout_s=CALL_TIMEOUT_S, keep_alive=False
+        address, "GET", paths.WORKER_STATE, timeout_s=CALL_TIMEOUT_S, keep_alive=False
     )
     return parse(response.data, Heartbeat)
 
--- a/spoolcourse/wire/paths.py
+++ b/spoolcourse/wire/paths.py
@@ -7,7 +7,7 @@
 HEALTH = "/healthz"
 # Served at a controller's peer address only.
 CANCELLATIONS = "/cancellations"
-LEVEL = "/level"
+FEATURE_LEVEL = "/level"
 HINTS = "/hints"
 STANDBY = "/standby"
 HANDOVER = "/handover"
@@ -15,7 +15,7 @@
 METRICS = "/metrics"
 # Served by a worker.
 COMMANDS = "/orders"
-SHOW = "/show"
+WORKER_STATE = "/show"
 # Served by the cloud.
 CATALOG = "/catalog"
 HOSTS = "/hosts"
