--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -40,7 +40,7 @@
 from spoolcourse.control.workers.heartbeat_relay import HeartbeatRelay
 from spoolcourse.policy.keys import PolicySource, check_policy
 from spoolcourse.wire.settings import Settings
-from spoolcourse.wire.standby_settings import OFF, StandbySettings
+from spoolcourse.wire.standby_settings import STANDBY_OFF, StandbySettings
 
 # After an unexpected error the loop is restarted, not the process.
 CONTROLLER_LOOP_POLICY = SupervisionPolicy(restart_after_s=1.0)
@@ -80,7 +80,7 @@
         policy: PolicySource | None = None,
         wall_clock: Callable[[], float] = time.time,
         run_id: str | None = None,
-        standby: StandbySettings = OFF,
+        standby: StandbySettings = STANDBY_OFF,
     ) -> None:
         """`run_id` distinguishes this process from earlier ones with the same label."""
         clients = _build_clients(settings, http_client)
--- a/spoolcourse/wire/standby_settings.py
+++ b/spoolcourse/wire/standby_settings.py
@@ -33,7 +33,7 @@
     standby: StandbySettings
 
 
-OFF = StandbySettings()
+STANDBY_OFF = StandbySettings()
 
 
 def parse_standby(text: str, source: str) -> StandbySettings:
@@ -57,7 +57,7 @@
     Raises `UserError` if the file can't be read, or as `parse_standby` does.
     """
     if path is None:
-        return OFF
+        return STANDBY_OFF
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as exc:
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -13,7 +13,7 @@
 from spoolcourse.control.leader.active_leader import ActiveLeader
 from spoolcourse.policy.keys import check_policy
 from spoolcourse.wire.settings import Settings, parse_settings
-from spoolcourse.wire.standby_settings import OFF, StandbySettings
+from spoolcourse.wire.standby_settings import STANDBY_OFF, StandbySettings
 from tests.fakes.cloud import FakeCloud, FakeWorker, Task
 from tests.fakes.key_value_store import FakeKeyValueStore
 from tests.fakes.network import FakeNetwork
@@ -21,7 +21,9 @@
 LABELS = ("n0", "n1", "n2")
 
 # All scenarios can be played with the warm standby on, and verified: `.ci/run` does both.
-STANDBY = StandbySettings(enabled=True, verify=True) if os.environ.get("WARM_STANDBY") else OFF
+STANDBY = (
+    StandbySettings(enabled=True, verify=True) if os.environ.get("WARM_STANDBY") else STANDBY_OFF
+)
 
 
 def settings(label: str = "n0", **params: Any) -> Settings:
--- a/tests/recorded/forms/interfaces.py
+++ b/tests/recorded/forms/interfaces.py
@@ -23,7 +23,7 @@
 from spoolcourse.errors import UserError
 from spoolcourse.policy import keys as policy_keys
 from spoolcourse.wire.messages import MAX_BODY_BYTES
-from spoolcourse.wire.standby_settings import OFF, StandbySettings
+from spoolcourse.wire.standby_settings import STANDBY_OFF, StandbySettings
 from tests.fakes.clock import play
 from tests.fakes.isolated_leader import IsolatedLeader
 from tests.fakes.services import service
@@ -31,7 +31,7 @@
 from tests.recorded.forms.adapter import SETTINGS
 
 # The same as `tests.fakes.world.STANDBY` without and with WARM_STANDBY; both are always played.
-VARIANTS = {"standby off": OFF, "standby on": StandbySettings(enabled=True, verify=True)}
+VARIANTS = {"standby off": STANDBY_OFF, "standby on": StandbySettings(enabled=True, verify=True)}
 
 
 def normalised(text: str) -> str:
--- a/tests/wire/test_standby_settings.py
+++ b/tests/wire/test_standby_settings.py
@@ -7,14 +7,14 @@
 import pytest
 
 from spoolcourse.errors import UserError
-from spoolcourse.wire.standby_settings import OFF, load_standby, parse_standby
+from spoolcourse.wire.standby_settings import STANDBY_OFF, load_standby, parse_standby
 
 DEPLOYED = Path(__file__).resolve().parents[2] / "deploy" / "standby.toml"
 
 
 def test_the_deployed_file_turns_the_standby_on_and_without_a_file_it_is_off() -> None:
     assert load_standby(str(DEPLOYED)).enabled
-    assert load_standby(None) is OFF
+    assert load_standby(None) is STANDBY_OFF
     assert not parse_standby("[standby]\n", "f").enabled
 
 
