--- a/spoolcourse/control/store/client.py
+++ b/spoolcourse/control/store/client.py
@@ -230,7 +230,7 @@
 
     async def revoke_lease(self, lease: int) -> None:
         """Revoke a lease, which deletes its keys; an expired lease is not an error."""
-        reply = await self._call("DELETE", wire.lease_path(lease), urgent=True)
+        reply = await self._call("DELETE", wire.revoke_path(lease), urgent=True)
         if reply.status not in (200, 404):
             raise OutcomeUnknownError(f"revocation of lease {lease}", f"status {reply.status}")
 
--- a/spoolcourse/wire/key_value_store.py
+++ b/spoolcourse/wire/key_value_store.py
@@ -107,7 +107,7 @@
     return f"{paths.LEASES}/{lease}/touch"
 
 
-def lease_path(lease: int) -> str:
+def revoke_path(lease: int) -> str:
     """Path to revoke a lease."""
     return f"{paths.LEASES}/{lease}"
 
--- a/tests/recorded/forms/adapter.py
+++ b/tests/recorded/forms/adapter.py
@@ -496,7 +496,7 @@
         "store page, further": key_value_store.page_path("spoolcourse/", 200, "spoolcourse/a b&c"),
         "store watch": key_value_store.watch_path("spoolcourse/", 17, 2.5),
         "store lease renewal": key_value_store.renew_path(7),
-        "store lease end": key_value_store.lease_path(7),
+        "store lease end": key_value_store.revoke_path(7),
         "key of a base part": keys.initial_machines_part_key(2),
         "key of a job": keys.job_key("job-000001"),
         "key of a final state": keys.final_key("job-000001"),
