--- a/spoolcourse/cli.py
+++ b/spoolcourse/cli.py
@@ -15,7 +15,7 @@
 
 from spoolcourse import __version__
 from spoolcourse.errors import UserError
-from spoolcourse.policy.keys import PolicySource, load_policy
+from spoolcourse.policy.keys import CompiledPolicy, load_policy
 from spoolcourse.wire import paths
 from spoolcourse.wire.settings import Settings, load_settings, split_address
 from spoolcourse.wire.standby_settings import StandbySettings, load_standby
@@ -107,7 +107,7 @@
         logging.getLogger(logger_name).setLevel(max(logging.WARNING, LOG_LEVELS[name]))
 
 
-async def _serve(settings: Settings, policy: PolicySource, standby: StandbySettings) -> None:
+async def _serve(settings: Settings, policy: CompiledPolicy, standby: StandbySettings) -> None:
     from spoolcourse.control.controller import Controller
     from spoolcourse.control.http_client import AiohttpClient
     from spoolcourse.control.http_server import listen
--- a/spoolcourse/control/context.py
+++ b/spoolcourse/control/context.py
@@ -11,7 +11,7 @@
 from spoolcourse.control.process_load import ProcessLoad
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.watch_cache import WatchCache
-from spoolcourse.policy.keys import PolicySource
+from spoolcourse.policy.keys import CompiledPolicy
 from spoolcourse.wire.messages import MachineType
 from spoolcourse.wire.settings import DeploymentSettings, Peer
 
@@ -31,7 +31,7 @@
     cloud: CloudClient
     peers: list[Peer]
     params: DeploymentSettings
-    policy_source: PolicySource
+    policy_source: CompiledPolicy
     machine_types: Callable[[], dict[str, MachineType]]
     clock: Callable[[], float]  # monotonic, in seconds
     wall_clock: Callable[[], float]  # Unix time, in seconds
--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -38,7 +38,7 @@
 from spoolcourse.control.user_api.api import UserApi
 from spoolcourse.control.worker_api import WorkerApi
 from spoolcourse.control.workers.heartbeat_relay import HeartbeatRelay
-from spoolcourse.policy.keys import PolicySource, check_policy
+from spoolcourse.policy.keys import CompiledPolicy, check_policy
 from spoolcourse.wire.settings import Settings
 from spoolcourse.wire.standby_settings import STANDBY_OFF, StandbySettings
 
@@ -77,7 +77,7 @@
         self,
         settings: Settings,
         http_client: HttpClient,
-        policy: PolicySource | None = None,
+        policy: CompiledPolicy | None = None,
         wall_clock: Callable[[], float] = time.time,
         run_id: str | None = None,
         standby: StandbySettings = STANDBY_OFF,
@@ -196,7 +196,7 @@
     settings: Settings,
     clients: Clients,
     catalog: CatalogLoop,
-    policy: PolicySource,
+    policy: CompiledPolicy,
     wall_clock: Callable[[], float],
 ) -> ControllerContext:
     return ControllerContext(
--- a/spoolcourse/policy/keys.py
+++ b/spoolcourse/policy/keys.py
@@ -96,7 +96,7 @@
     preempt_patience_s: float = 0.0
 
 
-class PolicySource:
+class CompiledPolicy:
     """The checked expressions of all keys."""
 
     def __init__(self, expressions: dict[str, Expression]) -> None:
@@ -120,7 +120,7 @@
             setattr(policy, key, float(round(value)) if key in INTEGER_KEYS else value)
 
 
-def check_policy(table: dict[str, object], source: str) -> PolicySource:
+def check_policy(table: dict[str, object], source: str) -> CompiledPolicy:
     """Compile a policy; raises `UserError` with key, column and reason of every problem."""
     problems = [f"{key}: column 1: unknown key" for key in table if key not in KEYS]
     expressions: dict[str, Expression] = {}
@@ -139,10 +139,10 @@
             ]
     if problems:
         raise UserError("\n".join(f"{source}: {problem}" for problem in problems))
-    return PolicySource(expressions)
+    return CompiledPolicy(expressions)
 
 
-def load_policy(path: str | None) -> PolicySource:
+def load_policy(path: str | None) -> CompiledPolicy:
     """The policy of a file, or the defaults without one."""
     if path is None:
         return check_policy({}, "defaults")
