--- a/spoolcourse/control/workers/reconciliation.py
+++ b/spoolcourse/control/workers/reconciliation.py
@@ -209,8 +209,11 @@
             )
             self._machines.release_attempt(attempt)
             return
-        sent_with = attempt.start_heartbeat_id
-        if sent_with is not None and sent_with >= (heartbeat.incarnation, heartbeat.sequence):
+        start_heartbeat_id = attempt.start_heartbeat_id
+        if start_heartbeat_id is not None and start_heartbeat_id >= (
+            heartbeat.incarnation,
+            heartbeat.sequence,
+        ):
             return
         attempt.start_heartbeat_id = None  # that start did not arrive and no longer can
         unwanted = attempt.job_state.record.cancelled or attempt.stopping or machine.is_unresponsive
