--- a/spoolcourse/cli.py
+++ b/spoolcourse/cli.py
@@ -15,7 +15,7 @@
 
 from spoolcourse import __version__
 from spoolcourse.errors import UserError
-from spoolcourse.policy.keys import PolicySource, load_policy
+from spoolcourse.policy.keys import CompiledPolicy, load_policy
 from spoolcourse.wire import paths
 from spoolcourse.wire.settings import Settings, load_settings, split_address
 from spoolcourse.wire.standby_settings import StandbySettings, load_standby
@@ -107,20 +107,20 @@
         logging.getLogger(logger_name).setLevel(max(logging.WARNING, LOG_LEVELS[name]))
 
 
-async def _serve(settings: Settings, policy: PolicySource, standby: StandbySettings) -> None:
+async def _serve(settings: Settings, policy: CompiledPolicy, standby: StandbySettings) -> None:
     from spoolcourse.control.controller import Controller
     from spoolcourse.control.http_client import AiohttpClient
     from spoolcourse.control.http_server import listen
 
     controller = Controller(settings, AiohttpClient(), policy, standby=standby)
     for field, handler in (
-        ("cluster_listen", controller.peers),
-        ("listen", controller.public),
+        ("cluster_listen", controller.cluster_handler),
+        ("listen", controller.public_handler),
     ):
         address = getattr(settings, field)
         try:
-            sockets = settings.settings.machine_limits.sockets
-            await listen(split_address(address, field), handler, sockets=sockets)
+            max_sockets = settings.settings.machine_limits.sockets
+            await listen(split_address(address, field), handler, max_sockets=max_sockets)
         except OSError as exc:
             raise UserError(f"{field}: cannot listen on {address}: {exc.strerror}") from exc
     logging.getLogger(__name__).info(
--- a/spoolcourse/control/autoscaling/cancelled_work.py
+++ b/spoolcourse/control/autoscaling/cancelled_work.py
@@ -10,7 +10,7 @@
 
 from spoolcourse.control.jobs.job_queue import JobQueue
 from spoolcourse.control.workers.machine import Machine
-from spoolcourse.wire.settings import Workers
+from spoolcourse.wire.settings import WorkerSettings
 
 # Of `cancel_s`: tasks should have ended by then, and the deletion may need retries.
 OVERDUE_SHARE = 0.4
@@ -26,7 +26,7 @@
     def __init__(
         self,
         job_queue: JobQueue,
-        workers: Workers,
+        workers: WorkerSettings,
         skew_s: float,
         clock: Callable[[], float],
         wall_clock: Callable[[], float],
@@ -76,6 +76,6 @@
         more heartbeat, or a fleet about to receive the stop command would be deleted (leases end
         tasks anyway that no leader unaware of the cancellation may keep alive).
         """
-        next_heartbeat_s = self._workers.heartbeat_gap_s + HEARTBEAT_TRANSIT_S
+        next_heartbeat_s = self._workers.max_heartbeat_interval_s + HEARTBEAT_TRANSIT_S
         remaining_s = self._workers.cancel_s - DELETION_TIME_S - age_when_learned_s
-        return min(self._workers.quiet_s, max(remaining_s, next_heartbeat_s))
+        return min(self._workers.suspect_after_s, max(remaining_s, next_heartbeat_s))
--- a/spoolcourse/control/autoscaling/planner.py
+++ b/spoolcourse/control/autoscaling/planner.py
@@ -18,7 +18,7 @@
     tasks_that_fit,
     tasks_within_limit,
 )
-from spoolcourse.wire.cloud import PROVISION_MAX
+from spoolcourse.wire.cloud import MAX_MACHINES_PER_PROVISION_REQUEST
 
 PRICED_RUN_TIME_MAX_S = 3600.0  # cap of the run time that prices are computed for
 HEADROOM_MACHINES_SMALL_FLEET = 10  # limit of headroom machines in one pass
@@ -111,7 +111,7 @@
     offers: list[Offer],
     now: float,
     team_cpus: list[float],
-    max_machines: int = PROVISION_MAX,
+    max_machines: int = MAX_MACHINES_PER_PROVISION_REQUEST,
 ) -> list[ProvisionRequest]:
     """Plan the machines to provision for the demand, `max_machines` in total.
 
@@ -173,7 +173,7 @@
         zone_tasks_left = allowance.tasks_left(offer.zone)
         if not job.runs_on(offer.machine_type, offer.spot) or zone_tasks_left < 1:
             continue
-        if not offer.spot and job.spot_allowed and now < job.ordinary_machines_from:
+        if not offer.spot and job.spot_allowed and now < job.on_demand_from:
             continue
         tasks_on_machine = min(task_count, _tasks_per_machine(job, offer), zone_tasks_left)
         if tasks_on_machine < 1:
@@ -213,7 +213,9 @@
     )
 
 
-def top_up(missing_cpus: float, offers: list[Offer], fleet_size: int = 0) -> list[ProvisionRequest]:
+def plan_headroom(
+    missing_cpus: float, offers: list[Offer], fleet_size: int = 0
+) -> list[ProvisionRequest]:
     """Plan spot machines, the cheapest per CPU first, for `missing_cpus` CPUs of headroom.
 
     Tasks that start there later need not wait for a boot. `fleet_size` counts the existing
--- a/spoolcourse/control/autoscaling/replica_places.py
+++ b/spoolcourse/control/autoscaling/replica_places.py
@@ -13,7 +13,7 @@
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.control.workers.worker_registry import WorkerRegistry
 from spoolcourse.wire.messages import MachineType, fits
-from spoolcourse.wire.settings import Workers
+from spoolcourse.wire.settings import WorkerSettings
 
 HEARTBEAT_TRANSIT_S = 1.0  # including the wait until this process handles the heartbeat
 
@@ -24,7 +24,7 @@
     def __init__(
         self,
         registry: WorkerRegistry,
-        workers: Workers,
+        workers: WorkerSettings,
         clock: Callable[[], float],
         machine_types: Callable[[], dict[str, MachineType]],
     ) -> None:
@@ -32,9 +32,9 @@
         self._clock = clock
         self._machine_types = machine_types
         # A machine whose last heartbeat is older is late.
-        self.late_after_s = workers.heartbeat_gap_s + HEARTBEAT_TRANSIT_S
+        self.late_after_s = workers.max_heartbeat_interval_s + HEARTBEAT_TRANSIT_S
 
-    def has_place_elsewhere(self, replica: Attempt) -> bool:
+    def can_run_elsewhere(self, replica: Attempt) -> bool:
         """Whether the rules for starting tasks allow the replica on some other machine.
 
         Work of lower priority does not count: it is preempted for a replica.
--- a/spoolcourse/control/cloud/client.py
+++ b/spoolcourse/control/cloud/client.py
@@ -11,9 +11,9 @@
 from spoolcourse.control.rate_limit import RateLimitExceededError, TokenBucket
 from spoolcourse.wire import paths
 from spoolcourse.wire.cloud import (
-    DELETE_MAX,
+    MAX_MACHINES_PER_DELETION,
+    MAX_MACHINES_PER_PROVISION_REQUEST,
     NO_CAPACITY,
-    PROVISION_MAX,
     MachineKind,
     delete_body,
     list_path,
@@ -21,8 +21,8 @@
 )
 from spoolcourse.wire.messages import (
     Catalog,
-    Host,
-    HostPage,
+    ListedMachine,
+    MachineListPage,
     MalformedError,
     ProvisionedMachines,
     parse,
@@ -42,7 +42,7 @@
 
     `rps` is the request rate limit of the cloud, per second.
     """
-    return PROVISION_MAX * max(1, int(rps * LEADER_RATE_LIMIT_SHARE))
+    return MAX_MACHINES_PER_PROVISION_REQUEST * max(1, int(rps * LEADER_RATE_LIMIT_SHARE))
 
 
 def max_deletions(rps: float) -> int:
@@ -50,7 +50,7 @@
 
     `rps` is the request rate limit of the cloud, per second.
     """
-    return DELETE_MAX * max(1, int(rps * LEADER_RATE_LIMIT_SHARE / 2))
+    return MAX_MACHINES_PER_DELETION * max(1, int(rps * LEADER_RATE_LIMIT_SHARE / 2))
 
 
 class CloudRequest(Protocol):
@@ -92,7 +92,7 @@
         except NoResponseError as exc:
             raise CloudRequestFailedError(method, path, None, str(exc)) from exc
         if reply.status == TOO_MANY_REQUESTS:
-            self._request_budget.empty()
+            self._request_budget.drain()
         if reply.status == UNAVAILABLE and reply.data and reply.data.get("error") == NO_CAPACITY:
             raise NoCapacityError(method, path, reply.status, NO_CAPACITY)
         if reply.status != OK:
@@ -107,21 +107,21 @@
         except MalformedError as exc:
             raise _malformed("GET", paths.CATALOG, exc) from exc
 
-    async def list_machines(self) -> list[Host]:
+    async def list_machines(self) -> list[ListedMachine]:
         """Return all machines that the cloud lists, which may be outdated by `list_lag_s`."""
-        machines: list[Host] = []
+        machines: list[ListedMachine] = []
         last_name = ""
         while True:
             path = list_path(last_name)
             reply = await self._request("GET", path)
             try:
-                page = parse(reply.data, HostPage)
+                page = parse(reply.data, MachineListPage)
             except MalformedError as exc:
                 raise _malformed("GET", path, exc) from exc
-            machines += page.hosts
-            if not page.has_next or not page.hosts:
+            machines += page.machines
+            if not page.has_next or not page.machines:
                 return machines
-            last_name = page.hosts[-1].id
+            last_name = page.machines[-1].id
 
     def provisioning(self, proof: FailoverProof) -> ProvisioningClient:
         """Return the client that provisions and deletes machines, given the proof of a failover."""
@@ -161,7 +161,9 @@
             raise _malformed("POST", paths.HOSTS, exc) from exc
 
     async def delete(self, names: list[str]) -> None:
-        """Delete machines, `DELETE_MAX` at most; returns once everything on them has ended.
+        """Delete machines, `MAX_MACHINES_PER_DELETION` at most.
+
+        Returns once everything on them has ended.
 
         Raises:
             CloudError: It is unknown whether they were deleted.
--- a/spoolcourse/control/context.py
+++ b/spoolcourse/control/context.py
@@ -11,9 +11,9 @@
 from spoolcourse.control.process_load import ProcessLoad
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.watch_cache import WatchCache
-from spoolcourse.policy.keys import PolicySource
+from spoolcourse.policy.keys import CompiledPolicy
 from spoolcourse.wire.messages import MachineType
-from spoolcourse.wire.settings import Params, Seed
+from spoolcourse.wire.settings import DeploymentSettings, Peer
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -25,13 +25,13 @@
     """
 
     http_client: HttpClient
-    client: StoreClient
+    store_client: StoreClient
     watch_cache: WatchCache
     job_index: JobIndex
     cloud: CloudClient
-    peers: list[Seed]
-    params: Params
-    policy_source: PolicySource
+    peers: list[Peer]
+    params: DeploymentSettings
+    policy_source: CompiledPolicy
     machine_types: Callable[[], dict[str, MachineType]]
     clock: Callable[[], float]  # monotonic, in seconds
     wall_clock: Callable[[], float]  # Unix time, in seconds
--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -38,9 +38,9 @@
 from spoolcourse.control.user_api.api import UserApi
 from spoolcourse.control.worker_api import WorkerApi
 from spoolcourse.control.workers.heartbeat_relay import HeartbeatRelay
-from spoolcourse.policy.keys import PolicySource, check_policy
+from spoolcourse.policy.keys import CompiledPolicy, check_policy
 from spoolcourse.wire.settings import Settings
-from spoolcourse.wire.standby_settings import OFF, StandbySettings
+from spoolcourse.wire.standby_settings import STANDBY_OFF, StandbySettings
 
 # After an unexpected error the loop is restarted, not the process.
 CONTROLLER_LOOP_POLICY = SupervisionPolicy(restart_after_s=1.0)
@@ -61,7 +61,7 @@
     """Clients of other hosts, and the local cache and job index of the key-value store."""
 
     http_client: HttpClient
-    client: StoreClient
+    store_client: StoreClient
     watch_cache: WatchCache
     job_index: JobIndex
     cloud: CloudClient
@@ -77,10 +77,10 @@
         self,
         settings: Settings,
         http_client: HttpClient,
-        policy: PolicySource | None = None,
+        policy: CompiledPolicy | None = None,
         wall_clock: Callable[[], float] = time.time,
         run_id: str | None = None,
-        standby: StandbySettings = OFF,
+        standby: StandbySettings = STANDBY_OFF,
     ) -> None:
         """`run_id` distinguishes this process from earlier ones with the same label."""
         clients = _build_clients(settings, http_client)
@@ -88,7 +88,7 @@
         self.job_index = clients.job_index
         self._lifecycle = TermLifecycle(self.watch_cache, self._build_term, self._resume_shadowing)
         self.leadership = Leadership(
-            clients.client,
+            clients.store_client,
             self.watch_cache,
             settings.label,
             run_id or _random_run_id(),
@@ -96,7 +96,7 @@
             candidacy_delay_s=self._candidacy_delay_s,
         )
         self._catalog = CatalogLoop(
-            clients.cloud, clients.client, self.watch_cache, self.leadership
+            clients.cloud, clients.store_client, self.watch_cache, self.leadership
         )
         policy = policy or check_policy({}, "defaults")
         self._context = _build_context(settings, clients, self._catalog, policy, wall_clock)
@@ -108,7 +108,7 @@
         self.watch_cache.add_listener(self._lifecycle.on_change)
         self._supervisor = LoopSupervisor(self.leadership.step_down, CONTROLLER_LOOP_POLICY)
         self.health = _build_health(self._context)
-        self.public, self.peers = self._build_handlers(settings)
+        self.public_handler, self.cluster_handler = self._build_handlers(settings)
 
     # -- composition ----------------------------------------------------------------------
 
@@ -185,7 +185,7 @@
     watch_cache = WatchCache(client, PREFIX)
     return Clients(
         http_client=http_client,
-        client=client,
+        store_client=client,
         watch_cache=watch_cache,
         job_index=JobIndex(watch_cache),
         cloud=CloudClient(http_client, endpoints.cloud, params.cloud.rps),
@@ -196,12 +196,12 @@
     settings: Settings,
     clients: Clients,
     catalog: CatalogLoop,
-    policy: PolicySource,
+    policy: CompiledPolicy,
     wall_clock: Callable[[], float],
 ) -> ControllerContext:
     return ControllerContext(
         http_client=clients.http_client,
-        client=clients.client,
+        store_client=clients.store_client,
         watch_cache=clients.watch_cache,
         job_index=clients.job_index,
         cloud=clients.cloud,
--- a/spoolcourse/control/jobs/model.py
+++ b/spoolcourse/control/jobs/model.py
@@ -44,9 +44,9 @@
     number: int
     machine: str
     chunk_version: int  # version of its chunk when the attempt was added
-    since: float  # when `stage` began, in seconds of the monotonic clock
+    stage_since: float  # when `stage` began, in seconds of the monotonic clock
     stage: AttemptStage = AttemptStage.ASSIGNED
-    start_sent_with: HeartbeatId | None = None  # the heartbeat whose response carried the start
+    start_heartbeat_id: HeartbeatId | None = None  # the heartbeat whose response carried the start
     sent_directly: bool = False  # the start was also sent to the machine's address
     in_flight_incarnation: int | None = None  # which the direct start may still reach
     # Placed ahead of its rank so that its job begins; it is not preempted.
@@ -69,7 +69,7 @@
         """Whether no start was sent that has arrived or may still arrive."""
         return (
             self.stage is AttemptStage.ASSIGNED
-            and self.start_sent_with is None
+            and self.start_heartbeat_id is None
             and self.in_flight_incarnation is None
         )
 
@@ -121,7 +121,7 @@
     chunks: dict[int, Chunk] = field(default_factory=dict)
     attempts: dict[int, Attempt] = field(default_factory=dict)
     done_count: int = 0
-    requeued: set[int] = field(default_factory=set)  # tasks whose attempt was dropped
+    requeued_tasks: set[int] = field(default_factory=set)  # tasks whose attempt was dropped
     first_unassigned: int = 0  # from here on, tasks neither held nor done were never assigned
     backoff_until: float = 0.0  # no task is placed before this time
     consecutive_failures: int = 0  # attempts in a row that ended in error
@@ -175,7 +175,7 @@
         return total
 
     @property
-    def finished(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether only the final state is left to be written."""
         if self.record.cancelled:
             return not self.attempts
@@ -211,10 +211,10 @@
                 yield task
 
     def _pending_tasks(self) -> Iterator[int]:
-        yield from sorted(t for t in self.requeued if t not in self.attempts)
+        yield from sorted(t for t in self.requeued_tasks if t not in self.attempts)
         task = self.first_unassigned
         while task < self.record.submission.task_count:
-            if task not in self.attempts and task not in self.requeued:
+            if task not in self.attempts and task not in self.requeued_tasks:
                 if not self.is_done(task):
                     yield task
                 elif task == self.first_unassigned:
--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -16,7 +16,7 @@
 
 from spoolcourse.control.async_utils import wait_for_event
 from spoolcourse.control.leadership.candidate import Candidate, WonElection
-from spoolcourse.control.leadership.renewal_deadline import CLOCK_DRIFT
+from spoolcourse.control.leadership.renewal_deadline import MAX_RELATIVE_CLOCK_DRIFT
 from spoolcourse.control.leadership.term import Term
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.errors import LeaseExpiredError, StoreUnavailableError
@@ -74,7 +74,7 @@
         self.term: Term | None = None
         self.elections_won = 0
         # When this controller saw that there is no leader, in seconds of the monotonic clock.
-        self.vacant_at: float | None = None
+        self.leaderless_since: float | None = None
         self._lease_expires_at = float("-inf")
         self._candidacy_allowed_at = float("-inf")
         self._leader_changed = asyncio.Event()
@@ -140,10 +140,10 @@
 
     def _record_vacancy(self, leader_value: Any) -> None:
         if leader_value is None:
-            self.vacant_at = asyncio.get_running_loop().time()
+            self.leaderless_since = asyncio.get_running_loop().time()
         elif LeaderRecord.label_of(leader_value) != self._label:
             # If this controller is elected later, its failover starts at the next vacancy.
-            self.vacant_at = None
+            self.leaderless_since = None
 
     # -- election -----------------------------------------------------------------------
 
@@ -231,4 +231,4 @@
         return entry is not None and entry.revision == term.revision
 
     def _extend_lease(self, requested_at: float) -> None:
-        self._lease_expires_at = requested_at + self._lease_ttl_s * (1 - CLOCK_DRIFT)
+        self._lease_expires_at = requested_at + self._lease_ttl_s * (1 - MAX_RELATIVE_CLOCK_DRIFT)
--- a/spoolcourse/control/leadership/feature_level.py
+++ b/spoolcourse/control/leadership/feature_level.py
@@ -19,7 +19,7 @@
 from spoolcourse.control.store.keys import FEATURE_LEVEL_KEY
 from spoolcourse.control.store.records import feature_level_of, feature_level_value
 from spoolcourse.control.store.watch_cache import WatchCache
-from spoolcourse.wire.settings import Seed
+from spoolcourse.wire.settings import Peer
 
 log = logging.getLogger(__name__)
 
@@ -32,7 +32,7 @@
     return feature_level_value(SERVICES_LEVEL)
 
 
-def all_support_services(watch_cache: WatchCache) -> bool:
+def all_controllers_support_services(watch_cache: WatchCache) -> bool:
     """Whether the store records that every controller can read the formats of services."""
     entry = watch_cache.get(FEATURE_LEVEL_KEY)
     return entry is not None and feature_level_of(entry.value) >= SERVICES_LEVEL
@@ -46,7 +46,7 @@
         http_client: HttpClient,
         client: StoreClient,
         watch_cache: WatchCache,
-        peers: list[Seed],
+        peers: list[Peer],
         term: Term,
     ) -> None:
         self._http_client = http_client
@@ -57,7 +57,7 @@
 
     async def run(self) -> None:
         """Query the peers until all of them have this version's level, then record it."""
-        while not all_support_services(self._watch_cache):
+        while not all_controllers_support_services(self._watch_cache):
             replies = await query_peers(self._http_client, self._peers, LEVEL_QUERY)
             if all(reply is not None and reply.level >= SERVICES_LEVEL for reply in replies):
                 await self._record_level()
--- a/spoolcourse/control/store/client.py
+++ b/spoolcourse/control/store/client.py
@@ -32,7 +32,7 @@
     Put,
     WatchResult,
 )
-from spoolcourse.wire.settings import State
+from spoolcourse.wire.settings import StoreLimits
 
 log = logging.getLogger(__name__)
 
@@ -64,7 +64,7 @@
 
     Attributes:
         limits: The store's limits; where a change is announced, the lower of both values.
-        value_bytes: The largest value that may be written at present, in bytes.
+        max_value_bytes: The largest value that may be written at present, in bytes.
         requests_sent: Requests sent, successful or not.
         requests_failed: Those of them that were refused by the store or whose outcome is unknown.
         operations_sent: Puts and deletes in the transactions sent.
@@ -74,7 +74,7 @@
         self,
         http_client: HttpClient,
         addr: str,
-        state: State,
+        limits: StoreLimits,
         controllers: int,
         timeout_s: float = REQUEST_TIMEOUT_S,
     ):
@@ -83,7 +83,7 @@
         Args:
             http_client: Sends the HTTP requests.
             addr: The store's address, host and port.
-            state: The store's current limits, and the announced ones.
+            limits: The store's current limits, and the announced ones.
             controllers: The number of controllers that share the limits.
             timeout_s: Timeout of each request, in addition to the time that the store may block it.
         """
@@ -91,8 +91,8 @@
         self._addr = addr
         # Announced lower limits may take effect at any moment, so new data keeps to them. Only
         # values written before may be larger, until the store refuses one.
-        self.limits = state.least
-        self.value_bytes = int(state.value_kb * 1024)
+        self.limits = limits.lower_limits
+        self.max_value_bytes = int(limits.value_kb * 1024)
         self._timeout_s = timeout_s
         self._budget = StoreBudget(self.limits, controllers)
         self.requests_sent = self.requests_failed = self.operations_sent = 0
@@ -105,9 +105,9 @@
         self._budget.set_leader(leading)
 
     @property
-    def max_operations(self) -> int:
+    def max_transaction_operations(self) -> int:
         """The most puts and deletes in one transaction: what the budget can grant at once."""
-        return self._budget.max_operations
+        return self._budget.max_transaction_operations
 
     def has_spare_writes(self) -> bool:
         """Whether at least half of the write budget is left."""
@@ -179,12 +179,12 @@
 
         Args:
             expected_revisions: Revisions by key; 0 means that the key must not exist.
-            operations: Puts and deletes, `max_operations` at most.
+            operations: Puts and deletes, `max_transaction_operations` at most.
             urgent: Don't wait for the budget.
 
         Raises:
             LeaseExpiredError: A put names a lease that has expired.
-            ValueTooLargeError: The store's limits were lowered; `value_bytes` is lower now.
+            ValueTooLargeError: The store's limits were lowered; `max_value_bytes` is lower now.
         """
         request = _describe_transaction(expected_revisions)
         if operations:
@@ -204,11 +204,11 @@
         if reply.status == 400 and reply.data and reply.data.get("error") == wire.NO_SUCH_LEASE:
             return LeaseExpiredError(request, _lease_ids(operations))
         detail = f"status {reply.status}: {reply.data}"
-        if reply.status == 400 and self.value_bytes > self.limits.value_kb * 1024:
+        if reply.status == 400 and self.max_value_bytes > self.limits.value_kb * 1024:
             # A value written under the former limit may exceed the announced one.
             log.info("the key-value store now applies its lower limits")
-            self.value_bytes = int(self.limits.value_kb * 1024)
-            return ValueTooLargeError(request, detail, self.value_bytes)
+            self.max_value_bytes = int(self.limits.value_kb * 1024)
+            return ValueTooLargeError(request, detail, self.max_value_bytes)
         return RequestRefusedError(request, detail)
 
     # -- leases ---------------------------------------------------------------------------
@@ -230,7 +230,7 @@
 
     async def revoke_lease(self, lease: int) -> None:
         """Revoke a lease, which deletes its keys; an expired lease is not an error."""
-        reply = await self._call("DELETE", wire.lease_path(lease), urgent=True)
+        reply = await self._call("DELETE", wire.revoke_path(lease), urgent=True)
         if reply.status not in (200, 404):
             raise OutcomeUnknownError(f"revocation of lease {lease}", f"status {reply.status}")
 
--- a/spoolcourse/control/user_api/api.py
+++ b/spoolcourse/control/user_api/api.py
@@ -25,7 +25,7 @@
 from spoolcourse.control.user_api.peer_fallback import PeerFallback
 from spoolcourse.control.user_api.submissions import Submissions, job_response
 from spoolcourse.wire import paths
-from spoolcourse.wire.messages import JOB_ID, JobAnswer, JobStage
+from spoolcourse.wire.messages import JOB_ID, JobResponse, JobStage
 
 log = logging.getLogger(__name__)
 
@@ -41,11 +41,11 @@
     def __init__(
         self, context: ControllerContext, leadership: Leadership, health: HealthCheck
     ) -> None:
-        self._client = context.client
+        self._client = context.store_client
         self._job_index = context.job_index
         self._wall_clock = context.wall_clock
         self._health = health
-        self._job_records = JobRecords(context.client, context.watch_cache, context.job_index)
+        self._job_records = JobRecords(context.store_client, context.watch_cache, context.job_index)
         self._job_states = JobStates(context.job_index, self._job_records, context.watch_cache)
         self._submissions = Submissions(
             self._job_records,
@@ -122,10 +122,10 @@
             if status is None:
                 return JOB_NOT_FOUND
             if status.stage.is_final:
-                return job_response(200, JobAnswer(job, status.stage))
+                return job_response(200, JobResponse(job, status.stage))
             if job in self._job_index.live and await self._job_records.cancel(
                 job, self._wall_clock()
             ):
                 log.info("job cancelled: job=%s", job)
-                return job_response(200, JobAnswer(job, JobStage.CANCELLED))
+                return job_response(200, JobResponse(job, JobStage.CANCELLED))
         raise CannotAnswerError("the job kept changing")
--- a/spoolcourse/control/user_api/submissions.py
+++ b/spoolcourse/control/user_api/submissions.py
@@ -14,14 +14,14 @@
 
 from spoolcourse.control.http_client import Response, error_response, retry_later
 from spoolcourse.control.jobs.job_records import JobRecords, RecordTooLargeError
-from spoolcourse.control.leadership.feature_level import all_support_services
+from spoolcourse.control.leadership.feature_level import all_controllers_support_services
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.control.user_api.checks import rejection_reason, usable_machine_types
 from spoolcourse.control.user_api.job_states import CannotAnswerError, JobStates
 from spoolcourse.wire.commands import to_json_object
 from spoolcourse.wire.messages import (
     JOB_ID,
-    JobAnswer,
+    JobResponse,
     JobStage,
     JobStatus,
     MachineType,
@@ -30,7 +30,7 @@
     decode,
     parse_submission,
 )
-from spoolcourse.wire.settings import Params
+from spoolcourse.wire.settings import DeploymentSettings
 
 log = logging.getLogger(__name__)
 
@@ -43,7 +43,7 @@
         job_records: JobRecords,
         job_states: JobStates,
         watch_cache: WatchCache,
-        params: Params,
+        params: DeploymentSettings,
         machine_types: Callable[[], dict[str, MachineType]],
         wall_clock: Callable[[], float],
     ) -> None:
@@ -88,10 +88,10 @@
         Peers are not asked: they know no more than a read barrier shows here, and asking them
         delayed users by a second or more when one was partitioned.
         """
-        if all_support_services(self._watch_cache):
+        if all_controllers_support_services(self._watch_cache):
             return True
         await self._job_states.pass_read_barrier()
-        return all_support_services(self._watch_cache)
+        return all_controllers_support_services(self._watch_cache)
 
     async def _accept(self, submission: Submission) -> Response:
         job = submission.id
@@ -107,7 +107,7 @@
                 submission.job_class,
                 submission.team,
             )
-            return job_response(201, JobAnswer(job, JobStage.QUEUED))
+            return job_response(201, JobResponse(job, JobStage.QUEUED))
         status = await self._job_states.read(job)
         if status is None:
             raise CannotAnswerError("the record changed while it was read")
@@ -128,9 +128,9 @@
         return rejection if status is None else job_response(200, status)
 
 
-def job_response(status: int, answer: JobStatus | JobAnswer) -> Response:
+def job_response(status: int, body: JobStatus | JobResponse) -> Response:
     """A response with a job's state as its body."""
-    return Response(status, to_json_object(answer))
+    return Response(status, to_json_object(body))
 
 
 def _parse_job_id(body: bytes) -> str | None:
--- a/spoolcourse/control/workers/heartbeat_relay.py
+++ b/spoolcourse/control/workers/heartbeat_relay.py
@@ -18,7 +18,7 @@
 from spoolcourse.wire import paths
 from spoolcourse.wire.commands import HeartbeatResponse, Redirect, to_json_object
 from spoolcourse.wire.messages import MalformedError, parse
-from spoolcourse.wire.settings import Seed
+from spoolcourse.wire.settings import Peer
 
 log = logging.getLogger(__name__)
 
@@ -44,11 +44,11 @@
     """Forwards heartbeats, and decides when to redirect a worker to the leader."""
 
     def __init__(
-        self, http_client: HttpClient, label: str, seeds: list[Seed], heartbeat_interval_s: float
+        self, http_client: HttpClient, label: str, peers: list[Peer], heartbeat_interval_s: float
     ) -> None:
         self._http_client = http_client
         self._label = label
-        self._peers = {seed.label: seed.endpoint for seed in seeds}
+        self._peers = {peer.label: peer.endpoint for peer in peers}
         self._recent_window_s = RECENT_HEARTBEAT_INTERVALS * heartbeat_interval_s
         self._relayed: dict[str, RelayedHeartbeat] = {}  # by worker
         self._pruned_at = float("-inf")
@@ -84,11 +84,11 @@
             return redirect_to_leader
         if response is None:
             return redirect(None)
-        receives_no_heartbeats = bool(response.hears_no_worker)
+        receives_no_heartbeats = bool(response.receives_no_heartbeats)
         if receives_no_heartbeats and previous is None:
             self._probed_at = now  # this worker has just tried the leader
         self._relayed[worker] = RelayedHeartbeat(now, receives_no_heartbeats)
-        return Response(200, to_json_object(replace(response, hears_no_worker=None)))
+        return Response(200, to_json_object(replace(response, receives_no_heartbeats=None)))
 
     def _recently_relayed(self, worker: str, now: float) -> RelayedHeartbeat | None:
         relayed = self._relayed.get(worker)
--- a/spoolcourse/control/workers/machine.py
+++ b/spoolcourse/control/workers/machine.py
@@ -12,7 +12,7 @@
 
 from spoolcourse.control.jobs.model import Attempt
 from spoolcourse.wire.identities import AttemptId, TaskId
-from spoolcourse.wire.messages import Heartbeat, HostStage
+from spoolcourse.wire.messages import Heartbeat, ListedMachineStage
 
 log = logging.getLogger(__name__)
 
@@ -60,10 +60,10 @@
 
     # Reachability and free capacity.
     unreachable_until: float = 0.0  # its address did not answer; no calls until then
-    no_room_until: float = 0.0  # it refused a start; no starts until then
+    start_refused_until: float = 0.0  # it refused a start; no starts until then
 
     # State of the cloud instance.
-    listed_stage: HostStage | None = None  # in the cloud's list
+    listed_stage: ListedMachineStage | None = None  # in the cloud's list
     listed_running_since: float | None = None
     provisioned_at: float | None = None
     expected_ready_at: float | None = None  # while it boots
--- a/spoolcourse/control/workers/reconciliation.py
+++ b/spoolcourse/control/workers/reconciliation.py
@@ -95,13 +95,13 @@
                 attempt.number,
                 machine.id,
             )
-            attempt.stage, attempt.since = stage, now
+            attempt.stage, attempt.stage_since = stage, now
             machine.change_count += 1
         if attempt.is_executing:
             job_state = attempt.job_state
             self._record_cached_image(machine, job_state.record.submission)
             machine.failed_jobs.discard(job_state.id)
-            is_healthy = now - attempt.since > HEALTHY_REPLICA_S
+            is_healthy = now - attempt.stage_since > HEALTHY_REPLICA_S
             if (
                 job_state.record.submission.is_service
                 and job_state.consecutive_failures
@@ -130,9 +130,9 @@
         elif cause == EndCause.ERROR:
             _record_error(machine, attempt, now)
         elif cause == EndCause.NO_ROOM:
-            machine.no_room_until = now + REFUSED_START_RETRY_DELAY_S
+            machine.start_refused_until = now + REFUSED_START_RETRY_DELAY_S
             _log_refused_start(machine, attempt, cause)
-        elif cause in (EndCause.OTHER_ATTEMPT_THERE, EndCause.NO_SUCH_TASK):
+        elif cause in (EndCause.OTHER_ATTEMPT_ON_MACHINE, EndCause.NO_SUCH_TASK):
             job_state.backoff_until = now + REFUSED_START_RETRY_DELAY_S
             _log_refused_start(machine, attempt, cause)
         self._machines.release_attempt(attempt)
@@ -209,10 +209,13 @@
             )
             self._machines.release_attempt(attempt)
             return
-        sent_with = attempt.start_sent_with
-        if sent_with is not None and sent_with >= (heartbeat.incarnation, heartbeat.sequence):
+        start_heartbeat_id = attempt.start_heartbeat_id
+        if start_heartbeat_id is not None and start_heartbeat_id >= (
+            heartbeat.incarnation,
+            heartbeat.sequence,
+        ):
             return
-        attempt.start_sent_with = None  # that start did not arrive and no longer can
+        attempt.start_heartbeat_id = None  # that start did not arrive and no longer can
         unwanted = attempt.job_state.record.cancelled or attempt.stopping or machine.is_unresponsive
         if unwanted and attempt.in_flight_incarnation is None:
             self._machines.release_attempt(attempt)
@@ -220,7 +223,7 @@
 
 def _is_start_unconfirmed(attempt: Attempt) -> bool:
     """Whether an answer carried the start, so that the next heartbeat should list the attempt."""
-    return attempt.stage is AttemptStage.ASSIGNED and attempt.start_sent_with is not None
+    return attempt.stage is AttemptStage.ASSIGNED and attempt.start_heartbeat_id is not None
 
 
 def _is_wanted(job_state: JobState, task: int) -> bool:
--- a/spoolcourse/control/workers/worker_registry.py
+++ b/spoolcourse/control/workers/worker_registry.py
@@ -13,7 +13,7 @@
 from spoolcourse.control.jobs.job_queue import JobQueue
 from spoolcourse.control.leadership.failover_proof import FailoverProof
 from spoolcourse.control.leadership.failover_timeline import FailoverPhase
-from spoolcourse.control.leadership.renewal_deadline import CLOCK_DRIFT
+from spoolcourse.control.leadership.renewal_deadline import MAX_RELATIVE_CLOCK_DRIFT
 from spoolcourse.control.workers.command_builder import CommandBuilder
 from spoolcourse.control.workers.leader_interface import Leader
 from spoolcourse.control.workers.machine import Machine
@@ -22,7 +22,7 @@
 from spoolcourse.wire.commands import Command
 from spoolcourse.wire.messages import Heartbeat
 from spoolcourse.wire.peers import Hint
-from spoolcourse.wire.settings import Workers
+from spoolcourse.wire.settings import WorkerSettings
 
 log = logging.getLogger(__name__)
 
@@ -56,17 +56,19 @@
         self,
         job_queue: JobQueue,
         proof: FailoverProof,
-        workers: Workers,
+        workers: WorkerSettings,
         clock: Callable[[], float],
         leader: Leader,
     ) -> None:
-        super().__init__(job_queue, clock, workers.quiet_s, leader.on_capacity_change)
+        super().__init__(job_queue, clock, workers.suspect_after_s, leader.on_capacity_change)
         self.proof = proof
         self.fencing_token = proof.fencing_token
         self.leader = leader
         self._lease_s = workers.lease_s
         # A lease that began longer ago has certainly expired, and its tasks have ended.
-        self._lease_expired_after_s = workers.lease_s * (1 + CLOCK_DRIFT) + LEASE_EXPIRY_MARGIN_S
+        self._lease_expired_after_s = (
+            workers.lease_s * (1 + MAX_RELATIVE_CLOCK_DRIFT) + LEASE_EXPIRY_MARGIN_S
+        )
         self._clock = clock
         self.leader = leader
         self._reconciler = HeartbeatReconciler(self, leader)
--- a/spoolcourse/wire/messages.py
+++ b/spoolcourse/wire/messages.py
@@ -20,7 +20,7 @@
 T = TypeVar("T")
 
 RANKS = ("prod", "high", "standard", "best_effort")  # highest first
-BODY_LIMIT = 64 * 1024  # bytes in a request's body
+MAX_BODY_BYTES = 64 * 1024  # bytes in a request's body
 JOB_ID = re.compile(r"job-[0-9]{6,12}")
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
@@ -45,11 +45,11 @@
     STOPPED = "halted"
     ERROR = "error"
     NO_ROOM = "no_room"
-    OTHER_ATTEMPT_THERE = "in_use"
+    OTHER_ATTEMPT_ON_MACHINE = "in_use"
     NO_SUCH_TASK = "no_such"
 
 
-class HostStage(StrEnum):
+class ListedMachineStage(StrEnum):
     """A machine's stage in the cloud's list."""
 
     STARTING = "starting"
@@ -122,7 +122,7 @@
     )
 
 
-class JobAnswer(msgspec.Struct, frozen=True):
+class JobResponse(msgspec.Struct, frozen=True):
     """The response to an accepted submission and to a cancellation."""
 
     id: str
@@ -188,22 +188,22 @@
     machine_types: list[MachineType] = msgspec.field(name="builds")
 
 
-class Host(msgspec.Struct, frozen=True):
+class ListedMachine(msgspec.Struct, frozen=True):
     """A machine in the cloud's list."""
 
     id: Name
     machine_type: Name = msgspec.field(name="build")
     zone: Name = msgspec.field(name="yard")
     spot: bool = msgspec.field(name="loaners")
-    stage: HostStage
+    stage: ListedMachineStage
     age_s: float = msgspec.field(name="ageS")
     address: str = ""
 
 
-class HostPage(msgspec.Struct, frozen=True):
+class MachineListPage(msgspec.Struct, frozen=True):
     """One page of the cloud's machine list."""
 
-    hosts: list[Host] = msgspec.field(name="spindles")
+    machines: list[ListedMachine] = msgspec.field(name="spindles")
     has_next: bool = msgspec.field(name="hasNext", default=False)
 
 
--- a/spoolcourse/wire/settings.py
+++ b/spoolcourse/wire/settings.py
@@ -18,7 +18,7 @@
 Count = Annotated[int, msgspec.Meta(ge=1)]
 
 
-class Seed(msgspec.Struct, frozen=True):
+class Peer(msgspec.Struct, frozen=True):
     """Another controller, with its peer address."""
 
     label: str
@@ -26,7 +26,7 @@
     site: str = ""
 
 
-class Outside(msgspec.Struct, frozen=True):
+class ExternalServices(msgspec.Struct, frozen=True):
     """The addresses of the cloud and the key-value store."""
 
     cloud: str
@@ -63,7 +63,7 @@
     times: float = 0.0
 
 
-class Workers(msgspec.Struct, frozen=True):
+class WorkerSettings(msgspec.Struct, frozen=True):
     """Heartbeats and leases of workers, and the time within which cancelled work must end."""
 
     heartbeat_interval_s: Positive = msgspec.field(name="report_s")
@@ -71,12 +71,12 @@
     cancel_s: Positive
 
     @property
-    def heartbeat_gap_s(self) -> float:
+    def max_heartbeat_interval_s(self) -> float:
         """The longest normal time between two heartbeats."""
         return MAX_HEARTBEAT_INTERVAL_FACTOR * self.heartbeat_interval_s
 
     @property
-    def quiet_s(self) -> float:
+    def suspect_after_s(self) -> float:
         """After this time without a heartbeat, a worker has certainly missed two."""
         return 3 * self.heartbeat_interval_s + 1.0
 
@@ -90,7 +90,7 @@
     txn_ops: Count | None = None
 
 
-class State(msgspec.Struct, frozen=True):
+class StoreLimits(msgspec.Struct, frozen=True):
     """The limits of the key-value store."""
 
     rps: Positive
@@ -100,12 +100,12 @@
     next: NextLimits | None = None
 
     @property
-    def least(self) -> State:
+    def lower_limits(self) -> StoreLimits:
         """The lower of the current and the next limits: the change is not announced."""
         if self.next is None:
             return self
         upcoming = self.next
-        return State(
+        return StoreLimits(
             min(self.rps, upcoming.rps or self.rps),
             min(self.write_rps, upcoming.write_rps or self.write_rps),
             min(self.value_kb, upcoming.value_kb or self.value_kb),
@@ -113,7 +113,7 @@
         )
 
 
-class Cloud(msgspec.Struct, frozen=True):
+class CloudLimits(msgspec.Struct, frozen=True):
     """The cloud's limits."""
 
     rps: Positive
@@ -126,14 +126,14 @@
     sockets: Annotated[int, msgspec.Meta(ge=0)] = 0
 
 
-class Params(msgspec.Struct, frozen=True):
+class DeploymentSettings(msgspec.Struct, frozen=True):
     """The parameters of the deployment."""
 
     zones: list[str]
     teams: list[Team]
-    workers: Workers
-    state: State
-    cloud: Cloud
+    workers: WorkerSettings
+    state: StoreLimits
+    cloud: CloudLimits
     objectives: list[Objective] = []
     machine_limits: MachineLimits = MachineLimits()
     skew_ms: Amount = 0.0
@@ -145,9 +145,9 @@
     label: str
     listen: str
     cluster_listen: str
-    seeds: list[Seed]
-    outside: Outside
-    settings: Params
+    seeds: list[Peer]
+    outside: ExternalServices
+    settings: DeploymentSettings
     site: str = ""
 
 
@@ -174,10 +174,10 @@
         ("cluster_listen", settings.cluster_listen),
         ("outside.cloud", settings.outside.cloud),
         ("outside.state", settings.outside.state),
-        *((f"seeds[{i}].endpoint", seed.endpoint) for i, seed in enumerate(settings.seeds)),
+        *((f"seeds[{i}].endpoint", peer.endpoint) for i, peer in enumerate(settings.seeds)),
     ):
         split_address(text, field)
-    labels = [settings.label, *(seed.label for seed in settings.seeds)]
+    labels = [settings.label, *(peer.label for peer in settings.seeds)]
     if "" in labels or len(set(labels)) != len(labels):
         raise UserError(f"{source}: settings: seeds: labels must be distinct and not empty")
     if not settings.settings.zones:
--- a/tests/autoscaling/test_deletion_reasons.py
+++ b/tests/autoscaling/test_deletion_reasons.py
@@ -12,7 +12,7 @@
 from spoolcourse.control.autoscaling.machine_type_lookup import MachineTypeLookup
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.policy.keys import Policy
-from spoolcourse.wire.messages import HostStage
+from spoolcourse.wire.messages import ListedMachineStage
 
 NOW = 10_000.0
 LEASE_S = 10.0
@@ -22,7 +22,7 @@
 
 def machine_faults(*machines: Machine) -> MachineFaults:
     """The fault detection of a leader that has these machines registered."""
-    workers = SimpleNamespace(lease_s=LEASE_S, quiet_s=SUSPECT_TIMEOUT_S)
+    workers = SimpleNamespace(lease_s=LEASE_S, suspect_after_s=SUSPECT_TIMEOUT_S)
     params = SimpleNamespace(workers=workers, cloud=SimpleNamespace(list_lag_s=4.0))
     registry = SimpleNamespace(
         machines={machine.id: machine for machine in machines},
@@ -72,10 +72,12 @@
         (booting(180.0), None),
         (booting(181.0), DeletionReason.BOOT_OVERDUE),
         (booting(181.0, first_seen_at=NOW - SUSPECT_TIMEOUT_S - 8.0), None),
-        (booting(181.0, listed_stage=HostStage.RUNNING), DeletionReason.SILENT),
+        (booting(181.0, listed_stage=ListedMachineStage.RUNNING), DeletionReason.SILENT),
         (
             booting(
-                181.0, listed_stage=HostStage.RUNNING, listed_running_since=NOW - FAULT_TIMEOUT_S
+                181.0,
+                listed_stage=ListedMachineStage.RUNNING,
+                listed_running_since=NOW - FAULT_TIMEOUT_S,
             ),
             None,
         ),
--- a/tests/recorded/external_names.py
+++ b/tests/recorded/external_names.py
@@ -44,7 +44,7 @@
     "message value": (
         messages.TaskStage,
         messages.EndCause,
-        messages.HostStage,
+        messages.ListedMachineStage,
         messages.JobStage,
     ),
     "status value": (
--- a/tests/recorded/forms/adapter.py
+++ b/tests/recorded/forms/adapter.py
@@ -312,10 +312,10 @@
     "report reply": _message(commands.HeartbeatResponse(commands=COMMANDS, fencing_token=3)),
     "report reply, no lease": _message(commands.HeartbeatResponse(commands=[])),
     "report reply, relayed": _message(
-        commands.HeartbeatResponse(commands=COMMANDS, fencing_token=3, hears_no_worker=True)
+        commands.HeartbeatResponse(commands=COMMANDS, fencing_token=3, receives_no_heartbeats=True)
     ),
     "report reply, relayed, leader hears others": _message(
-        commands.HeartbeatResponse(commands=[], fencing_token=3, hears_no_worker=False)
+        commands.HeartbeatResponse(commands=[], fencing_token=3, receives_no_heartbeats=False)
     ),
     "redirect": _message(commands.Redirect(leader="n1")),
     "redirect, no leader": _message(commands.Redirect()),
@@ -333,7 +333,7 @@
     "submission, every field": _message(ARRAY_WITH_EVERY_FIELD),
     "submission, service": _message(SERVICE),
     **{
-        f"job answer, {stage.value}": _message(messages.JobAnswer(id="job-000001", stage=stage))
+        f"job answer, {stage.value}": _message(messages.JobResponse(id="job-000001", stage=stage))
         for stage in messages.JobStage
     },
     **{
@@ -347,7 +347,7 @@
     "machine type": _message(MACHINE_TYPES[0]),
     **{
         f"host, {stage.value}": _message(
-            messages.Host(
+            messages.ListedMachine(
                 id="m-000000",
                 machine_type="c8",
                 zone="a",
@@ -357,24 +357,24 @@
                 address="m-000000:9000",
             )
         )
-        for stage in messages.HostStage
+        for stage in messages.ListedMachineStage
     },
     "host page": _message(
-        messages.HostPage(
-            hosts=[
-                messages.Host(
+        messages.MachineListPage(
+            machines=[
+                messages.ListedMachine(
                     id="m-000000",
                     machine_type="c8",
                     zone="a",
                     spot=False,
-                    stage=messages.HostStage.STARTING,
+                    stage=messages.ListedMachineStage.STARTING,
                     age_s=0.0,
                 )
             ],
             has_next=True,
         )
     ),
-    "host page, last": _message(messages.HostPage(hosts=[])),
+    "host page, last": _message(messages.MachineListPage(machines=[])),
     "hired": _message(messages.ProvisionedMachines(machines=["m-000000", "m-000001"])),
 }
 
@@ -421,8 +421,11 @@
     (peers.StandbyReply, '{"caught_up":true,"term":1,"revision":2}'),
     (messages.TaskStatus, '{"piece":"job-000001/0","try":1,"stage":"running"}'),
     (messages.JobStatus, '{"id":"job-000001","stage":"queued"}'),
-    (messages.HostPage, '{"spindles":[]}'),
-    (messages.Host, '{"id":"m","build":"c8","yard":"a","loaners":true,"stage":"failed","ageS":1}'),
+    (messages.MachineListPage, '{"spindles":[]}'),
+    (
+        messages.ListedMachine,
+        '{"id":"m","build":"c8","yard":"a","loaners":true,"stage":"failed","ageS":1}',
+    ),
     (commands.HeartbeatResponse, '{"orders":[]}'),
     (commands.Redirect, "{}"),
 ]
@@ -459,8 +462,12 @@
         ],
         "store, no such lease": key_value_store.NO_SUCH_LEASE,
         "cloud, no capacity": cloud.NO_CAPACITY,
-        "cloud limits": [cloud.LIST_PAGE_SIZE, cloud.DELETE_MAX, cloud.PROVISION_MAX],
-        "body limit": messages.BODY_LIMIT,
+        "cloud limits": [
+            cloud.LIST_PAGE_SIZE,
+            cloud.MAX_MACHINES_PER_DELETION,
+            cloud.MAX_MACHINES_PER_PROVISION_REQUEST,
+        ],
+        "body limit": messages.MAX_BODY_BYTES,
         "job id": messages.JOB_ID.pattern,
         "progress counts": list(records.Progress.counts_of(progress)),
         "progress chunk": [records.chunk_tasks(kb) for kb in (0.1, 8.0, 64.0)],
@@ -497,7 +504,7 @@
         "store page, further": key_value_store.page_path("spoolcourse/", 200, "spoolcourse/a b&c"),
         "store watch": key_value_store.watch_path("spoolcourse/", 17, 2.5),
         "store lease renewal": key_value_store.renew_path(7),
-        "store lease end": key_value_store.lease_path(7),
+        "store lease end": key_value_store.revoke_path(7),
         "key of a base part": keys.initial_machines_part_key(2),
         "key of a job": keys.job_key("job-000001"),
         "key of a final state": keys.final_key("job-000001"),
@@ -509,14 +516,14 @@
         "withdraw": paths.CANCEL,
         "health": paths.HEALTH,
         "cancellations": paths.CANCELLATIONS,
-        "level": paths.LEVEL,
+        "level": paths.FEATURE_LEVEL,
         "hints path": paths.HINTS,
         "standby": paths.STANDBY,
         "handover": paths.HANDOVER,
         "status": paths.STATUS,
         "metrics": paths.METRICS,
         "commands": paths.COMMANDS,
-        "show": paths.SHOW,
+        "show": paths.WORKER_STATE,
         "catalog": paths.CATALOG,
         "hosts": paths.HOSTS,
         "deletion of hosts": paths.HOSTS_DELETE,
@@ -595,9 +602,9 @@
         "every field": msgspec.to_builtins(parsed),
         "fewest fields": msgspec.to_builtins(parse_settings(orjson.dumps(fewest_fields), "sample")),
         "team limits": [[str(t.cpu_limit), str(t.gpu_limit)] for t in params.teams],
-        "report gap": params.workers.heartbeat_gap_s,
-        "quiet": params.workers.quiet_s,
-        "least limits": msgspec.to_builtins(params.state.least),
+        "report gap": params.workers.max_heartbeat_interval_s,
+        "quiet": params.workers.suspect_after_s,
+        "least limits": msgspec.to_builtins(params.state.lower_limits),
         "standby, defaults": msgspec.to_builtins(parse_standby("[standby]", "sample")),
         "standby": msgspec.to_builtins(parse_standby(_standby_text(STANDBY_KEYS), "sample")),
     }
--- a/tests/recorded/forms/interfaces.py
+++ b/tests/recorded/forms/interfaces.py
@@ -22,8 +22,8 @@
 from spoolcourse.control.http_connection import Connection, encode_response
 from spoolcourse.errors import UserError
 from spoolcourse.policy import keys as policy_keys
-from spoolcourse.wire.messages import BODY_LIMIT
-from spoolcourse.wire.standby_settings import OFF, StandbySettings
+from spoolcourse.wire.messages import MAX_BODY_BYTES
+from spoolcourse.wire.standby_settings import STANDBY_OFF, StandbySettings
 from tests.fakes.clock import play
 from tests.fakes.isolated_leader import IsolatedLeader
 from tests.fakes.services import service
@@ -31,7 +31,7 @@
 from tests.recorded.forms.adapter import SETTINGS
 
 # The same as `tests.fakes.world.STANDBY` without and with WARM_STANDBY; both are always played.
-VARIANTS = {"standby off": OFF, "standby on": StandbySettings(enabled=True, verify=True)}
+VARIANTS = {"standby off": STANDBY_OFF, "standby on": StandbySettings(enabled=True, verify=True)}
 
 
 def normalised(text: str) -> str:
@@ -125,7 +125,9 @@
         async def story(variant: str = variant) -> dict[str, Any]:
             world = await _busy(variant)
             return {
-                f"{role}, {variant}": read(await _asked(world.nodes[node].peers, "GET", path))
+                f"{role}, {variant}": read(
+                    await _asked(world.nodes[node].cluster_handler, "GET", path)
+                )
                 for role, node in _roles(world).items()
             }
 
@@ -338,7 +340,9 @@
         self, name: str, role: str, method: str, path: str, raw: bytes = b"", peers: bool = False
     ) -> None:
         node = self.world.nodes[_roles(self.world)[role]]
-        reply = await _asked(node.peers if peers else node.public, method, path, raw)
+        reply = await _asked(
+            node.cluster_handler if peers else node.public_handler, method, path, raw
+        )
         assert name not in self.found, name
         self.found[name] = normalised(encode_response(reply).decode())
 
@@ -477,7 +481,7 @@
             starting = _Table(world)
             raw = orjson.dumps(job())
             for method, path in (("POST", "/submissions"), ("GET", "/healthz")):
-                reply = await _asked(world.nodes["n0"].public, method, path, raw)
+                reply = await _asked(world.nodes["n0"].public_handler, method, path, raw)
                 starting.found[f"starting: {method} {path}"] = normalised(
                     encode_response(reply).decode()
                 )
@@ -530,13 +534,17 @@
 
 
 async def _broken_requests() -> dict[str, Any]:
-    limit = str(BODY_LIMIT).encode()
-    above = str(BODY_LIMIT + 1).encode()
+    limit = str(MAX_BODY_BYTES).encode()
+    above = str(MAX_BODY_BYTES + 1).encode()
     post, host = b"POST /a HTTP/1.1\r\nHost: x\r\n", b"Host: x\r\n"
     found = {}
     for name, raw in {
         "good": post + b"Content-Length: 2\r\n\r\n{}",
-        "as large as may be": post + b"Content-Length: " + limit + b"\r\n\r\n" + b"x" * BODY_LIMIT,
+        "as large as may be": post
+        + b"Content-Length: "
+        + limit
+        + b"\r\n\r\n"
+        + b"x" * MAX_BODY_BYTES,
         "too large": post + b"Content-Length: " + above + b"\r\n\r\n",
         "expects to continue": post + b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n",
         "not HTTP": b"what is this?\r\n\r\n",
--- a/tests/recorded/plans/adapter.py
+++ b/tests/recorded/plans/adapter.py
@@ -15,8 +15,8 @@
     JobDemand,
     Offer,
     ProvisionRequest,
+    plan_headroom,
     plan_provisioning,
-    top_up,
 )
 from spoolcourse.control.jobs.model import Attempt
 from spoolcourse.control.placement.backfill import place
@@ -32,7 +32,7 @@
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.policy.keys import Policy
 from spoolcourse.wire.identities import TaskId
-from spoolcourse.wire.messages import HostStage, MachineType
+from spoolcourse.wire.messages import ListedMachineStage, MachineType
 from tests.recorded.plans.inputs import MACHINE_SIZES, NOW, Fields
 
 # -- inputs ---------------------------------------------------------------------------
@@ -101,7 +101,7 @@
         within_guarantee=job["within_guarantee"],
         replicas_by_machine=dict(job["replicas_by_machine"]),
         is_service=job["is_service"],
-        ordinary_machines_from=job["ordinary_machines_from"],
+        on_demand_from=job["on_demand_from"],
     )
 
 
@@ -166,7 +166,7 @@
         confirmed=machine["confirmed"],
         last_heartbeat_at=machine["last_heartbeat_at"],
         deletion_requested=machine["deletion_requested"],
-        listed_stage=HostStage.FAILED if machine["failed"] else None,
+        listed_stage=ListedMachineStage.FAILED if machine["failed"] else None,
         scale_in_candidate=machine["scale_in_candidate"],
     )
     for task in range(machine["attempt_count"]):  # only the number of attempts matters
@@ -225,7 +225,7 @@
         team_cpus=free_cpus_by_team,
         **limit,
     )
-    headroom_requests = top_up(
+    headroom_requests = plan_headroom(
         missing_cpus=request["missing_cpus"], offers=offers, fleet_size=request["fleet_size"]
     )
     return {
--- a/tests/recorded/plans/inputs.py
+++ b/tests/recorded/plans/inputs.py
@@ -163,7 +163,7 @@
         "within_guarantee": draw.chance(0.35),
         "replicas_by_machine": {},
         "is_service": service,
-        "ordinary_machines_from": NOW + draw.rounded(-30.0, 30.0) if draw.chance(0.4) else 0.0,
+        "on_demand_from": NOW + draw.rounded(-30.0, 30.0) if draw.chance(0.4) else 0.0,
     } | _zone_rules(draw, zones, service)
     if service:
         job["replicas_by_machine"] = {
