--- a/tests/autoscaling/test_early_deletion.py
+++ b/tests/autoscaling/test_early_deletion.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any
 
-from tests.fakes.services import served, service
+from tests.fakes.services import service, wait_for_replicas
 from tests.fakes.world import World, job
 
 LEASE_PROOF_S = 11.0  # the lease of 10 s, and what must be added to be certain
@@ -17,13 +17,14 @@
     world.cloud.run_s = lambda task: 10_000.0
     world.cloud.capacity = len(machines)
     for zone in machines:
-        world.cloud.add(zone)
+        world.cloud.add_machine(zone)
     await asyncio.sleep(1)
-    await world.up()  # what is there at the very first start is never returned for being idle
+    # Machines present at the very first start are never deleted for being idle.
+    await world.start_controllers()
     await asyncio.sleep(5)
     body = service(**{"pieces": 2, "scatter": True} | fields)
     assert (await world.submit(body)).status == 201
-    await served(world, 1, body["pieces"])
+    await wait_for_replicas(world, 1, body["pieces"])
     await asyncio.sleep(4)
     return world
 
@@ -34,7 +35,7 @@
     return next(
         w.name
         for w in world.cloud.workers.values()
-        if any(t.on and t.name == name for t in w.tasks.values())
+        if any(t.is_running and t.name == name for t in w.tasks.values())
     )
 
 
@@ -77,7 +78,7 @@
     world.cloud.workers[lost].die()  # the cloud goes on listing it
     assert await restart_time_s(world) < 7.5 < LEASE_PROOF_S
     assert requested[0] == lost
-    assert world.cloud.broken == []
+    assert world.cloud.violations == []
 
 
 async def test_no_machine_is_deleted_for_one_lost_heartbeat() -> None:
@@ -123,7 +124,7 @@
     await asyncio.sleep(10)
     # A worker that lost two heartbeats in a row has lost its lease as well; nothing is deleted.
     assert requested == []
-    assert world.cloud.broken == []
+    assert world.cloud.violations == []
 
 
 async def test_a_leader_that_gets_no_heartbeats_deletes_no_machine() -> None:
@@ -156,7 +157,7 @@
     assert requested == []
     world.network.filters.remove(cut)
     await asyncio.sleep(10)
-    assert world.cloud.broken == []
+    assert world.cloud.violations == []
 
 
 async def test_no_machine_is_deleted_early_whose_replicas_have_no_place_elsewhere() -> None:
@@ -165,8 +166,8 @@
     world.cloud.workers[lost].die()
     await asyncio.sleep(9.5)
     assert requested == []
-    assert await served(world, 1, 2, 90)
-    assert world.cloud.broken == []
+    assert await wait_for_replicas(world, 1, 2, 90)
+    assert world.cloud.violations == []
 
 
 async def test_the_number_of_early_deletions_in_progress_is_bounded() -> None:
@@ -187,8 +188,8 @@
     await asyncio.sleep(LEASE_PROOF_S - 1.0)
     assert len(set(requested)) == 2
     world.network.filters.clear()
-    await served(world, 1, 8, 60)
-    assert world.cloud.broken == []
+    await wait_for_replicas(world, 1, 8, 60)
+    assert world.cloud.violations == []
 
 
 async def test_a_machine_that_reports_again_during_its_deletion_gets_no_new_work() -> None:
@@ -208,8 +209,8 @@
     assert not [s for s in world.cloud.starts if s[1].startswith("job-000002") and s[2] == name]
     await world.network.release()
     assert name not in world.cloud.workers
-    await world.until(lambda: len(world.cloud.on_machines("job-000001")) == 2, 30)
-    assert world.cloud.broken == []
+    await world.until(lambda: len(world.cloud.running_tasks("job-000001")) == 2, 30)
+    assert world.cloud.violations == []
 
 
 async def test_a_deletion_that_takes_effect_late_under_the_next_leader_breaks_no_rule() -> None:
@@ -232,9 +233,9 @@
     assert name in world.cloud.workers
     await world.network.release()
     assert name not in world.cloud.workers
-    await served(world, 1, 2, 60)
-    await world.finish(2, 120)
-    assert world.cloud.broken == []
+    await wait_for_replicas(world, 1, 2, 60)
+    await world.wait_until_done(2, 120)
+    assert world.cloud.violations == []
 
 
 async def test_services_survive_zones_cut_off_one_after_the_other() -> None:
@@ -250,5 +251,5 @@
         for cut in cuts:
             world.network.filters.remove(cut)
         await asyncio.sleep(1)
-    await served(world, 1, 4, 60)
-    assert world.cloud.broken == []
+    await wait_for_replicas(world, 1, 4, 60)
+    assert world.cloud.violations == []
--- a/tests/autoscaling/test_scale_out_planning.py
+++ b/tests/autoscaling/test_scale_out_planning.py
@@ -6,7 +6,7 @@
 
 from spoolcourse.control.autoscaling.planner import JobDemand, Offer, plan_provisioning, top_up
 from spoolcourse.control.placement.model import PlacementJob, PlacementMachine, RunningTask
-from tests.fakes.placement import job, machine, placed, run
+from tests.fakes.placement import job, machine, run_pass, tasks_placed_by_job
 
 
 def offer(price: float, spot: bool, cpus: float = 8.0, boot: float = 20.0) -> Offer:
@@ -106,8 +106,8 @@
 def test_a_team_without_a_limit_is_bounded_by_machines_alone() -> None:
     offer = Offer(0, 0, True, 8.0, 0.0, 64.0, price_per_hour=1.0, boot_s=10.0)
     waiting = job(100)
-    plan = run([waiting], [machine()], team=inf)
-    assert placed(plan) == {0: 4}
+    plan = run_pass([waiting], [machine()], team=inf)
+    assert tasks_placed_by_job(plan) == {0: 4}
     assert plan.wait_reasons[0] == "machines"
     provisions = plan_provisioning([JobDemand(waiting, 96)], [], [offer], 0.0, [inf])
     assert [(provision.offer, provision.count) for provision in provisions] == [(offer, 24)]
--- a/tests/cloud/test_cloud_client.py
+++ b/tests/cloud/test_cloud_client.py
@@ -12,9 +12,9 @@
 from spoolcourse.control.http_client import NoResponseError, Response
 from spoolcourse.wire.cloud import MachineKind
 from tests.fakes.network import FakeNetwork
-from tests.fakes.proof import proven
+from tests.fakes.proof import proof_of_term
 
-PROOF = proven(3)
+PROOF = proof_of_term(3)
 KIND = MachineKind("c8", "a", True)
 
 
@@ -30,7 +30,7 @@
         return response
 
     network.hosts["cloud:80"] = serve
-    return CloudClient(network.end_of("n1"), "cloud:80", 20.0), requests
+    return CloudClient(network.client_of("n1"), "cloud:80", 20.0), requests
 
 
 @pytest.mark.parametrize(
--- a/tests/controller/test_supervisor.py
+++ b/tests/controller/test_supervisor.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from spoolcourse.control.supervisor import LoopSupervisor, SupervisionPolicy
-from tests.fakes.clock import play
+from tests.fakes.clock import run_in_simulated_time
 
 RESTART = SupervisionPolicy(restart_after_s=1.0)
 END = SupervisionPolicy(restart_after_s=None, expected=(ConnectionError,))
@@ -36,7 +36,7 @@
         supervisor.cancel()
         await asyncio.sleep(5.0)
 
-    play(story())
+    run_in_simulated_time(story())
     return reasons, [at - loop.began_at[0] for at in loop.began_at]
 
 
--- a/tests/failover/test_leadership_transfer.py
+++ b/tests/failover/test_leadership_transfer.py
@@ -30,8 +30,8 @@
     assert set(reply.data["successors"]) == set(other_labels(former))
     await wait_for_failover(world, former)
     assert world.now() - began < 1.5, "nobody waits for the lease to run out"
-    await world.finish(1)
-    assert world.cloud.broken == []
+    await world.wait_until_done(1)
+    assert world.cloud.violations == []
 
 
 async def test_a_transfer_is_refused_with_reasons_if_no_standby_is_caught_up() -> None:
--- a/tests/failover/test_standby_failover.py
+++ b/tests/failover/test_standby_failover.py
@@ -34,15 +34,15 @@
     former = await start_with_running_job(world)
     world.kill(former)
     successor = await wait_for_failover(world, former)
-    follower = next(n for n in world.nodes if n != successor)
-    await world.until(lambda: world.nodes[follower].leadership.leader_label == successor, 5)
-    assert world.nodes[follower].leadership.vacant_at is None, "another has filled it"
+    follower = next(n for n in world.controllers if n != successor)
+    await world.until(lambda: world.controllers[follower].leadership.leader_label == successor, 5)
+    assert world.controllers[follower].leadership.vacant_at is None, "another has filled it"
     proof = world.active(successor).proof
     assert proof.source is ProofSource.SHADOW
     assert proof.applied_revision >= proof.claim_revision
     standby = standby_of(world, successor)
     states = [standby.status.state]
-    world.nodes[successor].leadership.step_down("test")
+    world.controllers[successor].leadership.step_down("test")
     states.append(standby.status.state)
     assert states == [ShadowState.LEADING, ShadowState.USABLE], "it is a standby again"
     await finish_each_task_once(world, 1)
@@ -95,17 +95,17 @@
     # Placements that it has not seen run already: to decide without them starts tasks twice.
     world = World(standby=STANDBY_ON)
     world.cloud.run_s = lambda task: 15.0
-    await world.up_with_machine()
+    await world.start_with_machine()
     former = str(world.leader)
     world.network.stalled |= {(label, "state:1") for label in other_labels(former)}
     await world.submit(job(1, pieces=8, vcpus=1.0), former)
     await world.until(lambda: len(world.cloud.starts) >= 8)
     for number in range(1000):
-        world.state._apply(
+        world.store._apply(
             [{"set": f"{PROGRESS_PREFIX}job-999999/{number % 7}", "v": EMPTY_PROGRESS}]
         )
     if watch == "broken":
-        world.state.forget_changes()
+        world.store.compact()
     world.kill(former)
     world.network.stalled.clear()
     stored, taken_over = record_placements_at_claim(world), record_placements_of_failover(world)
@@ -126,8 +126,8 @@
     claimed: list[str] = []
 
     async def kill_claimant() -> None:
-        run = world.state.value(TERM_KEY)["run"]
-        label = next(n for n, c in world.nodes.items() if c.leadership.run_id == run)
+        run = world.store.value(TERM_KEY)["run"]
+        label = next(n for n, c in world.controllers.items() if c.leadership.run_id == run)
         claimed.append(label)
         world.kill(label)
 
@@ -153,17 +153,17 @@
         return verdicts.pop() if verdicts and is_claim else None
 
     async def go_out() -> None:
-        world.state.in_outage = True
+        world.store.in_outage = True
 
     if claim == "outage":
         run_after_request(world, "state:1", sets_key_below(TERM_KEY), go_out)
     world.network.filters.append(unclear)
     world.kill(former)
     if claim == "outage":
-        await world.until(lambda: world.state.in_outage, 20)
+        await world.until(lambda: world.store.in_outage, 20)
         await asyncio.sleep(2)
-        assert not any(is_active(world, n) for n in world.nodes), "nothing is proven yet"
-        world.state.end_outage()
+        assert not any(is_active(world, n) for n in world.controllers), "nothing is proven yet"
+        world.store.end_outage()
     successor = await wait_for_failover(world, former, 30)
     if claim == "lose":
         assert world.active(successor).proof.fencing_token == 2, "it reads that it was elected"
@@ -175,7 +175,7 @@
 async def test_jobs_cancelled_before_and_after_a_failover_end_in_time() -> None:
     world = World(standby=STANDBY_ON)
     world.cloud.run_s = lambda task: 500.0
-    await world.up_with_machine()
+    await world.start_with_machine()
     former = str(world.leader)
     other = other_labels(former)[0]
     for number in (1, 2):
@@ -187,17 +187,17 @@
     assert (await world.cancel(2, successor)).data["stage"] == "aborted"
     await paused.resume()
     await asyncio.sleep(45)
-    assert not world.cloud.on_machines("job-000001")
-    assert not world.cloud.on_machines("job-000002")
-    assert world.cloud.broken == []
-    assert world.late_starts == []
+    assert not world.cloud.running_tasks("job-000001")
+    assert not world.cloud.running_tasks("job-000002")
+    assert world.cloud.violations == []
+    assert world.starts_after_cancellation == []
 
 
 async def test_results_and_starts_that_two_leaders_did_not_write_are_not_repeated() -> None:
     # Tasks that have ended without an acknowledgement, and starts that no heartbeat has shown.
     world = World(standby=STANDBY_ON)
     world.cloud.run_s = lambda task: 3.0
-    await world.up_with_machine()
+    await world.start_with_machine()
     former = str(world.leader)
     await world.submit(job(1, pieces=8, vcpus=1.0))
     await world.until(lambda: len(world.cloud.starts) >= 4)
@@ -222,12 +222,12 @@
 async def test_replicas_of_a_service_run_on_across_failovers() -> None:
     world = World(standby=STANDBY_ON)
     world.cloud.run_s = lambda task: 500.0
-    await world.up_with_machine()
+    await world.start_with_machine()
     former = str(world.leader)
     await asyncio.sleep(3)
     body = job(1, shape="standing", pieces=2, vcpus=1.0, expectS=0.0)
     assert (await world.submit(body)).status == 201
-    await world.until(lambda: len(world.cloud.on_machines("job-000001")) == 2)
+    await world.until(lambda: len(world.cloud.running_tasks("job-000001")) == 2)
     for _ in range(2):
         world.kill(former)
         successor = await wait_for_failover(world, former)
@@ -236,7 +236,7 @@
         world.start(former)
         await asyncio.sleep(2)
         former = successor
-    assert world.cloud.broken == []
+    assert world.cloud.violations == []
 
 
 async def test_a_controller_restarted_within_a_second_has_a_usable_shadow() -> None:
@@ -245,7 +245,7 @@
     world.kill(former)
     await asyncio.sleep(0.4)
     world.start(former)
-    await world.until(lambda: any(is_active(world, n) for n in world.nodes), 10)
+    await world.until(lambda: any(is_active(world, n) for n in world.controllers), 10)
     assert world.active().proof.source is ProofSource.SHADOW
     await finish_each_task_once(world, 1)
 
@@ -299,7 +299,7 @@
     world = World(standby=STANDBY_ON)
     former = await start_with_running_job(world)
     follower = other_labels(former)[0]
-    node, standby = world.nodes[follower], standby_of(world, follower)
+    node, standby = world.controllers[follower], standby_of(world, follower)
     assert standby.shadow is not None
     shadow, rebuilds = standby.shadow, standby.status.rebuilds
     earlier = Term(0, node.watch_cache.revision(TERM_KEY) - 1, 0)
--- a/tests/failover/test_standby_hints.py
+++ b/tests/failover/test_standby_hints.py
@@ -127,16 +127,16 @@
     await asyncio.sleep(0.5)
     machines = world.active(successor).registry.machines.values()
     assert [m.id for m in machines if m.confirmed]
-    assert world.cloud.broken == []
+    assert world.cloud.violations == []
 
 
 async def test_a_hint_of_a_deleted_machine_makes_no_machine_known() -> None:
     world = World(standby=STANDBY_ON)
     former = await start_with_running_job(world, tasks=4)
-    idle = world.cloud.add()
+    idle = world.cloud.add_machine()
     await asyncio.sleep(6)
     world.kill(former)
-    world.cloud.take(idle)
+    world.cloud.lose_machine(idle)
     successor = await wait_for_failover(world, former)
     hints = standby_of(world, successor).hints.for_term(1)
     assert idle in [hint.machine for hint in hints]
@@ -160,5 +160,5 @@
     assert 1 <= len(requested_by) <= 4, "asked again after a long while only"
     world.kill(former)
     await wait_for_failover(world, former)
-    await world.finish(1)
-    assert world.cloud.broken == []
+    await world.wait_until_done(1)
+    assert world.cloud.violations == []
--- a/tests/failover/test_standby_status.py
+++ b/tests/failover/test_standby_status.py
@@ -32,13 +32,13 @@
     world.kill(former)
     successor = await wait_for_failover(world, former)
     await world.submit(job(2, pieces=1, vcpus=1.0), successor)
-    timeline = world.nodes[successor].last_failover_timeline
+    timeline = world.controllers[successor].last_failover_timeline
     assert timeline is not None
     await world.until(lambda: len(timeline.intervals()) == len(FailoverPhase) - 1, 20)
     status = await world.network.call("u", f"{successor}:81", "GET", "/status", None, 1)
     assert status.data["lastTakeover"]["proof"] == "shadow"
     assert status.data["standby"]["state"] == "leading"
-    follower = next(label for label in world.nodes if label != successor)
+    follower = next(label for label in world.controllers if label != successor)
     status = await world.network.call("u", f"{follower}:81", "GET", "/status", None, 1)
     assert status.data["standby"]["caughtUp"]
     assert status.data["standby"]["jobs"] == 2
--- a/tests/fakes/clock.py
+++ b/tests/fakes/clock.py
@@ -1,4 +1,4 @@
-"""An event loop whose time passes at once whenever nothing is left to do."""
+"""An event loop whose clock jumps to the next timer whenever no task is ready."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 _background: set[asyncio.Task[Any]] = set()
 
 
-def spawn(work: Coroutine[Any, Any, Any]) -> None:
-    """Run something beside the story; it is kept until it ends, as asyncio itself does not."""
-    task = asyncio.get_running_loop().create_task(work)
+def spawn(coroutine: Coroutine[Any, Any, Any]) -> None:
+    """Run a coroutine in the background; asyncio itself keeps no strong reference to its task."""
+    task = asyncio.get_running_loop().create_task(coroutine)
     _background.add(task)
     task.add_done_callback(_background.discard)
 
@@ -26,7 +26,7 @@
 
     def select(self, timeout: float | None = None) -> list[Any]:
         if timeout is None:
-            raise RuntimeError("the story is stuck: nothing is left to wait for")
+            raise RuntimeError("deadlock: no timer is left to wait for")
         ready = super().select(0)
         if not ready and timeout > 0:
             self.now += timeout
@@ -42,7 +42,7 @@
         return self._fake.now
 
 
-def play(story: Coroutine[Any, Any, T]) -> T:
-    """Run a story to its end in simulated time; its other tasks end with it."""
+def run_in_simulated_time(scenario: Coroutine[Any, Any, T]) -> T:
+    """Run a scenario to its end in simulated time, then cancel the tasks it left running."""
     with asyncio.Runner(loop_factory=FakeLoop) as runner:
-        return runner.run(story)
+        return runner.run(scenario)
--- a/tests/fakes/failover.py
+++ b/tests/fakes/failover.py
@@ -1,4 +1,4 @@
-"""Failovers with the warm standby on: worlds with running jobs, paused leaders, placements."""
+"""Helpers for failover tests with the warm standby on: running jobs, paused leaders, placements."""
 
 from __future__ import annotations
 
@@ -46,11 +46,11 @@
 
 
 class PausedController:
-    """A controller whose process is paused: what it sent is held, and nothing reaches it."""
+    """A paused controller: its requests are held, and it receives nothing."""
 
     def __init__(self, world: World, label: str) -> None:
         self.world, self.label, self.is_resumed = world, label, False
-        self.late_placements: list[Response] = []  # replies to its writes that were held
+        self.late_placements: list[Response] = []  # replies to its held progress writes
         world.network.filters.append(self._verdict)
 
     def _verdict(self, src: str, dst: str, method: str, path: str, body: Any) -> str | None:
@@ -68,7 +68,7 @@
 
 
 class Placement(NamedTuple):
-    """A task on a machine, by the number of its attempt."""
+    """A task on a machine, with its attempt number."""
 
     job: str
     task: int
@@ -77,11 +77,11 @@
 
 
 def record_placements_at_claim(world: World) -> set[Placement]:
-    """A set that gets, at the next claim, all placements that the key-value store then holds."""
+    """Return a set that the next claim of a term fills with all placements in the store."""
     placements: set[Placement] = set()
 
     async def record() -> None:
-        for key, (value, _, _) in world.state.keys.items():
+        for key, (value, _, _) in world.store.keys.items():
             if key.startswith(PROGRESS_PREFIX):
                 job = parse_progress_key(key)[0]
                 placements.update(
@@ -94,7 +94,7 @@
 
 
 def record_placements_of_failover(world: World) -> set[Placement]:
-    """A set that gets, at the next failover, the placements that it ends with."""
+    """Return a set that the next failover fills with the placements it restored."""
     placements: set[Placement] = set()
 
     def recording(run: Callable[[Term], Awaitable[FailoverResult]]) -> Any:
@@ -107,51 +107,51 @@
 
         return run_and_record
 
-    for node in world.nodes.values():
+    for node in world.controllers.values():
         node._failover.run = recording(node._failover.run)  # type: ignore[method-assign]
     return placements
 
 
 async def start_with_running_job(world: World, tasks: int = 12) -> str:
-    """Start controllers and machines with a job whose tasks run; the leader's label."""
+    """Start controllers and machines with a job whose tasks run; returns the leader's label."""
     world.cloud.run_s = lambda task: 15.0
-    await world.up_with_machine()
+    await world.start_with_machine()
     await world.submit(job(1, pieces=tasks, vcpus=1.0))
     await world.until(lambda: len(world.cloud.starts) >= 4)
     return str(world.leader)
 
 
 def is_active(world: World, label: str) -> bool:
-    term = world.nodes[label].leader_term if label in world.nodes else None
+    term = world.controllers[label].leader_term if label in world.controllers else None
     return term is not None and term.active is not None
 
 
 async def wait_for_failover(world: World, former: str, timeout_s: float = 20.0) -> str:
-    """Wait until another controller has completed a failover; its label."""
+    """Wait until another controller has completed a failover; returns its label."""
 
     def successors() -> list[str]:
-        return [n for n in world.nodes if n != former and is_active(world, n)]
+        return [n for n in world.controllers if n != former and is_active(world, n)]
 
     await world.until(successors, timeout_s)
     return successors()[0]
 
 
 async def finish_each_task_once(world: World, *numbers: int) -> None:
-    """Wait for jobs to finish; no rule was broken, and no task was started twice."""
+    """Wait for jobs to finish; checks that no rule was broken and no task started twice."""
     for number in numbers:
-        await world.finish(number)
-    assert world.cloud.broken == []
+        await world.wait_until_done(number)
+    assert world.cloud.violations == []
     names = [name for _, name, _ in world.cloud.starts]
-    assert len(names) == len(set(names)), "no task was started twice, for no machine was lost"
+    assert len(names) == len(set(names)), "a task was started twice although no machine was lost"
 
 
 def standby_of(world: World, label: str) -> WarmStandby:
-    """The warm standby of a controller, which must be on."""
-    standby = world.nodes[label].standby
+    """The warm standby of a controller, which must have one."""
+    standby = world.controllers[label].standby
     assert standby is not None
     return standby
 
 
 def other_labels(former: str) -> list[str]:
-    """The controllers but one."""
+    """The labels of all controllers but one."""
     return [label for label in LABELS if label != former]
--- a/tests/fakes/isolated_leader.py
+++ b/tests/fakes/isolated_leader.py
@@ -7,11 +7,11 @@
 
 from tests.fakes.world import LABELS, World, job
 
-CANCEL_S = 40.0  # of the settings of `World`
+CANCEL_S = 40.0  # `cancel_s` in the settings of `World`
 
 
 class IsolatedLeader:
-    """A world with a job of four tasks on each of some machines, and its leader."""
+    """A world whose jobs, of four tasks each, all run; provides faults around its leader."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -24,7 +24,7 @@
         world = World()
         world.cloud.run_s = lambda task: 300.0
         world.cloud.capacity = 4
-        await world.up_with_machine()
+        await world.start_with_machine()
         for number in range(1, jobs + 1):
             await world.submit(job(number))
         await world.until(lambda: len(world.cloud.starts) == 4 * jobs, 60)
@@ -32,7 +32,7 @@
         return cls(world)
 
     def partition(self, controller: str, *others: str) -> Any:
-        """Nothing passes between the controller and the others, either way. `m-`: all machines."""
+        """Block all traffic between the controller and the others. `m-` stands for all machines."""
 
         def check(src: str, dst: str, *rest: Any) -> str | None:
             ends = {src, dst.split(":", maxsplit=1)[0]}
@@ -42,7 +42,7 @@
         return check
 
     def refuse_store_requests_of(self, controller: str) -> Any:
-        """The key-value store refuses this controller alone; its open watches wait meanwhile."""
+        """The key-value store refuses this controller only; its open watches stall meanwhile."""
 
         def check(src: str, dst: str, *rest: Any) -> str | None:
             return "503" if (src, dst) == (controller, "state:1") else None
@@ -57,22 +57,22 @@
         self.cancelled_at = self.world.now()
 
     async def cancel_behind_leader(self, number: int = 1, through: str | None = None) -> None:
-        """Refuse the leader alone, cancel through a peer, and begin an outage for all."""
+        """Refuse the leader only, cancel through a peer, then start an outage for everyone."""
         refusal = self.refuse_store_requests_of(self.leader)
         await asyncio.sleep(0.5)
         await self.confirm_cancellation(number, through)
-        self.world.state.in_outage = True
+        self.world.store.in_outage = True
         self.world.network.filters.remove(refusal)
 
     def end_outage(self) -> None:
-        self.world.state.end_outage()
+        self.world.store.end_outage()
         self.world.network.stalled.clear()
 
     async def wait_until_tasks_gone_in_time(self, number: int = 1) -> None:
         name = f"job-{number:06d}"
         left = self.cancelled_at + CANCEL_S - self.world.now()
-        await self.world.until(lambda: not self.world.cloud.on_machines(name), left)
+        await self.world.until(lambda: not self.world.cloud.running_tasks(name), left)
 
     async def sleep_after_cancellation(self, until_s: float) -> None:
-        """Sleep until so long after the cancellation."""
+        """Sleep until `until_s` seconds after the cancellation."""
         await asyncio.sleep(self.cancelled_at + until_s - self.world.now())
--- a/tests/fakes/key_value_store.py
+++ b/tests/fakes/key_value_store.py
@@ -1,4 +1,4 @@
-"""A key-value store in memory, written from its protocol."""
+"""An in-memory key-value store, written from its protocol."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
     def __init__(self) -> None:
         self.store_revision = 0
         self.keys: dict[str, tuple[Any, int, int | None]] = {}  # value, revision, lease
-        self.log: list[dict[str, Any]] = []  # changes, as a watch spells them
-        self.compacted_to = 0  # revision; changes up to it are no longer kept
+        self.log: list[dict[str, Any]] = []  # changes, as a watch returns them
+        self.compacted_revision = 0  # changes up to this revision are no longer kept
         self.leases: dict[int, tuple[float, float]] = {}  # expiry, time to live
         self._changed = asyncio.Event()
         self.in_outage = False
         self.transactions: list[dict[str, Any]] = []
-        self.value_bytes, self.txn_ops = 8 * 1024, 24  # they may drop
-        self.refused = 0  # transactions that were too large
+        self.max_value_bytes, self.max_txn_ops = 8 * 1024, 24  # tests may lower them
+        self.oversized_count = 0  # transactions refused as too large
 
     def value(self, key: str) -> Any:
         self._expire()
         return self.keys[key][0] if key in self.keys else None
 
-    def forget_changes(self) -> None:
-        self.compacted_to = self.store_revision
+    def compact(self) -> None:
+        self.compacted_revision = self.store_revision
         self.log.clear()
 
     def _now(self) -> float:
@@ -117,10 +117,10 @@
         ops = body.get("apply", [])
         if any(op.get("hold") is not None and op["hold"] not in self.leases for op in ops):
             return Response(400, {"error": "no such lease"})
-        if len(ops) > self.txn_ops or any(
-            len(orjson.dumps(op["v"])) > self.value_bytes for op in ops if "set" in op
+        if len(ops) > self.max_txn_ops or any(
+            len(orjson.dumps(op["v"])) > self.max_value_bytes for op in ops if "set" in op
         ):
-            self.refused += 1
+            self.oversized_count += 1
             return Response(400, {"error": "too large"})
         if ops:
             self.transactions.append(body)
@@ -131,7 +131,7 @@
         since = int(query["since"])
         end = self._now() + int(query.get("blockMs", 0)) / 1000
         while True:
-            if since < self.compacted_to:
+            if since < self.compacted_revision:
                 return Response(410, {})
             if not self.in_outage:
                 self._expire()
--- a/tests/fakes/network.py
+++ b/tests/fakes/network.py
@@ -1,4 +1,4 @@
-"""A network in memory, with cuts, lost answers and held requests."""
+"""An in-memory network with partitions, lost replies and delayed requests."""
 
 from __future__ import annotations
 
@@ -17,24 +17,29 @@
 
 
 class FakeNetwork:
-    """All hosts. A filter may answer `cut`, `lose` (carried out, answer lost), `hold`
-    (delivered when `release` is called, long after the caller gave up), `late` (the same by
-    itself, after one of `late_s` in turn), `404` or `503`."""
+    """Delivers requests between hosts.
 
-    def __init__(self, delay: float = 0.002) -> None:
+    A filter may return `cut` (not delivered), `lose` (executed, reply lost), `hold` (delivered
+    when `release` is called, long after the caller's timeout), `late` (delivered after one of
+    `late_delays_s` in turn), `404` or `503`.
+    """
+
+    def __init__(self, delay_s: float = 0.002) -> None:
         self.hosts: dict[str, Endpoint] = {}
         self.filters: list[Filter] = []
-        self.stalled: set[tuple[str, str]] = set()  # open watches wait
+        self.stalled: set[tuple[str, str]] = (
+            set()
+        )  # (source, destination) whose open watches get no reply
         self.held: list[tuple[str, str, str, Any]] = []
-        self.delay = delay
+        self.delay_s = delay_s
         self.on_late: Callable[[Any, Response], None] = lambda body, reply: None
-        self.late_s = cycle((2.0, 7.5, 3.1, 12.0, 4.7))
+        self.late_delays_s = cycle((2.0, 7.5, 3.1, 12.0, 4.7))
 
     def verdict(self, src: str, dst: str, method: str, path: str, body: Any) -> str | None:
         for check in self.filters:
-            found = check(src, dst, method, path, body)
-            if found:
-                return found
+            verdict = check(src, dst, method, path, body)
+            if verdict:
+                return verdict
         return None
 
     async def call(
@@ -42,34 +47,36 @@
     ) -> Response:
         verdict = self.verdict(src, dst, method, path, body)
         if verdict in ("404", "503"):
-            return Response(int(verdict), {"error": "trouble"})
+            return Response(int(verdict), {"error": "injected fault"})
         if verdict == "hold":
             self.held.append((dst, method, path, body))
         if verdict == "late":
-            spawn(self._late(next(self.late_s), dst, method, path, body))
+            spawn(self._deliver_late(next(self.late_delays_s), dst, method, path, body))
         endpoint = self.hosts.get(dst)
         if endpoint is None or verdict in ("cut", "hold", "late"):
             await asyncio.sleep(timeout)
-            raise NoResponseError(f"{src} -> {dst}: no answer")
-        await asyncio.sleep(self.delay)
+            raise NoResponseError(f"{src} -> {dst}: no reply")
+        await asyncio.sleep(self.delay_s)
         try:
             async with asyncio.timeout(timeout):
                 reply = await endpoint(method, path, body)
                 while (src, dst) in self.stalled and path.startswith("/watch"):
                     await asyncio.sleep(0.05)
         except TimeoutError as exc:
-            raise NoResponseError(f"{src} -> {dst}: no answer") from exc
+            raise NoResponseError(f"{src} -> {dst}: no reply") from exc
         if verdict == "lose":
             await asyncio.sleep(timeout)
-            raise NoResponseError(f"{src} -> {dst}: answer lost")
-        if 2 * self.delay >= timeout:
-            await asyncio.sleep(max(timeout - self.delay, 0.0))
-            raise NoResponseError(f"{src} -> {dst}: answered too late")
-        await asyncio.sleep(self.delay)
+            raise NoResponseError(f"{src} -> {dst}: reply lost")
+        if 2 * self.delay_s >= timeout:
+            await asyncio.sleep(max(timeout - self.delay_s, 0.0))
+            raise NoResponseError(f"{src} -> {dst}: replied too late")
+        await asyncio.sleep(self.delay_s)
         return reply
 
-    async def _late(self, after: float, dst: str, method: str, path: str, body: Any) -> None:
-        await asyncio.sleep(after)
+    async def _deliver_late(
+        self, after_s: float, dst: str, method: str, path: str, body: Any
+    ) -> None:
+        await asyncio.sleep(after_s)
         endpoint = self.hosts.get(dst)
         if endpoint is not None:
             reply = await endpoint(method, path, body)
@@ -79,12 +86,12 @@
         held, self.held = self.held, []
         return [await self.hosts[dst](method, path, body) for dst, method, path, body in held]
 
-    def end_of(self, src: str) -> FakeHttpClient:
+    def client_of(self, src: str) -> FakeHttpClient:
         return FakeHttpClient(self, src)
 
 
 class FakeHttpClient:
-    """The network as one host sees it."""
+    """An HTTP client that sends as one host of the network."""
 
     def __init__(self, network: FakeNetwork, src: str) -> None:
         self._network = network
--- a/tests/fakes/placement.py
+++ b/tests/fakes/placement.py
@@ -1,4 +1,4 @@
-"""Machines and jobs of the placement model, and a pass over them."""
+"""Builders for machines and jobs of the placement model, and a placement pass over them."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 
 
 def machine(cpus: float = 8.0, total_cpus: float = 8.0, **fields: object) -> PlacementMachine:
-    plain = {"machine_type": 0, "zone": 0, "spot": False} | fields
-    plain = {"gpus": 0.0, "memory_gb": 64.0, "fetch_gb_per_s": 1.0} | plain
-    return PlacementMachine(cpus=cpus, total_cpus=total_cpus, **plain)  # type: ignore[arg-type]
+    values = {"machine_type": 0, "zone": 0, "spot": False} | fields
+    values = {"gpus": 0.0, "memory_gb": 64.0, "fetch_gb_per_s": 1.0} | values
+    return PlacementMachine(cpus=cpus, total_cpus=total_cpus, **values)  # type: ignore[arg-type]
 
 
 def job(
     pending: int = 1, cpus: float = 2.0, estimate_s: float = 10.0, **fields: object
 ) -> PlacementJob:
-    plain = {"image": 0, "image_gb": 0.0, "team": 0} | fields
+    values = {"image": 0, "image_gb": 0.0, "team": 0} | fields
     return PlacementJob(
         *(pending, cpus, 0.0, 1.0),
         estimate_s=estimate_s,
-        **plain,  # type: ignore[arg-type]
+        **values,  # type: ignore[arg-type]
     )
 
 
-def run(
+def run_pass(
     jobs: list[PlacementJob],
     machines: list[PlacementMachine],
     team: float = 1000.0,
@@ -40,8 +40,8 @@
     return place(Snapshot(100.0, jobs, machines, teams, 2, fetches_per_machine, fetches_per_zone))
 
 
-def placed(plan: Plan) -> dict[int, int]:
-    counts: dict[int, int] = {}
+def tasks_placed_by_job(plan: Plan) -> dict[int, int]:
+    task_counts: dict[int, int] = {}
     for d in plan.placements:
-        counts[d.job] = counts.get(d.job, 0) + d.task_count
-    return counts
+        task_counts[d.job] = task_counts.get(d.job, 0) + d.task_count
+    return task_counts
--- a/tests/fakes/registry.py
+++ b/tests/fakes/registry.py
@@ -1,4 +1,4 @@
-"""A worker registry with one machine and one job, and the leader that it asks."""
+"""A worker registry with one machine and one job, and the leader interface it depends on."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from spoolcourse.wire.commands import to_json_object
 from spoolcourse.wire.messages import Heartbeat, Submission, parse
 from spoolcourse.wire.settings import Workers
-from tests.fakes.proof import proven
+from tests.fakes.proof import proof_of_term
 from tests.fakes.world import job
 
 TERM = 7
@@ -23,11 +23,11 @@
 
     def __init__(self, **fields: Any) -> None:
         self.now = 100.0
-        self.valid = True
+        self.lease_valid = True
         self.job_queue = JobQueue()
         self.registry = WorkerRegistry(
             self.job_queue,
-            proven(TERM),
+            proof_of_term(TERM),
             Workers(heartbeat_interval_s=1.5, lease_s=10.0, cancel_s=40.0),
             lambda: self.now,
             self,
@@ -39,7 +39,7 @@
         self.sequence = 0
 
     def holds_lease(self) -> bool:
-        return self.valid
+        return self.lease_valid
 
     def is_job_over(self, job: str) -> bool:
         return job not in self.job_queue.jobs
@@ -60,7 +60,7 @@
         return [to_json_object(command) for command in outcome.commands]
 
     def observe(self, *pieces: dict[str, Any], **fields: Any) -> Heartbeat:
-        """A heartbeat that comes as the response to a call."""
+        """Process a heartbeat that is the response to a direct call."""
         heartbeat = self._heartbeat_of(pieces, fields)
         self.registry.observe_heartbeat(heartbeat)
         return heartbeat
@@ -82,17 +82,19 @@
         } | fields
         return parse(data, Heartbeat)
 
-    def assign(self, piece: int = 0, number: int = 1, saved: bool = True) -> Attempt:
-        attempt = self.job_queue.assign(self.job_state, piece, "m-1", number, self.now)
+    def assign(self, task: int = 0, number: int = 1, persisted: bool = True) -> Attempt:
+        attempt = self.job_queue.assign(self.job_state, task, "m-1", number, self.now)
         self.registry.track_attempt(attempt)
-        if saved:
-            self.save()
+        if persisted:
+            self.mark_persisted()
         return attempt
 
-    def save(self) -> None:
+    def mark_persisted(self) -> None:
         for chunk in self.job_state.chunks.values():
             chunk.persisted_version = chunk.version
 
 
-def on(piece: int = 0, number: int = 1, stage: str = "running", **more: Any) -> dict[str, Any]:
-    return {"piece": f"job-000001/{piece}", "try": number, "stage": stage} | more
+def task_entry(
+    task: int = 0, attempt: int = 1, stage: str = "running", **fields: Any
+) -> dict[str, Any]:
+    return {"piece": f"job-000001/{task}", "try": attempt, "stage": stage} | fields
--- a/tests/fakes/services.py
+++ b/tests/fakes/services.py
@@ -1,4 +1,4 @@
-"""Services as users submit them."""
+"""Submissions of services, and waiting for their replicas."""
 
 from __future__ import annotations
 
@@ -15,6 +15,8 @@
     )
 
 
-async def served(world: World, number: int = 1, count: int = 2, limit: float = 60.0) -> float:
+async def wait_for_replicas(
+    world: World, number: int = 1, count: int = 2, limit_s: float = 60.0
+) -> float:
     name = f"job-{number:06d}"
-    return await world.until(lambda: len(world.cloud.on_machines(name)) == count, limit)
+    return await world.until(lambda: len(world.cloud.running_tasks(name)) == count, limit_s)
--- a/tests/fakes/test_clock.py
+++ b/tests/fakes/test_clock.py
@@ -1,4 +1,4 @@
-"""Coroutine tests are run, on the fake clock, and fail where their assertions do."""
+"""Coroutine tests run on the fake clock, and fail when an assertion in them fails."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 
-PLANTED = """
+TEST_MODULE = """
 import asyncio
 import pytest
 
@@ -24,14 +24,14 @@
 """
 
 
-def test_a_coroutine_test_is_run_in_simulated_time_and_fails_with_its_assertion(
+def test_a_coroutine_test_runs_in_simulated_time_and_fails_with_its_assertion(
     tmp_path: Path,
 ) -> None:
-    planted = tmp_path / "test_planted.py"
-    planted.write_text(PLANTED)
+    test_file = tmp_path / "test_sample.py"
+    test_file.write_text(TEST_MODULE)
     options = ["-q", "-p", "no:cacheprovider", "-p", "tests.conftest", f"--rootdir={tmp_path}"]
     run = subprocess.run(
-        [sys.executable, "-m", "pytest", *options, str(planted)],
+        [sys.executable, "-m", "pytest", *options, str(test_file)],
         cwd=ROOT,
         capture_output=True,
         text=True,
--- a/tests/fakes/upgrade.py
+++ b/tests/fakes/upgrade.py
@@ -1,4 +1,4 @@
-"""What 317b652b stored, peers of that version, and limits to come."""
+"""Values stored by 317b652b, the production version, peers of that version, and `state.next`."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from spoolcourse.control.store.keys import TERM_KEY, job_key, progress_key
 from tests.fakes.world import World, job
 
-# The stored forms of the production version, as of its commit.
+# Stored values as the production version writes them, as of its commit.
 OLD_JOB: dict[str, Any] = {
     "sub": {
         "id": "job-000001",
@@ -39,8 +39,8 @@
 OLD_TERM = {"term": 1, "run": "run9", "hold": 7}
 
 
-def old_can_read(key: str, value: Any) -> None:
-    """What the production version makes of a value; it raises where that would."""
+def assert_old_version_can_read(key: str, value: Any) -> None:
+    """Check a stored value as the production version's reader would; raises where it fails."""
     if "/live/job/" in key:
         assert set(value) <= {"sub", "at", "chunk", "aborted"}
         assert set(OLD_JOB["sub"]) <= set(value["sub"])
@@ -66,17 +66,18 @@
         assert isinstance(value["run"], str)
 
 
-def written(world: World) -> list[tuple[str, Any]]:
+def written_values(world: World) -> list[tuple[str, Any]]:
+    """All keys and values that transactions have set."""
     return [
         (op["set"], op["v"])
-        for body in world.state.transactions
+        for body in world.store.transactions
         for op in body["apply"]
         if "set" in op
     ]
 
 
-def old_peers(world: World, *labels: str) -> Any:
-    """These peers know none of the new questions."""
+def make_peers_old(world: World, *labels: str) -> Any:
+    """Make peers reply as the old version does, which has no `/level` endpoint."""
 
     def check(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
         return "404" if dst[:-3] in labels and path.startswith("/level") else None
@@ -85,20 +86,20 @@
     return check
 
 
-def with_next(**limits: Any) -> dict[str, Any]:
+def with_upcoming_limits(**limits: Any) -> dict[str, Any]:
     state = {"rps": 200.0, "write_rps": 100.0, "value_kb": 8.0, "txn_ops": 24}
     return {"state": state | {"next": limits}}
 
 
 def store_large_job(world: World) -> None:
-    """A job of the old version: its one chunk holds more than fits into a smaller value."""
+    """Store a job of the old version whose one chunk exceeds a lowered value limit."""
     held = {str(p): ["m-000000", 16777217 + p] for p in range(100)}
-    world.state._apply(
+    world.store._apply(
         [
             {"set": TERM_KEY, "v": OLD_TERM},
             {"set": job_key("job-000001"), "v": OLD_JOB},
             {"set": progress_key("job-000001", 0), "v": {"done": "0", "held": held}},
         ]
     )
-    world.jobs["job-000001"] = job(pieces=200, vcpus=1.0)
-    world.cloud.add()
+    world.accepted_jobs["job-000001"] = job(pieces=200, vcpus=1.0)
+    world.cloud.add_machine()
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -1,4 +1,4 @@
-"""Three controllers with everything around them."""
+"""Three controllers with fakes of the key-value store, the cloud, the workers and users."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 LABELS = ("n0", "n1", "n2")
 
-# All scenarios can be played with the warm standby on, and verified: `.ci/run` does both.
+# Every scenario can run with the warm standby on and verified; `.ci/run` runs both variants.
 STANDBY = StandbySettings(enabled=True, verify=True) if os.environ.get("WARM_STANDBY") else OFF
 
 
@@ -83,178 +83,178 @@
         self.params = params or {}
         self.policy = check_policy(policy or {}, "test")
         self.network = FakeNetwork()
-        self.state = FakeKeyValueStore()
+        self.store = FakeKeyValueStore()
         self.cloud = FakeCloud(self.network, [(n, f"{n}:80") for n in LABELS])
-        self.network.hosts["state:1"] = self.state.serve
+        self.network.hosts["state:1"] = self.store.serve
         self.network.hosts["cloud:1"] = self.cloud.serve
-        self.nodes: dict[str, Controller] = {}
-        self.runs = 0
-        self.jobs: dict[str, dict[str, Any]] = {}  # accepted ones
-        self.told: dict[str, str] = {}  # the final state that a user was told
-        self.cancelled: dict[str, float] = {}  # when a user was told so
-        self.late_starts: list[str] = []  # after a confirmed cancellation
+        self.controllers: dict[str, Controller] = {}
+        self.start_count = 0
+        self.accepted_jobs: dict[str, dict[str, Any]] = {}  # by job ID
+        self.final_stages: dict[str, str] = {}  # final stage reported to a user
+        self.cancel_confirmed_at: dict[str, float] = {}  # when reported to a user
+        self.starts_after_cancellation: list[str] = []  # task names
         self.cloud.on_start = self._on_start
         self._watcher: asyncio.Task[None] | None = None
 
-    # -- the rules -----------------------------------------------------------------------
+    # -- rules ---------------------------------------------------------------------------
 
-    def _broken(self, what: str) -> None:
-        self.cloud.broken.append(what)
+    def _record_violation(self, violation: str) -> None:
+        self.cloud.violations.append(violation)
 
     def _on_start(self, worker: FakeWorker, task: Task) -> None:
-        """Limits, zones and cancellations, at each start."""
+        """Check team limits, zones and cancellations at each start of a task."""
         name = task.name.split("/")[0]
-        body = self.jobs.get(name)
+        body = self.accepted_jobs.get(name)
         if body is None:
             return
-        on: list[tuple[str, str]] = [
+        running: list[tuple[str, str]] = [
             (t.name.split("/")[0], w.host["yard"])
             for w in self.cloud.workers.values()
             for t in w.tasks.values()
-            if t.on
+            if t.is_running
         ]
         limits = {team.name: team.cpu_limit for team in settings(**self.params).settings.teams}
         used = sum(
             other["vcpus"]
-            for job, _ in on
-            if (other := self.jobs.get(job)) and other["crew"] == body["crew"]
+            for job, _ in running
+            if (other := self.accepted_jobs.get(job)) and other["crew"] == body["crew"]
         )
         if used > limits[body["crew"]]:
-            self._broken(f"{task.name}: {body['crew']} uses {used}")
-        yards = [yard for job, yard in on if job == name]
+            self._record_violation(f"{task.name}: {body['crew']} uses {used}")
+        yards = [yard for job, yard in running if job == name]
         if body["oneZone"] and len(set(yards)) > 1:
-            self._broken(f"{task.name}: two zones")
+            self._record_violation(f"{task.name}: runs in two zones")
         if body["scatter"] and yards.count(worker.host["yard"]) > -(-body["pieces"] // 2):
-            self._broken(f"{task.name}: too many in {worker.host['yard']}")
-        if name in self.cancelled:
-            self.late_starts.append(task.name)
+            self._record_violation(f"{task.name}: too many tasks in {worker.host['yard']}")
+        if name in self.cancel_confirmed_at:
+            self.starts_after_cancellation.append(task.name)
 
     async def _watch_cancelled(self) -> None:
         while True:
             await asyncio.sleep(0.5)
-            for name, at in self.cancelled.items():
-                if self.now() - at > 40.0 and self.cloud.on_machines(name):
-                    self._broken(f"{name}: still there {self.now() - at:.1f} s after")
+            for name, at in self.cancel_confirmed_at.items():
+                if self.now() - at > 40.0 and self.cloud.running_tasks(name):
+                    self._record_violation(f"{name}: tasks run {self.now() - at:.1f} s later")
 
-    def _heard(self, method: str, path: str, body: Any, reply: Response) -> None:
-        """What users are told never goes back."""
+    def _check_reply(self, method: str, path: str, body: Any, reply: Response) -> None:
+        """Check that accepted jobs stay known and that reported final stages never change."""
         if path == "/submissions" and reply.status == 201:
-            self.jobs[body["id"]] = body
+            self.accepted_jobs[body["id"]] = body
         name = reply.data.get("id") if isinstance(reply.data, dict) else None
         if (
             reply.status == 404
             and method == "GET"
-            and path.rsplit("/", maxsplit=1)[-1] in self.jobs
+            and path.rsplit("/", maxsplit=1)[-1] in self.accepted_jobs
         ):
-            self._broken(f"{path}: forgotten")
+            self._record_violation(f"{path}: accepted job is unknown")
         if reply.status not in (200, 201) or name is None:
             return
-        stage, before = reply.data["stage"], self.told.get(name)
+        stage, before = reply.data["stage"], self.final_stages.get(name)
         if before not in (None, stage):
-            self._broken(f"{name}: {before}, then {stage}")
+            self._record_violation(f"{name}: {before}, then {stage}")
         if stage in ("done", "aborted"):
-            self.told[name] = stage
+            self.final_stages[name] = stage
         if stage == "aborted":
-            self.cancelled.setdefault(name, self.now())
+            self.cancel_confirmed_at.setdefault(name, self.now())
 
     def now(self) -> float:
         return asyncio.get_running_loop().time()
 
     def start(self, *labels: str) -> None:
         for label in labels or LABELS:
-            self.runs += 1
+            self.start_count += 1
             node = Controller(
                 settings(label, **self.params),
-                self.network.end_of(label),
+                self.network.client_of(label),
                 self.policy,
                 wall_clock=self.now,
-                run_id=f"run{self.runs}",
+                run_id=f"run{self.start_count}",
                 standby=self.standby,
             )
-            self.nodes[label] = node
-            self.network.hosts[f"{label}:80"] = self._door(node.public)
-            self.network.hosts[f"{label}:81"] = self._door(node.peers)
+            self.controllers[label] = node
+            self.network.hosts[f"{label}:80"] = self._endpoint(node.public)
+            self.network.hosts[f"{label}:81"] = self._endpoint(node.peers)
             node.start()
 
     @staticmethod
-    def _door(handler: Any) -> Any:
+    def _endpoint(handler: Any) -> Any:
         async def serve(method: str, path: str, body: Any) -> Response:
             raw = b"" if body is None else orjson.dumps(body)
-            found = handler(Request(method, path, raw))
-            reply: Response = found if isinstance(found, Response) else await found
+            result = handler(Request(method, path, raw))
+            reply: Response = result if isinstance(result, Response) else await result
             return reply
 
         return serve
 
     def cut_off(self, host: str) -> None:
-        """Nothing reaches the host any more, and nothing comes from it."""
+        """Block all traffic to and from the host."""
         self.network.filters.append(
             lambda src, dst, *rest: "cut" if host in (src, dst.split(":")[0]) else None
         )
 
     def kill(self, label: str) -> None:
-        self.nodes.pop(label).stop()
+        self.controllers.pop(label).stop()
         del self.network.hosts[f"{label}:80"], self.network.hosts[f"{label}:81"]
 
     def active(self, label: str | None = None) -> ActiveLeader:
-        """What decides on a node that leads, by default on the first one that does."""
-        term = self.nodes[label or str(self.leader)].leader_term
+        """The active leader on a controller, by default on the first one that leads."""
+        term = self.controllers[label or str(self.leader)].leader_term
         assert term is not None
         assert term.active is not None
         return term.active
 
     @property
     def leader(self) -> str | None:
-        return next((n for n, c in self.nodes.items() if c.leader_term is not None), None)
+        return next((n for n, c in self.controllers.items() if c.leader_term is not None), None)
 
-    async def until(self, check: Any, limit: float = 120.0) -> float:
-        """Wait until the check holds; how long it took."""
+    async def until(self, check: Any, limit_s: float = 120.0) -> float:
+        """Wait until the check holds; returns the seconds it took."""
         began = self.now()
         while not check():
-            if self.now() - began > limit:
-                raise AssertionError(f"not so within {limit} s")
+            if self.now() - began > limit_s:
+                raise AssertionError(f"condition did not hold within {limit_s} s")
             await asyncio.sleep(0.1)
         return self.now() - began
 
-    async def up(self) -> None:
+    async def start_controllers(self) -> None:
         self.start()
         if self._watcher is None:
             self._watcher = asyncio.create_task(self._watch_cancelled())
         await self.until(
-            lambda: self.leader and all(c.health.ready for c in self.nodes.values()), 20
+            lambda: self.leader and all(c.health.ready for c in self.controllers.values()), 20
         )
 
-    async def up_with_machine(self) -> str:
-        """The controllers, and one machine that nobody has asked for, known to them."""
-        await self.up()
-        name = self.cloud.add()
+    async def start_with_machine(self) -> str:
+        """Start controllers and one machine they did not provision; wait until they know it."""
+        await self.start_controllers()
+        name = self.cloud.add_machine()
         await asyncio.sleep(5)
         return name
 
-    async def ask(self, label: str, method: str, path: str, body: Any = None) -> Response:
+    async def request(self, label: str, method: str, path: str, body: Any = None) -> Response:
         try:
             reply = await self.network.call("user", f"{label}:80", method, path, body, 5.0)
         except NoResponseError:
             return Response(0)
-        self._heard(method, path, body, reply)
+        self._check_reply(method, path, body, reply)
         return reply
 
     async def submit(self, body: Any, label: str = "n0") -> Response:
-        return await self.ask(label, "POST", "/submissions", body)
+        return await self.request(label, "POST", "/submissions", body)
 
     async def poll(self, number: int = 1, label: str = "n0") -> Response:
-        return await self.ask(label, "GET", f"/submissions/job-{number:06d}")
+        return await self.request(label, "GET", f"/submissions/job-{number:06d}")
 
     async def cancel(self, number: int = 1, label: str = "n0") -> Response:
-        return await self.ask(label, "POST", f"/submissions/job-{number:06d}/withdraw")
+        return await self.request(label, "POST", f"/submissions/job-{number:06d}/withdraw")
 
-    async def finish(self, number: int = 1, limit: float = 120.0) -> float:
-        """Poll every node in turn until the job is done."""
+    async def wait_until_done(self, number: int = 1, limit_s: float = 120.0) -> float:
+        """Poll every controller in turn until the job is done; returns the seconds it took."""
         began = self.now()
-        while self.now() - began < limit:
-            for label in list(self.nodes):
+        while self.now() - began < limit_s:
+            for label in list(self.controllers):
                 reply = await self.poll(number, label)
                 if reply.status == 200 and reply.data["stage"] == "done":
                     return self.now() - began
             await asyncio.sleep(0.5)
-        raise AssertionError(f"job {number} not done within {limit} s")
+        raise AssertionError(f"job {number} not done within {limit_s} s")
--- a/tests/jobs/test_progress_writer.py
+++ b/tests/jobs/test_progress_writer.py
@@ -30,7 +30,7 @@
     def __init__(self, limits: State) -> None:
         self.store, network = FakeKeyValueStore(), FakeNetwork()
         network.hosts["state:1"] = self.store.serve
-        self.client = StoreClient(network.end_of("n0"), "state:1", limits, controllers=1)
+        self.client = StoreClient(network.client_of("n0"), "state:1", limits, controllers=1)
         self.client.set_leader(True)
         self.watch_cache = WatchCache(self.client, PREFIX)
         self.job_queue = JobQueue()
@@ -100,15 +100,15 @@
     attempts = [queue.assign(job_state, task, "m-000001", task, 0.0) for task in range(100)]
     await asyncio.sleep(2)
     assert attempts[0].is_persisted, "the former limit still holds"
-    store.value_bytes = 1024
+    store.max_value_bytes = 1024
     queue.complete(job_state, 150)
     await asyncio.sleep(10)
-    assert store.refused == 1
+    assert store.oversized_count == 1
     assert not running.done()
     for attempt in attempts[:80]:
         queue.drop(attempt)  # they end gradually
     await asyncio.sleep(2)
-    assert store.refused == 1
+    assert store.oversized_count == 1
     assert job_state.chunk(0).is_persisted
     running.cancel()
 
--- a/tests/leadership/test_election_and_peers.py
+++ b/tests/leadership/test_election_and_peers.py
@@ -31,7 +31,7 @@
     def __init__(self) -> None:
         self.state, self.network = FakeKeyValueStore(), FakeNetwork()
         self.network.hosts["state:1"] = self.state.serve
-        self.client = StoreClient(self.network.end_of("n0"), "state:1", LIMITS, controllers=1)
+        self.client = StoreClient(self.network.client_of("n0"), "state:1", LIMITS, controllers=1)
         self.watch_cache = WatchCache(self.client, PREFIX)
 
 
@@ -150,7 +150,7 @@
     store.network.hosts["n2:81"] = host(404, {"error": "no such resource"})
     store.network.hosts["n3:81"] = host(200, {"level": "x"})
     store.network.hosts["n4:81"] = host(200, {"level": 2})
-    replies = await query_peers(store.network.end_of("n0"), peers, LEVEL_QUERY)
+    replies = await query_peers(store.network.client_of("n0"), peers, LEVEL_QUERY)
     assert replies == [LevelReply(1), None, None, LevelReply(2)]
 
 
--- a/tests/leadership/test_failover_proof.py
+++ b/tests/leadership/test_failover_proof.py
@@ -12,7 +12,7 @@
 )
 from spoolcourse.control.leadership.term import Term
 from spoolcourse.control.store.keys import TERM_KEY
-from tests.fakes.proof import cache_at, proven
+from tests.fakes.proof import cache_at, proof_of_term
 
 
 def test_a_proof_needs_every_change_up_to_the_claim() -> None:
@@ -34,4 +34,4 @@
 
 def test_a_proof_is_immutable() -> None:
     with pytest.raises(AttributeError):
-        proven(7).term = Term(8, 9, 0)  # type: ignore[misc]
+        proof_of_term(7).term = Term(8, 9, 0)  # type: ignore[misc]
--- a/tests/loopback/__init__.py
+++ b/tests/loopback/__init__.py
@@ -1,1 +1,1 @@
-"""Controllers as real processes on loopback, against the fakes served over HTTP, and a checker."""
+"""Failover trials: controller processes on loopback, fakes served over HTTP, a history checker."""
--- a/tests/loopback/__main__.py
+++ b/tests/loopback/__main__.py
@@ -1,6 +1,6 @@
-"""Play some kills of the leader: `python -m tests.loopback --runs 10 [--seed 1] [--standby both]`.
+"""Run failover trials: `python -m tests.loopback --runs 10 [--seed 1] [--standby both]`.
 
-Prints what each play came to, the seed of one that broke a rule, and the times in the end.
+Prints the outcome of each trial, the seed of each that broke a rule, and a summary of the times.
 """
 
 from __future__ import annotations
@@ -15,29 +15,37 @@
 
 import msgspec
 
-from tests.loopback.play import Options, Outcome, Play
+from tests.loopback.trial import FailoverTrial, Options, Outcome
 
 MODES = {"off": [False], "on": [True], "both": [False, True]}
 
 
 def main() -> int:
-    """Run the plays; the exit code."""
+    """Run the trials; returns the exit code."""
     parser = argparse.ArgumentParser(prog="python -m tests.loopback", description=__doc__)
-    parser.add_argument("--runs", type=int, default=5, help="plays of each kind")
-    parser.add_argument("--seed", type=int, help="of the first play; at random if not given")
+    parser.add_argument("--runs", type=int, default=5, help="trials of each variant")
+    parser.add_argument("--seed", type=int, help="seed of the first trial; random by default")
     parser.add_argument("--standby", choices=MODES, default="both")
     parser.add_argument("--controllers", type=int, default=3)
-    parser.add_argument("--kills", type=int, default=4, help="losses of the leader in a play")
-    parser.add_argument("--lag", action="store_true", help="a burst of changes before each")
-    parser.add_argument("--no-pauses", action="store_true", help="kill, never pause")
+    parser.add_argument("--kills", type=int, default=4, help="leader failures in a trial")
+    parser.add_argument(
+        "--lag", action="store_true", help="write a burst of changes before each failure"
+    )
+    parser.add_argument(
+        "--no-pauses", action="store_true", help="only kill leaders, never pause them"
+    )
     parser.add_argument("--machines", type=int, default=4)
-    parser.add_argument("--report-s", type=float, default=1.0, help="between a worker's reports")
-    parser.add_argument("--logs", type=Path, help="keep the processes' logs below this folder")
-    parser.add_argument("--out", type=Path, help="append the outcomes, a JSON object a line")
+    parser.add_argument(
+        "--report-s", type=float, default=1.0, help="heartbeat interval of the workers"
+    )
+    parser.add_argument("--logs", type=Path, help="keep the processes' logs in this directory")
+    parser.add_argument(
+        "--out", type=Path, help="append the outcomes to this file, one JSON object per line"
+    )
     args = parser.parse_args()
-    first = args.seed if args.seed is not None else SystemRandom().randrange(1_000_000)
+    first_seed = args.seed if args.seed is not None else SystemRandom().randrange(1_000_000)
     outcomes: list[Outcome] = []
-    for seed in range(first, first + args.runs):
+    for seed in range(first_seed, first_seed + args.runs):
         for standby in MODES[args.standby]:
             options = Options(
                 seed,
@@ -52,7 +60,7 @@
             with tempfile.TemporaryDirectory() as temporary:
                 directory = args.logs / f"{seed}-{standby}" if args.logs else Path(temporary)
                 directory.mkdir(parents=True, exist_ok=True)
-                outcome = asyncio.run(Play(options, directory).run())
+                outcome = asyncio.run(FailoverTrial(options, directory).run())
             outcomes.append(outcome)
             report(outcome)
             if args.out is not None:
@@ -64,7 +72,7 @@
 
 
 def report(outcome: Outcome) -> None:
-    """One line for a play, and one for each broken rule."""
+    """Print one line for a trial and one for each broken rule."""
     options = outcome.options
     times = ", ".join(f"{t.to_first_start_s:.2f}" for t in outcome.takeovers)
     print(f"seed {options.seed}, standby {options.standby}: first starts after {times} s", end="")
@@ -74,11 +82,11 @@
 
 
 def summarise(standby: bool, outcomes: list[Outcome]) -> None:
-    """Median, 95th percentile and worst of the killed leaders' times."""
+    """Print median, 95th percentile and maximum of the failover times."""
     killed = [t for o in outcomes for t in o.takeovers if not t.paused]
     paused = [t for o in outcomes for t in o.takeovers if t.paused]
     print(f"standby {'on' if standby else 'off'}: {len(killed)} killed, {len(paused)} paused")
-    rows = {"death to first start": [t.to_first_start_s for t in killed]}
+    rows = {"kill to first start": [t.to_first_start_s for t in killed]}
     rows["pause to first start"] = [t.to_first_start_s for t in paused]
     for phase in dict.fromkeys(name for t in killed for name in t.phases_s):
         rows[phase] = [t.phases_s[phase] for t in killed if phase in t.phases_s]
--- a/tests/loopback/standins.py
+++ b/tests/loopback/fake_services.py
@@ -1,4 +1,4 @@
-"""The fakes of key-value store, cloud and workers, served over HTTP on loopback."""
+"""Fakes of the key-value store, the cloud and the workers, served over HTTP on loopback."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 
 
 async def no_hook(path: str, body: Any) -> None:
-    """Nothing happens at this point."""
+    """Do nothing at this point."""
 
 
-def bound_socket() -> socket.socket:
-    """A socket on loopback with a port that the system has chosen."""
-    found = socket.socket()
-    found.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    found.bind(("127.0.0.1", 0))
-    return found
+def bind_socket() -> socket.socket:
+    """Bind a socket on loopback to a port chosen by the system."""
+    bound = socket.socket()
+    bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    bound.bind(("127.0.0.1", 0))
+    return bound
 
 
 def address_of(bound: socket.socket) -> str:
@@ -39,7 +39,7 @@
 
 
 class LoopbackNetwork(FakeNetwork):
-    """Calls go over HTTP; what is put into `hosts` is served once its address is bound."""
+    """Sends calls over HTTP, and serves the endpoints in `hosts` at their bound addresses."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -47,8 +47,8 @@
         self._open: set[Connection] = set()
 
     def bind(self, name: str) -> str:
-        """A new address; requests go to whatever `hosts` has for it."""
-        bound = bound_socket()
+        """Return a new address; requests to it go to the endpoint that `hosts` has for it."""
+        bound = bind_socket()
         address = address_of(bound)
         loop = asyncio.get_running_loop()
 
@@ -63,7 +63,7 @@
     async def _answer(self, address: str, request: Request) -> Response:
         endpoint: Endpoint | None = self.hosts.get(address)
         if endpoint is None:
-            return Response(503, {"error": "gone"})
+            return Response(503, {"error": "host is gone"})
         body = orjson.loads(request.body) if request.body else None
         return await endpoint(request.method, request.path, body)
 
@@ -73,41 +73,41 @@
         return await self._http_client.call(dst, method, path, body, timeout_s=timeout)
 
     async def close(self) -> None:
-        """End all calls."""
+        """Close all connections of the client."""
         await self._http_client.close()
 
 
-class Stage:
-    """Key-value store, cloud and workers, with a history, and hooks before and after requests."""
+class FakeServices:
+    """Key-value store, cloud and workers, with a history and hooks around requests."""
 
     def __init__(self, controllers: list[tuple[str, str]], machines: int) -> None:
         self.network = LoopbackNetwork()
         self.history = History()
-        self.state = FakeKeyValueStore()
-        self.state_address = self.network.bind("state")
-        self.network.hosts[self.state_address] = self._serve_state
+        self.store = FakeKeyValueStore()
+        self.store_address = self.network.bind("state")
+        self.network.hosts[self.store_address] = self._serve_store
         self.cloud = FakeCloud(self.network, controllers, self.network.bind)
         self.cloud_address = self.network.bind("cloud")
         self.network.hosts[self.cloud_address] = self.cloud.serve
-        self.cloud.pull_s, self.cloud.boot_s = 0.02, 0.1
-        self.cloud.on_start = self._started
-        self.cloud.on_end = self._ended
-        self.cloud.wrap = self._wrap_worker
+        self.cloud.image_fetch_s, self.cloud.boot_s = 0.02, 0.1
+        self.cloud.on_start = self._record_start
+        self.cloud.on_end = self._record_end
+        self.cloud.wrap_endpoint = self._wrap_worker
         self.before_write = self.after_write = no_hook
         self.before_start = self.after_start = no_hook
-        self.first_starts: list[tuple[int, float]] = []  # by attempt number
+        self.starts: list[tuple[int, float]] = []  # attempt number, time
         for _ in range(machines):
-            self.cloud.add()
+            self.cloud.add_machine()
 
     def now(self) -> float:
-        """The steady clock of this process."""
+        """The monotonic clock of this process."""
         return asyncio.get_running_loop().time()
 
-    async def _serve_state(self, method: str, path: str, body: Any) -> Response:
+    async def _serve_store(self, method: str, path: str, body: Any) -> Response:
         if path != "/multi" or not body.get("apply"):
-            return await self.state.serve(method, path, body)
+            return await self.store.serve(method, path, body)
         await self.before_write(path, body)
-        reply = await self.state.serve(method, path, body)
+        reply = await self.store.serve(method, path, body)
         if reply.status == 200:
             for op in body["apply"]:
                 if op.get("set", "").startswith(FINAL_PREFIX):
@@ -128,16 +128,16 @@
 
         return hooked
 
-    def _started(self, worker: FakeWorker, task: Task) -> None:
+    def _record_start(self, worker: FakeWorker, task: Task) -> None:
         run = Run(task.name, task.number, worker.name, self.now())
         self.history.runs.append(run)
-        self.first_starts.append((task.number, run.began))
+        self.starts.append((task.number, run.started_at))
 
-    def _ended(self, worker: FakeWorker, task: Task) -> None:
-        """A task has come to its end, or its machine's lease has."""
+    def _record_end(self, worker: FakeWorker, task: Task) -> None:
+        """Record that a task has ended, or that its machine's lease has expired."""
         for run in reversed(self.history.runs):
             if (run.task, run.attempt, run.machine) == (task.name, task.number, worker.name):
                 run.done = run.done or task.cause == "done"
-                run.lost = task.stage != "ended" or run.ended is not None
-                run.ended = run.ended or self.now()
+                run.result_lost = task.stage != "ended" or run.ended_at is not None
+                run.ended_at = run.ended_at or self.now()
                 return
--- a/tests/loopback/history.py
+++ b/tests/loopback/history.py
@@ -1,4 +1,4 @@
-"""What users, workers and the key-value store saw, and the rules that it must keep."""
+"""The history that users, workers and the key-value store saw, and the rules it must keep."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """A user was told a job's stage."""
+class ReportedStage:
+    """A controller reported a job's stage to a user."""
 
     job: str
     stage: str
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FinalWritten:
-    """A job's final state was written."""
+    """A job's final state was written to the key-value store."""
 
     job: str
     stage: str
@@ -30,10 +30,10 @@
     task: str
     attempt: int
     machine: str
-    began: float
-    ended: float | None = None
-    done: bool = False  # it came to its result
-    lost: bool = False  # with its result, before that was acknowledged
+    started_at: float
+    ended_at: float | None = None
+    done: bool = False  # ended with a result
+    result_lost: bool = False  # before it was acknowledged
 
     @property
     def job(self) -> str:
@@ -42,89 +42,93 @@
 
 @dataclass(slots=True)
 class History:
-    """Events of one play, in the order in which they were seen."""
+    """Events of one trial, in the order in which they were observed."""
 
-    told: list[Told] = field(default_factory=list)
+    reported: list[ReportedStage] = field(default_factory=list)
     finals: list[FinalWritten] = field(default_factory=list)
     runs: list[Run] = field(default_factory=list)
-    forgotten: list[str] = field(default_factory=list)  # accepted jobs that were answered 404
-    ended: float = 0.0
+    unknown_jobs: list[str] = field(default_factory=list)  # accepted jobs that were answered 404
+    ended_at: float = 0.0
 
 
-def broken_rules(history: History, cancel_s: float) -> list[str]:
-    """Every rule that the history breaks, in words."""
+def rule_violations(history: History, cancel_s: float) -> list[str]:
+    """Describe every rule violation in the history."""
     return [
-        *_two_finals(history),
-        *_changed_finals(history),
-        *_overlaps(history),
-        *_two_results(history),
-        *_unfinished(history),
-        *_cancelled_work(history, cancel_s),
-        *(f"{job}: accepted, then unknown" for job in history.forgotten),
+        *_duplicate_finals(history),
+        *_changed_stages(history),
+        *_overlapping_runs(history),
+        *_duplicate_results(history),
+        *_unfinished_jobs(history),
+        *_late_cancellations(history, cancel_s),
+        *(f"{job}: accepted, then unknown" for job in history.unknown_jobs),
     ]
 
 
-def _two_finals(history: History) -> list[str]:
+def _duplicate_finals(history: History) -> list[str]:
     written = [final.job for final in history.finals]
     return [f"{job}: two final states" for job in sorted(set(written)) if written.count(job) > 1]
 
 
-def _changed_finals(history: History) -> list[str]:
-    found = []
+def _changed_stages(history: History) -> list[str]:
+    violations = []
     final: dict[str, str] = {final.job: final.stage for final in history.finals}
-    told_final: dict[str, str] = {}
-    for told in history.told:
-        before = told_final.get(told.job)
-        if before is not None and told.stage != before:
-            found.append(f"{told.job}: told {before}, then {told.stage}")
-        if told.stage in ("done", "aborted"):
-            told_final.setdefault(told.job, told.stage)
-    for job, stage in told_final.items():
+    reported_final: dict[str, str] = {}
+    for report in history.reported:
+        before = reported_final.get(report.job)
+        if before is not None and report.stage != before:
+            violations.append(f"{report.job}: reported {before}, then {report.stage}")
+        if report.stage in ("done", "aborted"):
+            reported_final.setdefault(report.job, report.stage)
+    for job, stage in reported_final.items():
         if final.get(job, stage) != stage:
-            found.append(f"{job}: told {stage}, and {final[job]} is written")
-    return found
+            violations.append(f"{job}: reported {stage}, but {final[job]} is written")
+    return violations
 
 
-def _by_task(history: History) -> dict[str, list[Run]]:
-    found: dict[str, list[Run]] = {}
+def _runs_by_task(history: History) -> dict[str, list[Run]]:
+    runs_by_task: dict[str, list[Run]] = {}
     for run in history.runs:
-        found.setdefault(run.task, []).append(run)
-    return found
+        runs_by_task.setdefault(run.task, []).append(run)
+    return runs_by_task
 
 
-def _overlaps(history: History) -> list[str]:
-    found = []
-    for task, runs in _by_task(history).items():
-        runs.sort(key=lambda run: run.began)
-        for one, other in itertools.pairwise(runs):
-            if one.ended is None or other.began < one.ended:
-                found.append(f"{task}: runs as {one.attempt} and {other.attempt} at once")
-    return found
+def _overlapping_runs(history: History) -> list[str]:
+    violations = []
+    for task, runs in _runs_by_task(history).items():
+        runs.sort(key=lambda run: run.started_at)
+        for earlier, later in itertools.pairwise(runs):
+            if earlier.ended_at is None or later.started_at < earlier.ended_at:
+                violations.append(f"{task}: attempts {earlier.attempt} and {later.attempt} overlap")
+    return violations
 
 
-def _two_results(history: History) -> list[str]:
-    """A second placement that comes to a result needs the first result to have been lost."""
-    found = []
-    for task, runs in _by_task(history).items():
-        kept = [run for run in runs if run.done and not run.lost]
+def _duplicate_results(history: History) -> list[str]:
+    """A second attempt may end with a result only if the result of the first one was lost."""
+    violations = []
+    for task, runs in _runs_by_task(history).items():
+        kept = [run for run in runs if run.done and not run.result_lost]
         if len(kept) > 1:
-            found.append(f"{task}: two final placements: {[run.attempt for run in kept]}")
-    return found
+            violations.append(
+                f"{task}: two attempts kept a result: {[run.attempt for run in kept]}"
+            )
+    return violations
 
 
-def _unfinished(history: History) -> list[str]:
-    """What was accepted has come to an end by the end of the play."""
-    accepted = {told.job for told in history.told}
-    over = {told.job for told in history.told if told.stage in ("done", "aborted")}
-    return [f"{job}: accepted, and never told to be over" for job in sorted(accepted - over)]
+def _unfinished_jobs(history: History) -> list[str]:
+    """Every accepted job has ended by the end of the trial."""
+    accepted = {report.job for report in history.reported}
+    ended = {report.job for report in history.reported if report.stage in ("done", "aborted")}
+    return [f"{job}: accepted, but never reported as ended" for job in sorted(accepted - ended)]
 
 
-def _cancelled_work(history: History, cancel_s: float) -> list[str]:
-    cancelled = {t.job: t.at for t in reversed(history.told) if t.stage == "aborted"}
-    found = []
+def _late_cancellations(history: History, cancel_s: float) -> list[str]:
+    cancelled = {r.job: r.at for r in reversed(history.reported) if r.stage == "aborted"}
+    violations = []
     for run in history.runs:
         at = cancelled.get(run.job)
-        ended = history.ended if run.ended is None else run.ended
+        ended = history.ended_at if run.ended_at is None else run.ended_at
         if at is not None and ended > at + cancel_s:
-            found.append(f"{run.task}: there {ended - at:.1f} s after its job was cancelled")
-    return found
+            violations.append(
+                f"{run.task}: still ran {ended - at:.1f} s after its job was cancelled"
+            )
+    return violations
--- a/tests/loopback/test_loopback.py
+++ b/tests/loopback/test_loopback.py
@@ -1,6 +1,6 @@
-"""Real processes on loopback lose their leader at chosen points; every rule of the history holds.
+"""Controller processes lose their leader at chosen points; the history breaks no rule.
 
-More of them, at random: `python -m tests.loopback --runs 20`.
+For more trials with random seeds: `python -m tests.loopback --runs 20`.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.loopback.play import Options, Play
+from tests.loopback.trial import FailoverTrial, Options
 
 STANDBY = bool(os.environ.get("WARM_STANDBY"))
 
@@ -28,7 +28,7 @@
 def test_no_rule_is_broken_when_leaders_are_killed_or_paused(
     options: Options, tmp_path: Path
 ) -> None:
-    outcome = asyncio.run(Play(options, tmp_path).run())
+    outcome = asyncio.run(FailoverTrial(options, tmp_path).run())
     assert outcome.broken == []
     assert len(outcome.takeovers) == options.kills
     assert outcome.submissions >= options.kills
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -11,12 +11,12 @@
     Snapshot,
     TeamBudget,
 )
-from tests.fakes.placement import job, machine, placed, run
+from tests.fakes.placement import job, machine, run_pass, tasks_placed_by_job
 
 
 def test_an_array_starts_as_many_as_fit_and_becomes_the_head() -> None:
-    plan = run([job(10), job(1)], [machine(), machine(4.0)])
-    assert placed(plan) == {0: 6}
+    plan = run_pass([job(10), job(1)], [machine(), machine(4.0)])
+    assert tasks_placed_by_job(plan) == {0: 6}
     assert plan.head == 0
     assert plan.unplaced_tasks[0] == 4
 
@@ -30,13 +30,13 @@
         return {d.machine for d in plan.placements}
 
     fetched = job(3, image_gb=1.0)
-    assert used(run([fetched], machines(False))) == {0, 1, 2}, "fetches run side by side"
-    assert used(run([job(3, image_gb=1.0)], machines(True))) == {2}, "the fullest"
+    assert used(run_pass([fetched], machines(False))) == {0, 1, 2}, "fetches run side by side"
+    assert used(run_pass([job(3, image_gb=1.0)], machines(True))) == {2}, "the fullest"
 
 
 def test_shadow_time_is_when_enough_has_ended() -> None:
     tasks = [RunningTask(120.0, 2.0, 0.0, 1.0), RunningTask(150.0, 4.0, 0.0, 1.0)]
-    plan = run([job(1, 8.0)], [machine(2.0, tasks=tasks)])
+    plan = run_pass([job(1, 8.0)], [machine(2.0, tasks=tasks)])
     assert (plan.head, plan.shadow_time) == (0, 150.0)
 
 
@@ -46,40 +46,49 @@
 
     head = job(1, 8.0)
     short, long = job(1, 2.0, estimate_s=25.0), job(1, 2.0, estimate_s=40.0)
-    assert placed(run([head, short], machines())) == {1: 1}
-    assert placed(run([head, long], machines())) == {}
+    assert tasks_placed_by_job(run_pass([head, short], machines())) == {1: 1}
+    assert tasks_placed_by_job(run_pass([head, long], machines())) == {}
     # What the head leaves over at its start may be used for longer.
-    assert placed(run([job(1, 6.0), job(2, 2.0, estimate_s=40.0)], machines())) == {1: 1}
+    assert tasks_placed_by_job(
+        run_pass([job(1, 6.0), job(2, 2.0, estimate_s=40.0)], machines())
+    ) == {1: 1}
 
 
 def test_a_booting_machine_counts_for_the_shadow_time() -> None:
-    plan = run([job(1, 8.0), job(1, 4.0, 50.0)], [machine(4.0), machine(ready_at=110.0)])
+    plan = run_pass([job(1, 8.0), job(1, 4.0, 50.0)], [machine(4.0), machine(ready_at=110.0)])
     assert plan.shadow_time == 110.0
-    assert placed(plan) == {1: 1}
+    assert tasks_placed_by_job(plan) == {1: 1}
 
 
 def test_fetches_are_booked_on_machine_and_zone() -> None:
     images = [job(1, 1.0, image=i, image_gb=1.0) for i in range(4)]
-    assert placed(run(images, [machine()], fetches_per_machine=2)) == {0: 1, 1: 1}
+    assert tasks_placed_by_job(run_pass(images, [machine()], fetches_per_machine=2)) == {0: 1, 1: 1}
     two = [machine(), machine()]
     images = [job(1, 1.0, image=i, image_gb=1.0) for i in range(4)]
-    assert sum(placed(run(images, two, fetches_per_zone=3)).values()) == 3
+    assert sum(tasks_placed_by_job(run_pass(images, two, fetches_per_zone=3)).values()) == 3
     # One fetch serves all tasks that need it; a cached image needs none.
     same = [job(4, 1.0, image=7, image_gb=1.0), job(2, 1.0, image=8, image_gb=1.0)]
-    assert placed(run(same, [machine(cached_images={8})], fetches_per_machine=1)) == {0: 4, 1: 2}
+    assert tasks_placed_by_job(
+        run_pass(same, [machine(cached_images={8})], fetches_per_machine=1)
+    ) == {0: 4, 1: 2}
 
 
 def test_a_start_above_the_fetch_budget_waits_for_a_quiet_zone() -> None:
     big = job(1, 1.0, image=1, image_gb=1.0)
-    assert placed(run([big], [machine()], fetches_per_zone=0)) == {0: 1}
+    assert tasks_placed_by_job(run_pass([big], [machine()], fetches_per_zone=0)) == {0: 1}
     busy = [machine(), machine(fetch_left_gb={5: 1.0})]
     other = job(1, 1.0, image=2, image_gb=1.0)
-    assert placed(run([job(1, 1.0, image=1, image_gb=1.0), other], busy, fetches_per_zone=0)) == {}
+    assert (
+        tasks_placed_by_job(
+            run_pass([job(1, 1.0, image=1, image_gb=1.0), other], busy, fetches_per_zone=0)
+        )
+        == {}
+    )
 
 
 def test_a_job_at_its_teams_limit_waits_but_is_not_the_head() -> None:
-    plan = run([job(4, 2.0), job(4, 2.0, team=1)], [machine(16.0)], team=4.0)
-    assert placed(plan) == {0: 2, 1: 4}
+    plan = run_pass([job(4, 2.0), job(4, 2.0, team=1)], [machine(16.0)], team=4.0)
+    assert tasks_placed_by_job(plan) == {0: 2, 1: 4}
     assert plan.head is None
     assert plan.wait_reasons[0] == "team limit"
 
@@ -88,22 +97,27 @@
     def zoned() -> list[PlacementMachine]:
         return [machine(4.0), machine(zone=1)]
 
-    plan = run([job(4, 2.0, one_zone=True)], zoned())
+    plan = run_pass([job(4, 2.0, one_zone=True)], zoned())
     assert {d.machine for d in plan.placements} == {1}
-    assert placed(run([job(4, 2.0, one_zone=True, tasks_in_unknown_zones=1)], zoned())) == {}
-    plan = run([job(5, 1.0, max_tasks_per_zone=3)], zoned())
+    assert (
+        tasks_placed_by_job(
+            run_pass([job(4, 2.0, one_zone=True, tasks_in_unknown_zones=1)], zoned())
+        )
+        == {}
+    )
+    plan = run_pass([job(5, 1.0, max_tasks_per_zone=3)], zoned())
     assert sorted(d.task_count for d in plan.placements) == [2, 3]
-    assert placed(run([job(5, 1.0, max_tasks_per_zone=3, tasks_in_unknown_zones=2)], zoned())) == {
-        0: 2
-    }
+    assert tasks_placed_by_job(
+        run_pass([job(5, 1.0, max_tasks_per_zone=3, tasks_in_unknown_zones=2)], zoned())
+    ) == {0: 2}
 
 
 def test_spot_types_zones_and_bad_machines_are_respected() -> None:
     spot = machine(machine_type=1, spot=True)
-    assert placed(run([job(spot_allowed=False)], [spot])) == {}
-    assert placed(run([job(machine_types=frozenset({0}))], [spot])) == {}
-    assert placed(run([job(zone=1)], [spot])) == {}
-    assert placed(run([job(avoided_machines=frozenset({0}))], [spot])) == {}
+    assert tasks_placed_by_job(run_pass([job(spot_allowed=False)], [spot])) == {}
+    assert tasks_placed_by_job(run_pass([job(machine_types=frozenset({0}))], [spot])) == {}
+    assert tasks_placed_by_job(run_pass([job(zone=1)], [spot])) == {}
+    assert tasks_placed_by_job(run_pass([job(avoided_machines=frozenset({0}))], [spot])) == {}
 
 
 def test_replicas_of_a_service_lie_on_different_machines_where_that_costs_nothing() -> None:
--- a/tests/recorded/forms/interfaces.py
+++ b/tests/recorded/forms/interfaces.py
@@ -24,7 +24,7 @@
 from spoolcourse.policy import keys as policy_keys
 from spoolcourse.wire.messages import BODY_LIMIT
 from spoolcourse.wire.standby_settings import OFF, StandbySettings
-from tests.fakes.clock import play
+from tests.fakes.clock import run_in_simulated_time
 from tests.fakes.isolated_leader import IsolatedLeader
 from tests.fakes.services import service
 from tests.fakes.world import LABELS, World, job
@@ -78,7 +78,7 @@
     state = random.getstate()
     random.seed(7)  # pauses between tries are random
     try:
-        return play(story())
+        return run_in_simulated_time(story())
     finally:
         random.setstate(state)
 
@@ -99,7 +99,7 @@
     world = _world(variant)
     world.cloud.run_s = lambda task: 10_000.0
     world.cloud.capacity = 3
-    await world.up_with_machine()
+    await world.start_with_machine()
     assert (await world.submit(service(1))).status == 201
     for number in (2, 3, 4, 5):
         assert (await world.submit(job(number, pieces=6))).status == 201
@@ -115,7 +115,7 @@
 
 def _roles(world: World) -> dict[str, str]:
     leader = str(world.leader)
-    return {"leader": leader, "follower": next(n for n in world.nodes if n != leader)}
+    return {"leader": leader, "follower": next(n for n in world.controllers if n != leader)}
 
 
 def _of_both_roles(read: Callable[[Response], Any], path: str) -> dict[str, Any]:
@@ -125,7 +125,7 @@
         async def story(variant: str = variant) -> dict[str, Any]:
             world = await _busy(variant)
             return {
-                f"{role}, {variant}": read(await _asked(world.nodes[node].peers, "GET", path))
+                f"{role}, {variant}": read(await _asked(world.controllers[node].peers, "GET", path))
                 for role, node in _roles(world).items()
             }
 
@@ -337,7 +337,7 @@
     async def ask(
         self, name: str, role: str, method: str, path: str, raw: bytes = b"", peers: bool = False
     ) -> None:
-        node = self.world.nodes[_roles(self.world)[role]]
+        node = self.world.controllers[_roles(self.world)[role]]
         reply = await _asked(node.peers if peers else node.public, method, path, raw)
         assert name not in self.found, name
         self.found[name] = normalised(encode_response(reply).decode())
@@ -396,8 +396,8 @@
     world.cloud.capacity = 6
     for number in (30, 31):
         assert (await world.submit(job(number))).status == 201
-    await world.finish(31, 120)
-    await world.until(lambda: len(world.cloud.on_machines("job-000030")) == 4, 120)
+    await world.wait_until_done(31, 120)
+    await world.until(lambda: len(world.cloud.running_tasks("job-000030")) == 4, 120)
     await asyncio.sleep(8)
     for role in ("leader", "follower"):
         for number, word in ((30, "running"), (31, "finished")):
@@ -410,7 +410,7 @@
 
 
 async def _answers_to_workers_and_peers(table: _Table) -> None:
-    token = table.world.state.value("spoolcourse/live/term")["term"]
+    token = table.world.store.value("spoolcourse/live/term")["term"]
     for role in ("leader", "follower"):
         for peers in (False, True):
             where = f"{role}, peers' address" if peers else role
@@ -440,7 +440,7 @@
 
 async def _answers_while_the_store_is_out(table: _Table) -> None:
     world = table.world
-    world.state.in_outage = True
+    world.store.in_outage = True
     await asyncio.sleep(6)
     for role in ("leader", "follower"):
         for name, method, path, raw in (
@@ -462,7 +462,7 @@
             "/submissions/job-000030",
             peers=True,
         )
-    world.state.end_outage()
+    world.store.end_outage()
     await asyncio.sleep(8)
 
 
@@ -477,13 +477,13 @@
             starting = _Table(world)
             raw = orjson.dumps(job())
             for method, path in (("POST", "/submissions"), ("GET", "/healthz")):
-                reply = await _asked(world.nodes["n0"].public, method, path, raw)
+                reply = await _asked(world.controllers["n0"].public, method, path, raw)
                 starting.found[f"starting: {method} {path}"] = normalised(
                     encode_response(reply).decode()
                 )
             for label in LABELS:
                 world.kill(label)
-            await world.up()
+            await world.start_controllers()
             world.cloud.capacity = 0  # so that jobs wait
             table = _Table(world)
             table.found |= starting.found
@@ -604,7 +604,7 @@
         return reply
 
     world.network.call = recorded_call  # type: ignore[method-assign]
-    await world.up_with_machine()
+    await world.start_with_machine()
     for number in (1, 2):
         await world.submit(job(number))
     await world.until(lambda: len(world.cloud.starts) == 8, 60)
@@ -620,9 +620,9 @@
     assert (await world.submit(job(4), isolated.others[0])).status == 201
     world.network.filters.remove(refusal)
     world.network.filters.remove(away)
-    world.state.in_outage = True
+    world.store.in_outage = True
     await asyncio.sleep(6)
-    world.state.end_outage()
+    world.store.end_outage()
     await world.until(lambda: world.leader, 20)
     await asyncio.sleep(8)
     assert (await world.poll(99, str(world.leader))).status == 404
@@ -633,7 +633,7 @@
     world.cloud.run_s = lambda task: 5.0
     await world.until(lambda: world.leader, 20)
     await world.submit(job(5), str(world.leader))
-    await world.finish(5, 200)
+    await world.wait_until_done(5, 200)
     await asyncio.sleep(200)
     # Which of several shapes came first is open; the order of fields is held by `messages`.
     found: dict[str, Any] = orjson.loads(orjson.dumps(seen, option=orjson.OPT_SORT_KEYS))
--- a/tests/recorded/test_stored_forms.py
+++ b/tests/recorded/test_stored_forms.py
@@ -171,7 +171,7 @@
 
 
 def store(world: World, stored: dict[str, Any]) -> None:
-    world.state._apply(
+    world.store._apply(
         [{"set": key, "v": v} for key, v in stored.items() if not key.endswith("/leader")]
     )
 
@@ -191,36 +191,36 @@
     world = World()
     world.cloud.run_s = lambda task: 5.0
     store(world, STORED_317B652B)
-    world.jobs["job-000001"] = job()
-    world.jobs["job-000002"] = job(2)
-    world.cloud.add()
-    await world.up()
-    assert world.state.value("spoolcourse/live/term")["term"] == 4
-    await world.finish(1, 60)
+    world.accepted_jobs["job-000001"] = job()
+    world.accepted_jobs["job-000002"] = job(2)
+    world.cloud.add_machine()
+    await world.start_controllers()
+    assert world.store.value("spoolcourse/live/term")["term"] == 4
+    await world.wait_until_done(1, 60)
     assert len(world.cloud.starts) == 2, "two of four were done before"
     reply = await world.poll(2, "n1")
     assert (reply.data["stage"], reply.data["done"]) == ("done", 4)
     assert world.active().initial_machine_names() == {"m-000000"}
-    assert world.cloud.broken == []
+    assert world.cloud.violations == []
 
 
 async def test_what_b0e3a7b_stored_is_taken_over_with_services_running() -> None:
     world = World()
     world.cloud.run_s = lambda task: 10_000.0
     store(world, STORED_B0E3A7B)
-    world.jobs["job-000003"] = service(3)
-    world.cloud.add()
+    world.accepted_jobs["job-000003"] = service(3)
+    world.cloud.add_machine()
     # The catalog is read from the key-value store, for the cloud does not say it.
     world.network.filters.append(
         lambda src, dst, method, path, body: "503" if path == "/catalog" else None
     )
-    await world.up()
-    await world.until(lambda: len(world.cloud.on_machines("job-000003")) == 2, 60)
+    await world.start_controllers()
+    await world.until(lambda: len(world.cloud.running_tasks("job-000003")) == 2, 60)
     reply = await world.submit(service(4), "n2")
     assert reply.status == 201, "the note of `live/level` still holds"
     assert (await world.cancel(3)).data["stage"] == "aborted"
-    await world.until(lambda: not world.cloud.on_machines("job-000003"), 40)
-    assert world.cloud.broken == []
+    await world.until(lambda: not world.cloud.running_tasks("job-000003"), 40)
+    assert world.cloud.violations == []
 
 
 async def test_what_is_written_and_asked_has_the_forms_that_older_versions_know() -> None:
@@ -251,16 +251,16 @@
     assert (await world.submit(job(4), isolated.others[0])).status == 201
     world.network.filters.remove(refusal)
     world.network.filters.remove(away)
-    world.state.in_outage = True
+    world.store.in_outage = True
     await asyncio.sleep(6)
-    world.state.end_outage()
+    world.store.end_outage()
     world.kill(str(world.leader))
     await world.until(lambda: world.leader, 20)
-    await world.until(lambda: world.state.value(CATALOG_KEY), 90)
+    await world.until(lambda: world.store.value(CATALOG_KEY), 90)
 
     written = [
         (op["set"], op["v"])
-        for body in world.state.transactions
+        for body in world.store.transactions
         for op in body["apply"]
         if "set" in op
     ]
@@ -295,12 +295,12 @@
     world = isolated.world
     await world.cancel(1)
     await asyncio.sleep(1)
-    follower = world.nodes[isolated.others[0]]
-    leader = world.nodes[isolated.leader]
+    follower = world.controllers[isolated.others[0]]
+    leader = world.controllers[isolated.leader]
 
     async def ask(method: str, path: str, body: Any) -> Response:
         if path == "/v1/report":
-            body = body | {"baton": world.state.value("spoolcourse/live/term")["term"]}
+            body = body | {"baton": world.store.value("spoolcourse/live/term")["term"]}
         raw = b"" if body is None else orjson.dumps(body)
         node = leader if path == "/v1/report" else follower
         found = node.peers(Request(method, path, raw))
--- a/tests/scenarios/test_isolated_leader.py
+++ b/tests/scenarios/test_isolated_leader.py
@@ -12,8 +12,8 @@
 from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
 from spoolcourse.wire.peers import Cancellation
 from spoolcourse.wire.settings import Workers
-from tests.fakes.half_open import half_open
 from tests.fakes.isolated_leader import CANCEL_S, IsolatedLeader
+from tests.fakes.one_way_link import heartbeats_only
 from tests.fakes.world import LABELS
 
 
@@ -25,11 +25,11 @@
     isolated.end_outage()
     await asyncio.sleep(10)
     cloud = isolated.world.cloud
-    assert len(cloud.on_machines("job-000002")) == 4
+    assert len(cloud.running_tasks("job-000002")) == 4
     assert len(cloud.starts) == 8
     for label in LABELS:
         assert (await isolated.world.poll(1, label)).data["stage"] == "aborted"
-    assert cloud.broken == []
+    assert cloud.violations == []
 
 
 async def test_a_leader_cut_off_from_its_peers_lets_all_leases_expire() -> None:
@@ -38,15 +38,15 @@
     await isolated.cancel_behind_leader()
     # No peer can reply to the leader: it lets all leases expire, the cancelled job's too.
     await isolated.sleep_after_cancellation(20)
-    assert len(isolated.world.cloud.on_machines("job-000002")) == 4, "not sooner than needed"
+    assert len(isolated.world.cloud.running_tasks("job-000002")) == 4, "not sooner than needed"
     await isolated.wait_until_tasks_gone_in_time()
     await isolated.sleep_after_cancellation(60)
     isolated.end_outage()
     isolated.world.network.filters.remove(cut)
     world = isolated.world
-    await world.until(lambda: len(world.cloud.on_machines("job-000002")) == 4, 60)
-    assert world.cloud.on_machines("job-000001") == []
-    assert world.cloud.broken == []
+    await world.until(lambda: len(world.cloud.running_tasks("job-000002")) == 4, 60)
+    assert world.cloud.running_tasks("job-000001") == []
+    assert world.cloud.violations == []
 
 
 @pytest.mark.parametrize("after", [0.3, 20.0])
@@ -84,7 +84,7 @@
         lambda src, dst, method, path, body: "cut" if path.startswith("/cancel") else None
     )
     await asyncio.sleep(20)
-    assert len(isolated.world.cloud.on_machines("job-000001")) == 4
+    assert len(isolated.world.cloud.running_tasks("job-000001")) == 4
     await isolated.cancel_behind_leader()
     await isolated.wait_until_tasks_gone_in_time()
 
@@ -98,16 +98,16 @@
         isolated.end_outage()
         await asyncio.sleep(3)
         isolated = IsolatedLeader(isolated.world)
-    assert len(isolated.world.cloud.on_machines("job-000003")) == 4
+    assert len(isolated.world.cloud.running_tasks("job-000003")) == 4
     assert len(isolated.world.cloud.starts) == 12
-    assert isolated.world.cloud.broken == []
+    assert isolated.world.cloud.violations == []
 
 
 async def test_a_suspended_leader_renews_no_lease_before_it_is_caught_up() -> None:
     isolated = await IsolatedLeader.with_running_jobs()
     world = isolated.world
     _, worker = next(iter(world.cloud.workers.items()))
-    old = world.nodes[isolated.leader]
+    old = world.controllers[isolated.leader]
     assert old.leader_term is not None
     assert old.leader_term.active is not None
     assert worker.fencing_token == old.leader_term.active.registry.fencing_token
@@ -118,19 +118,19 @@
     # A worker's heartbeat that its successor's baton has not reached comes before anything
     # else.
     body = worker.heartbeat() | {"baton": old.leader_term.active.registry.fencing_token}
-    reply = await world.ask(isolated.leader, "POST", "/v1/report", body)
+    reply = await world.request(isolated.leader, "POST", "/v1/report", body)
     assert (reply.status, "baton" in (reply.data or {})) == (503, False)
     assert int(reply.headers["Retry-After"]) >= 1
 
 
 async def test_running_work_survives_an_outage_longer_than_cancel_s() -> None:
     isolated = await IsolatedLeader.with_running_jobs()
-    isolated.world.state.in_outage = True
+    isolated.world.store.in_outage = True
     await asyncio.sleep(3 * CANCEL_S)
     isolated.end_outage()
     await asyncio.sleep(5)
     for number in (1, 2):
-        assert len(isolated.world.cloud.on_machines(f"job-{number:06d}")) == 4
+        assert len(isolated.world.cloud.running_tasks(f"job-{number:06d}")) == 4
     assert len(isolated.world.cloud.starts) == 8
     assert {w.incarnation for w in isolated.world.cloud.workers.values()} == {1}
 
@@ -150,21 +150,21 @@
                 lambda src, dst, *rest, name=name: "cut" if src == name else None
             )
         else:
-            world.network.filters.append(half_open(name))
+            world.network.filters.append(heartbeats_only(name))
     await asyncio.sleep(1)
     world.network.filters.remove(cut)  # now it learns of it
     await isolated.wait_until_tasks_gone_in_time()
     await asyncio.sleep(20)
-    assert world.cloud.on_machines("job-000001") == []
+    assert world.cloud.running_tasks("job-000001") == []
 
 
 async def test_a_leader_refused_alone_learns_of_its_successor_from_a_peer() -> None:
     isolated = await IsolatedLeader.with_running_jobs()
-    old = isolated.world.nodes[isolated.leader]
+    old = isolated.world.controllers[isolated.leader]
     isolated.refuse_store_requests_of(isolated.leader)
     isolated.partition(isolated.leader, "m-")  # no worker tells it
     await isolated.world.until(lambda: old.leader_term is None, 10)
-    assert any(isolated.world.nodes[n].leader_term for n in isolated.others)
+    assert any(isolated.world.controllers[n].leader_term for n in isolated.others)
 
 
 def test_renewal_ends_early_enough_for_an_unknown_cancellation() -> None:
--- a/tests/scenarios/test_late_messages.py
+++ b/tests/scenarios/test_late_messages.py
@@ -25,9 +25,9 @@
 from spoolcourse.wire.settings import State
 from tests.fakes.clock import spawn
 from tests.fakes.key_value_store import FakeKeyValueStore
-from tests.fakes.meetings import ended, insist, shift_leader
 from tests.fakes.network import FakeNetwork
-from tests.fakes.registry import TERM, RegistryHarness, on
+from tests.fakes.registry import TERM, RegistryHarness, task_entry
+from tests.fakes.scenario_steps import restart_leader, retry_until_accepted, wait_until_jobs_end
 from tests.fakes.world import LABELS, World, job
 
 
@@ -37,14 +37,14 @@
     harness = RegistryHarness()
     harness.heartbeat()
     harness.assign()
-    harness.heartbeat(on())
+    harness.heartbeat(task_entry())
     machine = harness.registry.machines["m-1"]
     harness.now += 10.2  # its lease has run out, which is not certain here yet
     shown = harness.observe(shift=2, tick=1)
     assert not harness.job_state.attempts, shown
     assert machine.confirmed, shown
     attempt = harness.assign(0, 2)
-    harness.observe(on(0, 2), shift=2)
+    harness.observe(task_entry(0, 2), shift=2)
     harness.now += 2.0
     harness.registry.expire_leases()
     assert harness.job_state.attempts == {0: attempt}
@@ -82,7 +82,7 @@
     harness.registry.track_attempt(attempt)
     harness.job_state.record.cancelled_at = harness.now - 30.0
     halt = {"verb": "halt", "piece": "job-000001/0", "try": 1, "windDownS": 0.0}
-    assert harness.heartbeat(on(), baton=TERM - 1) == [halt]
+    assert harness.heartbeat(task_entry(), baton=TERM - 1) == [halt]
     assert harness.job_state.attempts, "that it is told proves nothing"
     # One that is not shown may still start there: the halt goes out nevertheless.
     assert harness.heartbeat(baton=TERM - 1) == [halt]
@@ -96,7 +96,7 @@
     store, network = FakeKeyValueStore(), FakeNetwork()
     network.hosts["state:1"] = store.serve
     limits = State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
-    client = StoreClient(network.end_of("n0"), "state:1", limits, controllers=2)
+    client = StoreClient(network.client_of("n0"), "state:1", limits, controllers=2)
     watch_cache = WatchCache(client, PREFIX)
     leadership = Leadership(client, watch_cache, "n0", "run-0")
     await watch_cache.reload()
@@ -149,10 +149,10 @@
             *(keys_that_guard(op.get("set") or op["delete"]) for op in body["apply"])
         )
         since = sent[id(body)]
-        log = world.state.log[: -len(body["apply"])] if reply.status == 200 else world.state.log
+        log = world.store.log[: -len(body["apply"])] if reply.status == 200 else world.store.log
         changed = needs & {str(e.get("set") or e["delete"]) for e in log if e["stamp"] > since}
         if changed and reply.status == 200:
-            world.cloud.broken.append(f"late and carried out although {changed} changed")
+            world.cloud.violations.append(f"late and carried out although {changed} changed")
 
     world.network.on_late = judge
 
@@ -163,7 +163,7 @@
         count += 1
         if count % every:
             return None
-        sent[id(body)] = world.state.store_revision
+        sent[id(body)] = world.store.store_revision
         bodies.append(body)  # or another one could be at its place in memory
         return "late"
 
@@ -174,27 +174,27 @@
 async def test_transactions_carried_out_late_change_nothing_that_is_newer(every: int) -> None:
     world = World()
     world.cloud.run_s = lambda task: 6.0 + int(task[-1]) * 3.0
-    await world.up()
+    await world.start_controllers()
     world.network.filters.append(delay_transactions(world, every))
     for number in range(1, 9):
         body = job(number, pieces=3, crew="blue" if number % 2 else "red")
-        await insist(world, lambda label, body=body: world.submit(body, label))
+        await retry_until_accepted(world, lambda label, body=body: world.submit(body, label))
         if number % 3 == 0:
-            spawn(insist(world, lambda label, n=number: world.cancel(n, label)))
+            spawn(retry_until_accepted(world, lambda label, n=number: world.cancel(n, label)))
         if number == 5:
-            await shift_leader(world, 0.3)
+            await restart_leader(world, 0.3)
     await asyncio.sleep(60)
     world.network.filters.clear()
     await asyncio.sleep(15)
-    await ended(world, range(1, 9))
+    await wait_until_jobs_end(world, range(1, 9))
 
 
 async def test_a_heartbeat_that_arrives_after_a_new_leader_has_acted_gets_no_commands() -> None:
     world = World()
     world.cloud.run_s = lambda task: 25.0
     world.cloud.capacity = 3
-    name = await world.up_with_machine()
-    world.cloud.add("b")
+    name = await world.start_with_machine()
+    world.cloud.add_machine("b")
     await world.submit(job(pieces=6))
     await world.until(lambda: len(world.cloud.starts) == 6, 60)
     held: list[Any] = []
@@ -207,21 +207,21 @@
 
     world.network.filters.append(hold)
     await asyncio.sleep(2)
-    await shift_leader(world, 0.5)
+    await restart_leader(world, 0.5)
     await asyncio.sleep(20)  # its lease has run out, and its work goes on elsewhere
     for body in held:
         for label in LABELS:
-            reply = await world.ask(label, "POST", "/v1/report", body)
+            reply = await world.request(label, "POST", "/v1/report", body)
             assert not (reply.status == 200 and reply.data.get("orders"))
     world.network.filters.clear()
-    await ended(world, (1,))
+    await wait_until_jobs_end(world, (1,))
 
 
 async def test_commands_that_arrive_late_at_a_machine_that_hung_break_no_rule() -> None:
     world = World()
     world.cloud.run_s = lambda task: 15.0
     world.cloud.capacity = 3
-    name = await world.up_with_machine()
+    name = await world.start_with_machine()
 
     def hold(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
         return "hold" if dst == f"{name}:9000" and path == "/orders" else None
@@ -237,7 +237,7 @@
     await world.network.release()
     await asyncio.sleep(12)
     await world.network.release()
-    await ended(world, (1, 2))
+    await wait_until_jobs_end(world, (1, 2))
 
 
 @pytest.mark.parametrize("meanwhile", ["cancelled", "another leader", "ended"])
@@ -247,7 +247,7 @@
     # The key itself has not changed, but another that the write depends on has.
     world = World()
     world.cloud.run_s = lambda task: 4.0
-    await world.up_with_machine()
+    await world.start_with_machine()
     kind = FINAL_PREFIX if meanwhile == "ended" else PROGRESS_PREFIX
 
     def hold(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
@@ -271,4 +271,4 @@
     world.network.filters.clear()
     if meanwhile == "another leader":
         world.start(first)
-    await ended(world, (1,))
+    await wait_until_jobs_end(world, (1,))
--- a/tests/scenarios/test_meetings.py
+++ b/tests/scenarios/test_meetings.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.fakes.meetings import ended, insist, shift_leader
+from tests.fakes.scenario_steps import restart_leader, retry_until_accepted, wait_until_jobs_end
 from tests.fakes.world import LABELS, World, job
 
 
@@ -15,25 +15,25 @@
 async def test_ten_changes_of_leader_in_two_minutes(out: bool) -> None:
     world = World()
     world.cloud.run_s = lambda task: 45.0 if task.endswith("/0") else 12.0
-    await world.up()
+    await world.start_controllers()
     for number in range(1, 7):
         await world.submit(job(number, pieces=3, crew="blue"))
     await asyncio.sleep(12)
     for turn in range(10):
         if out and turn in (3, 4, 5):
-            world.state.in_outage = True
+            world.store.in_outage = True
         first = str(world.leader) if world.leader else LABELS[turn % 3]
         world.kill(first)
         await asyncio.sleep((0.3, 0.9, 6.0)[turn % 3])
         world.start(first)
         await asyncio.sleep(5.0)
         if out and turn == 5:
-            world.state.end_outage()
+            world.store.end_outage()
         if turn == 7:
-            await insist(world, lambda label: world.cancel(2, label))
+            await retry_until_accepted(world, lambda label: world.cancel(2, label))
         await asyncio.sleep(1.0)
     await world.until(lambda: world.leader, 30)
-    await ended(world, range(1, 7))
+    await wait_until_jobs_end(world, range(1, 7))
 
 
 async def test_a_team_at_its_limit_whose_machines_cannot_be_asked_by_the_new_leader() -> None:
@@ -41,7 +41,7 @@
     world.cloud.run_s = lambda task: 300.0
     world.cloud.capacity = 12
     world.cloud.lease_s = 25.0  # long, so that unproven work is on for long
-    await world.up()
+    await world.start_controllers()
     for number in (1, 2):
         await world.submit(job(number, crew="blue", pieces=8))
     await world.until(lambda: len(world.cloud.starts) == 16, 60)
@@ -49,36 +49,38 @@
     for name in silent:
         world.cut_off(name)
     world.kill(str(world.leader))
-    await insist(world, lambda label: world.cancel(1, label))
-    await insist(world, lambda label: world.submit(job(3, crew="blue", pieces=16), label))
+    await retry_until_accepted(world, lambda label: world.cancel(1, label))
+    await retry_until_accepted(
+        world, lambda label: world.submit(job(3, crew="blue", pieces=16), label)
+    )
     await world.until(lambda: world.leader, 30)
     await asyncio.sleep(120)
-    assert world.cloud.broken == []
-    on = len(world.cloud.on_machines("job-000002")) + len(world.cloud.on_machines("job-000003"))
+    assert world.cloud.violations == []
+    on = len(world.cloud.running_tasks("job-000002")) + len(world.cloud.running_tasks("job-000003"))
     assert on == 16, "and its limit is used again"
 
 
 async def test_tasks_that_end_far_apart_across_a_change_of_leader() -> None:
     world = World()
     world.cloud.run_s = lambda task: (3.0, 18.0, 60.0)[int(task[-1])]
-    await world.up()
+    await world.start_controllers()
     for number in (1, 2, 3):
         await world.submit(job(number, pieces=3))
     await world.until(lambda: len(world.cloud.starts) == 9, 60)
     await asyncio.sleep(4)
-    await shift_leader(world, 0.2)
+    await restart_leader(world, 0.2)
     await asyncio.sleep(18)
-    await shift_leader(world, 8.0)
-    await ended(world, (1, 2, 3))
+    await restart_leader(world, 8.0)
+    await wait_until_jobs_end(world, (1, 2, 3))
     assert len(world.cloud.starts) == 9, "what was done stays done"
 
 
 async def test_jobs_bound_to_a_zone_lose_machines() -> None:
     world = World()
     world.cloud.run_s = lambda task: 20.0
-    await world.up()
+    await world.start_controllers()
     for yard in ("a", "b"):  # each has room for half of the first job
-        world.cloud.add(yard)
+        world.cloud.add_machine(yard)
     await asyncio.sleep(4)
     await world.submit(job(1, pieces=8, oneZone=True))
     await world.submit(job(2, pieces=8, scatter=True))
@@ -87,19 +89,19 @@
     for name in ("job-000001", "job-000002", "job-000003"):
         machine = next(m for _, n, m in world.cloud.starts if n.startswith(name))
         if machine in world.cloud.hosts:
-            world.cloud.take(machine)
+            world.cloud.lose_machine(machine)
     silent = next(m for _, n, m in reversed(world.cloud.starts) if m in world.cloud.hosts)
     world.cut_off(silent)
-    await shift_leader(world, 0.5)
-    await ended(world, (1, 2, 3))
+    await restart_leader(world, 0.5)
+    await wait_until_jobs_end(world, (1, 2, 3))
 
 
 @pytest.mark.parametrize("wait", [x / 8 for x in range(16)])
 async def test_the_end_of_the_last_task_meets_everything_that_users_ask(wait: float) -> None:
     world = World()
     world.cloud.run_s = lambda task: 5.0
-    world.network.delay = 0.08  # so that what meets is under way for a while
-    await world.up_with_machine()
+    world.network.delay_s = 0.08  # so that what meets is under way for a while
+    await world.start_with_machine()
     await world.submit(job(pieces=2))
     await world.until(lambda: len(world.cloud.starts) == 2, 60)
     await asyncio.sleep(4.5 + wait)
@@ -115,8 +117,8 @@
             await world.poll(1, label)
             await world.submit(job(pieces=2), label)
         await asyncio.sleep(0.5)
-    assert world.told["job-000001"] in ("done", "aborted")
-    assert world.cloud.broken == []
+    assert world.final_stages["job-000001"] in ("done", "aborted")
+    assert world.cloud.violations == []
 
 
 @pytest.mark.parametrize("leader_inside", [False, True])
@@ -125,7 +127,7 @@
 ) -> None:
     world = World()
     world.cloud.run_s = lambda task: 40.0
-    await world.up()
+    await world.start_controllers()
     await world.submit(job(1, pieces=8, scatter=True))
     await world.submit(job(2, pieces=4, oneZone=True))
     await world.until(lambda: len(world.cloud.starts) == 12, 90)
@@ -151,29 +153,29 @@
     for dst, method, path, body in world.network.held:
         if dst in world.network.hosts:
             await world.network.hosts[dst](method, path, body)
-    await ended(world, (1, 2))
+    await wait_until_jobs_end(world, (1, 2))
 
 
 async def test_all_controllers_are_away_for_longer_than_a_lease() -> None:
     world = World()
     world.cloud.run_s = lambda task: 30.0
-    await world.up()
+    await world.start_controllers()
     await world.submit(job(1, pieces=6))
     await world.submit(job(2, pieces=6, crew="blue"))
     await world.until(lambda: len(world.cloud.starts) == 12, 60)
     for label in LABELS:
         world.kill(label)
     await asyncio.sleep(25)
-    await world.up()
-    await insist(world, lambda label: world.cancel(2, label))
-    await ended(world, (1, 2))
+    await world.start_controllers()
+    await retry_until_accepted(world, lambda label: world.cancel(2, label))
+    await wait_until_jobs_end(world, (1, 2))
 
 
 async def test_a_state_service_that_answers_slowly_while_users_cancel_and_ask() -> None:
     world = World()
     world.cloud.run_s = lambda task: 20.0
-    await world.up()
-    serve = world.state.serve
+    await world.start_controllers()
+    serve = world.store.serve
 
     async def slow(method: str, path: str, body: Any) -> Any:
         if not path.startswith("/watch") or "blockMs=0" in path:
@@ -183,9 +185,9 @@
     world.network.hosts["state:1"] = slow
     for number in range(1, 9):
         body = job(number, pieces=2)
-        await insist(world, lambda label, body=body: world.submit(body, label))
+        await retry_until_accepted(world, lambda label, body=body: world.submit(body, label))
     for number in (2, 5):
-        await insist(world, lambda label, n=number: world.cancel(n, label))
+        await retry_until_accepted(world, lambda label, n=number: world.cancel(n, label))
     for _ in range(10):
         for number in range(1, 9):
             began = world.now()
@@ -194,22 +196,22 @@
             assert world.now() - began < 5.0
         await asyncio.sleep(2)
     world.network.hosts["state:1"] = serve
-    await ended(world, range(1, 9))
+    await wait_until_jobs_end(world, range(1, 9))
 
 
 async def test_more_work_than_room_over_slow_links() -> None:
     world = World()
-    world.network.delay = 0.25
+    world.network.delay_s = 0.25
     world.cloud.capacity = 3
     world.cloud.run_s = lambda task: 8.0
-    await world.up()
+    await world.start_controllers()
     numbers = range(1, 13)
     for number in numbers:
         rank = "high" if number % 3 == 0 else "standard"
         body = job(number, pieces=4, rank=rank, crew="blue" if number % 2 else "red")
-        await insist(world, lambda label, body=body: world.submit(body, label))
-    await ended(world, numbers, 300)
-    for name in world.jobs:
+        await retry_until_accepted(world, lambda label, body=body: world.submit(body, label))
+    await wait_until_jobs_end(world, numbers, 300)
+    for name in world.accepted_jobs:
         began = min(at for at, n, _ in world.cloud.starts if n.startswith(name))
         assert began - 1000.0 < 240
 
@@ -217,7 +219,7 @@
 async def test_jobs_cancelled_through_the_new_leader_while_workers_reach_only_the_old_one() -> None:
     world = World()
     world.cloud.run_s = lambda task: 300.0
-    await world.up()
+    await world.start_controllers()
     await world.submit(job(1))
     await world.submit(job(2))
     await world.until(lambda: len(world.cloud.starts) == 8, 60)
@@ -233,23 +235,25 @@
     world.network.filters.append(alone)
     world.network.stalled.add((old, "state:1"))
     other = next(n for n in LABELS if n != old)
-    await world.until(lambda: any(n != old and c.leader_term for n, c in world.nodes.items()), 10)
+    await world.until(
+        lambda: any(n != old and c.leader_term for n, c in world.controllers.items()), 10
+    )
     assert (await world.cancel(1, other)).data["stage"] == "aborted"
     assert (await world.cancel(1, old)).status == 503
     await asyncio.sleep(60)
     world.network.filters.clear()
     world.network.stalled.clear()
     await asyncio.sleep(30)
-    assert world.cloud.broken == []
-    assert world.cloud.on_machines("job-000001") == []
-    assert len(world.cloud.on_machines("job-000002")) == 4
+    assert world.cloud.violations == []
+    assert world.cloud.running_tasks("job-000001") == []
+    assert len(world.cloud.running_tasks("job-000002")) == 4
 
 
 async def test_a_job_that_failed_on_every_machine_there_is_tries_them_again() -> None:
     # Machines it failed on were avoided forever, though a fault may pass: no other could be had.
     world = World()
     world.cloud.capacity = 1
-    await world.up_with_machine()
+    await world.start_with_machine()
     failed: list[str] = []
 
     def cause(worker: Any, task: Any) -> str:
@@ -258,7 +262,7 @@
             return "error"
         return "done"
 
-    world.cloud.cause = cause
+    world.cloud.end_cause = cause
     await world.submit(job(pieces=1))
-    assert await world.finish(1, 110) < 10 + 90
+    assert await world.wait_until_done(1, 110) < 10 + 90
     assert failed == ["job-000001/0"]
--- a/tests/scenarios/test_scale.py
+++ b/tests/scenarios/test_scale.py
@@ -46,7 +46,7 @@
             "loaners": False,
             "stage": stage,
         }
-        world.cloud.rented[name] = 0.0
+        world.cloud.created_at[name] = 0.0
     return names
 
 
@@ -55,19 +55,19 @@
     # of the operators were returned as idle.
     small = {"rps": 200.0, "write_rps": 100.0, "value_kb": 2.0, "txn_ops": 4}
     world = World(params={"state": small, "teams": TEAMS})
-    world.state.value_bytes, world.state.txn_ops = 2048, 4
+    world.store.max_value_bytes, world.store.max_txn_ops = 2048, 4
     names = frozenset(listed(world, FLEET, "running"))
-    await world.up()
+    await world.start_controllers()
 
     def base() -> Any:
-        term = world.nodes[str(world.leader)].leader_term if world.leader else None
+        term = world.controllers[str(world.leader)].leader_term if world.leader else None
         return term.active.initial_machine_names() if term is not None and term.active else None
 
     await world.until(lambda: base() == names, 30)
     world.kill(str(world.leader))
     await world.until(lambda: base() is not None, 30)
     assert base() == names, "the next leader knows them too"
-    assert world.state.refused == 0
+    assert world.store.oversized_count == 0
 
 
 def test_parts_of_the_base_fleet_hold_each_name_once_in_the_known_form() -> None:
@@ -115,9 +115,9 @@
     # would have come up, and been replaced, at the service's pace.
     world = World(params={"teams": TEAMS})
     world.cloud.capacity = 1700
-    await world.up()
+    await world.start_controllers()
     failed = listed(world, 1200, "failed")
-    world.cloud._made = len(failed)
+    world.cloud._created_count = len(failed)
     await world.submit(job(pieces=300, vcpus=8.0))
     await world.until(lambda: len(world.cloud.provisions) >= 6, 3)
     assert sum(len(names) for names in world.cloud.provisions.values()) >= 300
@@ -148,14 +148,14 @@
 async def test_a_term_that_has_used_up_its_attempt_numbers_is_followed_by_another() -> None:
     # Beyond 2**24 they would have been the numbers of the next term: one number for two attempts.
     world = World()
-    await world.up()
-    first = world.nodes[str(world.leader)].leader_term
+    await world.start_controllers()
+    first = world.controllers[str(world.leader)].leader_term
     world.active().scheduling._attempt_numbers._used = MAX_ATTEMPTS_PER_TERM - 2
     await world.submit(job(pieces=6))
-    await world.finish()
-    assert all(node.leader_term is not first for node in world.nodes.values())
+    await world.wait_until_done()
+    assert all(node.leader_term is not first for node in world.controllers.values())
     assert sorted(n for _, n, _ in world.cloud.starts) == [f"job-000001/{i}" for i in range(6)]
-    assert world.cloud.broken == []
+    assert world.cloud.violations == []
 
 
 async def test_a_node_far_behind_reads_all_keys_instead_of_every_change() -> None:
@@ -163,7 +163,7 @@
     # changes and 55 MB, and twice as many would have ended the controller for memory.
     world = World()
     largest = 0
-    serve = world.state.serve
+    serve = world.store.serve
 
     async def counted(method: str, path: str, body: Any) -> Response:
         nonlocal largest
@@ -173,27 +173,27 @@
         return reply
 
     world.network.hosts["state:1"] = counted
-    await world.up()
-    away = next(label for label in world.nodes if label != world.leader)
+    await world.start_controllers()
+    away = next(label for label in world.controllers if label != world.leader)
     apart = "cut"
     world.network.filters.append(
         lambda src, dst, *rest: apart or None if (src, dst) == (away, "state:1") else None
     )
     await world.submit(job(1), str(world.leader))
     for number in range(3 * FLEET):
-        world.state._apply([{"set": f"spoolcourse/other/{number}", "v": {}}])
+        world.store._apply([{"set": f"spoolcourse/other/{number}", "v": {}}])
         if number % 100 == 0:
             await asyncio.sleep(0.25)  # the other nodes keep up
-    await world.finish(1)
+    await world.wait_until_done(1)
     await world.submit(job(2, expectS=500.0), str(world.leader))
     apart = ""
-    cache = world.nodes[away].watch_cache
+    cache = world.controllers[away].watch_cache
     await world.until(lambda: cache.store_revision >= 3 * FLEET, 30)
-    await world.until(lambda: world.nodes[away].health.healthy, 30)
+    await world.until(lambda: world.controllers[away].health.healthy, 30)
     assert largest <= MAX_CHANGES_BEHIND
     assert (await world.poll(1, away)).data["stage"] == "done"
     assert (await world.poll(2, away)).status == 200
-    assert world.cloud.broken == []
+    assert world.cloud.violations == []
 
 
 def test_a_pass_with_a_backlog_looks_at_each_full_machine_a_few_times() -> None:
--- a/tests/scenarios/test_services.py
+++ b/tests/scenarios/test_services.py
@@ -16,8 +16,8 @@
     Snapshot,
     TeamBudget,
 )
-from tests.fakes.registry import RegistryHarness, on
-from tests.fakes.services import served, service
+from tests.fakes.registry import RegistryHarness, task_entry
+from tests.fakes.services import service, wait_for_replicas
 from tests.fakes.world import LABELS, World, job
 
 
@@ -25,40 +25,40 @@
     world = World()
     world.cloud.run_s = lambda task: 10_000.0
     world.cloud.capacity = 20
-    await world.up()
+    await world.start_controllers()
     for zone in ("a", "b"):
-        world.cloud.add(zone)
+        world.cloud.add_machine(zone)
     await asyncio.sleep(5)
     assert (await world.submit(service(**fields))).status == 201
-    await served(world, 1, fields.get("pieces", 2))
+    await wait_for_replicas(world, 1, fields.get("pieces", 2))
     return world
 
 
 async def test_a_service_runs_until_it_is_cancelled_and_costs_no_writes() -> None:
     world = await running_service(scatter=True)
     await asyncio.sleep(3)
-    written = len(world.state.transactions)
+    written = len(world.store.transactions)
     await asyncio.sleep(100)
-    assert len(world.state.transactions) <= written + 1
+    assert len(world.store.transactions) <= written + 1
     for label in LABELS:
         reply = await world.poll(1, label)
         assert (reply.data["stage"], reply.data["done"]) == ("running", 0)
-    leader = world.nodes[str(world.leader)]
+    leader = world.controllers[str(world.leader)]
     text = leader.peers(Request("GET", "/metrics")).data.decode()  # type: ignore[union-attr]
     assert "spoolcourse_services 1.0" in text
     assert "spoolcourse_replicas_missing 0.0" in text
     assert len(world.cloud.starts) == 2
     assert (await world.cancel(1, "n1")).data["stage"] == "aborted"
-    await world.until(lambda: not world.cloud.on_machines("job-000001"), 40)
+    await world.until(lambda: not world.cloud.running_tasks("job-000001"), 40)
     await asyncio.sleep(5)
     for label in LABELS:
         assert (await world.poll(1, label)).data["stage"] == "aborted"
-    assert world.cloud.broken == []
+    assert world.cloud.violations == []
 
 
 async def test_a_service_that_can_never_run_is_refused() -> None:
     world = World()
-    await world.up()
+    await world.start_controllers()
     await asyncio.sleep(3)
     for body, status in (
         (service(pieces=17, crew="blue"), 422),  # 34 CPUs at once
@@ -83,13 +83,13 @@
     for number in range(1, 12):
         harness.assign(0, number)
         harness.heartbeat()
-        harness.heartbeat(on(0, number))
-        harness.heartbeat(on(0, number, stage="ended", cause=cause))
+        harness.heartbeat(task_entry(0, number))
+        harness.heartbeat(task_entry(0, number, stage="ended", cause=cause))
         assert harness.job_state.done_count == 0
         assert harness.job_state.pending_count == 2
         assert not harness.job_state.finished
         backoffs_s.append(harness.job_state.backoff_until - harness.now)
-        harness.save()
+        harness.mark_persisted()
         harness.heartbeat()
         harness.now += 30.0
     assert backoffs_s[0] <= 0, "the first one runs again at once"
@@ -98,9 +98,9 @@
         assert max(backoffs_s) <= 10.0
         harness.assign(0, 20)
         harness.heartbeat()
-        harness.heartbeat(on(0, 20))
+        harness.heartbeat(task_entry(0, 20))
         harness.now += 25.0
-        harness.heartbeat(on(0, 20))
+        harness.heartbeat(task_entry(0, 20))
         assert harness.job_state.consecutive_failures == 0, "a replica that runs well clears it"
 
 
@@ -109,9 +109,9 @@
     harness.heartbeat()
     harness.assign()
     harness.heartbeat()
-    harness.heartbeat(on())
+    harness.heartbeat(task_entry())
     reap = {"verb": "reap", "piece": "job-000001/0", "try": 1}
-    assert harness.heartbeat(on(stage="ended", cause="done")) == [reap]
+    assert harness.heartbeat(task_entry(stage="ended", cause="done")) == [reap]
 
 
 def test_no_head_is_promised_the_room_of_a_service() -> None:
@@ -146,38 +146,38 @@
 async def test_a_lost_replica_runs_elsewhere_and_its_zones_hold() -> None:
     world = await running_service(pieces=4, scatter=True)
     for _ in range(3):
-        world.cloud.take(world.cloud.starts[-1][2])
-        assert await served(world, 1, 4, 60) < 25
-        assert world.cloud.broken == []
+        world.cloud.lose_machine(world.cloud.starts[-1][2])
+        assert await wait_for_replicas(world, 1, 4, 60) < 25
+        assert world.cloud.violations == []
 
 
 async def test_on_a_preemption_notice_one_replica_moves_at_a_time() -> None:
     world = World()
     world.cloud.run_s = lambda task: 10_000.0
     world.cloud.capacity = 6
-    await world.up()
+    await world.start_controllers()
     for zone in ("a", "a", "b", "b"):
-        world.cloud.add(zone, loaner=True)
+        world.cloud.add_machine(zone, spot=True)
     await asyncio.sleep(5)
     assert (await world.submit(service(pieces=4, loaners=True, vcpus=4.0))).status == 201
-    await served(world, 1, 4)
+    await wait_for_replicas(world, 1, 4)
     await asyncio.sleep(3)
     noticed = sorted({machine for _, _, machine in world.cloud.starts})
     fewest_running = 4
     for name in noticed:
-        world.cloud.workers[name].recall = 25.0
+        world.cloud.workers[name].termination_notice_s = 25.0
         world.cloud.workers[name]._changed.set()
     for _ in range(250):
         await asyncio.sleep(0.1)
         for name in noticed:
             if name in world.cloud.workers:
-                world.cloud.workers[name].recall = 24.0
-        fewest_running = min(fewest_running, len(world.cloud.on_machines("job-000001")))
+                world.cloud.workers[name].termination_notice_s = 24.0
+        fewest_running = min(fewest_running, len(world.cloud.running_tasks("job-000001")))
         if {m for _, n, m in world.cloud.starts[4:]} and len(world.cloud.starts) >= 8:
             break
     assert fewest_running >= 3, "never more than one of them is missing"
     assert len(world.cloud.starts) >= 6
-    assert world.cloud.broken == []
+    assert world.cloud.violations == []
 
 
 async def test_on_a_preemption_notice_a_replica_stays_until_it_has_somewhere_to_go() -> None:
@@ -185,28 +185,28 @@
     world.cloud.run_s = lambda task: 10_000.0
     world.cloud.capacity = 2
     for zone in ("a", "b"):
-        world.cloud.add(zone)
+        world.cloud.add_machine(zone)
     await asyncio.sleep(1)
-    await world.up()
+    await world.start_controllers()
     await asyncio.sleep(5)
     # Each machine is taken by one replica: there is no room for a second one.
     assert (await world.submit(service(vcpus=8.0))).status == 201
-    await served(world)
+    await wait_for_replicas(world)
     worker = world.cloud.workers[world.cloud.starts[0][2]]
     began = world.now()
 
     def give_notice(left_s: float) -> None:
-        worker.recall = left_s
+        worker.termination_notice_s = left_s
         worker._changed.set()
 
     while world.now() - began < 20.0:
         give_notice(25.0 - (world.now() - began))
         await asyncio.sleep(0.5)
-        assert len(world.cloud.on_machines("job-000001")) == 2
+        assert len(world.cloud.running_tasks("job-000001")) == 2
     world.cloud.capacity = 3
-    world.cloud.add("a")
+    world.cloud.add_machine("a")
     await world.until(lambda: len(world.cloud.starts) == 3, 20)
-    assert world.cloud.broken == []
+    assert world.cloud.violations == []
 
 
 async def test_a_service_survives_a_failover_and_a_store_outage() -> None:
@@ -214,12 +214,12 @@
     world.kill(str(world.leader))
     await world.until(lambda: world.leader, 10)
     await asyncio.sleep(5)
-    world.state.in_outage = True
+    world.store.in_outage = True
     await asyncio.sleep(25)
-    world.state.end_outage()
+    world.store.end_outage()
     await asyncio.sleep(10)
     assert len(world.cloud.starts) == 2
-    assert world.cloud.broken == []
+    assert world.cloud.violations == []
 
 
 async def test_a_service_survives_a_zone_that_is_cut_off() -> None:
@@ -228,10 +228,10 @@
     for name in names:
         world.cut_off(name)
     await asyncio.sleep(25)
-    assert len(world.cloud.on_machines("job-000001")) >= 2
+    assert len(world.cloud.running_tasks("job-000001")) >= 2
     world.network.filters.clear()
-    await served(world, 1, 4, 40)
-    assert world.cloud.broken == []
+    await wait_for_replicas(world, 1, 4, 40)
+    assert world.cloud.violations == []
 
 
 @pytest.mark.parametrize("wait", [0.0, 0.3, 0.8, 1.5, 3.0])
@@ -239,7 +239,7 @@
     world = await running_service()
     world.cloud.run_s = lambda task: 0.5
     name = world.cloud.starts[0][2]
-    world.cloud.workers[name].recall = 25.0
+    world.cloud.workers[name].termination_notice_s = 25.0
     world.cloud.workers[name]._changed.set()
     other = world.cloud.workers[world.cloud.starts[1][2]]
     for task in other.tasks.values():
@@ -247,9 +247,9 @@
     other._changed.set()
     await asyncio.sleep(wait)
     assert (await world.cancel(1, "n2")).data["stage"] == "aborted"
-    await world.until(lambda: not world.cloud.on_machines("job-000001"), 40)
+    await world.until(lambda: not world.cloud.running_tasks("job-000001"), 40)
     await asyncio.sleep(20)
-    assert world.cloud.on_machines("job-000001") == []
+    assert world.cloud.running_tasks("job-000001") == []
     for label in LABELS:
         assert (await world.poll(1, label)).data["stage"] == "aborted"
-    assert world.cloud.broken == []
+    assert world.cloud.violations == []
--- a/tests/scenarios/test_troubles.py
+++ b/tests/scenarios/test_troubles.py
@@ -33,7 +33,7 @@
 
     async def repeat(self, label: str, name: str, since: float = 0.0) -> list[Response]:
         bodies = [b for at, b in self.unacknowledged if b["spindle"] == name and at >= since]
-        return [await self._world.ask(label, "POST", "/v1/report", b) for b in bodies]
+        return [await self._world.request(label, "POST", "/v1/report", b) for b in bodies]
 
 
 def renews(reply: Response) -> bool:
@@ -43,7 +43,7 @@
 async def test_late_copies_are_no_sign_of_life_and_get_nothing() -> None:
     world = World()
     world.cloud.run_s = lambda task: 60.0
-    name = await world.up_with_machine()
+    name = await world.start_with_machine()
     copies = Copies(world)
     await world.submit(job(pieces=4))
     await world.until(lambda: len(world.cloud.starts) == 4)
@@ -56,7 +56,7 @@
         assert reply.data["orders"] == []
     assert len(machine.attempts) == 4
     # It dies. Copies through any node don't put off the proof by its lease.
-    world.cloud.take(name)
+    world.cloud.lose_machine(name)
     died = world.now()
     for _ in range(30):
         for label in LABELS:
@@ -69,13 +69,13 @@
     again = [at for at, _, _ in world.cloud.starts[4:]]
     assert len(again) == 4
     assert max(again) < died + 30
-    assert world.cloud.broken == []
+    assert world.cloud.violations == []
 
 
 async def test_copies_from_earlier_sessions_and_terms_change_nothing() -> None:
     world = World()
     world.cloud.run_s = lambda task: 200.0
-    name = await world.up_with_machine()
+    name = await world.start_with_machine()
     copies = Copies(world)
     await world.submit(job(pieces=2))
     await world.until(lambda: len(world.cloud.starts) == 2)
@@ -89,21 +89,21 @@
     await asyncio.sleep(3)
     early = [b for at, b in copies.unacknowledged if at <= first]
     for body in early:
-        assert not renews(await world.ask(leader, "POST", "/v1/report", body))
+        assert not renews(await world.request(leader, "POST", "/v1/report", body))
     world.kill(leader)
     await world.until(lambda: world.leader not in (None, leader), 10)
     for body in early:
-        await world.ask(str(world.leader), "POST", "/v1/report", body)
+        await world.request(str(world.leader), "POST", "/v1/report", body)
     await asyncio.sleep(20)
     assert len(world.cloud.starts) == 4
-    assert world.cloud.broken == []
+    assert world.cloud.violations == []
 
 
 async def test_a_leader_partitioned_with_its_workers_stays_silent_and_frees_them_in_time() -> None:
     world = World()
     world.cloud.run_s = lambda task: 60.0
-    await world.up()
-    names = [world.cloud.add() for _ in range(3)]
+    await world.start_controllers()
+    names = [world.cloud.add_machine() for _ in range(3)]
     await asyncio.sleep(5)
     await world.submit(job(pieces=12))
     await world.until(lambda: len(world.cloud.starts) == 12)
@@ -117,31 +117,31 @@
         return "cut" if "state" in ends or "cloud" in ends or ends & set(others) else None
 
     world.network.filters.append(alone)
-    await world.until(lambda: any(world.nodes[n].leader_term for n in others), 10)
+    await world.until(lambda: any(world.controllers[n].leader_term for n in others), 10)
     await asyncio.sleep(4)
-    assert (await world.ask(old, "GET", "/healthz")).status == 503
+    assert (await world.request(old, "GET", "/healthz")).status == 503
     assert (await world.poll(1, old)).status == 503
     assert (await world.submit(job(2), old)).status == 503
     assert (await world.poll(1, others[0])).status == 200
     # Its workers see the new baton, are let go, and lose no lease over it.
-    new = next(world.active(n) for n in others if world.nodes[n].leader_term)
+    new = next(world.active(n) for n in others if world.controllers[n].leader_term)
     await world.until(lambda: all(new.registry.machines[n].confirmed for n in names), 10)
-    assert world.nodes[old].leader_term is None
+    assert world.controllers[old].leader_term is None
     # Whoever comes to the old one now is sent to nobody that may be out of office.
     stale = world.cloud.workers[names[0]].heartbeat()
-    reply = await world.ask(old, "POST", "/v1/report", stale)
+    reply = await world.request(old, "POST", "/v1/report", stale)
     assert reply.status == 421
     assert "foreman" not in reply.data
     await asyncio.sleep(12)
     assert {w.incarnation for w in world.cloud.workers.values()} == {1}
     assert len(world.cloud.starts) == 12
-    assert world.cloud.broken == []
+    assert world.cloud.violations == []
 
 
 async def test_a_follower_partitioned_for_long_names_no_leader() -> None:
     world = World()
-    name = world.cloud.add()
-    await world.up()
+    name = world.cloud.add_machine()
+    await world.start_controllers()
     await asyncio.sleep(5)
     node = next(n for n in LABELS if n != world.leader)
 
@@ -153,7 +153,7 @@
     await asyncio.sleep(15)
     world.kill(str(world.leader))
     body = world.cloud.workers[name].heartbeat()
-    reply = await world.ask(node, "POST", "/v1/report", body)
+    reply = await world.request(node, "POST", "/v1/report", body)
     assert (reply.status, reply.data) == (421, {})
 
 
@@ -161,7 +161,7 @@
 async def test_controllers_restarted_during_an_election_elect_one_leader(after: float) -> None:
     world = World()
     world.cloud.run_s = lambda task: 25.0
-    await world.up()
+    await world.start_controllers()
     await world.submit(job(pieces=6))
     await world.until(lambda: len(world.cloud.starts) == 6)
     first = str(world.leader)
@@ -195,17 +195,17 @@
     for dst, method, path, body in world.network.held:
         await world.network.hosts[dst](method, path, body)
     await world.until(lambda: world.leader, 10)
-    await world.finish(1, 60)
+    await world.wait_until_done(1, 60)
     # Repeats of what was carried out, all of it, change nothing.
-    hosts, keys = set(world.cloud.hosts), dict(world.state.keys)
+    hosts, keys = set(world.cloud.hosts), dict(world.store.keys)
     for dst, method, path, body in carried_out:
         await world.network.hosts[dst](method, path, body)
     assert set(world.cloud.hosts) == hosts
-    changed = {k for k in keys if world.state.keys.get(k, (0, 0))[:2] != keys[k][:2]}
+    changed = {k for k in keys if world.store.keys.get(k, (0, 0))[:2] != keys[k][:2]}
     assert changed == set()
     assert len(world.cloud.starts) == 6
-    assert world.cloud.broken == []
-    leaders = [n for n, c in world.nodes.items() if c.leader_term is not None]
+    assert world.cloud.violations == []
+    leaders = [n for n, c in world.controllers.items() if c.leader_term is not None]
     assert len(leaders) == 1
 
 
@@ -217,7 +217,7 @@
     limits = State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
     candidates = []
     for label in ("n0", "n1"):
-        client = StoreClient(network.end_of(label), "state:1", limits, controllers=2)
+        client = StoreClient(network.client_of(label), "state:1", limits, controllers=2)
         watch_cache = WatchCache(client, PREFIX)
         candidates.append(Leadership(client, watch_cache, label, f"run-{label}"))
         await watch_cache.reload()
@@ -240,7 +240,7 @@
     world = World()
     world.cloud.capacity = 2
     world.cloud.run_s = lambda task: 20.0
-    await world.up()
+    await world.start_controllers()
     accepted: set[int] = set()
 
     async def user(number: int) -> None:
@@ -253,14 +253,14 @@
 
     users = [asyncio.create_task(user(n)) for n in range(1, 151)]
     await asyncio.sleep(1.0)
-    world.state.in_outage = True
+    world.store.in_outage = True
     await asyncio.sleep(8)
     for label in LABELS:
         world.kill(label)
     await asyncio.sleep(2)
     world.start()
     await asyncio.sleep(4)
-    world.state.end_outage()
+    world.store.end_outage()
     over = world.now()
     await asyncio.gather(*users)
     assert len(accepted) == 150
@@ -271,16 +271,16 @@
             assert reply.status == 200
             assert world.now() - began < 2.0
     assert world.now() - over < 75
-    assert world.cloud.broken == []
+    assert world.cloud.violations == []
 
 
 async def test_the_largest_jobs_begin_while_urgent_work_keeps_arriving() -> None:
     world = World({"begin_s": 60})
     world.cloud.capacity = 2
     world.cloud.run_s = lambda task: 15.0
-    await world.up()
+    await world.start_controllers()
     for yard in ("a", "b"):
-        world.cloud.add(yard)
+        world.cloud.add_machine(yard)
     await asyncio.sleep(5)
     number = 10
 
@@ -310,7 +310,7 @@
     # 40 bytes were reckoned for each name: a fleet half as large again as the largest known
     # was not noted, and would have been returned as idle.
     world = World()
-    names = [world.cloud.add() for _ in range(300)]
-    await world.up()
+    names = [world.cloud.add_machine() for _ in range(300)]
+    await world.start_controllers()
     await asyncio.sleep(5)
     assert world.active().initial_machine_names() == frozenset(names)
--- a/tests/scenarios/test_unresponsive_machines.py
+++ b/tests/scenarios/test_unresponsive_machines.py
@@ -8,25 +8,25 @@
 import pytest
 
 from spoolcourse.control.workers import command_dispatcher
-from tests.fakes.half_open import half_open
+from tests.fakes.one_way_link import heartbeats_only
 from tests.fakes.world import World, job
 
 
 async def test_no_task_stays_bound_to_a_machine_that_gets_no_answers() -> None:
     world = World()
     world.cloud.capacity = 2
-    name = await world.up_with_machine()
-    world.network.filters.append(half_open(name))
+    name = await world.start_with_machine()
+    world.network.filters.append(heartbeats_only(name))
     await world.submit(job(pieces=4))
-    await world.finish(1, 60)
+    await world.wait_until_done(1, 60)
     assert {machine for _, _, machine in world.cloud.starts} != {name}
     # It is not given anything later either, and is replaced in the end.
     before = len(world.cloud.starts)
     await world.submit(job(2, pieces=4))
-    await world.finish(2, 60)
+    await world.wait_until_done(2, 60)
     assert all(machine != name for _, _, machine in world.cloud.starts[before:])
     await world.until(lambda: name not in world.cloud.hosts, 60)
-    assert world.cloud.broken == []
+    assert world.cloud.violations == []
 
 
 async def test_a_machine_that_gets_commands_but_no_answers_is_not_tried_forever() -> None:
@@ -34,55 +34,55 @@
     world = World({"silent_leases": 100})
     world.cloud.run_s = lambda task: 15.0
     world.cloud.capacity = 2
-    name = await world.up_with_machine()
+    name = await world.start_with_machine()
     world.network.filters.append(lambda src, dst, *rest: "lose" if src == name else None)
     await world.submit(job(pieces=4))
     await asyncio.sleep(60)
     before = len(world.cloud.starts)
     await world.submit(job(2, pieces=4))
-    await world.finish(2, 60)
+    await world.wait_until_done(2, 60)
     assert all(machine != name for _, _, machine in world.cloud.starts[before:])
-    assert world.cloud.broken == []
+    assert world.cloud.violations == []
 
 
 async def test_a_machine_that_gets_answers_again_gets_work_again() -> None:
     world = World({"silent_leases": 100})
     world.cloud.capacity = 1
-    name = await world.up_with_machine()
-    world.network.filters.append(half_open(name))
+    name = await world.start_with_machine()
+    world.network.filters.append(heartbeats_only(name))
     await world.submit(job(pieces=4))
     await asyncio.sleep(60)
     assert world.cloud.starts == []
     assert world.active().registry.machines[name].unresponsive_since is not None
     world.network.filters.clear()
-    await world.finish(1, 60)
-    assert world.cloud.broken == []
+    await world.wait_until_done(1, 60)
+    assert world.cloud.violations == []
     assert len(world.cloud.starts) == 4
 
 
 async def test_work_on_a_machine_that_gets_no_answers_outlives_no_leader_unproven() -> None:
     world = World()
     world.cloud.run_s = lambda task: 30.0
-    name = await world.up_with_machine()
+    name = await world.start_with_machine()
     await world.submit(job(pieces=4))
     await world.until(lambda: len(world.cloud.starts) == 4)
-    world.network.filters.append(half_open(name))
+    world.network.filters.append(heartbeats_only(name))
     world.kill(str(world.leader))
     # The new leader's fencing token never reaches it: its heartbeats prove nothing.
-    await world.finish(1, 120)
-    assert world.cloud.broken == []
+    await world.wait_until_done(1, 120)
+    assert world.cloud.violations == []
 
 
 async def test_a_cancelled_job_is_gone_in_time_where_answers_do_not_arrive() -> None:
     world = World()
     world.cloud.run_s = lambda task: 500.0
     world.cloud.lease_s = 300.0
-    name = await world.up_with_machine()
+    name = await world.start_with_machine()
     await world.submit(job())
     await world.until(lambda: len(world.cloud.starts) == 4)
-    world.network.filters.append(half_open(name))
+    world.network.filters.append(heartbeats_only(name))
     assert (await world.cancel()).data["stage"] == "aborted"
-    await world.until(lambda: not world.cloud.on_machines("job-000001"), 40)
+    await world.until(lambda: not world.cloud.running_tasks("job-000001"), 40)
 
 
 async def test_a_machine_that_boots_for_long_is_given_the_time_to_see_our_fencing_token() -> None:
@@ -92,8 +92,8 @@
     world.cloud.boot_s = 36.0
     world.cloud.run_s = lambda task: 100.0
     for _ in range(6):  # most machines do hear us: the new ones are the exception
-        world.cloud.add()
-    await world.up()
+        world.cloud.add_machine()
+    await world.start_controllers()
     world.network.filters.append(
         lambda src, dst, method, path, body: (
             "lose" if src.startswith("m-") and body["tick"] <= 1 else None
@@ -102,14 +102,14 @@
     await world.submit(job(1, pieces=24))
     await world.submit(job(2, crew="blue", pieces=8))
     await world.until(lambda: len(world.cloud.starts) == 32, 60)
-    assert world.cloud.broken == []
+    assert world.cloud.violations == []
 
 
 async def test_a_new_leader_returns_no_machine_that_it_has_only_not_heard_yet() -> None:
     world = World({"idle_min_s": 600})
-    await world.up()
+    await world.start_controllers()
     await world.submit(job(pieces=24))
-    await world.finish()
+    await world.wait_until_done()
     await asyncio.sleep(60)  # far longer than any boot takes
     machines = set(world.cloud.hosts)
     assert len(machines) > 3
@@ -134,9 +134,9 @@
     monkeypatch.setattr(command_dispatcher, "MIN_CALL_LIMIT", 6)
 
     world = World()
-    await world.up()
+    await world.start_controllers()
     for _ in range(20):
-        world.cloud.add()
+        world.cloud.add_machine()
     await asyncio.sleep(5)
     leader = str(world.leader)
     active = world.active(leader)
@@ -150,7 +150,7 @@
 
     world.network.filters.append(cut)
     await world.submit(job(1, pieces=80, cpus=1.0))
-    await world.finish(1)
+    await world.wait_until_done(1)
     assert len(seen) > 6
     assert max(seen) == 6
     machines = len(active.registry.machines)
@@ -167,19 +167,19 @@
     # that its successor has put to work. A deletion asks for no fencing token: it would end
     # that work.
     world = World()
-    await world.up()
+    await world.start_controllers()
     await world.submit(job(pieces=12))
-    await world.finish()
+    await world.wait_until_done()
     leader = str(world.leader)
     active = world.active(leader)
     assert world.cloud.hosts
     before = set(world.cloud.hosts)
-    world.state.in_outage = True
+    world.store.in_outage = True
     await asyncio.sleep(300)  # idle for long, and above the peak recently
     assert not active.holds_lease()
     assert before
     assert set(world.cloud.hosts) == before
-    world.state.in_outage = False
+    world.store.in_outage = False
     await world.until(lambda: not world.cloud.hosts, 300)
 
 
@@ -188,8 +188,8 @@
     # there would be bound so long, and calls there would keep those to the rest waiting.
     world = World()
     world.cloud.capacity = 2
-    await world.up()
-    names = [world.cloud.add(), world.cloud.add()]
+    await world.start_controllers()
+    names = [world.cloud.add_machine(), world.cloud.add_machine()]
     await asyncio.sleep(5)
     leader = str(world.leader)
     active = world.active(leader)
@@ -203,6 +203,6 @@
 
     world.network.filters.insert(0, watched)
     await world.submit(job(1, pieces=3))
-    assert await world.finish(1) < 9 + world.cloud.run_s("job-000001/0")
+    assert await world.wait_until_done(1) < 9 + world.cloud.run_s("job-000001/0")
     assert not any(d.startswith(names[0]) for d in calls)
     assert {m for _, n, m in world.cloud.starts if n.startswith("job-000001")} == {names[1]}
--- a/tests/scenarios/test_upgrade.py
+++ b/tests/scenarios/test_upgrade.py
@@ -16,11 +16,11 @@
     OLD_JOB,
     OLD_PROGRESS,
     OLD_TERM,
-    old_can_read,
-    old_peers,
+    assert_old_version_can_read,
+    make_peers_old,
     store_large_job,
-    with_next,
-    written,
+    with_upcoming_limits,
+    written_values,
 )
 from tests.fakes.world import LABELS, World, job, settings
 
@@ -36,8 +36,8 @@
 
     world = World()
     world.cloud.run_s = lambda task: 5.0
-    name = world.cloud.add()
-    state = world.state
+    name = world.cloud.add_machine()
+    state = world.store
     state._apply(
         [
             {"set": TERM_KEY, "v": OLD_TERM},
@@ -45,42 +45,42 @@
             {"set": progress_key("job-000001", 0), "v": OLD_PROGRESS},
         ]
     )
-    world.jobs["job-000001"] = job(pieces=200, vcpus=1.0)
-    await world.up()
-    await world.finish(1, 300)
+    world.accepted_jobs["job-000001"] = job(pieces=200, vcpus=1.0)
+    await world.start_controllers()
+    await world.wait_until_done(1, 300)
     assert state.value(TERM_KEY)["term"] == 2
     started = [n for _, n, _ in world.cloud.starts]
     assert len(started) == 198, "two were done before"
     assert "job-000001/1" not in started, "two were done before"
     assert name
-    assert world.cloud.broken == []
+    assert world.cloud.violations == []
 
 
 async def test_the_old_version_reads_what_the_new_one_writes_before_all_are_new() -> None:
     world = World()
-    await world.up()
+    await world.start_controllers()
     old = next(n for n in LABELS if n != world.leader)
-    turn = old_peers(world, old)
-    world.state._apply([{"delete": FEATURE_LEVEL_KEY}])
+    turn = make_peers_old(world, old)
+    world.store._apply([{"delete": FEATURE_LEVEL_KEY}])
     for label in LABELS:
         world.kill(label)
-    await world.up()
+    await world.start_controllers()
     await world.submit(job(1, pieces=60, vcpus=1.0))
     await world.submit(job(2))
     refused = await world.submit(service(3))
     assert refused.status == 503
     assert refused.headers["Retry-After"]
     await world.cancel(2)
-    await world.finish(1, 200)
-    assert world.state.value(FEATURE_LEVEL_KEY) is None
-    for key, value in written(world):
-        old_can_read(key, value)
+    await world.wait_until_done(1, 200)
+    assert world.store.value(FEATURE_LEVEL_KEY) is None
+    for key, value in written_values(world):
+        assert_old_version_can_read(key, value)
     # Its turn has come: now services are taken, and that stays so whoever leads.
     world.network.filters.remove(turn)
-    await world.until(lambda: world.state.value(FEATURE_LEVEL_KEY), 30)
+    await world.until(lambda: world.store.value(FEATURE_LEVEL_KEY), 30)
     await asyncio.sleep(1)
     assert (await world.submit(service(3))).status == 201
-    old_peers(world, *LABELS)
+    make_peers_old(world, *LABELS)
     world.kill(str(world.leader))
     await world.until(lambda: world.leader, 10)
     node = str(world.leader)
@@ -89,37 +89,39 @@
 
 def test_limits_to_come_are_read_and_checked() -> None:
     assert settings().settings.state.least == settings().settings.state
-    assert settings(**with_next()).settings.state.least.txn_ops == 24
-    least = settings(**with_next(value_kb=2.0, txn_ops=4, write_rps=150.0)).settings.state.least
+    assert settings(**with_upcoming_limits()).settings.state.least.txn_ops == 24
+    least = settings(
+        **with_upcoming_limits(value_kb=2.0, txn_ops=4, write_rps=150.0)
+    ).settings.state.least
     assert (least.value_kb, least.txn_ops, least.write_rps) == (2.0, 4, 100.0)
     for wrong in ({"value_kb": 0}, {"txn_ops": -1}, {"write_rps": "x"}, {"rps": 0.0}):
         with pytest.raises(UserError, match=r"state\.next"):
-            settings(**with_next(**wrong))
+            settings(**with_upcoming_limits(**wrong))
     with pytest.raises(UserError):
         parse_settings(orjson.dumps({"label": "n0"}), "test")
 
 
 @pytest.mark.parametrize("drop_after", [0.5, 6.0, 30.0])
 async def test_limits_drop_while_an_old_jobs_chunks_are_larger(drop_after: float) -> None:
-    world = World(params=with_next(value_kb=1.0, txn_ops=3, write_rps=40.0))
+    world = World(params=with_upcoming_limits(value_kb=1.0, txn_ops=3, write_rps=40.0))
     world.cloud.run_s = lambda task: 12.0
     world.cloud.capacity = 30
     store_large_job(world)
-    await world.up()
+    await world.start_controllers()
     await world.submit(job(2, pieces=60, vcpus=1.0, crew="blue"))
     await asyncio.sleep(drop_after)
-    world.state.value_bytes, world.state.txn_ops = 1024, 3
-    await world.finish(1, 300)
-    await world.finish(2, 300)
-    assert world.state.refused < 5, "nothing is tried again and again"
-    largest = max(len(orjson.dumps(v)) for k, v in written(world) if "/job-000002" in k)
+    world.store.max_value_bytes, world.store.max_txn_ops = 1024, 3
+    await world.wait_until_done(1, 300)
+    await world.wait_until_done(2, 300)
+    assert world.store.oversized_count < 5, "nothing is tried again and again"
+    largest = max(len(orjson.dumps(v)) for k, v in written_values(world) if "/job-000002" in k)
     assert largest <= 1024
-    assert world.cloud.broken == []
+    assert world.cloud.violations == []
 
 
 async def test_a_job_too_long_to_be_stored_is_refused() -> None:
-    world = World(params=with_next(value_kb=0.5))
-    await world.up()
+    world = World(params=with_upcoming_limits(value_kb=0.5))
+    await world.start_controllers()
     assert (await world.submit(job(1, bundle="i" * 200, lane="l" * 100))).status == 422
     assert (await world.submit(job(2))).status == 201
 
@@ -129,7 +131,7 @@
     # What an old leader does in between is written in its stored forms, as of its commit.
     world = World()
     world.cloud.run_s = lambda task: 60.0
-    await world.up()
+    await world.start_controllers()
     for number in (1, 2):
         await world.submit(job(number))
     await world.until(lambda: len(world.cloud.starts) == 8, 60)
@@ -138,18 +140,18 @@
         for label in LABELS:
             world.kill(label)
         await asyncio.sleep(0.5)
-        state = world.state
+        state = world.store
         term = state.value(TERM_KEY)["term"] + 1
         changes = [{"set": TERM_KEY, "v": {"term": term, "run": f"old{turn}", "hold": 1}}]
         if turn == 0:  # the old leader takes a cancellation
             value = dict(state.value(job_key("job-000002")))
             changes.append({"set": job_key("job-000002"), "v": value | {"aborted": world.now()}})
-            world.cancelled["job-000002"] = world.now()
-            world.told["job-000002"] = "aborted"
+            world.cancel_confirmed_at["job-000002"] = world.now()
+            world.final_stages["job-000002"] = "aborted"
         # It writes progress again, as it does after a failover.
         key = progress_key("job-000001", 0)
         progress = state.value(key)
-        old_can_read(key, progress)
+        assert_old_version_can_read(key, progress)
         changes.append({"set": key, "v": {"held": progress["held"], "done": progress["done"]}})
         state._apply(changes)
         if lost:
@@ -158,13 +160,13 @@
                     "lose" if path == "/multi" and (body or {}).get("apply") else None
                 )
             )
-        await world.up()
-        assert world.state.value(TERM_KEY)["term"] > term
+        await world.start_controllers()
+        assert world.store.value(TERM_KEY)["term"] > term
         await asyncio.sleep(6)
         world.network.filters.clear()
-        await world.until(lambda: not world.cloud.on_machines("job-000002"), 40)
-    await world.finish(1, 120)
+        await world.until(lambda: not world.cloud.running_tasks("job-000002"), 40)
+    await world.wait_until_done(1, 120)
     assert len(world.cloud.starts) == 8
-    assert world.cloud.broken == []
-    for key, value in written(world):
-        old_can_read(key, value)
+    assert world.cloud.violations == []
+    for key, value in written_values(world):
+        assert_old_version_can_read(key, value)
--- a/tests/scheduling/test_snapshot_cache.py
+++ b/tests/scheduling/test_snapshot_cache.py
@@ -12,7 +12,7 @@
 from spoolcourse.control.store.records import JobRecord
 from spoolcourse.policy.keys import check_policy
 from spoolcourse.wire.messages import MachineType, Submission, parse
-from tests.fakes.registry import RegistryHarness, on
+from tests.fakes.registry import RegistryHarness, task_entry
 from tests.fakes.world import World, job, settings
 
 MACHINE_TYPES = {"c8": MachineType("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 20.0, ["a", "b"])}
@@ -63,7 +63,7 @@
     # given away, and room that is there never used.
     world = World()
     world.cloud.run_s = lambda name: 3.0 + sum(name.encode()) % 7
-    await world.up()
+    await world.start_controllers()
     compared = 0
 
     def compare(active: ActiveLeader) -> None:
@@ -83,7 +83,7 @@
         )
         for _ in range(5):
             await asyncio.sleep(0.7)
-            leader = world.nodes.get(str(world.leader))
+            leader = world.controllers.get(str(world.leader))
             if (
                 leader is not None
                 and leader.leader_term is not None
@@ -107,8 +107,8 @@
     harness = RegistryHarness(pieces=1)
     harness.heartbeat()
     harness.assign()
-    harness.heartbeat(on())
-    other = on(stage="ended", number=9, cause="done")
+    harness.heartbeat(task_entry())
+    other = task_entry(stage="ended", attempt=9, cause="done")
     harness.heartbeat(other, spindle="m-2", address="m-2:9")
     assert harness.job_state.finished
     before = snapshot_builder(harness.job_queue, harness.registry).build_snapshot(
@@ -138,7 +138,7 @@
         builder.build_snapshot(harness.now, MACHINE_TYPES)
         attempt = harness.assign()
         attempt.exempt_from_preemption = harness.job_state.id in builder.starved_jobs
-        harness.heartbeat(on())
+        harness.heartbeat(task_entry())
         urgent = parse(job(2, rank="high", crew="blue"), Submission)
         harness.job_queue.add(JobRecord(urgent, 1.0, 170, None, 6), harness.now)
         snapshot = builder.build_snapshot(harness.now, MACHINE_TYPES)
--- a/tests/store/test_store_client.py
+++ b/tests/store/test_store_client.py
@@ -35,7 +35,7 @@
 def client_of(serve: Any, limits: State = LIMITS) -> StoreClient:
     network = FakeNetwork()
     network.hosts["state:1"] = serve
-    return StoreClient(network.end_of("n0"), "state:1", limits, controllers=1)
+    return StoreClient(network.client_of("n0"), "state:1", limits, controllers=1)
 
 
 async def failure(status: int, request: Request, data: Any = None) -> StoreError:
@@ -183,7 +183,7 @@
     cache.add_observer(second)
     await cache.reload()
     await client.compare_and_swap({}, [Put(TERM_KEY, {"term": 1})])
-    state.forget_changes()
+    state.compact()
     assert not await cache.catch_up_to(state.store_revision)
     assert not cache.loaded.is_set()
     await cache.reload()
--- a/tests/user_api/test_user_api.py
+++ b/tests/user_api/test_user_api.py
@@ -11,13 +11,13 @@
 
 async def test_a_job_runs_and_every_controller_says_so() -> None:
     world = World()
-    await world.up()
+    await world.start_controllers()
     first = await world.submit(job(), "n1")
     assert (first.status, first.data) == (201, {"id": "job-000001", "stage": "queued"})
     again = await world.submit(job(pieces=9), "n2")
     assert again.status == 200
     assert again.data["stage"] in ("queued", "running")
-    await world.finish()
+    await world.wait_until_done()
     for label in LABELS:
         reply = await world.poll(1, label)
         assert (reply.status, reply.data["stage"], reply.data["done"]) == (200, "done", 4)
@@ -31,7 +31,7 @@
 
 async def test_malformed_submissions_get_400_and_impossible_ones_422() -> None:
     world = World()
-    await world.up()
+    await world.start_controllers()
     bodies: tuple[Any, ...] = (
         [],
         "x",
@@ -57,12 +57,12 @@
         job(yard="c"),
     ):
         assert (await world.submit(body)).status == 422, body
-    assert not world.state.value("spoolcourse/live/job/job-000001")
+    assert not world.store.value("spoolcourse/live/job/job-000001")
 
 
 async def test_a_write_whose_answer_is_lost_is_read_back() -> None:
     world = World()
-    await world.up()
+    await world.start_controllers()
 
     def lose(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
         puts = [op.get("set", "") for op in (body or {}).get("apply", [])]
@@ -77,7 +77,7 @@
 
 async def test_a_controller_that_alone_lost_the_key_value_store_asks_a_peer() -> None:
     world = World()
-    await world.up()
+    await world.start_controllers()
     world.network.filters.append(
         lambda src, dst, *rest: "503" if (src, dst) == ("n0", "state:1") else None
     )
@@ -85,13 +85,13 @@
     await asyncio.sleep(5)
     assert (await world.poll(1, "n0")).status == 200
     assert (await world.poll(2, "n0")).status == 404
-    assert (await world.ask("n0", "GET", "/healthz")).status == 200
-    await world.finish()
+    assert (await world.request("n0", "GET", "/healthz")).status == 200
+    await world.wait_until_done()
 
 
 async def test_a_follower_never_answers_older_than_a_cancellation() -> None:
     world = World()
-    await world.up()
+    await world.start_controllers()
     await world.submit(job(), "n0")
     assert (await world.poll(1, "n1")).status == 200
     # n1's watch hangs; it can still ask.
@@ -108,7 +108,7 @@
 
 async def test_a_controller_whose_key_value_store_hangs_asks_a_peer_before_waiting_again() -> None:
     world = World()
-    await world.up()
+    await world.start_controllers()
     follower = next(n for n in LABELS if n != world.leader)
     world.network.filters.append(
         lambda src, dst, *rest: "cut" if (src, dst) == (follower, "state:1") else None
@@ -121,7 +121,7 @@
 
 async def test_a_burst_beyond_the_budget_gets_retry_after_and_leaves_no_debt() -> None:
     world = World()
-    await world.up()
+    await world.start_controllers()
     replies = await asyncio.gather(*(world.submit(job(n), "n1") for n in range(1, 600)))
     accepted = [r for r in replies if r.status == 201]
     refused = [r for r in replies if r.status == 503]
@@ -138,7 +138,7 @@
 async def test_a_controller_without_a_certain_answer_says_so_while_users_still_wait() -> None:
     # Its peers hang, as behind a cut: each of them was given a second, and users had left.
     world = World()
-    await world.up()
+    await world.start_controllers()
     await world.submit(job(), "n1")
     await asyncio.sleep(3)
     world.network.filters.append(lambda src, dst, *rest: "cut" if src == "n0" else None)
@@ -153,7 +153,7 @@
 async def test_operators_see_what_waits_and_why() -> None:
     world = World()
     world.cloud.capacity = 1
-    await world.up()
+    await world.start_controllers()
     await world.submit(job(1, pieces=9))
     await world.submit(job(2, pieces=20, crew="blue", vcpus=8.0))
     await asyncio.sleep(12)
@@ -166,24 +166,24 @@
     other = next(n for n in LABELS if n != leader)
     status = await world.network.call("op", f"{other}:81", "GET", "/status", None, 2.0)
     assert (status.data["role"], status.data["leader"]) == ("follower", leader)
-    reply = world.nodes[leader].peers(Request("GET", "/metrics"))
+    reply = world.controllers[leader].peers(Request("GET", "/metrics"))
     assert isinstance(reply, Response)
     text = reply.data.decode()
     assert "spoolcourse_leader 1.0" in text
     assert "spoolcourse_waiting_jobs 2.0" in text
     # Not on the users' address.
-    assert (await world.ask(leader, "GET", "/status")).status == 404
+    assert (await world.request(leader, "GET", "/status")).status == 404
 
 
 async def test_a_team_without_a_limit_runs_as_much_as_it_asks_for() -> None:
     # A limit of 0 means none. Read as a limit of nothing, every submission was answered 422 and
     # no task of a deployment with such a team ever started.
     world = World(params={"teams": [{"name": "red", "cpus": 0.0, "cpus_max": 0.0}]})
-    await world.up()
+    await world.start_controllers()
     assert (await world.submit(job(pieces=40))).status == 201
     assert (await world.submit(job(2, vcpus=9.0))).status == 422, "it fits no machine"
     service = job(3, shape="standing", expectS=0.0, loaners=False)
     assert (await world.submit(service)).status == 201
-    await world.finish()
+    await world.wait_until_done()
     assert (await world.poll(3)).data["running"] == 4
-    assert not world.cloud.broken
+    assert not world.cloud.violations
--- a/tests/workers/test_fencing_token_announcer.py
+++ b/tests/workers/test_fencing_token_announcer.py
@@ -51,7 +51,7 @@
         self.network.hosts[address] = answer
 
     async def announce(self, sockets: int = 0) -> None:
-        http_client = self.network.end_of("n0")
+        http_client = self.network.client_of("n0")
         announcer = FencingTokenAnnouncer(http_client, self.harness.registry, sockets)
         await announcer.announce(self.workers, fleet_size=len(self.workers))
 
--- a/tests/workers/test_worker_registry.py
+++ b/tests/workers/test_worker_registry.py
@@ -7,7 +7,7 @@
 from spoolcourse.control.jobs.model import AttemptStage
 from spoolcourse.control.store.records import Assignment, Progress
 from spoolcourse.wire.messages import MalformedError, parse_heartbeat
-from tests.fakes.registry import TERM, RegistryHarness, on
+from tests.fakes.registry import TERM, RegistryHarness, task_entry
 
 START = {"verb": "start", "piece": "job-000001/0", "try": 1}
 REAP = {"verb": "reap", "piece": "job-000001/0", "try": 1}
@@ -16,12 +16,12 @@
 def test_a_start_follows_its_write_and_needs_a_valid_term() -> None:
     harness = RegistryHarness()
     harness.heartbeat()
-    harness.assign(saved=False)
+    harness.assign(persisted=False)
     assert harness.heartbeat() == []
-    harness.save()
-    harness.valid = False
+    harness.mark_persisted()
+    harness.lease_valid = False
     assert harness.heartbeat() == []
-    harness.valid = True
+    harness.lease_valid = True
     assert harness.heartbeat() == [START]
 
 
@@ -34,7 +34,7 @@
     harness.sequence -= 1
     assert attempt.start_sent_with == (1, 2)
     assert harness.heartbeat() == [START], "a newer heartbeat without it: it never arrived"
-    assert harness.heartbeat(on()) == []
+    assert harness.heartbeat(task_entry()) == []
     assert attempt.stage is AttemptStage.RUNNING
 
 
@@ -54,11 +54,11 @@
     harness.heartbeat()
     harness.assign()
     harness.heartbeat()
-    assert harness.heartbeat(on(stage="ended", cause="done")) == []
+    assert harness.heartbeat(task_entry(stage="ended", cause="done")) == []
     assert harness.job_state.done_count == 1
     assert not harness.job_state.attempts
-    harness.save()
-    assert harness.heartbeat(on(stage="ended", cause="done")) == [REAP]
+    harness.mark_persisted()
+    assert harness.heartbeat(task_entry(stage="ended", cause="done")) == [REAP]
 
 
 @pytest.mark.parametrize("cause", ["halted", "error", "no_room", "in_use", "no_such"])
@@ -67,7 +67,7 @@
     harness.heartbeat()
     harness.assign()
     harness.heartbeat()
-    commands = harness.heartbeat(on(stage="ended", cause=cause))
+    commands = harness.heartbeat(task_entry(stage="ended", cause=cause))
     assert commands == [REAP]
     assert harness.job_state.pending_count == 4
     assert next(harness.job_state.assignable_tasks()) == 0
@@ -79,7 +79,7 @@
     harness.heartbeat()
     harness.assign()
     harness.heartbeat()
-    harness.heartbeat(on())
+    harness.heartbeat(task_entry())
     harness.heartbeat(shift=2, tick=1)
     assert not harness.job_state.attempts
     assert harness.job_state.pending_count == 4
@@ -89,7 +89,7 @@
     harness = RegistryHarness()
     harness.heartbeat()
     harness.assign()
-    harness.heartbeat(on())
+    harness.heartbeat(task_entry())
     harness.now += 10.5
     harness.registry.expire_leases()
     assert harness.job_state.attempts, "within drift and margin"
@@ -110,13 +110,13 @@
     harness.heartbeat()
     harness.assign(0)
     harness.heartbeat()
-    harness.heartbeat(on())
+    harness.heartbeat(task_entry())
     harness.assign(1, 2)
     harness.job_state.record.cancelled_at = 100.0
-    assert harness.heartbeat(on()) == [
+    assert harness.heartbeat(task_entry()) == [
         {"verb": "halt", "piece": "job-000001/0", "try": 1, "windDownS": 0.0}
     ]
-    assert harness.heartbeat(on(stage="ended", cause="halted")) == [REAP]
+    assert harness.heartbeat(task_entry(stage="ended", cause="halted")) == [REAP]
 
 
 def test_an_attempt_of_an_unknown_job_is_stopped_and_one_of_a_free_task_is_adopted() -> None:
@@ -125,7 +125,7 @@
     assert harness.heartbeat(stray) == [
         {"verb": "halt", "piece": "job-000009/0", "try": 3, "windDownS": 0.0}
     ]
-    harness.heartbeat(on(2, 44))
+    harness.heartbeat(task_entry(2, 44))
     assert harness.job_state.attempts[2].number == 44
 
 
@@ -135,7 +135,7 @@
     harness.assign()
     harness.registry.forget_deleted_machine("m-1")
     assert harness.job_state.pending_count == 4
-    assert harness.heartbeat(on()) is None
+    assert harness.heartbeat(task_entry()) is None
     assert not harness.job_state.attempts
 
 
@@ -171,8 +171,8 @@
     attempt = harness.assign()
     harness.registry.commands.claim_starts(harness.registry.machines["m-1"])
     attempt.in_flight_incarnation = None  # it was answered, but a copy may come late
-    harness.heartbeat(on())
-    assert harness.heartbeat(on(stage="ended", cause="halted")) == []
-    harness.save()
-    assert harness.heartbeat(on(stage="ended", cause="halted")) == []
+    harness.heartbeat(task_entry())
+    assert harness.heartbeat(task_entry(stage="ended", cause="halted")) == []
+    harness.mark_persisted()
+    assert harness.heartbeat(task_entry(stage="ended", cause="halted")) == []
     assert harness.job_state.pending_count == 4, "it is proven ended all the same"
