--- a/tests/scenarios/test_isolated_leader.py
+++ b/tests/scenarios/test_isolated_leader.py
@@ -1,4 +1,4 @@
-"""A leader that the key-value store alone refuses, while others confirm cancellations; then nobody
+"""The key-value store refuses only the leader while its peers confirm cancellations; then nobody
 reaches the store for longer than `cancel_s`.
 """
 
@@ -17,7 +17,7 @@
 from tests.fakes.world import LABELS
 
 
-async def test_only_cancelled_tasks_end_when_the_leader_alone_was_refused() -> None:
+async def test_only_cancelled_tasks_end_when_the_store_refused_only_the_leader() -> None:
     isolated = await IsolatedLeader.with_running_jobs()
     await isolated.cancel_behind_leader()
     await isolated.wait_until_tasks_gone_in_time()
@@ -38,7 +38,9 @@
     await isolated.cancel_behind_leader()
     # No peer can reply to the leader: it lets all leases expire, the cancelled job's too.
     await isolated.sleep_after_cancellation(20)
-    assert len(isolated.world.cloud.running_tasks("job-000002")) == 4, "not sooner than needed"
+    assert len(isolated.world.cloud.running_tasks("job-000002")) == 4, (
+        "the leases expired sooner than needed"
+    )
     await isolated.wait_until_tasks_gone_in_time()
     await isolated.sleep_after_cancellation(60)
     isolated.end_outage()
@@ -53,7 +55,7 @@
 async def test_cancelled_tasks_end_when_the_only_peer_that_knows_restarts(after: float) -> None:
     isolated = await IsolatedLeader.with_running_jobs()
     informed, uninformed = isolated.others
-    isolated.refuse_store_requests_of(uninformed)  # it has not seen the cancellation itself
+    isolated.refuse_store_requests_of(uninformed)  # it does not see the cancellation in the store
     cut = isolated.partition(isolated.leader, informed)
     await isolated.cancel_behind_leader(through=informed)
     await asyncio.sleep(after)
@@ -64,7 +66,7 @@
     await isolated.wait_until_tasks_gone_in_time()
 
 
-async def test_cancelled_tasks_end_with_a_peer_too_old_to_know_the_query() -> None:
+async def test_cancelled_tasks_end_with_a_peer_that_lacks_the_cancellation_query() -> None:
     isolated = await IsolatedLeader.with_running_jobs()
     isolated.world.network.filters.append(
         lambda src, dst, method, path, body: (
@@ -79,7 +81,7 @@
 async def test_relayed_heartbeats_renew_no_longer_than_direct_ones() -> None:
     isolated = await IsolatedLeader.with_running_jobs()
     isolated.partition(isolated.leader, "m-")
-    # The followers pass heartbeats on; what they know of cancellations doesn't get through.
+    # The followers relay heartbeats, but their replies to cancellation queries are lost.
     isolated.world.network.filters.append(
         lambda src, dst, method, path, body: "cut" if path.startswith("/cancel") else None
     )
@@ -115,8 +117,7 @@
     world.network.stalled.add((isolated.leader, "state:1"))
     await isolated.confirm_cancellation()
     await isolated.sleep_after_cancellation(35)
-    # A worker's heartbeat that its successor's baton has not reached comes before anything
-    # else.
+    # A heartbeat of a worker that has not seen the successor's fencing token arrives first.
     body = worker.heartbeat() | {"baton": old.leader_term.active.registry.fencing_token}
     reply = await world.request(isolated.leader, "POST", "/v1/report", body)
     assert (reply.status, "baton" in (reply.data or {})) == (503, False)
@@ -135,34 +136,34 @@
     assert {w.incarnation for w in isolated.world.cloud.workers.values()} == {1}
 
 
-@pytest.mark.parametrize("way", ["deaf", "mute", "hung"])
-async def test_a_late_cancellation_ends_tasks_on_an_unreachable_machine(way: str) -> None:
+@pytest.mark.parametrize("fault", ["deaf", "mute", "hung"])
+async def test_a_late_cancellation_ends_tasks_on_an_unreachable_machine(fault: str) -> None:
     isolated = await IsolatedLeader.with_running_jobs()
     world = isolated.world
     cut = isolated.partition(isolated.leader, *isolated.others)
     await isolated.cancel_behind_leader()
     await isolated.sleep_after_cancellation(31)
     for name in list(world.cloud.workers):
-        if way == "hung":
+        if fault == "hung":
             world.cut_off(name)
-        elif way == "mute":
+        elif fault == "mute":
             world.network.filters.append(
                 lambda src, dst, *rest, name=name: "cut" if src == name else None
             )
         else:
             world.network.filters.append(heartbeats_only(name))
     await asyncio.sleep(1)
-    world.network.filters.remove(cut)  # now it learns of it
+    world.network.filters.remove(cut)  # now the leader learns of the cancellation
     await isolated.wait_until_tasks_gone_in_time()
     await asyncio.sleep(20)
     assert world.cloud.running_tasks("job-000001") == []
 
 
-async def test_a_leader_refused_alone_learns_of_its_successor_from_a_peer() -> None:
+async def test_a_leader_refused_by_the_store_learns_of_its_successor_from_a_peer() -> None:
     isolated = await IsolatedLeader.with_running_jobs()
     old = isolated.world.controllers[isolated.leader]
     isolated.refuse_store_requests_of(isolated.leader)
-    isolated.partition(isolated.leader, "m-")  # no worker tells it
+    isolated.partition(isolated.leader, "m-")  # so that no worker shows it the new fencing token
     await isolated.world.until(lambda: old.leader_term is None, 10)
     assert any(isolated.world.controllers[n].leader_term for n in isolated.others)
 
@@ -178,18 +179,18 @@
     last = 100.0 + renewal_deadline.renewal_window_s
     assert renewal_deadline.may_renew(last)
     assert not renewal_deadline.may_renew(last + 0.01)
-    # The worker answered last ends its tasks in time, with both clocks at their worst.
+    # The worker renewed last ends its tasks in time even with both clocks at their largest drift.
     assert last + 10.0 * 1.0005 < 100.0 + 40.0 * 0.9995 - 1.0
     assert not renewal_deadline.record_peer_acknowledgements(130.0, [True, False])
     assert renewal_deadline.caught_up_at == 100.0
     assert renewal_deadline.record_peer_acknowledgements(130.0, [True, True])
     assert renewal_deadline.caught_up_at == 130.0
     assert renewal_deadline.record_peer_acknowledgements(140.0, []), (
-        "nobody else could have confirmed anything"
+        "without peers nobody else can confirm a cancellation"
     )
 
 
-def test_a_controller_that_forgot_cancellations_replies_so() -> None:
+def test_a_controller_that_dropped_old_cancellations_reports_the_gap() -> None:
     known = Cancellations(max_count=2)
     for revision in (5, 7, 9):
         known.add(Cancellation(f"job-{revision:06d}", 1.0, revision))
--- a/tests/scenarios/test_jobs_through_troubles.py
+++ b/tests/scenarios/test_jobs_through_troubles.py
@@ -1,4 +1,4 @@
-"""Jobs through changes of leader, lost machines and outages."""
+"""Jobs during failovers, losses of machines and outages of the key-value store."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from tests.fakes.world import LABELS, World, job
 
 
-async def test_leader_dies_between_the_write_and_the_start() -> None:
+async def test_a_job_finishes_when_its_leader_dies_between_write_and_start() -> None:
     world = World()
     await world.start_with_machine()
     first = world.leader
     assert first
 
-    def mute(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
-        # The answers to heartbeats are lost: assignments get written, starts don't arrive.
+    def lose_heartbeat_replies(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
+        # Replies to heartbeats are lost: assignments are written, start commands don't arrive.
         return "lose" if path == "/v1/report" and dst == f"{first}:80" else None
 
-    world.network.filters.append(mute)
+    world.network.filters.append(lose_heartbeat_replies)
     other = next(n for n in LABELS if n != first)
     assert (await world.submit(job(), other)).status == 201
     await world.until(lambda: world.store.value("spoolcourse/live/prog/job-000001/0"))
@@ -30,7 +30,7 @@
     assert len(world.cloud.starts) == 4
 
 
-async def test_tasks_survive_a_change_of_leader() -> None:
+async def test_tasks_survive_a_failover() -> None:
     world = World()
     world.cloud.run_s = lambda task: 30.0
     await world.start_controllers()
@@ -40,7 +40,7 @@
     took = await world.until(lambda: world.leader, 10)
     assert took < 4
     await world.wait_until_done()
-    assert len(world.cloud.starts) == 8, "nothing was started again"
+    assert len(world.cloud.starts) == 8, "a task was started again"
 
 
 async def test_a_deposed_leaders_late_transaction_changes_nothing() -> None:
@@ -48,13 +48,13 @@
     await world.start_controllers()
     first = str(world.leader)
 
-    def hold(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
+    def hold_transactions(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
         if src != first or dst != "state:1":
             return None
         return "hold" if path == "/multi" else "cut"
 
     other, _ = (n for n in LABELS if n != first)
-    world.network.filters.append(hold)
+    world.network.filters.append(hold_transactions)
     world.cloud.add_machine()
     await world.submit(job(), other)
     await world.until(lambda: world.leader not in (None, first), 30)
@@ -67,7 +67,7 @@
     assert world.cloud.violations == []
 
 
-async def test_a_silent_machine_is_not_believed_dead_before_its_lease() -> None:
+async def test_tasks_of_an_unreachable_machine_restart_only_after_its_lease_expires() -> None:
     world = World()
     world.cloud.run_s = lambda task: 40.0
     name = await world.start_with_machine()
@@ -92,10 +92,10 @@
     assert world.cloud.violations == []
 
 
-async def test_a_cancelled_job_is_gone_in_time_even_on_a_silent_machine() -> None:
+async def test_tasks_of_a_cancelled_job_end_in_time_even_on_an_unreachable_machine() -> None:
     world = World()
     world.cloud.run_s = lambda task: 500.0
-    world.cloud.lease_s = 300.0  # it would go on for long
+    world.cloud.lease_s = 300.0  # longer than `cancel_s`
     name = await world.start_with_machine()
     await world.submit(job())
     await world.until(lambda: len(world.cloud.starts) == 4)
@@ -108,18 +108,18 @@
 
 
 async def test_a_cancellation_and_the_end_of_a_job_exclude_each_other() -> None:
-    for wait in (13.0, 13.5, 14.0, 14.5, 15.0, 15.5, 16.0):
+    for wait_s in (13.0, 13.5, 14.0, 14.5, 15.0, 15.5, 16.0):
         world = World()
         await world.start_with_machine()
         await world.submit(job(pieces=1))
-        await asyncio.sleep(wait)
-        answer = (await world.cancel(1, "n1")).data["stage"]
+        await asyncio.sleep(wait_s)
+        reported_stage = (await world.cancel(1, "n1")).data["stage"]
         await asyncio.sleep(10)
         for label in LABELS:
-            assert (await world.poll(1, label)).data["stage"] == answer
+            assert (await world.poll(1, label)).data["stage"] == reported_stage
 
 
-async def test_all_controllers_restart_and_nothing_is_forgotten() -> None:
+async def test_jobs_and_cancellations_survive_a_restart_of_all_controllers() -> None:
     world = World()
     world.cloud.run_s = lambda task: 20.0
     await world.start_controllers()
@@ -135,10 +135,10 @@
     assert (await world.poll(2)).data["stage"] == "aborted"
     await world.wait_until_done()
     assert world.cloud.violations == []
-    assert len(world.cloud.starts) == 4, "the tasks went on meanwhile"
+    assert len(world.cloud.starts) == 4, "a task was started again after the restart"
 
 
-async def test_work_survives_an_outage_of_the_state_service() -> None:
+async def test_tasks_survive_an_outage_of_the_key_value_store() -> None:
     world = World()
     world.cloud.run_s = lambda task: 60.0
     await world.start_controllers()
@@ -156,38 +156,40 @@
     assert len(world.cloud.starts) == 4
 
 
-async def test_workers_cut_off_from_the_leader_alone_go_on_through_a_follower() -> None:
+async def test_workers_partitioned_from_the_leader_only_continue_through_a_follower() -> None:
     world = World()
     world.cloud.run_s = lambda task: 40.0
     await world.start_controllers()
     await world.submit(job(1))
     await world.until(lambda: len(world.cloud.starts) == 4)
     leader = str(world.leader)
-    cut = world.now()
+    partitioned_at = world.now()
 
-    def apart(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
+    def partition_leader(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
         ends = {src, dst.split(":", maxsplit=1)[0]}
         worker = any(end.startswith("m-") for end in ends)
         return "cut" if worker and leader in ends else None
 
-    world.network.filters.append(apart)
+    world.network.filters.append(partition_leader)
     await asyncio.sleep(20)
     await world.submit(job(2, pieces=2))
     await world.until(lambda: len(world.cloud.starts) == 6, 20)
     await world.wait_until_done(1)
-    assert len(world.cloud.starts) == 6, "no lease ran out"
+    assert len(world.cloud.starts) == 6, "a task was started again"
     assert world.leader == leader
     world.network.filters.clear()
     await world.wait_until_done(2)
     await asyncio.sleep(40)
-    assert not world.active(leader).heartbeat_handler.hears_no_worker(), "they are back"
-    assert world.now() > cut
+    assert not world.active(leader).heartbeat_handler.hears_no_worker(), (
+        "no worker reaches the leader again"
+    )
+    assert world.now() > partitioned_at
     assert world.cloud.violations == []
 
 
-def test_wider_rounds_keep_the_order_and_the_rules() -> None:
-    async def story(gap: str) -> list[str]:
-        world = World({"pass_gap_s": gap})
+def test_a_longer_pass_gap_keeps_the_order_of_jobs() -> None:
+    async def run(pass_gap_s: str) -> list[str]:
+        world = World({"pass_gap_s": pass_gap_s})
         world.cloud.capacity = 1
         await world.start_with_machine()
         for number in range(1, 6):
@@ -200,54 +202,54 @@
         assert len(names) == 10
         return list(dict.fromkeys(name.split("/")[0] for name in names))
 
-    narrow, wide = run_in_simulated_time(story("0.1")), run_in_simulated_time(story("5"))
-    assert narrow == wide == sorted(narrow)
+    short, long = run_in_simulated_time(run("0.1")), run_in_simulated_time(run("5"))
+    assert short == long == sorted(short)
 
 
-async def test_machines_found_at_the_first_start_stay_and_rented_ones_go() -> None:
+async def test_idle_machines_are_deleted_except_those_present_at_the_first_start() -> None:
     world = World()
-    found = world.cloud.add_machine()
+    initial = world.cloud.add_machine()
     await world.start_controllers()
     await world.submit(job(pieces=12))
     await world.until(lambda: len(world.cloud.hosts) > 1, 30)
     await world.wait_until_done()
-    await world.until(lambda: list(world.cloud.hosts) == [found], 900)
+    await world.until(lambda: list(world.cloud.hosts) == [initial], 900)
     for label in LABELS:
         world.kill(label)
     await world.start_controllers()
-    late = world.cloud.add_machine()  # nobody here has asked for it
-    await world.until(lambda: list(world.cloud.hosts) == [found], 900)
+    late = world.cloud.add_machine()  # not provisioned by these controllers
+    await world.until(lambda: list(world.cloud.hosts) == [initial], 900)
     assert late not in world.cloud.hosts
 
 
-async def test_a_loop_that_fails_is_begun_again_and_a_new_term_with_it() -> None:
+async def test_a_failed_loop_is_restarted_with_a_new_term() -> None:
     world = World()
     await world.start_controllers()
     first = str(world.leader)
     leader_term, active = world.controllers[first].leader_term, world.active(first)
 
-    def broken(snapshot: Any, builds: Any) -> None:
+    def raise_error(snapshot: Any, builds: Any) -> None:
         raise KeyError("unforeseen")
 
-    active.snapshot_builder.build_snapshot = broken  # type: ignore[method-assign,assignment]
+    active.snapshot_builder.build_snapshot = raise_error  # type: ignore[method-assign,assignment]
     await world.submit(job())
     await world.wait_until_done()
     assert world.controllers[first].leader_term is not leader_term
     assert world.cloud.violations == []
 
 
-async def test_a_job_that_cannot_be_judged_does_not_stop_the_others() -> None:
+async def test_a_job_whose_view_cannot_be_built_does_not_stop_the_others() -> None:
     world = World()
     await world.start_controllers()
     leader_term, active = world.controllers[str(world.leader)].leader_term, world.active()
     build = active.snapshot_builder._job_views._build_view
 
-    def partly(job_state: Any, context: Any) -> Any:
+    def fail_for_first_job(job_state: Any, context: Any) -> Any:
         if job_state.id == "job-000001":
             raise TypeError("unforeseen")
         return build(job_state, context)
 
-    active.snapshot_builder._job_views._build_view = partly  # type: ignore[method-assign]
+    active.snapshot_builder._job_views._build_view = fail_for_first_job  # type: ignore[method-assign]
     await world.submit(job(1))
     await world.submit(job(2))
     await world.wait_until_done(2)
--- a/tests/scenarios/test_late_messages.py
+++ b/tests/scenarios/test_late_messages.py
@@ -1,4 +1,4 @@
-"""Heartbeats, commands and transactions that arrive late."""
+"""Heartbeats, commands and transactions that are delivered late."""
 
 from __future__ import annotations
 
@@ -31,18 +31,19 @@
 from tests.fakes.world import LABELS, World, job
 
 
-def test_work_on_a_machine_that_only_calls_reach_is_not_started_elsewhere_too() -> None:
-    # Its lease runs out; calls show its next incarnation. With the last answer taken for the
-    # beginning of that incarnation's lease, what was started there was thought gone while it ran.
+def test_tasks_of_a_machine_reached_only_by_direct_calls_start_nowhere_else() -> None:
+    # The machine's lease expires; replies to direct calls show its next incarnation. The time of
+    # the last reply was taken for the start of that incarnation's lease, so tasks started there were
+    # considered lost while they ran.
     harness = RegistryHarness()
     harness.heartbeat()
     harness.assign()
     harness.heartbeat(task_entry())
     machine = harness.registry.machines["m-1"]
-    harness.now += 10.2  # its lease has run out, which is not certain here yet
-    shown = harness.observe(shift=2, tick=1)
-    assert not harness.job_state.attempts, shown
-    assert machine.confirmed, shown
+    harness.now += 10.2  # its lease has expired, which the registry cannot be sure of yet
+    heartbeat = harness.observe(shift=2, tick=1)
+    assert not harness.job_state.attempts, heartbeat
+    assert machine.confirmed, heartbeat
     attempt = harness.assign(0, 2)
     harness.observe(task_entry(0, 2), shift=2)
     harness.now += 2.0
@@ -51,12 +52,12 @@
     harness.now += 10.0
     harness.registry.expire_leases()
     assert not harness.job_state.attempts, (
-        "nobody renews that incarnation's lease: it is over by now"
+        "the lease of that incarnation was never renewed and has expired"
     )
 
 
-def test_a_machine_that_reaches_no_controller_gets_no_new_work() -> None:
-    # Its answers to calls keep coming; what calls start there dies with each lease.
+def test_a_machine_that_reaches_no_controller_gets_no_new_tasks() -> None:
+    # It still replies to direct calls, but tasks started there end whenever its lease expires.
     harness = RegistryHarness()
     harness.registry.suspect_after_s = 5.0
     harness.heartbeat()
@@ -70,29 +71,31 @@
     harness.observe()
     assert machine.last_heartbeat_at == harness.now
     assert harness.registry.is_suspect(machine)
-    assert harness.registry.commands.machines_to_call(()) == [], "nor are starts sent"
+    assert harness.registry.commands.machines_to_call(()) == [], (
+        "start commands are sent to a suspect machine"
+    )
     harness.heartbeat()
     assert harness.registry.commands.machines_to_call(()) == [machine]
 
 
-def test_the_first_answer_after_a_change_of_leader_ends_what_is_cancelled() -> None:
-    # It renews the lease and may be the last one that arrives: the next one is too late.
+def test_the_first_heartbeat_reply_after_a_failover_halts_cancelled_tasks() -> None:
+    # That reply renews the lease and may be the last one to arrive: the next may come too late.
     harness = RegistryHarness()
     attempt = harness.job_queue.adopt(harness.job_state, 0, "m-1", 1, harness.now)
     harness.registry.track_attempt(attempt)
     harness.job_state.record.cancelled_at = harness.now - 30.0
     halt = {"verb": "halt", "piece": "job-000001/0", "try": 1, "windDownS": 0.0}
     assert harness.heartbeat(task_entry(), baton=TERM - 1) == [halt]
-    assert harness.job_state.attempts, "that it is told proves nothing"
-    # One that is not shown may still start there: the halt goes out nevertheless.
+    assert harness.job_state.attempts, "sending the halt does not prove that the task has ended"
+    # A task missing from the heartbeat may still start there, so the halt is sent nevertheless.
     assert harness.heartbeat(baton=TERM - 1) == [halt]
     assert harness.heartbeat() == []
     assert not harness.job_state.attempts
 
 
-async def test_a_claim_that_is_carried_out_late_is_not_taken_for_the_next_one() -> None:
-    # Both are of the same run and for the same term, but each has its own lease. The key is
-    # attached to the first one's, which nobody renews.
+async def test_a_claim_executed_late_is_not_mistaken_for_the_next_claim() -> None:
+    # Both claims are of the same run and the same term, but each has its own lease. The key is
+    # attached to the lease of the first claim, which nobody renews.
     store, network = FakeKeyValueStore(), FakeNetwork()
     network.hosts["state:1"] = store.serve
     limits = State(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
@@ -109,24 +112,26 @@
         except OutcomeUnknownError:
             if len(network.held) == 2:
                 break
-            # The first claim is carried out while the second one is under way.
+            # The first claim is executed while the second one is in flight.
             get = client.get
 
-            async def late(key: str, get: Any = get) -> Any:
+            async def get_after_first_claim(key: str, get: Any = get) -> Any:
                 _, method, path, body = network.held[0]
                 await store.serve(method, path, body)
                 return await get(key)
 
-            client.get = late  # type: ignore[method-assign]
+            client.get = get_after_first_claim  # type: ignore[method-assign]
     assert leadership.term is None
     assert len(network.held) == 2
     assert store.value(LEADER_KEY) is not None
     await asyncio.sleep(4)
-    assert store.value(LEADER_KEY) is None, "nobody renews it, so others may stand"
+    assert store.value(LEADER_KEY) is None, (
+        "the unrenewed lease must expire so that others can be elected"
+    )
 
 
-def keys_that_guard(key: str) -> set[str]:
-    """Keys whose change makes a write of this key wrong."""
+def guard_keys(key: str) -> set[str]:
+    """Keys whose change makes a write of this key invalid."""
     if key.startswith(PROGRESS_PREFIX):
         return {key, job_key(parse_progress_key(key)[0]), TERM_KEY}
     if key.startswith(FINAL_PREFIX):
@@ -135,26 +140,24 @@
 
 
 def delay_transactions(world: World, every: int) -> Any:
-    """Every n-th transaction gets no answer and is carried out later.
+    """Every n-th transaction gets no reply and is executed later.
 
-    If a key that it depends on has changed since, or was deleted and made again, it must change
+    If a key that it depends on has changed since, or was deleted and created again, it must change
     nothing.
     """
     count = 0
     sent: dict[int, int] = {}
     bodies: list[Any] = []
 
-    def judge(body: Any, reply: Any) -> None:
-        needs = set().union(
-            *(keys_that_guard(op.get("set") or op["delete"]) for op in body["apply"])
-        )
+    def check_late_execution(body: Any, reply: Any) -> None:
+        guards = set().union(*(guard_keys(op.get("set") or op["delete"]) for op in body["apply"]))
         since = sent[id(body)]
         log = world.store.log[: -len(body["apply"])] if reply.status == 200 else world.store.log
-        changed = needs & {str(e.get("set") or e["delete"]) for e in log if e["stamp"] > since}
+        changed = guards & {str(e.get("set") or e["delete"]) for e in log if e["stamp"] > since}
         if changed and reply.status == 200:
-            world.cloud.violations.append(f"late and carried out although {changed} changed")
+            world.cloud.violations.append(f"executed late although {changed} changed")
 
-    world.network.on_late = judge
+    world.network.on_late = check_late_execution
 
     def check(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
         nonlocal count
@@ -164,14 +167,14 @@
         if count % every:
             return None
         sent[id(body)] = world.store.store_revision
-        bodies.append(body)  # or another one could be at its place in memory
+        bodies.append(body)  # keeps it alive: `id` of a freed body could be reused
         return "late"
 
     return check
 
 
 @pytest.mark.parametrize("every", [2, 3])
-async def test_transactions_carried_out_late_change_nothing_that_is_newer(every: int) -> None:
+async def test_transactions_executed_late_change_nothing_newer(every: int) -> None:
     world = World()
     world.cloud.run_s = lambda task: 6.0 + int(task[-1]) * 3.0
     await world.start_controllers()
@@ -189,7 +192,7 @@
     await wait_until_jobs_end(world, range(1, 9))
 
 
-async def test_a_heartbeat_that_arrives_after_a_new_leader_has_acted_gets_no_commands() -> None:
+async def test_a_heartbeat_delayed_past_a_failover_gets_no_commands() -> None:
     world = World()
     world.cloud.run_s = lambda task: 25.0
     world.cloud.capacity = 3
@@ -208,7 +211,7 @@
     world.network.filters.append(hold)
     await asyncio.sleep(2)
     await restart_leader(world, 0.5)
-    await asyncio.sleep(20)  # its lease has run out, and its work goes on elsewhere
+    await asyncio.sleep(20)  # its lease has expired, and its tasks run elsewhere
     for body in held:
         for label in LABELS:
             reply = await world.request(label, "POST", "/v1/report", body)
@@ -217,7 +220,7 @@
     await wait_until_jobs_end(world, (1,))
 
 
-async def test_commands_that_arrive_late_at_a_machine_that_hung_break_no_rule() -> None:
+async def test_commands_delivered_late_to_a_machine_that_hung_break_no_rule() -> None:
     world = World()
     world.cloud.run_s = lambda task: 15.0
     world.cloud.capacity = 3
@@ -231,7 +234,7 @@
     await world.submit(job(2, pieces=4))
     await asyncio.sleep(3)
     await world.cancel(2)
-    world.cut_off(name)  # it hangs for a while
+    world.cut_off(name)  # the machine hangs
     await asyncio.sleep(6)
     world.network.filters.clear()
     await world.network.release()
@@ -241,24 +244,24 @@
 
 
 @pytest.mark.parametrize("meanwhile", ["cancelled", "another leader", "ended"])
-async def test_a_write_under_way_is_refused_once_what_it_depends_on_has_changed(
+async def test_a_write_in_flight_is_refused_once_a_key_it_depends_on_has_changed(
     meanwhile: str,
 ) -> None:
-    # The key itself has not changed, but another that the write depends on has.
+    # The key itself has not changed, but another key that the write depends on has.
     world = World()
     world.cloud.run_s = lambda task: 4.0
     await world.start_with_machine()
-    kind = FINAL_PREFIX if meanwhile == "ended" else PROGRESS_PREFIX
+    held_prefix = FINAL_PREFIX if meanwhile == "ended" else PROGRESS_PREFIX
 
     def hold(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
         puts = [op.get("set", "") for op in (body or {}).get("apply", [])]
-        return "hold" if any(key.startswith(kind) for key in puts) else None
+        return "hold" if any(key.startswith(held_prefix) for key in puts) else None
 
     world.network.filters.append(hold)
     await world.submit(job(pieces=2))
     await asyncio.sleep(14 if meanwhile == "ended" else 3)
-    of_first = len(world.network.held)  # a quick successor's own writes are held after these
-    assert of_first
+    held_count = len(world.network.held)  # the successor's writes may be held after these
+    assert held_count
     if meanwhile == "another leader":
         first = str(world.leader)
         world.kill(first)
@@ -266,8 +269,8 @@
     else:
         assert (await world.cancel(1, "n1")).data["stage"] == "aborted"
     late = await world.network.release()
-    assert {reply.status for reply in late[:of_first]} == {409}
-    assert of_first == len(late) or meanwhile == "another leader"
+    assert {reply.status for reply in late[:held_count]} == {409}
+    assert held_count == len(late) or meanwhile == "another leader"
     world.network.filters.clear()
     if meanwhile == "another leader":
         world.start(first)
--- a/tests/scenarios/test_meetings.py
+++ b/tests/scenarios/test_overlapping_faults.py
@@ -1,4 +1,4 @@
-"""Two troubles that meet: see the table in docs/design.md."""
+"""Two faults at the same time: see the table in docs/design.md."""
 
 from __future__ import annotations
 
@@ -11,42 +11,42 @@
 from tests.fakes.world import LABELS, World, job
 
 
-@pytest.mark.parametrize("out", [False, True])
-async def test_ten_changes_of_leader_in_two_minutes(out: bool) -> None:
+@pytest.mark.parametrize("with_outage", [False, True])
+async def test_jobs_finish_despite_ten_failovers_in_two_minutes(with_outage: bool) -> None:
     world = World()
     world.cloud.run_s = lambda task: 45.0 if task.endswith("/0") else 12.0
     await world.start_controllers()
     for number in range(1, 7):
         await world.submit(job(number, pieces=3, crew="blue"))
     await asyncio.sleep(12)
-    for turn in range(10):
-        if out and turn in (3, 4, 5):
+    for failover in range(10):
+        if with_outage and failover in (3, 4, 5):
             world.store.in_outage = True
-        first = str(world.leader) if world.leader else LABELS[turn % 3]
-        world.kill(first)
-        await asyncio.sleep((0.3, 0.9, 6.0)[turn % 3])
-        world.start(first)
+        former = str(world.leader) if world.leader else LABELS[failover % 3]
+        world.kill(former)
+        await asyncio.sleep((0.3, 0.9, 6.0)[failover % 3])
+        world.start(former)
         await asyncio.sleep(5.0)
-        if out and turn == 5:
+        if with_outage and failover == 5:
             world.store.end_outage()
-        if turn == 7:
+        if failover == 7:
             await retry_until_accepted(world, lambda label: world.cancel(2, label))
         await asyncio.sleep(1.0)
     await world.until(lambda: world.leader, 30)
     await wait_until_jobs_end(world, range(1, 7))
 
 
-async def test_a_team_at_its_limit_whose_machines_cannot_be_asked_by_the_new_leader() -> None:
+async def test_a_team_keeps_its_limit_when_the_new_leader_cannot_reach_its_machines() -> None:
     world = World()
     world.cloud.run_s = lambda task: 300.0
     world.cloud.capacity = 12
-    world.cloud.lease_s = 25.0  # long, so that unproven work is on for long
+    world.cloud.lease_s = 25.0  # long, so that tasks of unreachable machines count for long
     await world.start_controllers()
     for number in (1, 2):
         await world.submit(job(number, crew="blue", pieces=8))
     await world.until(lambda: len(world.cloud.starts) == 16, 60)
-    silent = sorted({machine for _, _, machine in world.cloud.starts})[:2]
-    for name in silent:
+    unreachable = sorted({machine for _, _, machine in world.cloud.starts})[:2]
+    for name in unreachable:
         world.cut_off(name)
     world.kill(str(world.leader))
     await retry_until_accepted(world, lambda label: world.cancel(1, label))
@@ -56,11 +56,13 @@
     await world.until(lambda: world.leader, 30)
     await asyncio.sleep(120)
     assert world.cloud.violations == []
-    on = len(world.cloud.running_tasks("job-000002")) + len(world.cloud.running_tasks("job-000003"))
-    assert on == 16, "and its limit is used again"
+    running = len(world.cloud.running_tasks("job-000002")) + len(
+        world.cloud.running_tasks("job-000003")
+    )
+    assert running == 16, "the team does not use its whole limit again"
 
 
-async def test_tasks_that_end_far_apart_across_a_change_of_leader() -> None:
+async def test_no_task_runs_twice_when_tasks_end_before_and_after_failovers() -> None:
     world = World()
     world.cloud.run_s = lambda task: (3.0, 18.0, 60.0)[int(task[-1])]
     await world.start_controllers()
@@ -72,15 +74,15 @@
     await asyncio.sleep(18)
     await restart_leader(world, 8.0)
     await wait_until_jobs_end(world, (1, 2, 3))
-    assert len(world.cloud.starts) == 9, "what was done stays done"
+    assert len(world.cloud.starts) == 9, "a task was started again"
 
 
-async def test_jobs_bound_to_a_zone_lose_machines() -> None:
+async def test_jobs_with_zone_constraints_finish_after_losing_machines() -> None:
     world = World()
     world.cloud.run_s = lambda task: 20.0
     await world.start_controllers()
-    for yard in ("a", "b"):  # each has room for half of the first job
-        world.cloud.add_machine(yard)
+    for zone in ("a", "b"):  # each machine has room for half of the first job
+        world.cloud.add_machine(zone)
     await asyncio.sleep(4)
     await world.submit(job(1, pieces=8, oneZone=True))
     await world.submit(job(2, pieces=8, scatter=True))
@@ -90,21 +92,23 @@
         machine = next(m for _, n, m in world.cloud.starts if n.startswith(name))
         if machine in world.cloud.hosts:
             world.cloud.lose_machine(machine)
-    silent = next(m for _, n, m in reversed(world.cloud.starts) if m in world.cloud.hosts)
-    world.cut_off(silent)
+    unreachable = next(m for _, n, m in reversed(world.cloud.starts) if m in world.cloud.hosts)
+    world.cut_off(unreachable)
     await restart_leader(world, 0.5)
     await wait_until_jobs_end(world, (1, 2, 3))
 
 
-@pytest.mark.parametrize("wait", [x / 8 for x in range(16)])
-async def test_the_end_of_the_last_task_meets_everything_that_users_ask(wait: float) -> None:
+@pytest.mark.parametrize("wait_s", [x / 8 for x in range(16)])
+async def test_concurrent_user_requests_get_one_outcome_as_the_last_task_ends(
+    wait_s: float,
+) -> None:
     world = World()
     world.cloud.run_s = lambda task: 5.0
-    world.network.delay_s = 0.08  # so that what meets is under way for a while
+    world.network.delay_s = 0.08  # so that concurrent requests overlap for a while
     await world.start_with_machine()
     await world.submit(job(pieces=2))
     await world.until(lambda: len(world.cloud.starts) == 2, 60)
-    await asyncio.sleep(4.5 + wait)
+    await asyncio.sleep(4.5 + wait_s)
     await asyncio.gather(
         world.cancel(1, "n0"),
         world.poll(1, "n1"),
@@ -122,7 +126,7 @@
 
 
 @pytest.mark.parametrize("leader_inside", [False, True])
-async def test_a_zone_with_workers_and_a_controller_is_cut_off_for_longer_than_a_lease(
+async def test_jobs_end_after_a_zone_with_a_controller_was_cut_off_for_over_a_lease(
     leader_inside: bool,
 ) -> None:
     world = World()
@@ -132,20 +136,20 @@
     await world.submit(job(2, pieces=4, oneZone=True))
     await world.until(lambda: len(world.cloud.starts) == 12, 90)
     leader = str(world.leader)
-    node = leader if leader_inside else next(n for n in LABELS if n != leader)
+    isolated = leader if leader_inside else next(n for n in LABELS if n != leader)
 
     def inside(end: str) -> bool:
         worker = world.cloud.workers.get(end)
-        return end == node or (worker is not None and worker.host["yard"] == "b")
+        return end == isolated or (worker is not None and worker.host["yard"] == "b")
 
     world.network.filters.append(
         lambda src, dst, *rest: (
             "hold" if inside(src) != inside(dst.split(":")[0]) and src != "user" else None
         )
     )
-    world.network.stalled.add((node, "state:1"))
+    world.network.stalled.add((isolated, "state:1"))
     await asyncio.sleep(3)
-    other = next(n for n in LABELS if n != node)
+    other = next(n for n in LABELS if n != isolated)
     await world.cancel(2, other)
     await asyncio.sleep(30)
     world.network.filters.clear()
@@ -156,7 +160,7 @@
     await wait_until_jobs_end(world, (1, 2))
 
 
-async def test_all_controllers_are_away_for_longer_than_a_lease() -> None:
+async def test_jobs_end_after_all_controllers_were_down_for_longer_than_a_lease() -> None:
     world = World()
     world.cloud.run_s = lambda task: 30.0
     await world.start_controllers()
@@ -171,18 +175,18 @@
     await wait_until_jobs_end(world, (1, 2))
 
 
-async def test_a_state_service_that_answers_slowly_while_users_cancel_and_ask() -> None:
+async def test_user_requests_are_answered_in_time_while_the_key_value_store_is_slow() -> None:
     world = World()
     world.cloud.run_s = lambda task: 20.0
     await world.start_controllers()
     serve = world.store.serve
 
-    async def slow(method: str, path: str, body: Any) -> Any:
+    async def serve_slowly(method: str, path: str, body: Any) -> Any:
         if not path.startswith("/watch") or "blockMs=0" in path:
             await asyncio.sleep(0.7)
         return await serve(method, path, body)
 
-    world.network.hosts["state:1"] = slow
+    world.network.hosts["state:1"] = serve_slowly
     for number in range(1, 9):
         body = job(number, pieces=2)
         await retry_until_accepted(world, lambda label, body=body: world.submit(body, label))
@@ -199,7 +203,7 @@
     await wait_until_jobs_end(world, range(1, 9))
 
 
-async def test_more_work_than_room_over_slow_links() -> None:
+async def test_every_job_starts_in_time_on_a_full_fleet_with_slow_links() -> None:
     world = World()
     world.network.delay_s = 0.25
     world.cloud.capacity = 3
@@ -216,7 +220,7 @@
         assert began - 1000.0 < 240
 
 
-async def test_jobs_cancelled_through_the_new_leader_while_workers_reach_only_the_old_one() -> None:
+async def test_a_cancellation_at_the_new_leader_ends_tasks_that_reach_only_the_old_one() -> None:
     world = World()
     world.cloud.run_s = lambda task: 300.0
     await world.start_controllers()
@@ -226,13 +230,13 @@
     old = str(world.leader)
     machines = tuple(world.cloud.workers)
 
-    def alone(src: str, dst: str, *rest: Any) -> str | None:
+    def isolate_with_workers(src: str, dst: str, *rest: Any) -> str | None:
         ends = {src, dst.split(":", maxsplit=1)[0]}
         if old in ends:
             return "cut" if ends & ({"state", "cloud", *LABELS} - {old}) else None
         return "cut" if ends & set(machines) and ends & set(LABELS) else None
 
-    world.network.filters.append(alone)
+    world.network.filters.append(isolate_with_workers)
     world.network.stalled.add((old, "state:1"))
     other = next(n for n in LABELS if n != old)
     await world.until(
@@ -249,8 +253,9 @@
     assert len(world.cloud.running_tasks("job-000002")) == 4
 
 
-async def test_a_job_that_failed_on_every_machine_there_is_tries_them_again() -> None:
-    # Machines it failed on were avoided forever, though a fault may pass: no other could be had.
+async def test_a_job_that_failed_on_every_machine_tries_them_again() -> None:
+    # Machines where a job had failed were avoided forever, although the fault may be temporary:
+    # with no other machine available, the job never ran.
     world = World()
     world.cloud.capacity = 1
     await world.start_with_machine()
--- a/tests/scenarios/test_services.py
+++ b/tests/scenarios/test_services.py
@@ -1,4 +1,4 @@
-"""Standing services: replicas that run until their job is cancelled."""
+"""Services: replicas that run until their job is cancelled."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from tests.fakes.world import LABELS, World, job
 
 
-async def running_service(**fields: Any) -> World:
+async def world_with_running_service(**fields: Any) -> World:
     world = World()
     world.cloud.run_s = lambda task: 10_000.0
     world.cloud.capacity = 20
@@ -35,11 +35,11 @@
 
 
 async def test_a_service_runs_until_it_is_cancelled_and_costs_no_writes() -> None:
-    world = await running_service(scatter=True)
+    world = await world_with_running_service(scatter=True)
     await asyncio.sleep(3)
-    written = len(world.store.transactions)
+    transaction_count = len(world.store.transactions)
     await asyncio.sleep(100)
-    assert len(world.store.transactions) <= written + 1
+    assert len(world.store.transactions) <= transaction_count + 1
     for label in LABELS:
         reply = await world.poll(1, label)
         assert (reply.data["stage"], reply.data["done"]) == ("running", 0)
@@ -70,7 +70,7 @@
         (service(4, vcpus=9.0), 422),
         (service(5, shape="group"), 400),
         ({k: v for k, v in service(6).items() if k != "expectS"}, 400),
-        (job(7, scatter=True, yard="a"), 201),  # an array takes one half after the other
+        (job(7, scatter=True, yard="a"), 201),  # an array can run one half after the other
     ):
         assert (await world.submit(body)).status == status, body
 
@@ -92,7 +92,7 @@
         harness.mark_persisted()
         harness.heartbeat()
         harness.now += 30.0
-    assert backoffs_s[0] <= 0, "the first one runs again at once"
+    assert backoffs_s[0] <= 0, "the first restart is not immediate"
     if cause != "halted":
         assert backoffs_s[3] > 0
         assert max(backoffs_s) <= 10.0
@@ -101,7 +101,9 @@
         harness.heartbeat(task_entry(0, 20))
         harness.now += 25.0
         harness.heartbeat(task_entry(0, 20))
-        assert harness.job_state.consecutive_failures == 0, "a replica that runs well clears it"
+        assert harness.job_state.consecutive_failures == 0, (
+            "a replica that keeps running does not reset the failures"
+        )
 
 
 def test_an_ended_replica_is_acknowledged_to_its_worker() -> None:
@@ -114,9 +116,9 @@
     assert harness.heartbeat(task_entry(stage="ended", cause="done")) == [reap]
 
 
-def test_no_head_is_promised_the_room_of_a_service() -> None:
-    def machine(*ends: float) -> PlacementMachine:
-        tasks = [RunningTask(end, 8.0, 0.0, 8.0) for end in ends]
+def test_no_reservation_counts_on_resources_of_a_running_service() -> None:
+    def machine(*task_ends: float) -> PlacementMachine:
+        tasks = [RunningTask(end, 8.0, 0.0, 8.0) for end in task_ends]
         return PlacementMachine(
             machine_type=0,
             zone=0,
@@ -143,15 +145,15 @@
     assert plan.shadow_time == 50.0
 
 
-async def test_a_lost_replica_runs_elsewhere_and_its_zones_hold() -> None:
-    world = await running_service(pieces=4, scatter=True)
+async def test_a_lost_replica_restarts_elsewhere_within_its_zone_rules() -> None:
+    world = await world_with_running_service(pieces=4, scatter=True)
     for _ in range(3):
         world.cloud.lose_machine(world.cloud.starts[-1][2])
         assert await wait_for_replicas(world, 1, 4, 60) < 25
         assert world.cloud.violations == []
 
 
-async def test_on_a_preemption_notice_one_replica_moves_at_a_time() -> None:
+async def test_on_a_termination_notice_one_replica_moves_at_a_time() -> None:
     world = World()
     world.cloud.run_s = lambda task: 10_000.0
     world.cloud.capacity = 6
@@ -162,25 +164,25 @@
     assert (await world.submit(service(pieces=4, loaners=True, vcpus=4.0))).status == 201
     await wait_for_replicas(world, 1, 4)
     await asyncio.sleep(3)
-    noticed = sorted({machine for _, _, machine in world.cloud.starts})
+    with_notice = sorted({machine for _, _, machine in world.cloud.starts})
     fewest_running = 4
-    for name in noticed:
+    for name in with_notice:
         world.cloud.workers[name].termination_notice_s = 25.0
         world.cloud.workers[name]._changed.set()
     for _ in range(250):
         await asyncio.sleep(0.1)
-        for name in noticed:
+        for name in with_notice:
             if name in world.cloud.workers:
                 world.cloud.workers[name].termination_notice_s = 24.0
         fewest_running = min(fewest_running, len(world.cloud.running_tasks("job-000001")))
         if {m for _, n, m in world.cloud.starts[4:]} and len(world.cloud.starts) >= 8:
             break
-    assert fewest_running >= 3, "never more than one of them is missing"
+    assert fewest_running >= 3, "more than one replica is missing at once"
     assert len(world.cloud.starts) >= 6
     assert world.cloud.violations == []
 
 
-async def test_on_a_preemption_notice_a_replica_stays_until_it_has_somewhere_to_go() -> None:
+async def test_on_a_termination_notice_a_replica_stays_until_a_machine_has_room() -> None:
     world = World()
     world.cloud.run_s = lambda task: 10_000.0
     world.cloud.capacity = 2
@@ -189,7 +191,7 @@
     await asyncio.sleep(1)
     await world.start_controllers()
     await asyncio.sleep(5)
-    # Each machine is taken by one replica: there is no room for a second one.
+    # One replica fills a machine: there is no room for a second one.
     assert (await world.submit(service(vcpus=8.0))).status == 201
     await wait_for_replicas(world)
     worker = world.cloud.workers[world.cloud.starts[0][2]]
@@ -210,7 +212,7 @@
 
 
 async def test_a_service_survives_a_failover_and_a_store_outage() -> None:
-    world = await running_service()
+    world = await world_with_running_service()
     world.kill(str(world.leader))
     await world.until(lambda: world.leader, 10)
     await asyncio.sleep(5)
@@ -223,7 +225,7 @@
 
 
 async def test_a_service_survives_a_zone_that_is_cut_off() -> None:
-    world = await running_service(pieces=4, scatter=True)
+    world = await world_with_running_service(pieces=4, scatter=True)
     names = [n for n, w in world.cloud.workers.items() if w.host["yard"] == "b"]
     for name in names:
         world.cut_off(name)
@@ -234,9 +236,9 @@
     assert world.cloud.violations == []
 
 
-@pytest.mark.parametrize("wait", [0.0, 0.3, 0.8, 1.5, 3.0])
-async def test_a_cancellation_wins_over_the_end_or_the_move_of_a_replica(wait: float) -> None:
-    world = await running_service()
+@pytest.mark.parametrize("wait_s", [0.0, 0.3, 0.8, 1.5, 3.0])
+async def test_a_cancellation_wins_over_the_end_or_the_move_of_a_replica(wait_s: float) -> None:
+    world = await world_with_running_service()
     world.cloud.run_s = lambda task: 0.5
     name = world.cloud.starts[0][2]
     world.cloud.workers[name].termination_notice_s = 25.0
@@ -245,7 +247,7 @@
     for task in other.tasks.values():
         task.stage, task.cause = "ended", "done"
     other._changed.set()
-    await asyncio.sleep(wait)
+    await asyncio.sleep(wait_s)
     assert (await world.cancel(1, "n2")).data["stage"] == "aborted"
     await world.until(lambda: not world.cloud.running_tasks("job-000001"), 40)
     await asyncio.sleep(20)
--- a/tests/scenarios/test_unresponsive_machines.py
+++ b/tests/scenarios/test_unresponsive_machines.py
@@ -1,4 +1,4 @@
-"""Machines that are silent, or that our answers do not reach."""
+"""Machines that send no heartbeats, or that replies do not reach."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.fakes.world import World, job
 
 
-async def test_no_task_stays_bound_to_a_machine_that_gets_no_answers() -> None:
+async def test_no_task_stays_assigned_to_a_machine_that_gets_no_replies() -> None:
     world = World()
     world.cloud.capacity = 2
     name = await world.start_with_machine()
@@ -20,7 +20,7 @@
     await world.submit(job(pieces=4))
     await world.wait_until_done(1, 60)
     assert {machine for _, _, machine in world.cloud.starts} != {name}
-    # It is not given anything later either, and is replaced in the end.
+    # It gets no tasks later either, and is finally deleted.
     before = len(world.cloud.starts)
     await world.submit(job(2, pieces=4))
     await world.wait_until_done(2, 60)
@@ -29,8 +29,8 @@
     assert world.cloud.violations == []
 
 
-async def test_a_machine_that_gets_commands_but_no_answers_is_not_tried_forever() -> None:
-    # What is started there by direct commands dies with each lease, for that renews nothing.
+async def test_a_machine_that_gets_commands_but_no_replies_gets_no_new_tasks() -> None:
+    # Tasks started there by direct commands end with each lease: direct commands renew no lease.
     world = World({"silent_leases": 100})
     world.cloud.run_s = lambda task: 15.0
     world.cloud.capacity = 2
@@ -45,7 +45,7 @@
     assert world.cloud.violations == []
 
 
-async def test_a_machine_that_gets_answers_again_gets_work_again() -> None:
+async def test_a_machine_that_gets_replies_again_gets_tasks_again() -> None:
     world = World({"silent_leases": 100})
     world.cloud.capacity = 1
     name = await world.start_with_machine()
@@ -60,7 +60,7 @@
     assert len(world.cloud.starts) == 4
 
 
-async def test_work_on_a_machine_that_gets_no_answers_outlives_no_leader_unproven() -> None:
+async def test_tasks_of_a_machine_that_gets_no_replies_are_restarted_after_a_failover() -> None:
     world = World()
     world.cloud.run_s = lambda task: 30.0
     name = await world.start_with_machine()
@@ -68,12 +68,12 @@
     await world.until(lambda: len(world.cloud.starts) == 4)
     world.network.filters.append(heartbeats_only(name))
     world.kill(str(world.leader))
-    # The new leader's fencing token never reaches it: its heartbeats prove nothing.
+    # The new leader's fencing token never reaches the machine: its heartbeats prove nothing.
     await world.wait_until_done(1, 120)
     assert world.cloud.violations == []
 
 
-async def test_a_cancelled_job_is_gone_in_time_where_answers_do_not_arrive() -> None:
+async def test_tasks_of_a_cancelled_job_end_in_time_on_a_machine_that_gets_no_replies() -> None:
     world = World()
     world.cloud.run_s = lambda task: 500.0
     world.cloud.lease_s = 300.0
@@ -85,13 +85,13 @@
     await world.until(lambda: not world.cloud.running_tasks("job-000001"), 40)
 
 
-async def test_a_machine_that_boots_for_long_is_given_the_time_to_see_our_fencing_token() -> None:
-    # Measured: with the time since the rental counted, 88 machines that took longer to boot
-    # than the patience with unproven ones went back at their first heartbeat.
+async def test_a_machine_with_a_long_boot_has_time_to_see_the_fencing_token() -> None:
+    # When the limit for unconfirmed machines counted from provisioning, 88 machines with a longer
+    # boot were deleted at their first heartbeat.
     world = World()
     world.cloud.boot_s = 36.0
     world.cloud.run_s = lambda task: 100.0
-    for _ in range(6):  # most machines do hear us: the new ones are the exception
+    for _ in range(6):  # most machines get replies: the new ones are the exception
         world.cloud.add_machine()
     await world.start_controllers()
     world.network.filters.append(
@@ -105,12 +105,12 @@
     assert world.cloud.violations == []
 
 
-async def test_a_new_leader_returns_no_machine_that_it_has_only_not_heard_yet() -> None:
+async def test_a_new_leader_deletes_no_machine_before_its_first_heartbeat() -> None:
     world = World({"idle_min_s": 600})
     await world.start_controllers()
     await world.submit(job(pieces=24))
     await world.wait_until_done()
-    await asyncio.sleep(60)  # far longer than any boot takes
+    await asyncio.sleep(60)  # far longer than any boot
     machines = set(world.cloud.hosts)
     assert len(machines) > 3
     # For a while the workers' heartbeats don't get through to the new leader.
@@ -125,12 +125,12 @@
     assert set(world.cloud.hosts) >= machines
 
 
-async def test_many_silent_machines_are_called_a_few_at_a_time(
+async def test_many_unreachable_machines_are_called_a_few_at_a_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # A zone cut off: every call there hangs until it times out. Guards against a call for
-    # each machine at once, and against connections to all machines kept open beside those
-    # that the heartbeats come on.
+    # Calls to a zone that is cut off hang until they time out. Guards against calling all its
+    # machines at once, and against keeping connections to all machines open in addition to those
+    # of their heartbeats.
     monkeypatch.setattr(command_dispatcher, "MIN_CALL_LIMIT", 6)
 
     world = World()
@@ -140,19 +140,19 @@
     await asyncio.sleep(5)
     leader = str(world.leader)
     active = world.active(leader)
-    seen: list[int] = []
+    concurrent_calls: list[int] = []
 
     def cut(src: str, dst: str, *rest: Any) -> str | None:
         if src != leader or not dst.endswith(":9000"):
             return None
-        seen.append(len(active.command_dispatcher._calls))
+        concurrent_calls.append(len(active.command_dispatcher._calls))
         return "cut"
 
     world.network.filters.append(cut)
     await world.submit(job(1, pieces=80, cpus=1.0))
     await world.wait_until_done(1)
-    assert len(seen) > 6
-    assert max(seen) == 6
+    assert len(concurrent_calls) > 6
+    assert max(concurrent_calls) == 6
     machines = len(active.registry.machines)
     assert command_dispatcher.CommandDispatcher(
         active.command_dispatcher._http_client, active.registry, 4 * machines
@@ -162,10 +162,10 @@
     ).may_keep_connections()
 
 
-async def test_a_leader_that_may_have_been_replaced_returns_nothing_for_being_idle() -> None:
-    # A leader that stood still, or lost the key-value store alone, sees machines idle or silent
-    # that its successor has put to work. A deletion asks for no fencing token: it would end
-    # that work.
+async def test_a_leader_that_may_have_been_replaced_deletes_no_idle_machines() -> None:
+    # A leader that was paused, or that alone lost the key-value store, sees machines as idle or
+    # unreachable to which its successor has assigned tasks. The cloud checks no fencing token on a
+    # deletion, which would end those tasks.
     world = World()
     await world.start_controllers()
     await world.submit(job(pieces=12))
@@ -175,7 +175,7 @@
     assert world.cloud.hosts
     before = set(world.cloud.hosts)
     world.store.in_outage = True
-    await asyncio.sleep(300)  # idle for long, and above the peak recently
+    await asyncio.sleep(300)  # the machines are idle for long and exceed the recent peak
     assert not active.holds_lease()
     assert before
     assert set(world.cloud.hosts) == before
@@ -183,9 +183,9 @@
     await world.until(lambda: not world.cloud.hosts, 300)
 
 
-async def test_a_machine_that_missed_its_heartbeats_gets_no_new_work_while_its_lease_runs() -> None:
-    # A zone cut off: the machines there look free until their leases have run out. Work put
-    # there would be bound so long, and calls there would keep those to the rest waiting.
+async def test_a_machine_that_missed_heartbeats_gets_no_new_tasks_while_its_lease_runs() -> None:
+    # The machines of a zone that is cut off look free until their leases expire. Tasks placed there
+    # would be stuck that long, and calls to them would delay calls to the other machines.
     world = World()
     world.cloud.capacity = 2
     await world.start_controllers()
@@ -198,10 +198,10 @@
     assert not active.registry.machines[names[0]].lease_expired
     calls: list[str] = []
 
-    def watched(src: str, dst: str, *rest: Any) -> None:
+    def record_call(src: str, dst: str, *rest: Any) -> None:
         calls.append(dst)
 
-    world.network.filters.insert(0, watched)
+    world.network.filters.insert(0, record_call)
     await world.submit(job(1, pieces=3))
     assert await world.wait_until_done(1) < 9 + world.cloud.run_s("job-000001/0")
     assert not any(d.startswith(names[0]) for d in calls)
--- a/tests/scenarios/test_upgrade.py
+++ b/tests/scenarios/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Old and new versions side by side, and limits of the key-value store that drop."""
+"""Old and new versions side by side, and lower limits of the key-value store."""
 
 from __future__ import annotations
 
@@ -50,17 +50,17 @@
     await world.wait_until_done(1, 300)
     assert state.value(TERM_KEY)["term"] == 2
     started = [n for _, n, _ in world.cloud.starts]
-    assert len(started) == 198, "two were done before"
-    assert "job-000001/1" not in started, "two were done before"
+    assert len(started) == 198, "two tasks were done before"
+    assert "job-000001/1" not in started, "two tasks were done before"
     assert name
     assert world.cloud.violations == []
 
 
-async def test_the_old_version_reads_what_the_new_one_writes_before_all_are_new() -> None:
+async def test_the_old_version_can_read_what_the_new_one_writes_during_an_upgrade() -> None:
     world = World()
     await world.start_controllers()
     old = next(n for n in LABELS if n != world.leader)
-    turn = make_peers_old(world, old)
+    old_peer_filter = make_peers_old(world, old)
     world.store._apply([{"delete": FEATURE_LEVEL_KEY}])
     for label in LABELS:
         world.kill(label)
@@ -75,34 +75,36 @@
     assert world.store.value(FEATURE_LEVEL_KEY) is None
     for key, value in written_values(world):
         assert_old_version_can_read(key, value)
-    # Its turn has come: now services are taken, and that stays so whoever leads.
-    world.network.filters.remove(turn)
+    # The last peer is upgraded: services are accepted from now on, whichever controller leads.
+    world.network.filters.remove(old_peer_filter)
     await world.until(lambda: world.store.value(FEATURE_LEVEL_KEY), 30)
     await asyncio.sleep(1)
     assert (await world.submit(service(3))).status == 201
     make_peers_old(world, *LABELS)
     world.kill(str(world.leader))
     await world.until(lambda: world.leader, 10)
-    node = str(world.leader)
-    assert (await world.submit(service(4), node)).status == 201
+    leader = str(world.leader)
+    assert (await world.submit(service(4), leader)).status == 201
 
 
-def test_limits_to_come_are_read_and_checked() -> None:
+def test_upcoming_store_limits_are_read_and_checked() -> None:
     assert settings().settings.state.least == settings().settings.state
     assert settings(**with_upcoming_limits()).settings.state.least.txn_ops == 24
     least = settings(
         **with_upcoming_limits(value_kb=2.0, txn_ops=4, write_rps=150.0)
     ).settings.state.least
     assert (least.value_kb, least.txn_ops, least.write_rps) == (2.0, 4, 100.0)
-    for wrong in ({"value_kb": 0}, {"txn_ops": -1}, {"write_rps": "x"}, {"rps": 0.0}):
+    for invalid in ({"value_kb": 0}, {"txn_ops": -1}, {"write_rps": "x"}, {"rps": 0.0}):
         with pytest.raises(UserError, match=r"state\.next"):
-            settings(**with_upcoming_limits(**wrong))
+            settings(**with_upcoming_limits(**invalid))
     with pytest.raises(UserError):
         parse_settings(orjson.dumps({"label": "n0"}), "test")
 
 
 @pytest.mark.parametrize("drop_after", [0.5, 6.0, 30.0])
-async def test_limits_drop_while_an_old_jobs_chunks_are_larger(drop_after: float) -> None:
+async def test_an_old_job_finishes_when_store_limits_drop_below_its_chunk_size(
+    drop_after: float,
+) -> None:
     world = World(params=with_upcoming_limits(value_kb=1.0, txn_ops=3, write_rps=40.0))
     world.cloud.run_s = lambda task: 12.0
     world.cloud.capacity = 30
@@ -113,22 +115,24 @@
     world.store.max_value_bytes, world.store.max_txn_ops = 1024, 3
     await world.wait_until_done(1, 300)
     await world.wait_until_done(2, 300)
-    assert world.store.oversized_count < 5, "nothing is tried again and again"
+    assert world.store.oversized_count < 5, "oversized writes are repeated"
     largest = max(len(orjson.dumps(v)) for k, v in written_values(world) if "/job-000002" in k)
     assert largest <= 1024
     assert world.cloud.violations == []
 
 
-async def test_a_job_too_long_to_be_stored_is_refused() -> None:
+async def test_a_job_too_large_to_be_stored_is_refused() -> None:
     world = World(params=with_upcoming_limits(value_kb=0.5))
     await world.start_controllers()
     assert (await world.submit(job(1, bundle="i" * 200, lane="l" * 100))).status == 422
     assert (await world.submit(job(2))).status == 201
 
 
-@pytest.mark.parametrize("lost", [False, True])
-async def test_leadership_goes_from_old_to_new_and_back_with_work_under_way(lost: bool) -> None:
-    # What an old leader does in between is written in its stored forms, as of its commit.
+@pytest.mark.parametrize("replies_lost", [False, True])
+async def test_tasks_survive_leadership_moving_between_old_and_new_versions(
+    replies_lost: bool,
+) -> None:
+    # The writes of the old leaders in between have the stored form of their commit.
     world = World()
     world.cloud.run_s = lambda task: 60.0
     await world.start_controllers()
@@ -136,25 +140,25 @@
         await world.submit(job(number))
     await world.until(lambda: len(world.cloud.starts) == 8, 60)
     await asyncio.sleep(3)
-    for turn in range(2):
+    for old_leader in range(2):
         for label in LABELS:
             world.kill(label)
         await asyncio.sleep(0.5)
         state = world.store
         term = state.value(TERM_KEY)["term"] + 1
-        changes = [{"set": TERM_KEY, "v": {"term": term, "run": f"old{turn}", "hold": 1}}]
-        if turn == 0:  # the old leader takes a cancellation
+        changes = [{"set": TERM_KEY, "v": {"term": term, "run": f"old{old_leader}", "hold": 1}}]
+        if old_leader == 0:  # the old leader accepts a cancellation
             value = dict(state.value(job_key("job-000002")))
             changes.append({"set": job_key("job-000002"), "v": value | {"aborted": world.now()}})
             world.cancel_confirmed_at["job-000002"] = world.now()
             world.final_stages["job-000002"] = "aborted"
-        # It writes progress again, as it does after a failover.
+        # The old leader writes progress again, as it does after a failover.
         key = progress_key("job-000001", 0)
         progress = state.value(key)
         assert_old_version_can_read(key, progress)
         changes.append({"set": key, "v": {"held": progress["held"], "done": progress["done"]}})
         state._apply(changes)
-        if lost:
+        if replies_lost:
             world.network.filters.append(
                 lambda src, dst, method, path, body: (
                     "lose" if path == "/multi" and (body or {}).get("apply") else None
