--- a/tests/fakes/failover.py
+++ b/tests/fakes/failover.py
@@ -107,8 +107,8 @@
 
         return run_and_record
 
-    for node in world.controllers.values():
-        node._failover.run = recording(node._failover.run)  # type: ignore[method-assign]
+    for controller in world.controllers.values():
+        controller._failover.run = recording(controller._failover.run)  # type: ignore[method-assign]
     return placements
 
 
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -163,7 +163,7 @@
     def start(self, *labels: str) -> None:
         for label in labels or LABELS:
             self.start_count += 1
-            node = Controller(
+            controller = Controller(
                 settings(label, **self.params),
                 self.network.client_of(label),
                 self.policy,
@@ -171,10 +171,10 @@
                 run_id=f"run{self.start_count}",
                 standby=self.standby,
             )
-            self.controllers[label] = node
-            self.network.hosts[f"{label}:80"] = self._endpoint(node.public)
-            self.network.hosts[f"{label}:81"] = self._endpoint(node.peers)
-            node.start()
+            self.controllers[label] = controller
+            self.network.hosts[f"{label}:80"] = self._endpoint(controller.public)
+            self.network.hosts[f"{label}:81"] = self._endpoint(controller.peers)
+            controller.start()
 
     @staticmethod
     def _endpoint(handler: Any) -> Any:
--- a/tests/loopback/trial.py
+++ b/tests/loopback/trial.py
@@ -135,8 +135,8 @@
         self._prepare()
         users = asyncio.create_task(self._run_users())
         try:
-            for node in self.controllers:
-                node.start()
+            for controller in self.controllers:
+                controller.start()
             await self._wait_until(self._has_started_task, START_LIMIT_S)
             for _ in range(self.options.kills):
                 await asyncio.sleep(self._random.uniform(1.0, 2.5))
@@ -166,28 +166,30 @@
         labels = [f"n{number}" for number in range(self.options.controllers)]
         sockets = {label: (bind_socket(), bind_socket()) for label in labels}
         for label, (public, peers) in sockets.items():
-            node = ControllerProcess(label, self._directory / f"{label}.json", self.options.standby)
-            node.public, node.peers = address_of(public), address_of(peers)
-            self.controllers.append(node)
+            controller = ControllerProcess(
+                label, self._directory / f"{label}.json", self.options.standby
+            )
+            controller.public, controller.peers = address_of(public), address_of(peers)
+            self.controllers.append(controller)
         # Bound for the whole trial but never listened on here: a controller process can still
         # listen on its port, and the system gives it to nobody else while that process is down.
         self._ports = [bound for pair in sockets.values() for bound in pair]
-        controllers = [(node.label, node.public) for node in self.controllers]
+        controllers = [(controller.label, controller.public) for controller in self.controllers]
         self.services = FakeServices(controllers, self.options.machines)
         self.services.cloud.heartbeat_interval_s = self.options.heartbeat_interval_s
         self.services.cloud.lease_s = self._lease_s
         self.services.cloud.lease_check_interval_s = self._lease_s / CHECKS_PER_LEASE
-        for node in self.controllers:
-            path = self._directory / f"{node.label}.json"
-            path.write_bytes(orjson.dumps(self._settings(node)))
+        for controller in self.controllers:
+            path = self._directory / f"{controller.label}.json"
+            path.write_bytes(orjson.dumps(self._settings(controller)))
 
-    def _settings(self, node: ControllerProcess) -> dict[str, Any]:
-        others = [other for other in self.controllers if other is not node]
+    def _settings(self, controller: ControllerProcess) -> dict[str, Any]:
+        others = [other for other in self.controllers if other is not controller]
         seeds = [{"label": other.label, "endpoint": other.peers, "site": "a"} for other in others]
         return {
-            "label": node.label,
-            "listen": node.public,
-            "cluster_listen": node.peers,
+            "label": controller.label,
+            "listen": controller.public,
+            "cluster_listen": controller.peers,
             "seeds": seeds,
             "outside": {"cloud": self.services.cloud_address, "state": self.services.store_address},
             "settings": {
@@ -204,9 +206,9 @@
         }
 
     def _kill_controllers(self) -> None:
-        for node in self.controllers:
-            if node.process is not None and node.process.poll() is None:
-                node.send_signal(signal.SIGKILL)
+        for controller in self.controllers:
+            if controller.process is not None and controller.process.poll() is None:
+                controller.send_signal(signal.SIGKILL)
 
     def _leader(self) -> ControllerProcess | None:
         value = self.services.store.value(LEADER_KEY)
@@ -266,11 +268,11 @@
         finally:
             setattr(self.services, hook_names[point], no_hook)
 
-    def _recover(self, node: ControllerProcess, paused: bool) -> None:
+    def _recover(self, controller: ControllerProcess, paused: bool) -> None:
         if paused:
-            node.send_signal(signal.SIGCONT)
+            controller.send_signal(signal.SIGCONT)
         else:
-            node.start()
+            controller.start()
 
     def _write_burst(self) -> None:
         """Write a thousand changes at once, to the progress of a job that does not exist."""
@@ -325,8 +327,8 @@
     async def _request(self, job_id: str, method: str, path: str, body: Any = None) -> None:
         """Send a request to random controllers until one of them answers it."""
         while True:
-            node = self._random.choice(self.controllers)
-            reply = await self._call(node.public, method, path, body)
+            controller = self._random.choice(self.controllers)
+            reply = await self._call(controller.public, method, path, body)
             if reply.status in (200, 201):
                 stage = reply.data["stage"]
                 self._stages[job_id] = stage
--- a/tests/scenarios/test_late_messages.py
+++ b/tests/scenarios/test_late_messages.py
@@ -33,8 +33,8 @@
 
 def test_tasks_of_a_machine_reached_only_by_direct_calls_start_nowhere_else() -> None:
     # The machine's lease expires; replies to direct calls show its next incarnation. The time of
-    # the last reply was taken for the start of that incarnation's lease, so tasks started there were
-    # considered lost while they ran.
+    # the last reply was taken for the start of that incarnation's lease, so tasks started there
+    # were considered lost while they ran.
     harness = RegistryHarness()
     harness.heartbeat()
     harness.assign()
--- a/tests/scenarios/test_scale.py
+++ b/tests/scenarios/test_scale.py
@@ -159,7 +159,7 @@
     world.active().scheduling._attempt_numbers._used = MAX_ATTEMPTS_PER_TERM - 2
     await world.submit(job(pieces=6))
     await world.wait_until_done()
-    assert all(node.leader_term is not first for node in world.controllers.values())
+    assert all(controller.leader_term is not first for controller in world.controllers.values())
     assert sorted(n for _, n, _ in world.cloud.starts) == [f"job-000001/{i}" for i in range(6)]
     assert world.cloud.violations == []
 
