--- a/spoolcourse/control/placement/backfill.py
+++ b/spoolcourse/control/placement/backfill.py
@@ -28,17 +28,17 @@
 
 # Penalties of a candidate. They are summed, and the lowest sum is preferred.
 SCARCE_TYPE_PENALTY = 1  # other jobs depend on this machine type
-SCALE_IN_PENALTY = 2  # to be emptied
+SCALE_IN_PENALTY = 2  # the machine is to be emptied and released
 FETCH_PENALTY = 4  # for jobs that may preempt: users wait, so a cached image outweighs the others
 
 
 def place(snapshot: Snapshot) -> Plan:
-    """Run the placement pass, which modifies the snapshot. Does no I/O and reads no clock."""
+    """Run the placement pass and return its plan. Modifies the snapshot."""
     return BackfillPass(snapshot).run()
 
 
 class BackfillPass:
-    """One pass over a snapshot, which it modifies."""
+    """One placement pass over a snapshot. Modifies the snapshot."""
 
     def __init__(self, snapshot: Snapshot) -> None:
         self._snapshot = snapshot
@@ -68,15 +68,15 @@
         for job_index, job in enumerate(self._snapshot.jobs):
             if job.pending_tasks <= 0:
                 continue
-            allowed = min(job.pending_tasks, self._snapshot.teams[job.team].tasks_that_fit(job))
-            placed = self._place_job(job_index, job, allowed) if allowed > 0 else 0
-            unplaced = allowed - placed
+            max_tasks = min(job.pending_tasks, self._snapshot.teams[job.team].tasks_that_fit(job))
+            placed = self._place_job(job_index, job, max_tasks) if max_tasks > 0 else 0
+            unplaced = max_tasks - placed
             if unplaced > 0:
                 plan.unplaced_tasks[job_index] = unplaced
                 plan.wait_reasons.setdefault(job_index, "machines")
                 if plan.head is None:
                     self._reserve_for_head(job_index, job, unplaced)
-            elif allowed < job.pending_tasks:
+            elif max_tasks < job.pending_tasks:
                 plan.wait_reasons[job_index] = "team limit"
         return plan
 
@@ -217,8 +217,8 @@
     )
     if job.may_preempt and delay_s > 0.0:
         penalty += FETCH_PENALTY
-    # Replicas of a service are spread over machines where that costs nothing, so that the loss of
-    # a machine stops only one of them.
+    # Replicas of a service are spread over machines with equal penalty and delay, so that the loss
+    # of a machine stops only one replica.
     replicas = job.replicas_by_machine.get(machine_index, 0)
     packing_key = machine.cpus if fullest_first else -machine.cpus
     return (penalty, delay_s, replicas, packing_key, machine_index)
--- a/spoolcourse/control/placement/image_fetches.py
+++ b/spoolcourse/control/placement/image_fetches.py
@@ -11,7 +11,7 @@
 
 
 def needs_fetch(job: PlacementJob, machine: PlacementMachine) -> bool:
-    """Whether the job needs a new fetch: its image is neither cached nor being fetched there."""
+    """Whether the job has an image that is neither cached nor being fetched on the machine."""
     return (
         job.image_gb > 0
         and job.image not in machine.cached_images
@@ -20,7 +20,10 @@
 
 
 def fetch_delay_s(job: PlacementJob, machine: PlacementMachine) -> float:
-    """Return how long a task placed there now waits for its image. Fetches run in sequence."""
+    """Return how long a task placed on the machine now waits for its image.
+
+    A machine fetches its images one after another.
+    """
     if job.image_gb <= 0 or job.image in machine.cached_images:
         return 0.0
     gb_per_s = max(machine.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
@@ -43,7 +46,7 @@
 
     @property
     def requires_idle_zone(self) -> bool:
-        """Whether a single fetch exceeds the zone limit: it then needs a zone without fetches."""
+        """Whether the zone limit is below one fetch: a fetch then needs a zone without fetches."""
         return self._per_zone < 1
 
     def allow(self, job: PlacementJob, machine: PlacementMachine) -> bool:
--- a/spoolcourse/control/placement/model.py
+++ b/spoolcourse/control/placement/model.py
@@ -49,10 +49,10 @@
     attempt_number: int = -1
     rank: int = 0  # 0 is the highest
     team: int = 0
-    checkpoint_loss_cpu_s: float = 0.0  # lost by stopping it if `unsaved_since` is None
+    checkpoint_loss_cpu_s: float = 0.0  # loss if stopped; used if `unsaved_since` is None
     stopping: bool = False
-    within_guarantee: bool = False  # of its team: not preempted for another's guarantee
-    unsaved_since: float | None = None  # stopping it loses all work since then
+    within_guarantee: bool = False  # of its team; not preempted for another team's
+    unsaved_since: float | None = None  # if stopped, all work since then is lost
 
     def loss_cpu_s(self, now: float) -> float:
         """CPU seconds of work that are lost if the task is stopped."""
@@ -126,7 +126,7 @@
     spot_allowed: bool = True
     one_zone: bool = False
     max_tasks_per_zone: int | None = None
-    tasks_by_zone: dict[int, int] = msgspec.field(default_factory=dict)  # that run or may run there
+    tasks_by_zone: dict[int, int] = msgspec.field(default_factory=dict)  # tasks that may be running
     tasks_in_unknown_zones: int = 0
     avoided_machines: frozenset[int] = frozenset()  # machines on which it failed recently
     rank: int = 2  # 0 is the highest
@@ -149,7 +149,7 @@
         )
 
     def tasks_allowed_in_zone(self, zone: int) -> int:
-        """Return how many more of its tasks may start in the zone now.
+        """Return how many more tasks of the job may start in the zone now.
 
         Tasks on machines whose zone is unknown may be anywhere, so they count against every zone.
         """
--- a/spoolcourse/control/placement/preempt.py
+++ b/spoolcourse/control/placement/preempt.py
@@ -1,10 +1,10 @@
 """Preemption for rank and team guarantee: running tasks are stopped for jobs that may preempt.
 
 This is the second exception to the arrival order (docs/design.md). A job may preempt if users
-wait for its class to start, or if it fits into its team's guarantee. It may preempt tasks of lower
-rank and, if it is within its guarantee, tasks of the same rank of teams that exceed their own
-guarantee. Jobs are scheduled in the same order (rank, guarantee, arrival), as two jobs must not
-preempt each other in turn.
+wait for jobs of its class, or if it fits into its team's guarantee. It may preempt tasks of lower
+rank. A job within its team's guarantee may also preempt tasks of the same rank, of teams that
+exceed their own guarantee. Jobs are scheduled in the same order (rank, guarantee, arrival), as two
+jobs must not preempt each other in turn.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     tasks_that_fit,
 )
 
-MIN_LOSS_DIVISOR_CPUS = 0.1  # for the loss per CPU of tasks with almost no CPUs
+MIN_LOSS_DIVISOR_CPUS = 0.1  # divisor of the loss per CPU for tasks that use fewer CPUs
 
 _Demand = tuple[int, int]  # index of a job that may preempt, number of its unplaced tasks
 
@@ -55,7 +55,7 @@
     def _victim_candidates(
         self, highest_rank: int, min_remaining_s: float
     ) -> list[tuple[int, RunningTask]]:
-        """Return the tasks that some demand may preempt with their machines, least loss first."""
+        """Return the machine index and task of each possible victim, least loss first."""
         now = self._snapshot.now
         candidates = sorted(
             (
@@ -84,8 +84,8 @@
 
     def run(self) -> list[int]:
         """Process the demands in order and return the attempt numbers of the tasks to stop."""
-        # Signatures of demands that found too few victims: the next such demand would find none.
-        # Searching all tasks again for each demand would cost O(machines * jobs).
+        # Signatures of demands that found too few victims: another demand with the same signature
+        # would find none, and searching all tasks for each demand costs O(machines * jobs).
         without_victims: set[tuple[object, ...]] = set()
         for job_index, unplaced_tasks in self._demands:
             job = self._snapshot.jobs[job_index]
@@ -170,7 +170,7 @@
 
 
 def _demand_signature(job: PlacementJob) -> tuple[object, ...]:
-    """Return a key; demands with equal keys find the same victims."""
+    """Return a key that is equal for demands that may preempt the same tasks."""
     return (
         *(job.rank, job.within_guarantee, job.team),
         *(job.machine_types, job.zone, job.spot_allowed),
--- a/spoolcourse/control/placement/reservations.py
+++ b/spoolcourse/control/placement/reservations.py
@@ -22,12 +22,12 @@
 
 
 class Reservation(FreeResources):
-    """Resources that a machine has left from `starts_at` on, when tasks of the head run there."""
+    """Resources of a machine that its reserved tasks of the head leave free from `starts_at` on."""
 
     starts_at: float
 
     def tasks_allowed(self, job: PlacementJob, expected_end: float) -> int:
-        """Return how many tasks of the job that end then do not delay the head."""
+        """Return how many tasks that run until `expected_end` do not delay the head."""
         if expected_end <= self.starts_at + EPSILON:
             return UNBOUNDED_TASKS
         return self.tasks_that_fit(job)
@@ -54,7 +54,7 @@
 def reserve(snapshot: Snapshot, job: PlacementJob, zones: set[int], tasks: int) -> HeadReservations:
     """Reserve machines for the next tasks of the head, at most `MAX_RESERVED_TASKS` of them.
 
-    Processes the expected ends of running tasks in time order until that many tasks fit.
+    Processes the expected ends of running tasks in time order until all of them fit.
     """
     events = _first_events(snapshot, job, zones)
     missing = min(tasks, MAX_RESERVED_TASKS)
@@ -101,7 +101,7 @@
             continue
         if not job.runs_on(machine.machine_type, machine.spot):
             continue
-        if machine.tasks_that_fit(job):  # it boots, or a fetch limit blocked it
+        if machine.tasks_that_fit(job):  # it still boots, or a fetch limit blocked it
             events.append((max(machine.ready_at, now), machine_index, 0))
         elif machine.tasks and machine.tasks[0].expected_end < inf:
             events.append((max(machine.tasks[0].expected_end, now), machine_index, 1))
