--- a/spoolcourse/control/scheduling/attempt_numbers.py
+++ b/spoolcourse/control/scheduling/attempt_numbers.py
@@ -7,7 +7,10 @@
 
 
 class AttemptNumbersExhaustedError(Exception):
-    """The next number would belong to the next term. A new term has unused numbers."""
+    """A term has used all its attempt numbers; the next one would belong to the next term.
+
+    A newly elected leader has unused numbers.
+    """
 
     def __init__(self, fencing_token: int) -> None:
         super().__init__(
--- a/spoolcourse/control/scheduling/capacity_planning.py
+++ b/spoolcourse/control/scheduling/capacity_planning.py
@@ -33,7 +33,7 @@
     def plan(self, snapshot: Snapshot, plan: Plan, team_cpus: list[float], now: float) -> None:
         """Request machines for the plan's unplaced tasks, then for headroom.
 
-        `team_cpus` are the CPUs that each team could still use before the pass.
+        `team_cpus` holds, by team, the CPUs that the team could still use before the pass.
         """
         if self._autoscaler.scale_out.is_in_progress:
             return
--- a/spoolcourse/control/scheduling/job_order.py
+++ b/spoolcourse/control/scheduling/job_order.py
@@ -16,8 +16,8 @@
     """The live jobs in scheduling order, and two sets of job IDs that determine it."""
 
     job_states: list[JobState]
-    within_guarantee: set[str]  # together with earlier jobs of the team
-    starved_jobs: set[str]  # first task is scheduled ahead of all ranks
+    within_guarantee: set[str]  # jobs that fit into their team's guarantee with its earlier jobs
+    starved_jobs: set[str]  # jobs whose first task is scheduled ahead of all ranks
 
 
 def order_jobs(
@@ -53,8 +53,8 @@
 def _is_starved(job_state: JobState, begin_s: float, now: float) -> bool:
     """Whether the job has waited so long that its first task is scheduled ahead of all ranks.
 
-    This is the fourth exception: a steady arrival of urgent jobs must not starve a job forever. It
-    applies only to the job's first task.
+    This is the fourth exception to the arrival order (docs/design.md): a steady arrival of urgent
+    jobs must not starve a job forever. The exception applies only to the job's first task.
     """
     return (
         not job_state.attempts
--- a/spoolcourse/control/scheduling/job_views.py
+++ b/spoolcourse/control/scheduling/job_views.py
@@ -29,8 +29,8 @@
     now: float
     boot_s: float  # of the machine type that boots slowest
     machine_numbers: dict[str, int]  # by machine ID: index in the snapshot
-    within_guarantee: set[str]  # jobs
-    starved_jobs: set[str]  # jobs
+    within_guarantee: set[str]  # job IDs
+    starved_jobs: set[str]  # job IDs
 
 
 class JobViews:
@@ -118,8 +118,8 @@
         On-demand machines cost a multiple of spot machines. They are used for deadlines that would
         otherwise be missed and for jobs without a known deadline; other jobs wait for spot machines
         as long as possible. A job without its own deadline gets the one of its class's objectives.
-        A wait objective or a guarantee is already missed when a new machine has booted, so neither
-        is a reason to provision one.
+        By the time a new machine has booted, a wait objective or a guarantee is already missed, so
+        neither is a reason to provision one.
         """
         submission = job_state.record.submission
         if submission.is_service:
@@ -135,7 +135,7 @@
         return max(earliest_at, job_state.waiting_since + due_s - needed_s)
 
     def _count_tasks_by_zone(self, job: PlacementJob, job_state: JobState) -> None:
-        """Count tasks by zone; those that may be in any zone count against every zone."""
+        """Count the job's tasks by zone, and those on machines whose zone is unknown."""
         zones = self._indices.zones
         for attempt in job_state.attempts.values():
             machine = self._registry.machines.get(attempt.machine)
--- a/spoolcourse/control/scheduling/scarce_machine_types.py
+++ b/spoolcourse/control/scheduling/scarce_machine_types.py
@@ -10,7 +10,7 @@
 
 
 class ScarceMachineTypes:
-    """Keeps a machine type marked as scarce for the policy's `rare_s`."""
+    """Marks machine types as scarce, each for `rare_s` seconds (a policy key)."""
 
     def __init__(self, policy: Policy) -> None:
         self._policy = policy
@@ -19,7 +19,7 @@
     def update(
         self, jobs: Iterable[JobState], machine_types: dict[str, MachineType], now: float
     ) -> None:
-        """Mark the usable types of each job that cannot use all types."""
+        """Mark as scarce the types that a job can use, for each job that cannot use all types."""
         for job_state in jobs:
             fitting = [
                 machine_type.name
--- a/spoolcourse/control/scheduling/scheduling_loop.py
+++ b/spoolcourse/control/scheduling/scheduling_loop.py
@@ -24,7 +24,7 @@
 
 
 class SchedulingLoop:
-    """Runs placement passes while this controller certainly holds the lease."""
+    """Runs placement passes while this controller is certain to hold the leader's lease."""
 
     def __init__(
         self,
--- a/spoolcourse/control/scheduling/snapshot_builder.py
+++ b/spoolcourse/control/scheduling/snapshot_builder.py
@@ -17,7 +17,7 @@
 from spoolcourse.wire.messages import ListedMachineStage, MachineType
 from spoolcourse.wire.settings import DeploymentSettings
 
-MIN_REMAINING_BOOT_S = 1.0  # at least this long until a booting machine is ready
+MIN_REMAINING_BOOT_S = 1.0  # shortest assumed time until a booting machine is ready
 
 
 class SnapshotBuilder:
@@ -58,16 +58,16 @@
         """Whether a recent job could use this type, but not all types."""
         return self._scarce_types.is_scarce_type(machine_type, now)
 
-    def attempts(self, numbers: list[int]) -> list[Attempt]:
-        """Return the attempts on the snapshot's machines with these numbers, in the same order."""
-        wanted_numbers = set(numbers)
+    def attempts(self, attempt_numbers: list[int]) -> list[Attempt]:
+        """Return the attempts with these numbers on the snapshot's machines, in the same order."""
+        searched_numbers = set(attempt_numbers)
         by_number = {
             attempt.number: attempt
             for machine in self.machines
             for attempt in machine.attempts.values()
-            if attempt.number in wanted_numbers
+            if attempt.number in searched_numbers
         }
-        return [by_number[number] for number in numbers]
+        return [by_number[number] for number in attempt_numbers]
 
     def build_snapshot(self, now: float, machine_types: dict[str, MachineType]) -> Snapshot:
         """Build the snapshot of the current state."""
--- a/spoolcourse/control/scheduling/snapshot_cache.py
+++ b/spoolcourse/control/scheduling/snapshot_cache.py
@@ -31,10 +31,10 @@
 
 
 class CachedMachine(msgspec.Struct):
-    """The computed state of a machine. Passes do not modify the collections."""
+    """The cached state of a machine. Passes do not modify its collections."""
 
-    change_count: int  # `Machine.change_count` at computation
-    valid_until: float
+    change_count: int  # `Machine.change_count` when this state was computed
+    valid_until: float  # when the estimates must be recomputed
     machine_type: int
     zone: int
     cpus: float  # free; also the next two
@@ -58,7 +58,10 @@
         self._within_guarantee: set[str] = set()
 
     def update_guarantees(self, within_guarantee: set[str], jobs: dict[str, JobState]) -> None:
-        """Set the jobs within guarantees; drop the cached machines of jobs that changed."""
+        """Replace the jobs within their team's guarantee.
+
+        Drops the cached state of machines that run a job that was added or removed.
+        """
         for job in self._within_guarantee ^ within_guarantee:
             job_state = jobs.get(job)
             for attempt in job_state.attempts.values() if job_state is not None else ():
@@ -161,7 +164,7 @@
     def _add_tasks(
         self, view: PlacementMachine, machine: Machine, fetch_s: float, now: float
     ) -> float:
-        """Add the machine's attempts to its view; return the time until which it is valid."""
+        """Add the machine's attempts to its view; return until when their estimates are valid."""
         valid_until = inf
         for attempt in machine.attempts.values():
             _subtract(view, attempt.job_state.record.submission)
@@ -198,7 +201,7 @@
         )
 
     def _expected_end(self, attempt: Attempt, now: float, fetch_s: float) -> tuple[float, bool]:
-        """Return the expected end, and whether it stays the same as time passes."""
+        """Return an attempt's expected end, and whether that end stays the same as time passes."""
         estimate_s = run_estimate_s(attempt.job_state, self._policy)
         elapsed_s = now - attempt.stage_since
         if attempt.is_executing:
--- a/spoolcourse/control/scheduling/team_budgets.py
+++ b/spoolcourse/control/scheduling/team_budgets.py
@@ -24,7 +24,7 @@
     ]
 
     def charge(job_state: JobState, tasks: int, stoppable: bool = True) -> None:
-        """Charge tasks to their team; only stoppable ones count as usage beyond the guarantee."""
+        """Charge tasks to their team; only stoppable tasks count towards `cpus_over_guarantee`."""
         submission = job_state.record.submission
         budget = budgets[teams.number_of(submission.team)]
         cpus = submission.cpus * tasks
--- a/spoolcourse/control/scheduling/termination_notices.py
+++ b/spoolcourse/control/scheduling/termination_notices.py
@@ -15,7 +15,7 @@
 from spoolcourse.control.workers.machine import Machine
 
 POLL_INTERVAL_S = 0.5
-HEARTBEATS_TO_CONFIRM_STOP = 2  # to learn that a stopped task has ended
+HEARTBEATS_TO_CONFIRM_STOP = 2  # until the leader knows that a stopped task has ended
 STOP_MARGIN_S = 1.0
 MAX_NEEDED_TIME_RATIO = 1.5  # of the remaining time; a task that needs more is stopped
 
@@ -51,7 +51,11 @@
                 self._registry.request_stop(attempt)
 
     def _must_stop(self, attempt: Attempt, remaining_s: float) -> bool:
-        """Whether to stop now: time for a last checkpoint, or the task cannot finish anyway."""
+        """Whether to stop the attempt now.
+
+        A task with checkpoints is stopped while there is just time for a last checkpoint, a task
+        without them if it cannot finish anyway.
+        """
         submission = attempt.job_state.record.submission
         if submission.is_service:
             return self._must_move(attempt, remaining_s)
@@ -66,9 +70,9 @@
     def _must_move(self, replica: Attempt, remaining_s: float) -> bool:
         """Whether to stop a replica now so that it restarts on another machine.
 
-        A replica restarts sooner this way than after its machine is proven to be gone. While there
-        is time, replicas move one at a time: only if no other replica is missing and another
-        machine has a place.
+        The replica restarts sooner than if its machine first had to be proven gone. While there is
+        time, replicas move one at a time: only if all replicas of the service run and another
+        machine has room.
         """
         if remaining_s < self._stop_lead_s:
             return True
--- a/spoolcourse/control/scheduling/waiting_jobs.py
+++ b/spoolcourse/control/scheduling/waiting_jobs.py
@@ -10,7 +10,7 @@
 
 log = logging.getLogger(__name__)
 
-# Wait reasons shown in `/status`, besides those of the placement pass.
+# Wait reasons shown in `/status` in addition to those of the placement pass.
 NEXT_PASS_REASON = "next pass"
 BACKOFF_REASON = "an error's pause"
 
