--- a/spoolcourse/control/jobs/backoff.py
+++ b/spoolcourse/control/jobs/backoff.py
@@ -27,5 +27,5 @@
 
 # A job with a bug fails on every machine; without a pause it would occupy them all.
 ARRAY_BACKOFF = Backoff(free_failures=2, initial_pause_s=2.0, max_pause_s=60.0)
-# The same holds for a service whose replicas keep ending, but users wait for it: shorter pauses.
+# A service whose replicas keep ending would do the same, but users wait for it: shorter pauses.
 REPLICA_BACKOFF = Backoff(free_failures=1, initial_pause_s=0.5, max_pause_s=10.0)
--- a/spoolcourse/control/jobs/cancellation_query.py
+++ b/spoolcourse/control/jobs/cancellation_query.py
@@ -1,7 +1,8 @@
 """A leader's query to its peers for cancellations that it has not read from the key-value store.
 
-It is sent while the store does not answer. If no controller can confirm a cancellation, tasks
-survive the outage; if one could, the tasks of the cancelled job still end in time.
+The query is sent while the store does not answer the leader. Once all peers have replied, the
+leader may go on renewing the workers' leases: tasks survive a store outage, and tasks of a job
+whose cancellation a peer has confirmed still end in time.
 """
 
 from __future__ import annotations
@@ -21,13 +22,13 @@
 from spoolcourse.wire.settings import Peer
 
 QUERY_PERIOD_S = 1.0
-STORE_READ_AGE_MAX_S = 2.0  # peers are queried beyond it; the health check reads each second
+STORE_READ_AGE_MAX_S = 2.0  # then peers are queried; the health check reads each second
 
 
 def answer_cancellations_query(
     job_index: JobIndex, watch_cache: WatchCache, query: str
 ) -> dict[str, Any]:
-    """Answer a leader that has applied every change up to the revision in its query.
+    """Return the reply to a leader that has applied all changes up to the query's revision.
 
     Raises `MalformedError` if the query has no valid revision.
     """
@@ -90,5 +91,5 @@
 
 
 def _acknowledges(reply: CancellationReply | None) -> bool:
-    """Whether the reply contains every cancellation that the peer can have confirmed."""
+    """Whether the peer replied with every cancellation that it can have confirmed."""
     return reply is not None and reply.has_read_store and reply.cancelled is not None
--- a/spoolcourse/control/jobs/cancellations.py
+++ b/spoolcourse/control/jobs/cancellations.py
@@ -1,9 +1,9 @@
 """Cancellations that this controller has confirmed or seen.
 
-A leader that can't read the key-value store queries them. A controller confirms to users only what
-its watch cache has shown before, be it its own write or a read. Remembering every cancellation that
-the cache showed therefore covers all that were confirmed (docs/design.md, "What the leader may not
-know").
+A leader that can't read the key-value store queries its peers for them. A controller confirms a
+cancellation to users only after its own write or a read has brought it into the watch cache.
+Remembering every cancellation in the cache therefore covers all confirmed ones (docs/design.md,
+"What the leader may not know").
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
     def __init__(self, max_count: int = CANCELLATIONS_MAX) -> None:
         self._max_count = max_count
         self._by_job: OrderedDict[str, Cancellation] = OrderedDict()
-        self._evicted_up_to_revision = 0  # cancellations up to here may have been evicted
+        self._evicted_up_to_revision = 0  # cancellations up to it may have been evicted
 
     def add(self, cancellation: Cancellation) -> None:
         """Add a cancellation; only the first one of each job is kept."""
@@ -33,7 +33,7 @@
             self._evicted_up_to_revision = max(self._evicted_up_to_revision, oldest.revision)
 
     def after(self, store_revision: int) -> list[Cancellation] | None:
-        """Return those after a store revision; None if some of them may have been evicted."""
+        """Return cancellations after a store revision; None if some may have been evicted."""
         if store_revision < self._evicted_up_to_revision:
             return None
         return [c for c in self._by_job.values() if c.revision > store_revision]
--- a/spoolcourse/control/jobs/chunk_batch.py
+++ b/spoolcourse/control/jobs/chunk_batch.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchLimits:
-    """The limits of the key-value store."""
+    """The key-value store's limits for a batch."""
 
     max_value_bytes: int  # of one value
     max_operations: int  # of one transaction
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class ChunkBatch:
-    """The writes of one transaction, and the revisions that it is conditional on.
+    """The writes of one transaction, and the revisions that the transaction requires.
 
     Each write is conditional on the revisions of its key and of its job's record: no assignment
     becomes durable for a job that was cancelled before (docs/design.md, "Rules", `ran_cancelled`).
@@ -78,8 +78,8 @@
         write = _prepare_write(job_queue, chunk_id)
         if write is None or write.value_bytes > limits.max_value_bytes:
             # A value is too large if the store's limit was lowered after the chunk was created. The
-            # workers keep the results until enough of its held tasks have ended for it to fit; the
-            # next change of the chunk makes it pending again.
+            # workers keep the results until enough held tasks of the chunk have ended for its value
+            # to fit; the next change of the chunk makes it pending again.
             job_queue.clear_pending_write(chunk_id)
             continue
         size_bytes += write.value_bytes + WRITE_OVERHEAD_BYTES
--- a/spoolcourse/control/jobs/job_index.py
+++ b/spoolcourse/control/jobs/job_index.py
@@ -30,7 +30,7 @@
 
 
 class JobIndex:
-    """Live jobs, and the most recent final states."""
+    """The live jobs, and the most recent final states."""
 
     def __init__(self, watch_cache: WatchCache) -> None:
         self._watch_cache = watch_cache
@@ -38,11 +38,11 @@
         self.cancellations = Cancellations()
         self._task_counts: dict[str, dict[int, TaskCounts]] = {}  # by job and chunk
         self._final_states: OrderedDict[str, FinalState] = OrderedDict()
-        watch_cache.add_listener(self._on_change)
+        watch_cache.add_listener(self._apply_change)
 
     # -- changes --------------------------------------------------------------------------
 
-    def _on_change(self, key: str, value: Any, revision: int) -> None:
+    def _apply_change(self, key: str, value: Any, revision: int) -> None:
         if key.startswith(JOB_PREFIX):
             self._apply_record(key[len(JOB_PREFIX) :], value, revision)
         elif key.startswith(PROGRESS_PREFIX):
@@ -71,7 +71,7 @@
                 del self._task_counts[job]
 
     def apply_cancellation(self, cancellation: Cancellation) -> None:
-        """Apply a cancellation that a peer has read from the store and this controller has not."""
+        """Apply a cancellation from a peer's reply, if this controller does not know it yet."""
         record = self.live.get(cancellation.job)
         if record is not None and not record.cancelled:
             cancelled = replace(record, cancelled_at=cancellation.at)
@@ -89,7 +89,7 @@
     # -- queries --------------------------------------------------------------------------
 
     def known_final_status(self, job: str) -> JobStatus | None:
-        """Return the final status if it is cached; it never changes, so no sync is needed."""
+        """Return the final status if known here; it never changes, so no sync is needed."""
         record = self.live.get(job)
         if record is not None and record.cancelled:
             return self._status(job, JobStage.CANCELLED)
--- a/spoolcourse/control/jobs/job_queue.py
+++ b/spoolcourse/control/jobs/job_queue.py
@@ -1,7 +1,7 @@
 """The leader's live jobs and their pending writes.
 
-Progress is changed in memory first; `ProgressWriter` persists it. Code that must not send or
-acknowledge a change before it is durable checks `is_persisted` first (docs/design.md, "Rules").
+Progress is changed in memory first; `ProgressWriter` persists it. Before a start is sent or a
+result acknowledged, `is_persisted` is checked (docs/design.md, "Rules").
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class JobQueue:
-    """All live jobs of the term, with their pending chunks and final states."""
+    """All live jobs of the term, with the chunks and final states that are still to be written."""
 
     def __init__(self, max_held_per_chunk: int = UNLIMITED_HELD_TASKS) -> None:
         self._max_held_per_chunk = max_held_per_chunk
@@ -85,7 +85,10 @@
             self.clear_pending_write(chunk.id)
 
     def apply_recorded_chunk(self, job_state: JobState, recorded: Chunk, now: float) -> None:
-        """Update a chunk from its record; the attempts in it may be in any stage."""
+        """Replace a chunk by its record: drop its former attempts and adopt those of the record.
+
+        The actual stage of an adopted attempt is unknown.
+        """
         previous = job_state.chunks.get(recorded.index)
         previous_progress = previous.progress if previous is not None else Progress()
         job_state.chunks[recorded.index] = recorded
@@ -111,7 +114,7 @@
         or done, or if its job is cancelled.
         """
         if task in job_state.attempts or job_state.is_done(task) or job_state.record.cancelled:
-            raise ValueError(f"{job_state.id}/{task} is held, done or cancelled")
+            raise ValueError(f"{job_state.id}/{task} can't be assigned: held, done or cancelled")
         chunk = job_state.chunk(task)
         chunk.progress.held[task] = Assignment(machine, number)
         self.pending_start_writes[chunk.id] = chunk
@@ -124,7 +127,7 @@
     def adopt(
         self, job_state: JobState, task: int, machine: str, number: int, now: float
     ) -> Attempt:
-        """Add an attempt found in a record or a heartbeat; it may be in any stage."""
+        """Add an attempt found in a record or a heartbeat; its actual stage is unknown."""
         chunk = job_state.chunk(task)
         version = chunk.version
         if chunk.progress.held.get(task) != (machine, number):
@@ -152,10 +155,10 @@
         self.queue_final_state_if_finished(job_state)
 
     def complete(self, job_state: JobState, task: int) -> None:
-        """Record that a task has a result.
+        """Mark a task as done.
 
-        If the result is of the task's current attempt, the caller drops that. A replica of a
-        service has no result, however it ended.
+        If the result is of the task's current attempt, the caller drops that attempt. A replica of
+        a service is never done, however it ended.
         """
         if job_state.record.submission.is_service or job_state.is_done(task):
             return
--- a/spoolcourse/control/jobs/model.py
+++ b/spoolcourse/control/jobs/model.py
@@ -1,6 +1,6 @@
 """The leader's data model of jobs: attempts, chunks of progress and job states.
 
-`JobQueue` changes them and `ProgressWriter` persists them.
+`JobQueue` changes these objects and `ProgressWriter` persists them.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
     stage: AttemptStage = AttemptStage.ASSIGNED
     start_heartbeat_id: HeartbeatId | None = None  # the heartbeat whose response carried the start
     sent_directly: bool = False  # the start was also sent to the machine's address
-    in_flight_incarnation: int | None = None  # which the direct start may still reach
+    in_flight_incarnation: int | None = None  # a direct start may still reach this incarnation
     # Placed ahead of its rank so that its job begins; it is not preempted.
     exempt_from_preemption: bool = False
     stopping: bool = False
@@ -61,7 +61,7 @@
 
     @property
     def is_executing(self) -> bool:
-        """Whether its image is fetched: it runs or saves a checkpoint."""
+        """Whether the attempt runs or saves a checkpoint, so its image is fetched."""
         return self.stage is AttemptStage.RUNNING or self.stage is AttemptStage.SAVING
 
     @property
@@ -122,7 +122,7 @@
     attempts: dict[int, Attempt] = field(default_factory=dict)
     done_count: int = 0
     requeued_tasks: set[int] = field(default_factory=set)  # tasks whose attempt was dropped
-    first_unassigned: int = 0  # from here on, tasks neither held nor done were never assigned
+    first_unassigned: int = 0  # all lower tasks are held, done or requeued
     backoff_until: float = 0.0  # no task is placed before this time
     consecutive_failures: int = 0  # attempts in a row that ended in error
     # Machines on which its attempts failed, and until when each is avoided.
@@ -130,7 +130,7 @@
     final_state_persisted: bool = False
     waiting_since: float = 0.0
     # Limits the held tasks of chunks that were sized for a larger value limit than the key-value
-    # store will have, so that they fit. Held tasks beyond it end one by one and are not replaced.
+    # store will have, so that values fit. Held tasks beyond it end one by one and are not replaced.
     max_held_per_chunk: int = UNLIMITED_HELD_TASKS
     cancelled_known_at: float = 0.0  # when this leader learned of the cancellation, if any
 
--- a/spoolcourse/control/jobs/progress_writer.py
+++ b/spoolcourse/control/jobs/progress_writer.py
@@ -1,7 +1,7 @@
 """Persists the leader's progress in batches of changed chunks, and the final states of jobs.
 
 Every write is conditional on the revisions of the term, of the job's record and of the key itself.
-So no late write, of a deposed leader or of this one, can overwrite a newer one, and no assignment
+So no late write, of a deposed leader or of this one, overwrites a newer write, and no assignment
 becomes durable for a job that was cancelled before (docs/design.md, "Rules": `ran_twice`,
 `ran_cancelled`).
 """
@@ -86,9 +86,10 @@
         await self._write_chunks(chunk_ids)
 
     async def _write_results(self) -> None:
-        """Write results and other changes that no start waits for; workers keep their results.
+        """Write results and other changes that no start waits for.
 
-        They use only spare write budget; otherwise starts would queue behind them.
+        These writes use only spare write budget; otherwise starts would queue behind them. Workers
+        keep their results until then.
         """
         while self._job_queue.pending_writes and not self._client.has_spare_writes():
             if self._has_urgent_writes():
--- a/spoolcourse/control/jobs/term_transactions.py
+++ b/spoolcourse/control/jobs/term_transactions.py
@@ -49,15 +49,15 @@
         """Commit a transaction; the result names keys whose revision is not the expected one.
 
         Raises:
-            RequestRefusedError: It was not carried out.
-            OutcomeUnknownError: It may have been carried out, or may be later. The job queue has
-                been reconciled with the watch cache if that could be synced.
+            RequestRefusedError: The transaction was not carried out.
+            OutcomeUnknownError: The transaction may have been carried out, or may be later. The
+                job queue has been reconciled with the watch cache if that could be synced.
         """
         try:
             return await self._client.compare_and_swap(expected_revisions, operations)
         except OutcomeUnknownError:
-            # It may have been carried out, or may still be: check. The retry has the same expected
-            # revisions, so at most one of the two is carried out.
+            # The transaction may have been carried out, or may still be: check. The retry has the
+            # same expected revisions, so at most one of the two is carried out.
             if not await self._watch_cache.read_barrier():
                 raise
             self._reconcile_with_cache()
