--- a/spoolcourse/control/store/budget.py
+++ b/spoolcourse/control/store/budget.py
@@ -17,7 +17,7 @@
 
 
 class StoreBudget:
-    """Token buckets for requests, and for puts and deletes."""
+    """This controller's token buckets: one for requests, one for puts and deletes."""
 
     def __init__(self, limits: StoreLimits, controllers: int) -> None:
         """Divide the limits among the controllers; starts with a follower's share.
@@ -53,7 +53,7 @@
         return self._operation_bucket.has_spare_capacity()
 
     async def acquire_request(self, request: str, urgent: bool) -> None:
-        """Wait for the budget of a request; raises `RequestRefusedError` if that is too long."""
+        """Wait for the budget of a request; raises `RequestRefusedError` if it is too long."""
         await _acquire(self._request_bucket, 1, request, urgent)
 
     async def acquire_operations(self, count: int, request: str, urgent: bool) -> None:
--- a/spoolcourse/control/store/client.py
+++ b/spoolcourse/control/store/client.py
@@ -37,7 +37,7 @@
 log = logging.getLogger(__name__)
 
 MAX_PAGE_KEYS = 1000  # the most keys that one response may hold
-FAILING_AFTER_S = 0.5  # without a success; other controllers may then be served better
+FAILING_AFTER_S = 0.5  # without a successful request; the store may still answer other controllers
 REQUEST_TIMEOUT_S = 1.0
 MAX_KEYS_IN_ERROR = 3  # keys of a transaction that an error message names
 
@@ -66,7 +66,7 @@
         limits: The store's limits; where a change is announced, the lower of both values.
         max_value_bytes: The largest value that may be written at present, in bytes.
         requests_sent: Requests sent, successful or not.
-        requests_failed: Those of them that were refused by the store or whose outcome is unknown.
+        requests_failed: Sent requests that the store refused or whose outcome is unknown.
         operations_sent: Puts and deletes in the transactions sent.
     """
 
@@ -122,12 +122,12 @@
 
     async def get(self, key: str) -> Entry | None:
         """Read a key consistently; None if it does not exist."""
-        reply = await self._call("GET", wire.entry_path(key))
-        if reply.status == 404:
+        response = await self._call("GET", wire.entry_path(key))
+        if response.status == 404:
             return None
-        if reply.status != 200:
-            raise OutcomeUnknownError(f"get {key}", f"status {reply.status}")
-        return wire.read_entry(key, reply.data)
+        if response.status != 200:
+            raise OutcomeUnknownError(f"get {key}", f"status {response.status}")
+        return wire.read_entry(key, response.data)
 
     async def list_entries(self, prefix: str) -> EntryList:
         """Read all keys below a prefix, page by page."""
@@ -143,10 +143,10 @@
         return (await self._read_page(prefix, 1)).store_revision
 
     async def _read_page(self, prefix: str, page_size: int, after_key: str = "") -> wire.Page:
-        reply = await self._call("GET", wire.page_path(prefix, page_size, after_key))
-        if reply.status != 200:
-            raise OutcomeUnknownError(f"list {prefix}", f"status {reply.status}")
-        return wire.read_page(reply.data)
+        response = await self._call("GET", wire.page_path(prefix, page_size, after_key))
+        if response.status != 200:
+            raise OutcomeUnknownError(f"list {prefix}", f"status {response.status}")
+        return wire.read_page(response.data)
 
     async def watch(
         self, prefix: str, since: int, block_s: float, *, urgent: bool = False
@@ -157,14 +157,14 @@
             RevisionCompactedError: The store no longer has all of these changes.
         """
         path = wire.watch_path(prefix, since, block_s)
-        reply = await self._call("GET", path, block_s=block_s, urgent=urgent)
-        if reply.status == 410:
+        response = await self._call("GET", path, block_s=block_s, urgent=urgent)
+        if response.status == 410:
             raise RevisionCompactedError(prefix, since)
-        if reply.status != 200:
+        if response.status != 200:
             raise OutcomeUnknownError(
-                f"watch {prefix} since revision {since}", f"status {reply.status}"
+                f"watch {prefix} since revision {since}", f"status {response.status}"
             )
-        return wire.read_watch(reply.data)
+        return wire.read_watch(response.data)
 
     # -- writes ---------------------------------------------------------------------------
 
@@ -191,20 +191,24 @@
             await self._budget.acquire_operations(len(operations), request, urgent)
             self.operations_sent += len(operations)
         body = wire.transaction_body(expected_revisions, operations)
-        reply = await self._call("POST", paths.TRANSACTION, body, urgent=urgent)
-        if reply.status == 200:
-            return wire.read_success(reply.data)
-        if reply.status == 409:
-            return wire.read_conflict(reply.data)
-        raise self._transaction_error(request, operations, reply)
+        response = await self._call("POST", paths.TRANSACTION, body, urgent=urgent)
+        if response.status == 200:
+            return wire.read_success(response.data)
+        if response.status == 409:
+            return wire.read_conflict(response.data)
+        raise self._transaction_error(request, operations, response)
 
     def _transaction_error(
-        self, request: str, operations: Sequence[Operation], reply: Response
+        self, request: str, operations: Sequence[Operation], response: Response
     ) -> StoreError:
-        if reply.status == 400 and reply.data and reply.data.get("error") == wire.NO_SUCH_LEASE:
+        if (
+            response.status == 400
+            and response.data
+            and response.data.get("error") == wire.NO_SUCH_LEASE
+        ):
             return LeaseExpiredError(request, _lease_ids(operations))
-        detail = f"status {reply.status}: {reply.data}"
-        if reply.status == 400 and self.max_value_bytes > self.limits.value_kb * 1024:
+        detail = f"status {response.status}: {response.data}"
+        if response.status == 400 and self.max_value_bytes > self.limits.value_kb * 1024:
             # A value written under the former limit may exceed the announced one.
             log.info("the key-value store now applies its lower limits")
             self.max_value_bytes = int(self.limits.value_kb * 1024)
@@ -215,24 +219,24 @@
 
     async def grant_lease(self, ttl_s: float) -> int:
         """Grant a lease, which expires `ttl_s` after its last renewal."""
-        reply = await self._call("POST", paths.LEASES, wire.grant_body(ttl_s), urgent=True)
-        if reply.status != 200:
-            raise RequestRefusedError(f"grant of a lease of {ttl_s} s", f"status {reply.status}")
-        return wire.read_lease(reply.data)
+        response = await self._call("POST", paths.LEASES, wire.grant_body(ttl_s), urgent=True)
+        if response.status != 200:
+            raise RequestRefusedError(f"grant of a lease of {ttl_s} s", f"status {response.status}")
+        return wire.read_lease(response.data)
 
     async def renew_lease(self, lease: int) -> None:
         """Renew a lease; raises `LeaseExpiredError` if it has expired."""
-        reply = await self._call("POST", wire.renew_path(lease), urgent=True)
-        if reply.status == 404:
+        response = await self._call("POST", wire.renew_path(lease), urgent=True)
+        if response.status == 404:
             raise LeaseExpiredError("renewal", (lease,))
-        if reply.status != 200:
-            raise OutcomeUnknownError(f"renewal of lease {lease}", f"status {reply.status}")
+        if response.status != 200:
+            raise OutcomeUnknownError(f"renewal of lease {lease}", f"status {response.status}")
 
     async def revoke_lease(self, lease: int) -> None:
         """Revoke a lease, which deletes its keys; an expired lease is not an error."""
-        reply = await self._call("DELETE", wire.revoke_path(lease), urgent=True)
-        if reply.status not in (200, 404):
-            raise OutcomeUnknownError(f"revocation of lease {lease}", f"status {reply.status}")
+        response = await self._call("DELETE", wire.revoke_path(lease), urgent=True)
+        if response.status not in (200, 404):
+            raise OutcomeUnknownError(f"revocation of lease {lease}", f"status {response.status}")
 
     # -- calls ----------------------------------------------------------------------------
 
@@ -250,31 +254,31 @@
         self.requests_sent += 1
         sent_at = asyncio.get_running_loop().time()
         try:
-            reply = await self._send(method, path, body, self._timeout_s + block_s, request)
+            response = await self._send(method, path, body, self._timeout_s + block_s, request)
         except StoreUnavailableError:
             self.requests_failed += 1
             if self._failing_since is None:
                 self._failing_since = sent_at
             raise
         self._failing_since = None
-        return reply
+        return response
 
     async def _send(
         self, method: str, path: str, body: Any, timeout_s: float, request: str
     ) -> Response:
         try:
-            reply = await self._http_client.call(
+            response = await self._http_client.call(
                 self._addr, method, path, body, timeout_s=timeout_s
             )
         except NoResponseError as exc:
             raise OutcomeUnknownError(request, str(exc)) from exc
-        if reply.status == 429:
+        if response.status == 429:
             self._budget.on_too_many_requests()
-        if reply.status in (429, 503):
-            raise RequestRefusedError(request, f"status {reply.status}")
-        if reply.status >= 500:
-            raise OutcomeUnknownError(request, f"status {reply.status}")
-        return reply
+        if response.status in (429, 503):
+            raise RequestRefusedError(request, f"status {response.status}")
+        if response.status >= 500:
+            raise OutcomeUnknownError(request, f"status {response.status}")
+        return response
 
 
 def _describe_transaction(expected_revisions: Mapping[str, int]) -> str:
--- a/spoolcourse/control/store/errors.py
+++ b/spoolcourse/control/store/errors.py
@@ -2,12 +2,12 @@
 
     StoreError
         StoreUnavailableError       no usable response; the caller may retry
-            RequestRefusedError     not carried out
+            RequestRefusedError     the request was not carried out
                 ValueTooLargeError  a retry without a change will be refused too
-            OutcomeUnknownError     may have been carried out, or may be later
+            OutcomeUnknownError     the request may have been carried out, or may be later
         LeaseExpiredError           the lease has expired
         RevisionCompactedError      the changes since a revision are not available
-            TooFarBehindError       there are too many of them for one response
+            TooFarBehindError       there are too many changes for one response
 
 Source: PROTOCOL, the key-value store.
 """
--- a/spoolcourse/control/store/records.py
+++ b/spoolcourse/control/store/records.py
@@ -22,7 +22,9 @@
 
 @dataclass(slots=True)
 class JobRecord:
-    """A live job: accepted, not final yet; a cancelled one stays until its tasks are gone.
+    """A live job, from its acceptance to its final state.
+
+    A cancelled job stays live until its tasks are gone.
 
     Stored as `{"sub": submission, "at": accepted_at, "chunk": tasks_per_chunk, "aborted":
     cancelled_at}`, where "aborted" is there only if the job was cancelled.
@@ -154,20 +156,20 @@
 
     @staticmethod
     def from_value(value: dict[str, Any]) -> FinalState:
-        """The final state of a stored form, or of a peer's answer."""
+        """The final state of a stored form."""
         return FinalState(JobStage(value["stage"]), value.get("done", 0), value.get("at", 0.0))
 
 
 @dataclass(frozen=True, slots=True)
 class TermRecord:
-    """A term, and the run of a controller's process that was elected for it.
+    """A term, and the controller process that was elected for it.
 
     Stored as `{"term": number, "run": run_id, "hold": lease}`.
 
     Attributes:
         number: The term's number, which is its fencing token.
-        run_id: Identifies one run of a controller's process.
-        lease: The lease of the leader's key; it distinguishes two claims of one run for one term.
+        run_id: Identifies the controller process; a restart gets another one.
+        lease: The lease of the leader's key; tells apart two claims of one process for one term.
     """
 
     number: int
@@ -209,7 +211,7 @@
 
     @staticmethod
     def run_id_of(value: dict[str, Any]) -> str | None:
-        """The leader's run in a stored form; None if it names none."""
+        """The `run_id` of the leader's process in a stored form; None if the form has none."""
         return value.get("run")
 
 
--- a/spoolcourse/control/store/watch_cache.py
+++ b/spoolcourse/control/store/watch_cache.py
@@ -6,7 +6,7 @@
 - `read_barrier` returns once the cache holds every change that was made before the call. One
   request serves all callers that are waiting.
 - `catch_up_to` polls at once, for a caller that knows the revision it needs.
-- `reload` reads all keys, when single changes are not available.
+- `reload` reads all keys; needed if changes since the last poll are not available.
 
 Source: PROTOCOL, GET /watch.
 """
@@ -31,7 +31,7 @@
 
 log = logging.getLogger(__name__)
 
-FOLLOWER_WATCH_PAUSE_S = 0.25  # only elections and starts of new jobs wait for it
+FOLLOWER_WATCH_PAUSE_S = 0.25  # only elections and starts of new jobs wait for this pause
 LEADER_WATCH_PAUSE_S = 0.05
 WATCH_BLOCK_S = 10.0  # a poll without changes returns after this time
 BARRIER_PAUSE_S = 0.1  # between requests for read barriers, so that each serves more callers
@@ -56,7 +56,7 @@
 
 
 class WatchObserver(Protocol):
-    """Is notified of events that are not visible as single changes."""
+    """Is notified when changes were missed and when all keys were read again."""
 
     def on_watch_gap(self, gap: WatchGap) -> None:
         """Changes were missed. A reload follows, except after `REVISION_DECREASED`."""
@@ -205,7 +205,7 @@
                 # Changes made during this pause arrive in one response.
                 await asyncio.sleep(self.watch_pause_s)
             except RevisionCompactedError as exc:
-                log.info("watch fell behind, reading all keys again: %s", exc)
+                log.info("watch missed changes, reading all keys again: %s", exc)
                 self._invalidate(exc)
             except StoreUnavailableError as exc:
                 log.debug("watch: %s", exc)
@@ -278,9 +278,9 @@
 
     async def _serve_barriers(self) -> None:
         while self._barrier_waiters:
-            batch, self._barrier_waiters = self._barrier_waiters, []
+            waiters, self._barrier_waiters = self._barrier_waiters, []
             error = await self._poll_for_barrier()
-            for waiter in batch:
+            for waiter in waiters:
                 if not waiter.done():
                     if error is None:
                         waiter.set_result(None)
