--- a/spoolcourse/control/leadership/candidate.py
+++ b/spoolcourse/control/leadership/candidate.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WonElection:
-    """A claim of a term that was carried out."""
+    """A won election: the claim of the term was carried out."""
 
     term: Term
     lease_requested_at: float  # monotonic, in seconds; the lease lasts its TTL from here at least
@@ -51,10 +51,11 @@
         return same_label and LeaderRecord.run_id_of(entry.value) != self._run_id
 
     async def stand_for_election(self) -> WonElection | None:
-        """Claim the next term; return None if another controller leads or claimed it first.
+        """Claim the next term; return None if another controller leads or claimed that term first.
 
         Raises `OutcomeUnknownError` if the claim may or may not be carried out,
-        `RequestRefusedError` if it is not, and `LeaseExpiredError` if its lease expired first.
+        `RequestRefusedError` if it is not, and `LeaseExpiredError` if the lease for the leader key
+        expired first.
         """
         if not await self._watch_cache.read_barrier():
             raise OutcomeUnknownError("read barrier", "no answer in time")
--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -3,7 +3,7 @@
 The term number is the workers' fencing token. Every write of a leader is conditional on the
 revision that the term key got when it was elected, so a deposed leader's writes fail however late
 they arrive. The lease only decides when others may stand for election; safety does not depend on
-it.
+the lease.
 """
 
 from __future__ import annotations
@@ -62,7 +62,7 @@
         listener: LeadershipListener | None = None,
         candidacy_delay_s: Callable[[], float] = no_candidacy_delay_s,
     ) -> None:
-        """`candidacy_delay_s` returns how long to let others stand first; used while behind."""
+        """`candidacy_delay_s` returns how long to let others stand first while behind them."""
         self._client = client
         self._watch_cache = watch_cache
         self._label = label
@@ -79,7 +79,7 @@
         self._candidacy_allowed_at = float("-inf")
         self._leader_changed = asyncio.Event()
         self._stepped_down = asyncio.Event()
-        watch_cache.add_listener(self._on_change)
+        watch_cache.add_listener(self._handle_change)
 
     # -- current leader -----------------------------------------------------------------
 
@@ -130,19 +130,19 @@
         except StoreUnavailableError as exc:
             log.info("lease not released, it will expire, term=%d: %s", term.number, exc)
 
-    def _on_change(self, key: str, value: Any, revision: int) -> None:
+    def _handle_change(self, key: str, value: Any, revision: int) -> None:
         if key in (LEADER_KEY, TERM_KEY):
             self._leader_changed.set()
             if key == LEADER_KEY:
-                self._record_vacancy(value)
+                self._update_leaderless_since(value)
             if key == TERM_KEY and self.term is not None and revision > self.term.revision:
                 self.step_down("a newer term was elected")
 
-    def _record_vacancy(self, leader_value: Any) -> None:
+    def _update_leaderless_since(self, leader_value: Any) -> None:
         if leader_value is None:
             self.leaderless_since = asyncio.get_running_loop().time()
         elif LeaderRecord.label_of(leader_value) != self._label:
-            # If this controller is elected later, its failover starts at the next vacancy.
+            # If this controller is elected later, its failover begins when that leader is gone.
             self.leaderless_since = None
 
     # -- election -----------------------------------------------------------------------
@@ -203,7 +203,7 @@
     # -- leading ------------------------------------------------------------------------
 
     async def _lead(self) -> None:
-        """Renew until deposed. If renewals fail the term continues, but the lease is not held."""
+        """Renew the lease until deposed. If renewals fail, the term continues without the lease."""
         while self.term is not None:
             pause_s = await self._renew_lease(self.term)
             await wait_for_event(self._stepped_down, pause_s)
@@ -226,7 +226,7 @@
         return self._lease_ttl_s * RENEW_PERIOD_TTL_FRACTION
 
     async def _is_latest(self, term: Term) -> bool:
-        """Whether the term key is unchanged; others may lead after a gap between renewals."""
+        """Whether the term key is unchanged; after a gap between renewals another may lead."""
         entry = await self._client.get(TERM_KEY)
         return entry is not None and entry.revision == term.revision
 
--- a/spoolcourse/control/leadership/failover_proof.py
+++ b/spoolcourse/control/leadership/failover_proof.py
@@ -34,7 +34,7 @@
     def __init__(self, term: Term, applied_revision: int) -> None:
         super().__init__(
             f"term {term.number} was claimed at revision {term.revision}, "
-            f"and only {applied_revision} is applied"
+            f"but the watch cache has reached only revision {applied_revision} so far"
         )
         self.term = term
         self.applied_revision = applied_revision
@@ -45,8 +45,8 @@
 
     def __init__(self, term: Term, latest_claim_revision: int) -> None:
         super().__init__(
-            f"the claim of term {term.number} at revision {term.revision} is not the latest one, "
-            f"that is at revision {latest_claim_revision}"
+            f"the claim of term {term.number} at revision {term.revision} is superseded "
+            f"by the claim at revision {latest_claim_revision}"
         )
         self.term = term
         self.latest_claim_revision = latest_claim_revision
@@ -54,10 +54,10 @@
 
 @final
 class FailoverProof:
-    """Required by every component that makes decisions or sends commands in a term.
+    """Proves that this controller has seen every placement of earlier leaders.
 
-    It can be created only from a watch cache that has reached the claim of the term, and is
-    immutable.
+    Required by every component that makes decisions or sends commands in a term. Can be created
+    only from a watch cache that has reached the claim of the term; immutable.
     """
 
     __slots__ = ("_applied_revision", "_source", "_term")
--- a/spoolcourse/control/leadership/failover_timeline.py
+++ b/spoolcourse/control/leadership/failover_timeline.py
@@ -59,7 +59,7 @@
             self._complete()
 
     def record_proof(self, proof: FailoverProof) -> None:
-        """Record that the failover is proven."""
+        """Keep the proof of the failover, and record that the phase `PROVEN` was reached."""
         self.proof = proof
         self.record(FailoverPhase.PROVEN)
 
--- a/spoolcourse/control/leadership/feature_level.py
+++ b/spoolcourse/control/leadership/feature_level.py
@@ -2,8 +2,8 @@
 
 A controller that exits before its upgrade restarts with the old version. So a format that the old
 version can't read is written only once every controller has reported support for it. The leader
-queries the peers and records the level in the key-value store. It stays valid there, since an
-upgraded controller restarts with the new version.
+queries the peers and records the level in the key-value store. A recorded level stays valid, since
+an upgraded controller restarts with the new version.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 class FeatureLevel:
-    """The leader's loop that records the feature level and then ends."""
+    """Records the feature level once all controllers have reached it."""
 
     def __init__(
         self,
--- a/spoolcourse/control/leadership/renewal_deadline.py
+++ b/spoolcourse/control/leadership/renewal_deadline.py
@@ -1,11 +1,11 @@
 """The deadline until which a leader may renew the leases of workers.
 
-The leader provably knows every cancellation that any controller confirmed up to some time. One that
-it doesn't know was confirmed later, and the tasks of that job must end within `cancel_s` of the
-confirmation. A worker whose heartbeat is answered now may keep its tasks for `lease_s`. This gives
-the last time at which an answer may renew a lease. It guards against a leader that is cut off, or
-that only the key-value store refuses, and that would keep tasks alive whose cancellation other
-controllers have confirmed.
+The leader provably knows every cancellation that any controller confirmed up to some time. An
+unknown cancellation was confirmed later, and the tasks of that job must end within `cancel_s` of
+the confirmation. A worker whose heartbeat is answered now may keep its tasks for `lease_s`.
+Together these give the last time at which an answer may renew a lease. The deadline keeps a leader
+that is cut off, or that only the key-value store refuses, from keeping tasks alive whose
+cancellation other controllers have confirmed.
 
 No I/O and no clock: times are passed in, in seconds of one monotonic clock.
 """
@@ -28,24 +28,24 @@
         self.renewal_window_s = (
             cancel_s - workers.lease_s * (1 + MAX_RELATIVE_CLOCK_DRIFT) - TASK_END_MARGIN_S
         )
-        # Every cancellation confirmed up to this time is known to this controller.
+        # This controller knows every cancellation confirmed up to this time.
         self.caught_up_at = float("-inf")
 
     def record_store_read(self, sent_at: float) -> None:
-        """Record that a store read that was sent at `sent_at` was answered and applied."""
+        """Record that a store read sent at `sent_at` was answered and its changes applied."""
         self.caught_up_at = max(self.caught_up_at, sent_at)
 
     def record_peer_acknowledgements(self, queried_at: float, acknowledged: Iterable[bool]) -> bool:
         """Record that all other controllers were queried and their replies applied.
 
-        The first of them was queried at `queried_at`. `acknowledged` holds for each whether it
-        replied with all cancellations it knows and has read the key-value store since it started.
-        Returns whether all of them acknowledged; only then is the leader caught up.
+        The first of them was queried at `queried_at`. `acknowledged` holds for each controller
+        whether it replied with all cancellations it knows and has read the key-value store since it
+        started. Returns whether all of them did; only then is the leader caught up.
 
         Every cancellation was confirmed by one of them or by this controller. A controller
-        remembers those it confirmed; after a restart it reads the earlier ones from the key-value
-        store. One that does not answer, is too old to know the query, or has read nothing since it
-        started may have confirmed a cancellation that this controller does not know.
+        remembers the cancellations it confirmed; after a restart it reads earlier ones from the
+        key-value store. A controller that does not answer, is too old to know the query, or has
+        read nothing since it started may have confirmed one that this controller does not know.
         """
         if not all(acknowledged):
             return False
@@ -53,8 +53,8 @@
         return True
 
     def may_renew(self, now: float) -> bool:
-        """Whether a worker may be answered now.
+        """Whether a worker's heartbeat may be answered now, which renews the worker's lease.
 
-        If so, the tasks of an unknown confirmed cancellation still end within `cancel_s`.
+        If so, tasks of a job whose cancellation is unknown here still end within `cancel_s`.
         """
         return now <= self.caught_up_at + self.renewal_window_s
--- a/tests/leadership/test_failover_proof.py
+++ b/tests/leadership/test_failover_proof.py
@@ -18,7 +18,9 @@
 def test_a_proof_needs_every_change_up_to_the_claim() -> None:
     watch_cache = cache_at(40)
     watch_cache.apply(TERM_KEY, {"term": 3}, 41)  # the claim is known before the watch delivers it
-    with pytest.raises(WatchCacheBehindError, match="revision 41, and only 40"):
+    with pytest.raises(
+        WatchCacheBehindError, match="revision 41, but the watch cache has reached only revision 40"
+    ):
         FailoverProof(Term(3, 41, 0), watch_cache, ProofSource.SHADOW)
     watch_cache.store_revision = 41
     proof = FailoverProof(Term(3, 41, 0), watch_cache, ProofSource.SHADOW)
