--- a/spoolcourse/control/autoscaling/planner.py
+++ b/spoolcourse/control/autoscaling/planner.py
@@ -157,7 +157,7 @@
                 task_count, machine.tasks_that_fit(job), allowance.tasks_left(machine.zone)
             )
             if packed > 0:
-                machine.book(job, packed)
+                machine.allocate(job, packed)
                 allowance.plan(machine.zone, packed)
                 task_count -= packed
     return task_count
--- a/spoolcourse/control/placement/backfill.py
+++ b/spoolcourse/control/placement/backfill.py
@@ -189,9 +189,9 @@
         if count < 1:
             return 0
         if reservation is not None:
-            reservation.book_backfilled(job, expected_end, count)
-        self._fetch_limits.book(job, machine)
-        machine.book(job, count)
+            reservation.allocate_backfilled(job, expected_end, count)
+        self._fetch_limits.add_required_fetch(job, machine)
+        machine.allocate(job, count)
         team = self._snapshot.teams[job.team]
         team.cpus -= count * job.cpus
         team.gpus -= count * job.gpus
--- a/spoolcourse/control/placement/image_fetches.py
+++ b/spoolcourse/control/placement/image_fetches.py
@@ -60,8 +60,8 @@
             return running == 0
         return running < self._per_zone
 
-    def book(self, job: PlacementJob, machine: PlacementMachine) -> None:
-        """Record the fetch that starting the job on the machine requires, if any."""
+    def add_required_fetch(self, job: PlacementJob, machine: PlacementMachine) -> None:
+        """Count the fetch that a start of the job on the machine requires, if any."""
         if needs_fetch(job, machine):
             machine.fetch_left_gb[job.image] = job.image_gb
             self._running_by_zone[machine.zone] += 1
--- a/spoolcourse/control/placement/model.py
+++ b/spoolcourse/control/placement/model.py
@@ -78,7 +78,7 @@
         self.gpus += task.gpus
         self.memory_gb += task.memory_gb
 
-    def book(self, job: PlacementJob, count: int) -> None:
+    def allocate(self, job: PlacementJob, count: int) -> None:
         """Subtract the resources of `count` tasks of the job."""
         self.cpus -= count * job.cpus
         self.gpus -= count * job.gpus
--- a/spoolcourse/control/placement/preempt.py
+++ b/spoolcourse/control/placement/preempt.py
@@ -89,7 +89,7 @@
         without_victims: set[tuple[object, ...]] = set()
         for job_index, unplaced_tasks in self._demands:
             job = self._snapshot.jobs[job_index]
-            missing = unplaced_tasks - self._book_freed(job, unplaced_tasks)
+            missing = unplaced_tasks - self._allocate_freed(job, unplaced_tasks)
             if missing <= 0 or not self._may_have_victims(job):
                 continue
             # These constraints depend on machines and on the job's own tasks, which the signature
@@ -109,23 +109,23 @@
             self._lowest_rank == job.rank and job.within_guarantee
         )
 
-    def _book_freed(self, job: PlacementJob, max_tasks: int) -> int:
-        """Book resources that are free or being freed; return for how many tasks."""
-        booked = 0
+    def _allocate_freed(self, job: PlacementJob, max_tasks: int) -> int:
+        """Allocate resources that are free or being freed; return for how many tasks."""
+        allocated = 0
         for machine_index, machine in enumerate(self._snapshot.machines):
-            if booked >= max_tasks:
+            if allocated >= max_tasks:
                 break
             has_cpus = machine.cpus + machine.cpus_being_freed + EPSILON >= job.cpus
             if has_cpus and _is_eligible_machine(job, machine_index, machine, self._snapshot.now):
-                booked += _book_freed_on_machine(job, machine, max_tasks - booked)
-        return booked
+                allocated += _allocate_freed_on_machine(job, machine, max_tasks - allocated)
+        return allocated
 
     def _preempt_for(self, job: PlacementJob, max_tasks: int) -> int:
         """Preempt tasks until `max_tasks` of the job fit; return how many then fit."""
-        booked = 0
+        allocated = 0
         victims_by_machine: dict[int, list[RunningTask]] = {}
         for machine_index, task in self._candidates:
-            if booked >= max_tasks:
+            if allocated >= max_tasks:
                 break
             machine = self._snapshot.machines[machine_index]
             if task.stopping or not _may_preempt(job, task, self._cpus_over_guarantee):
@@ -139,8 +139,8 @@
             for victim in victims:
                 self._stop(machine, victim)
             victims_by_machine[machine_index] = []
-            booked += _book_freed_on_machine(job, machine, max_tasks - booked)
-        return booked
+            allocated += _allocate_freed_on_machine(job, machine, max_tasks - allocated)
+        return allocated
 
     def _stop(self, machine: PlacementMachine, victim: RunningTask) -> None:
         victim.stopping = True
@@ -191,8 +191,8 @@
     return count >= 1
 
 
-def _book_freed_on_machine(job: PlacementJob, machine: PlacementMachine, max_tasks: int) -> int:
-    """Book resources of the machine that are free or being freed; return for how many tasks."""
+def _allocate_freed_on_machine(job: PlacementJob, machine: PlacementMachine, max_tasks: int) -> int:
+    """Allocate resources of the machine that are free or being freed; return for how many tasks."""
     fitting = tasks_that_fit(
         machine.cpus + machine.cpus_being_freed,
         machine.gpus + machine.gpus_being_freed,
--- a/spoolcourse/control/placement/reservations.py
+++ b/spoolcourse/control/placement/reservations.py
@@ -32,10 +32,10 @@
             return UNBOUNDED_TASKS
         return self.tasks_that_fit(job)
 
-    def book_backfilled(self, job: PlacementJob, expected_end: float, count: int) -> None:
+    def allocate_backfilled(self, job: PlacementJob, expected_end: float, count: int) -> None:
         """Subtract the backfilled tasks, unless they end before the reservation starts."""
         if expected_end > self.starts_at + EPSILON:
-            self.book(job, count)
+            self.allocate(job, count)
 
 
 @dataclass(slots=True)
@@ -78,7 +78,7 @@
         count = min(free.tasks_that_fit(job), missing)
         if count <= 0:
             continue
-        free.book(job, count)
+        free.allocate(job, count)
         missing -= count
         if reservations.shadow_time is None:
             reservations.shadow_time = event_at
@@ -117,5 +117,5 @@
     for task in machine.tasks:
         if task.expected_end <= starts_at + EPSILON:
             reservation.release(task)
-    reservation.book(job, count)
+    reservation.allocate(job, count)
     return reservation
