--- a/spoolcourse/control/placement/image_fetches.py
+++ b/spoolcourse/control/placement/image_fetches.py
@@ -15,7 +15,7 @@
     return (
         job.image_gb > 0
         and job.image not in machine.cached_images
-        and job.image not in machine.fetch_left_gb
+        and job.image not in machine.remaining_fetch_gb
     )
 
 
@@ -27,8 +27,8 @@
     if job.image_gb <= 0 or job.image in machine.cached_images:
         return 0.0
     gb_per_s = max(machine.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
-    queued_gb = sum(machine.fetch_left_gb.values())
-    if job.image in machine.fetch_left_gb:
+    queued_gb = sum(machine.remaining_fetch_gb.values())
+    if job.image in machine.remaining_fetch_gb:
         return queued_gb / gb_per_s
     return (queued_gb + job.image_gb) / gb_per_s
 
@@ -42,7 +42,7 @@
         self._running_by_zone = [0] * snapshot.zone_count
         self._blocked_zones: set[int] = set()
         for machine in snapshot.machines:
-            self._running_by_zone[machine.zone] += len(machine.fetch_left_gb)
+            self._running_by_zone[machine.zone] += len(machine.remaining_fetch_gb)
 
     @property
     def requires_idle_zone(self) -> bool:
@@ -53,7 +53,10 @@
         """Whether the job needs no new fetch on the machine, or the limits allow one more."""
         if not needs_fetch(job, machine):
             return True
-        if machine.zone in self._blocked_zones or len(machine.fetch_left_gb) >= self._per_machine:
+        if (
+            machine.zone in self._blocked_zones
+            or len(machine.remaining_fetch_gb) >= self._per_machine
+        ):
             return False
         running = self._running_by_zone[machine.zone]
         if self.requires_idle_zone:
@@ -63,7 +66,7 @@
     def add_required_fetch(self, job: PlacementJob, machine: PlacementMachine) -> None:
         """Count the fetch that a start of the job on the machine requires, if any."""
         if needs_fetch(job, machine):
-            machine.fetch_left_gb[job.image] = job.image_gb
+            machine.remaining_fetch_gb[job.image] = job.image_gb
             self._running_by_zone[machine.zone] += 1
 
     def block_zones(self, zones: set[int]) -> None:
--- a/spoolcourse/control/placement/model.py
+++ b/spoolcourse/control/placement/model.py
@@ -94,7 +94,7 @@
     total_cpus: float
     fetch_gb_per_s: float
     cached_images: set[int] = msgspec.field(default_factory=set)
-    fetch_left_gb: dict[int, float] = msgspec.field(default_factory=dict)  # by image, estimated
+    remaining_fetch_gb: dict[int, float] = msgspec.field(default_factory=dict)  # by image, estimate
     tasks: list[RunningTask] = msgspec.field(default_factory=list)  # sorted by expected end
     ready_at: float = 0.0  # in the future while it boots
     scale_in_candidate: bool = False  # to be emptied and released
--- a/spoolcourse/control/scheduling/snapshot_cache.py
+++ b/spoolcourse/control/scheduling/snapshot_cache.py
@@ -26,7 +26,7 @@
 ESTIMATE_REFRESH_S = 0.5  # recompute interval of tasks that overran or wait for a fetch
 OVERRUN_REMAINING_FRACTION = 0.5  # of the elapsed time of a task that overran its estimate
 MIN_OVERRUN_REMAINING_S = 1.0
-MIN_FETCH_LEFT_GB = 0.1  # of an image whose fetch should have finished
+MIN_REMAINING_FETCH_GB = 0.1  # of an image whose fetch should have finished
 MIN_FETCH_DELAY_S = 0.5
 
 
@@ -44,7 +44,7 @@
     gpus_being_freed: float
     memory_gb_being_freed: float
     cached_images: set[int]
-    fetch_left_gb: dict[int, float]
+    remaining_fetch_gb: dict[int, float]
     tasks: list[RunningTask]
 
 
@@ -100,7 +100,7 @@
             total_cpus=machine_type.cpus,
             fetch_gb_per_s=machine_type.fetch_gb_per_s,
             cached_images=cached.cached_images,
-            fetch_left_gb=dict(cached.fetch_left_gb) if cached.fetch_left_gb else {},
+            remaining_fetch_gb=dict(cached.remaining_fetch_gb) if cached.remaining_fetch_gb else {},
             tasks=cached.tasks,
             cpus_being_freed=cached.cpus_being_freed,
             gpus_being_freed=cached.gpus_being_freed,
@@ -123,9 +123,9 @@
             memory_gb=machine_type.memory_gb,
             total_cpus=machine_type.cpus,
             fetch_gb_per_s=machine_type.fetch_gb_per_s,
-            fetch_left_gb=self._fetch_left_gb(machine, gb_per_s, now),
+            remaining_fetch_gb=self._remaining_fetch_gb(machine, gb_per_s, now),
         )
-        fetch_s = sum(view.fetch_left_gb.values()) / gb_per_s
+        fetch_s = sum(view.remaining_fetch_gb.values()) / gb_per_s
         valid_until = self._add_tasks(view, machine, fetch_s, now)
         for job, _, _ in machine.unexpected_attempts:
             job_state = jobs.get(job)
@@ -144,22 +144,26 @@
             gpus_being_freed=view.gpus_being_freed,
             memory_gb_being_freed=view.memory_gb_being_freed,
             cached_images={self._indices.images.number_of(image) for image in machine.images},
-            fetch_left_gb=view.fetch_left_gb,
+            remaining_fetch_gb=view.remaining_fetch_gb,
             tasks=view.tasks,
         )
 
-    def _fetch_left_gb(self, machine: Machine, gb_per_s: float, now: float) -> dict[int, float]:
+    def _remaining_fetch_gb(
+        self, machine: Machine, gb_per_s: float, now: float
+    ) -> dict[int, float]:
         """Estimate how much of each image the machine's attempts still need to fetch."""
-        fetch_left_gb: dict[int, float] = {}
+        remaining_fetch_gb: dict[int, float] = {}
         for attempt in machine.attempts.values():
             if attempt.is_executing:
                 continue
             submission = attempt.job_state.record.submission
             if submission.image not in machine.images:
                 since = machine.fetching.get(submission.image, now)
-                left_gb = max(submission.image_gb - gb_per_s * (now - since), MIN_FETCH_LEFT_GB)
-                fetch_left_gb[self._indices.images.number_of(submission.image)] = left_gb
-        return fetch_left_gb
+                remaining_gb = max(
+                    submission.image_gb - gb_per_s * (now - since), MIN_REMAINING_FETCH_GB
+                )
+                remaining_fetch_gb[self._indices.images.number_of(submission.image)] = remaining_gb
+        return remaining_fetch_gb
 
     def _add_tasks(
         self, view: PlacementMachine, machine: Machine, fetch_s: float, now: float
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -72,7 +72,7 @@
 def test_a_start_above_the_fetch_budget_waits_for_a_quiet_zone() -> None:
     big = job(1, 1.0, image=1, image_gb=1.0)
     assert placed(run([big], [machine()], fetches_per_zone=0)) == {0: 1}
-    busy = [machine(), machine(fetch_left_gb={5: 1.0})]
+    busy = [machine(), machine(remaining_fetch_gb={5: 1.0})]
     other = job(1, 1.0, image=2, image_gb=1.0)
     assert placed(run([job(1, 1.0, image=1, image_gb=1.0), other], busy, fetches_per_zone=0)) == {}
 
--- a/tests/recorded/plans/adapter.py
+++ b/tests/recorded/plans/adapter.py
@@ -66,7 +66,7 @@
         total_cpus=machine["total_cpus"],
         fetch_gb_per_s=machine["fetch_gb_per_s"],
         cached_images=set(machine["cached_images"]),
-        fetch_left_gb=dict(machine["fetch_left_gb"]),
+        remaining_fetch_gb=dict(machine["fetch_left_gb"]),
         tasks=[_task(task) for task in machine["tasks"]],
         ready_at=machine["ready_at"],
         scale_in_candidate=machine["scale_in_candidate"],
--- a/tests/scheduling/test_snapshot_cache.py
+++ b/tests/scheduling/test_snapshot_cache.py
@@ -52,7 +52,7 @@
                 view.scale_in_candidate,
             ),
             sorted(images[i] for i in view.cached_images),
-            sorted(images[i] for i in view.fetch_left_gb),
+            sorted(images[i] for i in view.remaining_fetch_gb),
             tasks,
         )
     return views
