--- a/spoolcourse/control/scheduling/capacity_planning.py
+++ b/spoolcourse/control/scheduling/capacity_planning.py
@@ -75,8 +75,8 @@
 
     def _offer(self, machine_type: MachineType, zone: str, spot: bool) -> Offer:
         return Offer(
-            machine_type=self._indices.machine_types.number_of(machine_type.name),
-            zone=self._indices.zones.number_of(zone),
+            machine_type=self._indices.machine_types.index_of(machine_type.name),
+            zone=self._indices.zones.index_of(zone),
             spot=spot,
             cpus=machine_type.cpus,
             gpus=machine_type.gpus,
--- a/spoolcourse/control/scheduling/job_order.py
+++ b/spoolcourse/control/scheduling/job_order.py
@@ -72,7 +72,7 @@
     remaining_gpus = [team.gpus for team in team_settings]
     for job_state in job_states:
         submission = job_state.record.submission
-        team = teams.number_of(submission.team)
+        team = teams.index_of(submission.team)
         remaining_cpus[team] -= submission.cpus * (submission.task_count - job_state.done_count)
         remaining_gpus[team] -= submission.gpus * (submission.task_count - job_state.done_count)
         if remaining_cpus[team] >= 0 and remaining_gpus[team] >= 0:
--- a/spoolcourse/control/scheduling/job_views.py
+++ b/spoolcourse/control/scheduling/job_views.py
@@ -28,7 +28,7 @@
 
     now: float
     boot_s: float  # of the machine type that boots slowest
-    machine_numbers: dict[str, int]  # by machine ID: index in the snapshot
+    machine_indices: dict[str, int]  # by machine ID: index in the snapshot
     within_guarantee: set[str]  # job IDs
     starved_jobs: set[str]  # job IDs
 
@@ -69,7 +69,7 @@
                 memory_gb=0.0,
                 image=0,
                 image_gb=0.0,
-                team=self._indices.teams.number_of(job_state.record.submission.team),
+                team=self._indices.teams.index_of(job_state.record.submission.team),
                 estimate_s=0.0,
             )
 
@@ -83,14 +83,14 @@
             cpus=submission.cpus,
             gpus=submission.gpus,
             memory_gb=submission.memory_gb,
-            image=indices.images.number_of(submission.image),
+            image=indices.images.index_of(submission.image),
             image_gb=submission.image_gb,
-            team=indices.teams.number_of(submission.team),
+            team=indices.teams.index_of(submission.team),
             estimate_s=run_estimate_s(job_state, self._policy),
             machine_types=(
-                None if types is None else frozenset(map(indices.machine_types.number_of, types))
+                None if types is None else frozenset(map(indices.machine_types.index_of, types))
             ),
-            zone=None if zone is None else indices.zones.number_of(zone),
+            zone=None if zone is None else indices.zones.index_of(zone),
             spot_allowed=submission.spot_allowed,
             one_zone=submission.one_zone,
             max_tasks_per_zone=_max_tasks_per_zone(submission),
@@ -101,7 +101,7 @@
             is_service=submission.is_service,
         )
         if submission.is_service:
-            _count_replicas(job, job_state, context.machine_numbers)
+            _count_replicas(job, job_state, context.machine_indices)
         if job_state.avoided_machines:
             job.avoided_machines = _avoided_machines(job_state, context)
         if submission.one_zone or submission.spread_over_zones:
@@ -142,11 +142,11 @@
             if machine is None or machine.zone is None:
                 job.tasks_in_unknown_zones += 1
             else:
-                _count_task(job, zones.number_of(machine.zone))
+                _count_task(job, zones.index_of(machine.zone))
         for machine in self._registry.machines.values():
             for attempt_id in machine.unexpected_attempts:
                 if attempt_id.job == job_state.id:
-                    _count_task(job, zones.number_of(machine.zone or ""))
+                    _count_task(job, zones.index_of(machine.zone or ""))
 
 
 def _tasks_to_place(job_state: JobState, context: PassContext) -> int:
@@ -164,19 +164,21 @@
 
 
 def _avoided_machines(job_state: JobState, context: PassContext) -> frozenset[int]:
-    """Return the numbers of the machines on which the job failed recently."""
+    """Return the indices of the machines on which the job failed recently."""
     avoided = [name for name, until in job_state.avoided_machines.items() if until > context.now]
-    numbers = context.machine_numbers
-    return frozenset(numbers[name] for name in avoided if name in numbers)
+    indices = context.machine_indices
+    return frozenset(indices[name] for name in avoided if name in indices)
 
 
 def _count_replicas(
-    job: PlacementJob, job_state: JobState, machine_numbers: dict[str, int]
+    job: PlacementJob, job_state: JobState, machine_indices: dict[str, int]
 ) -> None:
     for attempt in job_state.attempts.values():
-        number = machine_numbers.get(attempt.machine)
-        if number is not None:
-            job.replicas_by_machine[number] = job.replicas_by_machine.get(number, 0) + 1
+        machine_index = machine_indices.get(attempt.machine)
+        if machine_index is not None:
+            job.replicas_by_machine[machine_index] = (
+                job.replicas_by_machine.get(machine_index, 0) + 1
+            )
 
 
 def _count_task(job: PlacementJob, zone: int) -> None:
--- a/spoolcourse/control/scheduling/name_index.py
+++ b/spoolcourse/control/scheduling/name_index.py
@@ -7,21 +7,21 @@
 
 
 class NameIndex:
-    """Assigns numbers to names in the order in which they are first seen."""
+    """Assigns indices to names in the order in which they are first seen."""
 
     def __init__(self, names: Iterable[str] = ()) -> None:
-        self.names: list[str] = []  # by number
-        self._numbers: dict[str, int] = {}
+        self.names: list[str] = []  # by index
+        self._indices: dict[str, int] = {}
         for name in names:
-            self.number_of(name)
+            self.index_of(name)
 
-    def number_of(self, name: str) -> int:
-        """Return the number of a name; a new name gets the next number."""
-        number = self._numbers.get(name)
-        if number is None:
-            number = self._numbers[name] = len(self.names)
+    def index_of(self, name: str) -> int:
+        """Return the index of a name; a new name gets the next index."""
+        index = self._indices.get(name)
+        if index is None:
+            index = self._indices[name] = len(self.names)
             self.names.append(name)
-        return number
+        return index
 
     def __len__(self) -> int:
         """Return the number of names."""
--- a/spoolcourse/control/scheduling/snapshot_builder.py
+++ b/spoolcourse/control/scheduling/snapshot_builder.py
@@ -21,7 +21,7 @@
 
 
 class SnapshotBuilder:
-    """Builds snapshots and maps the job and machine numbers of the latest one to objects."""
+    """Builds snapshots and maps the job and machine indices of the latest one to objects."""
 
     def __init__(
         self,
@@ -40,13 +40,13 @@
         self._job_views = JobViews(self.indices, registry, params.objectives, policy)
         self._snapshot_cache = SnapshotCache(self.indices, policy)
         self._scarce_types = ScarceMachineTypes(policy)
-        # Jobs and machines of the latest snapshot, by their numbers in it.
+        # Jobs and machines of the latest snapshot, by their indices in it.
         self._order = JobOrder([], set(), set())
         self.machines: list[Machine] = []
 
     @property
     def job_states(self) -> list[JobState]:
-        """The jobs of the latest snapshot, by number."""
+        """The jobs of the latest snapshot, by index."""
         return self._order.job_states
 
     @property
@@ -83,7 +83,7 @@
             boot_s=max(
                 (machine_type.boot_s for machine_type in machine_types.values()), default=0.0
             ),
-            machine_numbers={machine.id: number for number, machine in enumerate(self.machines)},
+            machine_indices={machine.id: index for index, machine in enumerate(self.machines)},
             within_guarantee=self._order.within_guarantee,
             starved_jobs=self._order.starved_jobs,
         )
--- a/spoolcourse/control/scheduling/snapshot_cache.py
+++ b/spoolcourse/control/scheduling/snapshot_cache.py
@@ -115,8 +115,8 @@
     ) -> CachedMachine:
         gb_per_s = max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
         view = PlacementMachine(
-            machine_type=self._indices.machine_types.number_of(machine_type.name),
-            zone=self._indices.zones.number_of(machine.zone or ""),
+            machine_type=self._indices.machine_types.index_of(machine_type.name),
+            zone=self._indices.zones.index_of(machine.zone or ""),
             spot=bool(machine.spot),
             cpus=machine_type.cpus,
             gpus=machine_type.gpus,
@@ -143,7 +143,7 @@
             cpus_being_freed=view.cpus_being_freed,
             gpus_being_freed=view.gpus_being_freed,
             memory_gb_being_freed=view.memory_gb_being_freed,
-            cached_images={self._indices.images.number_of(image) for image in machine.images},
+            cached_images={self._indices.images.index_of(image) for image in machine.images},
             remaining_fetch_gb=view.remaining_fetch_gb,
             tasks=view.tasks,
         )
@@ -162,7 +162,7 @@
                 remaining_gb = max(
                     submission.image_gb - gb_per_s * (now - since), MIN_REMAINING_FETCH_GB
                 )
-                remaining_fetch_gb[self._indices.images.number_of(submission.image)] = remaining_gb
+                remaining_fetch_gb[self._indices.images.index_of(submission.image)] = remaining_gb
         return remaining_fetch_gb
 
     def _add_tasks(
@@ -196,7 +196,7 @@
             # An attempt scheduled ahead of all ranks must not be preempted by rank, or the two
             # jobs would alternate: one first task was stopped a hundred times on a busy day.
             rank=0 if attempt.exempt_from_preemption else submission.rank_number,
-            team=self._indices.teams.number_of(submission.team),
+            team=self._indices.teams.index_of(submission.team),
             checkpoint_loss_cpu_s=checkpoint_cpu_s if is_executing and has_checkpoints else 0.0,
             stopping=attempt.stopping,
             within_guarantee=attempt.exempt_from_preemption
--- a/spoolcourse/control/scheduling/team_budgets.py
+++ b/spoolcourse/control/scheduling/team_budgets.py
@@ -13,7 +13,7 @@
 def team_budgets(
     settings: list[Team], teams: NameIndex, job_queue: JobQueue, registry: WorkerRegistry
 ) -> list[TeamBudget]:
-    """Return the budget of each team, by team number.
+    """Return the budget of each team, by team index.
 
     All tasks that may be running count, including attempts that outlive their job and unexpected
     attempts on machines.
@@ -26,7 +26,7 @@
     def charge(job_state: JobState, tasks: int, stoppable: bool = True) -> None:
         """Charge tasks to their team; only stoppable tasks count towards `cpus_over_guarantee`."""
         submission = job_state.record.submission
-        budget = budgets[teams.number_of(submission.team)]
+        budget = budgets[teams.index_of(submission.team)]
         cpus = submission.cpus * tasks
         budget.cpus -= cpus
         budget.gpus -= submission.gpus * tasks
