--- a/spoolcourse/control/scheduling/job_views.py
+++ b/spoolcourse/control/scheduling/job_views.py
@@ -1,4 +1,4 @@
-"""Builds the snapshot's view of jobs."""
+"""Converts the leader's job states into the jobs of a snapshot."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PassContext:
-    """Input that the views of all jobs of a pass share."""
+    """Input that is the same for all jobs of a pass."""
 
     now: float
     boot_s: float  # of the machine type that boots slowest
@@ -33,8 +33,8 @@
     starved_jobs: set[str]  # job IDs
 
 
-class JobViews:
-    """Builds the view of each job for a pass."""
+class PlacementJobBuilder:
+    """Builds the `PlacementJob` of each job for a pass."""
 
     def __init__(
         self,
@@ -53,13 +53,13 @@
         }
         self._completion_s_by_class = _completion_s_by_class(objectives)
 
-    def view(self, job_state: JobState, context: PassContext) -> PlacementJob:
-        """Return the view of a job; a job whose view can't be built gets no pending tasks.
+    def placement_job(self, job_state: JobState, context: PassContext) -> PlacementJob:
+        """Return a job as seen by a pass; if building it fails, the job gets no pending tasks.
 
         A rule that failed for jobs without a deadline once stopped every pass of every leader.
         """
         try:
-            return self._build_view(job_state, context)
+            return self._build_placement_job(job_state, context)
         except Exception:
             log.exception("job left out of this pass: job=%s", job_state.id)
             return PlacementJob(
@@ -73,7 +73,7 @@
                 estimate_s=0.0,
             )
 
-    def _build_view(self, job_state: JobState, context: PassContext) -> PlacementJob:
+    def _build_placement_job(self, job_state: JobState, context: PassContext) -> PlacementJob:
         submission = job_state.record.submission
         indices = self._indices
         types, zone = submission.machine_types, submission.zone
--- a/spoolcourse/control/scheduling/snapshot_builder.py
+++ b/spoolcourse/control/scheduling/snapshot_builder.py
@@ -6,7 +6,7 @@
 from spoolcourse.control.jobs.model import Attempt, JobState
 from spoolcourse.control.placement.model import PlacementMachine, Snapshot
 from spoolcourse.control.scheduling.job_order import JobOrder, order_jobs
-from spoolcourse.control.scheduling.job_views import JobViews, PassContext
+from spoolcourse.control.scheduling.job_views import PassContext, PlacementJobBuilder
 from spoolcourse.control.scheduling.name_index import NameIndex, SnapshotIndices
 from spoolcourse.control.scheduling.scarce_machine_types import ScarceMachineTypes
 from spoolcourse.control.scheduling.snapshot_cache import SnapshotCache
@@ -37,7 +37,9 @@
         self.indices = SnapshotIndices(
             teams=NameIndex(team.name for team in params.teams), zones=NameIndex(params.zones)
         )
-        self._job_views = JobViews(self.indices, registry, params.objectives, policy)
+        self._placement_job_builder = PlacementJobBuilder(
+            self.indices, registry, params.objectives, policy
+        )
         self._snapshot_cache = SnapshotCache(self.indices, policy)
         self._scarce_types = ScarceMachineTypes(policy)
         # Jobs and machines of the latest snapshot, by their indices in it.
@@ -89,7 +91,10 @@
         )
         return Snapshot(
             now=now,
-            jobs=[self._job_views.view(job_state, context) for job_state in self.job_states],
+            jobs=[
+                self._placement_job_builder.placement_job(job_state, context)
+                for job_state in self.job_states
+            ],
             machines=machines,
             teams=team_budgets(
                 self._team_settings, self.indices.teams, self._job_queue, self._registry
@@ -102,27 +107,27 @@
     def _placement_machines(
         self, now: float, machine_types: dict[str, MachineType]
     ) -> list[PlacementMachine]:
-        """Build the views of the available machines; sets `machines` to these machines."""
+        """Return the available machines as seen by a pass; sets `machines` to the same machines."""
         scarce_types = {name for name in machine_types if self.is_scarce_type(name, now)}
         self._snapshot_cache.remove_missing(self._registry.machines)
         self.machines = []
-        views: list[PlacementMachine] = []
+        placement_machines: list[PlacementMachine] = []
         for machine in self._registry.machines.values():
             machine_type = machine_types.get(machine.machine_type or "")
             if machine_type is None or not self._is_available(machine, now):
                 continue
-            view = self._snapshot_cache.view(
+            placement_machine = self._snapshot_cache.placement_machine(
                 machine, machine_type, self._job_queue.jobs, now, machine_type.name in scarce_types
             )
             if machine.last_heartbeat_at is None and machine.expected_ready_at is not None:
                 # An overdue machine may boot much later than expected, or never.
                 overdue_s = max(0.0, now - machine.expected_ready_at)
-                view.ready_at = now + max(
+                placement_machine.ready_at = now + max(
                     machine.expected_ready_at - now, MIN_REMAINING_BOOT_S + overdue_s
                 )
-            views.append(view)
+            placement_machines.append(placement_machine)
             self.machines.append(machine)
-        return views
+        return placement_machines
 
     def _is_available(self, machine: Machine, now: float) -> bool:
         """Whether the machine accepts tasks now, or will after booting."""
--- a/spoolcourse/control/scheduling/snapshot_cache.py
+++ b/spoolcourse/control/scheduling/snapshot_cache.py
@@ -1,4 +1,4 @@
-"""Caches the machine views of snapshots between passes.
+"""Caches the machines of snapshots between passes.
 
 A machine's free resources and its tasks' expected ends are recomputed only after a change on the
 machine, or when they change with time alone. On a fleet of 534 machines, recomputing all of them
@@ -73,7 +73,7 @@
         if len(self._cached) > len(machines):
             self._cached = {name: c for name, c in self._cached.items() if name in machines}
 
-    def view(
+    def placement_machine(
         self,
         machine: Machine,
         machine_type: MachineType,
@@ -81,7 +81,7 @@
         now: float,
         has_scarce_type: bool,
     ) -> PlacementMachine:
-        """Return the view of a machine, recomputed only if the cached state is out of date."""
+        """Return a machine as seen by a pass; recomputes its cached state only if out of date."""
         cached = self._cached.get(machine.id)
         if (
             cached is None
@@ -90,7 +90,7 @@
         ):
             cached = self._cached[machine.id] = self._compute(machine, machine_type, jobs, now)
         # At most 15 keywords: CPython builds a dict for more, which takes three times as long.
-        view = PlacementMachine(
+        placement_machine = PlacementMachine(
             machine_type=cached.machine_type,
             zone=cached.zone,
             spot=bool(machine.spot),
@@ -106,15 +106,15 @@
             gpus_being_freed=cached.gpus_being_freed,
             memory_gb_being_freed=cached.memory_gb_being_freed,
         )
-        view.scale_in_candidate = machine.scale_in_candidate
-        view.has_scarce_type = has_scarce_type
-        return view
+        placement_machine.scale_in_candidate = machine.scale_in_candidate
+        placement_machine.has_scarce_type = has_scarce_type
+        return placement_machine
 
     def _compute(
         self, machine: Machine, machine_type: MachineType, jobs: dict[str, JobState], now: float
     ) -> CachedMachine:
         gb_per_s = max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
-        view = PlacementMachine(
+        placement_machine = PlacementMachine(
             machine_type=self._indices.machine_types.index_of(machine_type.name),
             zone=self._indices.zones.index_of(machine.zone or ""),
             spot=bool(machine.spot),
@@ -125,27 +125,27 @@
             fetch_gb_per_s=machine_type.fetch_gb_per_s,
             remaining_fetch_gb=self._remaining_fetch_gb(machine, gb_per_s, now),
         )
-        fetch_s = sum(view.remaining_fetch_gb.values()) / gb_per_s
-        valid_until = self._add_tasks(view, machine, fetch_s, now)
+        fetch_s = sum(placement_machine.remaining_fetch_gb.values()) / gb_per_s
+        valid_until = self._add_tasks(placement_machine, machine, fetch_s, now)
         for job, _, _ in machine.unexpected_attempts:
             job_state = jobs.get(job)
             if job_state is not None:
-                _subtract(view, job_state.record.submission)
-        view.tasks.sort(key=lambda task: task.expected_end)
+                _subtract(placement_machine, job_state.record.submission)
+        placement_machine.tasks.sort(key=lambda task: task.expected_end)
         return CachedMachine(
             change_count=machine.change_count,
             valid_until=valid_until,
-            machine_type=view.machine_type,
-            zone=view.zone,
-            cpus=view.cpus,
-            gpus=view.gpus,
-            memory_gb=view.memory_gb,
-            cpus_being_freed=view.cpus_being_freed,
-            gpus_being_freed=view.gpus_being_freed,
-            memory_gb_being_freed=view.memory_gb_being_freed,
+            machine_type=placement_machine.machine_type,
+            zone=placement_machine.zone,
+            cpus=placement_machine.cpus,
+            gpus=placement_machine.gpus,
+            memory_gb=placement_machine.memory_gb,
+            cpus_being_freed=placement_machine.cpus_being_freed,
+            gpus_being_freed=placement_machine.gpus_being_freed,
+            memory_gb_being_freed=placement_machine.memory_gb_being_freed,
             cached_images={self._indices.images.index_of(image) for image in machine.images},
-            remaining_fetch_gb=view.remaining_fetch_gb,
-            tasks=view.tasks,
+            remaining_fetch_gb=placement_machine.remaining_fetch_gb,
+            tasks=placement_machine.tasks,
         )
 
     def _remaining_fetch_gb(
@@ -166,20 +166,20 @@
         return remaining_fetch_gb
 
     def _add_tasks(
-        self, view: PlacementMachine, machine: Machine, fetch_s: float, now: float
+        self, placement_machine: PlacementMachine, machine: Machine, fetch_s: float, now: float
     ) -> float:
-        """Add the machine's attempts to its view; return until when their estimates are valid."""
+        """Add the machine's attempts; return until when their estimates are valid."""
         valid_until = inf
         for attempt in machine.attempts.values():
-            _subtract(view, attempt.job_state.record.submission)
+            _subtract(placement_machine, attempt.job_state.record.submission)
             expected_end, is_constant = self._expected_end(attempt, now, fetch_s)
             valid_until = min(
                 valid_until, expected_end if is_constant else now + ESTIMATE_REFRESH_S
             )
             task = self._running_task(attempt, expected_end)
             if attempt.stopping:
-                view.expect_release(task)
-            view.tasks.append(task)
+                placement_machine.expect_release(task)
+            placement_machine.tasks.append(task)
         return valid_until
 
     def _running_task(self, attempt: Attempt, expected_end: float) -> RunningTask:
@@ -217,8 +217,8 @@
         return now + max(fetch_s - elapsed_s, MIN_FETCH_DELAY_S) + estimate_s, False
 
 
-def _subtract(view: PlacementMachine, submission: Submission) -> None:
+def _subtract(placement_machine: PlacementMachine, submission: Submission) -> None:
     """Subtract the resources of one task of the job."""
-    view.cpus -= submission.cpus
-    view.gpus -= submission.gpus
-    view.memory_gb -= submission.memory_gb
+    placement_machine.cpus -= submission.cpus
+    placement_machine.gpus -= submission.gpus
+    placement_machine.memory_gb -= submission.memory_gb
--- a/tests/scenarios/test_jobs_through_troubles.py
+++ b/tests/scenarios/test_jobs_through_troubles.py
@@ -240,14 +240,14 @@
     world = World()
     await world.up()
     leader_term, active = world.nodes[str(world.leader)].leader_term, world.active()
-    build = active.snapshot_builder._job_views._build_view
+    build = active.snapshot_builder._placement_job_builder._build_placement_job
 
     def partly(job_state: Any, context: Any) -> Any:
         if job_state.id == "job-000001":
             raise TypeError("unforeseen")
         return build(job_state, context)
 
-    active.snapshot_builder._job_views._build_view = partly  # type: ignore[method-assign]
+    active.snapshot_builder._placement_job_builder._build_placement_job = partly  # type: ignore[method-assign]
     await world.submit(job(1))
     await world.submit(job(2))
     await world.finish(2)
