--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -31,7 +31,7 @@
 RENEW_RETRY_TTL_FRACTION = 1 / 12  # after a failed renewal
 RELEASE_CANDIDACY_DELAY_S = 5.0  # a leader that released its lease lets others stand first
 ELECTION_RETRY_DELAY_RANGE_S = (0.1, 0.4)  # random, so that candidates don't retry in step
-RECENT_VIEW_MAX_TTLS = 2  # maximum age of a recent view of the key-value store, in lease TTLs
+RECENT_WATCH_CACHE_MAX_TTLS = 2  # maximum age of a recent watch cache, in lease TTLs
 
 
 class LeadershipListener(Protocol):
@@ -90,11 +90,11 @@
         return LeaderRecord.label_of(entry.value) if entry else None
 
     @property
-    def has_recent_view(self) -> bool:
+    def watch_cache_is_recent(self) -> bool:
         """Whether the watch cache is recent enough to show any change of leader."""
-        return self._view_age_s() < RECENT_VIEW_MAX_TTLS * self._lease_ttl_s
+        return self._watch_cache_age_s() < RECENT_WATCH_CACHE_MAX_TTLS * self._lease_ttl_s
 
-    def _view_age_s(self) -> float:
+    def _watch_cache_age_s(self) -> float:
         return asyncio.get_running_loop().time() - self._watch_cache.synced_at
 
     def holds_lease(self) -> bool:
@@ -169,7 +169,7 @@
     async def _follow(self) -> None:
         """Wait for a change of leader; read the store if the watch seems to hang."""
         changed = await wait_for_event(self._leader_changed, self._lease_ttl_s)
-        if not changed and self._view_age_s() > self._lease_ttl_s:
+        if not changed and self._watch_cache_age_s() > self._lease_ttl_s:
             await self._watch_cache.read_barrier()
 
     async def _leader_changed_during_delay(self) -> bool:
--- a/spoolcourse/control/worker_api.py
+++ b/spoolcourse/control/worker_api.py
@@ -43,5 +43,5 @@
     def _relay_to_leader(self, heartbeat: Heartbeat, body: bytes) -> Response | Awaitable[Response]:
         leadership = self._leadership
         return self._relay.handle(
-            heartbeat.machine, body, leadership.leader_label, leadership.has_recent_view
+            heartbeat.machine, body, leadership.leader_label, leadership.watch_cache_is_recent
         )
