--- a/spoolcourse/control/jobs/cancellation_query.py
+++ b/spoolcourse/control/jobs/cancellation_query.py
@@ -25,9 +25,7 @@
 STORE_READ_AGE_MAX_S = 2.0  # then peers are queried; the health check reads each second
 
 
-def answer_cancellations_query(
-    job_index: JobIndex, watch_cache: WatchCache, query: str
-) -> dict[str, Any]:
+def cancellation_reply(job_index: JobIndex, watch_cache: WatchCache, query: str) -> dict[str, Any]:
     """Return the reply to a leader that has applied all changes up to the query's revision.
 
     Raises `MalformedError` if the query has no valid revision.
--- a/spoolcourse/control/peer_api.py
+++ b/spoolcourse/control/peer_api.py
@@ -10,7 +10,7 @@
     transfer_leadership,
 )
 from spoolcourse.control.http_client import Request, Response, error_response
-from spoolcourse.control.jobs.cancellation_query import answer_cancellations_query
+from spoolcourse.control.jobs.cancellation_query import cancellation_reply
 from spoolcourse.control.leadership import feature_level
 from spoolcourse.control.status import collect_status
 from spoolcourse.wire.commands import to_json_object
@@ -56,9 +56,7 @@
         try:
             return Response(
                 200,
-                answer_cancellations_query(
-                    context.job_index, context.watch_cache, _query_string(request)
-                ),
+                cancellation_reply(context.job_index, context.watch_cache, _query_string(request)),
             )
         except MalformedError as exc:
             return error_response(400, str(exc))
