--- a/spoolcourse/control/failover/restore.py
+++ b/spoolcourse/control/failover/restore.py
@@ -8,7 +8,7 @@
 from spoolcourse.control.jobs.job_queue import JobQueue
 from spoolcourse.control.jobs.model import RecordedProgress
 from spoolcourse.control.store.keys import PROGRESS_PREFIX, parse_progress_key
-from spoolcourse.control.store.records import Progress, chunk_tasks
+from spoolcourse.control.store.records import Progress, max_tasks_per_chunk
 
 ProgressByJob = dict[str, dict[int, RecordedProgress]]  # by job and chunk index
 
@@ -23,7 +23,7 @@
 
 def empty_job_queue(context: ControllerContext) -> JobQueue:
     """An empty job queue, with chunks sized for the key-value store's limits."""
-    return JobQueue(chunk_tasks(context.params.state.lower_limits.value_kb))
+    return JobQueue(max_tasks_per_chunk(context.params.state.lower_limits.value_kb))
 
 
 def restore_from_records(context: ControllerContext) -> RestoredJobs:
--- a/spoolcourse/control/jobs/job_records.py
+++ b/spoolcourse/control/jobs/job_records.py
@@ -11,7 +11,7 @@
 from spoolcourse.control.store.client import StoreClient
 from spoolcourse.control.store.errors import OutcomeUnknownError
 from spoolcourse.control.store.keys import final_key, job_key
-from spoolcourse.control.store.records import FinalState, JobRecord, chunk_tasks
+from spoolcourse.control.store.records import FinalState, JobRecord, max_tasks_per_chunk
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.key_value_store import Put
 from spoolcourse.wire.messages import JobStatus, Submission
@@ -67,7 +67,7 @@
         Also raises RecordTooLargeError.
         """
         limit_kb = self._client.limits.value_kb
-        record = JobRecord(submission, accepted_at, chunk_tasks(limit_kb), None, 0)
+        record = JobRecord(submission, accepted_at, max_tasks_per_chunk(limit_kb), None, 0)
         key = job_key(submission.id)
         value = record.value()
         record_bytes, max_bytes = len(orjson.dumps(value)), limit_kb * 1024 - CANCELLATION_BYTES
--- a/spoolcourse/control/store/records.py
+++ b/spoolcourse/control/store/records.py
@@ -15,7 +15,7 @@
 
 INITIAL_MACHINES_OVERHEAD_BYTES = 40  # of the stored form, without the names
 MAX_HELD_TASK_BYTES = 48  # of one held task in a progress value
-MIN_CHUNK_TASKS = 16
+MIN_TASKS_PER_CHUNK = 16
 
 _new_tuple = tuple.__new__
 
@@ -125,13 +125,13 @@
         return int(value["done"], 16).bit_count(), len(value["held"])
 
 
-def chunk_tasks(value_kb: float) -> int:
-    """Tasks per progress key, so that one value can hold an assignment for each of them.
+def max_tasks_per_chunk(value_kb: float) -> int:
+    """How many tasks one progress key may cover: its value can hold an assignment for each.
 
     Args:
         value_kb: The largest value that the store accepts, in KiB.
     """
-    return max(MIN_CHUNK_TASKS, int(value_kb * 1024) // MAX_HELD_TASK_BYTES)
+    return max(MIN_TASKS_PER_CHUNK, int(value_kb * 1024) // MAX_HELD_TASK_BYTES)
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/recorded/forms/adapter.py
+++ b/tests/recorded/forms/adapter.py
@@ -470,7 +470,7 @@
         "body limit": messages.MAX_BODY_BYTES,
         "job id": messages.JOB_ID.pattern,
         "progress counts": list(records.Progress.counts_of(progress)),
-        "progress chunk": [records.chunk_tasks(kb) for kb in (0.1, 8.0, 64.0)],
+        "progress chunk": [records.max_tasks_per_chunk(kb) for kb in (0.1, 8.0, 64.0)],
         "term before the first election": records.TermRecord.number_of(None),
         "leader of a version without runs": records.LeaderRecord.run_id_of({"label": "n1"}),
         "base of a version without parts": records.further_parts_of({"machines": []}),
