--- a/spoolcourse/control/autoscaling/replica_places.py
+++ b/spoolcourse/control/autoscaling/replica_places.py
@@ -12,7 +12,7 @@
 from spoolcourse.control.jobs.model import Attempt, JobState
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.control.workers.worker_registry import WorkerRegistry
-from spoolcourse.wire.messages import MachineType, fits
+from spoolcourse.wire.messages import MachineType, task_fits
 from spoolcourse.wire.settings import WorkerSettings
 
 HEARTBEAT_TRANSIT_S = 1.0  # including the wait until this process handles the heartbeat
@@ -82,7 +82,7 @@
 def _has_room_for(job_state: JobState, machine: Machine, machine_type: MachineType) -> bool:
     """Whether the job may run there, and one task fits beside the work it does not preempt."""
     submission = job_state.record.submission
-    if not fits(submission, machine_type) or (machine.spot and not submission.spot_allowed):
+    if not task_fits(submission, machine_type) or (machine.spot and not submission.spot_allowed):
         return False
     if submission.zone not in (None, machine.zone):
         return False
--- a/spoolcourse/control/scheduling/scarce_machine_types.py
+++ b/spoolcourse/control/scheduling/scarce_machine_types.py
@@ -6,7 +6,7 @@
 
 from spoolcourse.control.jobs.model import JobState
 from spoolcourse.policy.keys import Policy
-from spoolcourse.wire.messages import MachineType, fits
+from spoolcourse.wire.messages import MachineType, task_fits
 
 
 class ScarceMachineTypes:
@@ -21,13 +21,13 @@
     ) -> None:
         """Mark as scarce the types that a job can use, for each job that cannot use all types."""
         for job_state in jobs:
-            fitting = [
+            usable_types = [
                 machine_type.name
                 for machine_type in machine_types.values()
-                if fits(job_state.record.submission, machine_type)
+                if task_fits(job_state.record.submission, machine_type)
             ]
-            if len(fitting) < len(machine_types):
-                for name in fitting:
+            if len(usable_types) < len(machine_types):
+                for name in usable_types:
                     self._scarce_until[name] = now + self._policy.rare_s
 
     def is_scarce_type(self, machine_type: str, now: float) -> bool:
--- a/spoolcourse/control/user_api/checks.py
+++ b/spoolcourse/control/user_api/checks.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from spoolcourse.wire.messages import MachineType, Submission, fits
+from spoolcourse.wire.messages import MachineType, Submission, task_fits
 from spoolcourse.wire.settings import DeploymentSettings, Team
 
 
@@ -13,7 +13,7 @@
     return [
         machine_type.name
         for machine_type in machine_types.values()
-        if fits(submission, machine_type)
+        if task_fits(submission, machine_type)
         and any(z in zones and submission.zone in (None, z) for z in machine_type.zones)
     ]
 
--- a/spoolcourse/wire/messages.py
+++ b/spoolcourse/wire/messages.py
@@ -112,7 +112,7 @@
         return self.shape == "standing"
 
 
-def fits(submission: Submission, machine_type: MachineType) -> bool:
+def task_fits(submission: Submission, machine_type: MachineType) -> bool:
     """Whether the job allows the type, and an empty machine of it has room for one of its tasks."""
     return (
         (submission.machine_types is None or machine_type.name in submission.machine_types)
