--- a/spoolcourse/control/leader/leader_term.py
+++ b/spoolcourse/control/leader/leader_term.py
@@ -14,7 +14,7 @@
 from spoolcourse.control.leadership.election import Leadership
 from spoolcourse.control.leadership.failover_proof import TermSupersededError
 from spoolcourse.control.leadership.failover_timeline import FailoverPhase, FailoverTimeline
-from spoolcourse.control.leadership.feature_level import FeatureLevel
+from spoolcourse.control.leadership.feature_level import FeatureLevelRecorder
 from spoolcourse.control.leadership.renewal_deadline import RenewalDeadline
 from spoolcourse.control.leadership.term import Term
 from spoolcourse.control.supervisor import LoopSupervisor, SupervisionPolicy
@@ -65,7 +65,7 @@
             self._renewal_deadline,
             step_down,
         )
-        feature_level = FeatureLevel(
+        feature_level_recorder = FeatureLevelRecorder(
             context.http_client,
             context.store_client,
             context.watch_cache,
@@ -74,7 +74,7 @@
         )
         self._supervisor.spawn(self._run_failover)
         self._supervisor.spawn(cancellation_query.run)
-        self._supervisor.spawn(feature_level.run)
+        self._supervisor.spawn(feature_level_recorder.run)
 
     def stop(self) -> None:
         """Stop all loops."""
--- a/spoolcourse/control/leadership/feature_level.py
+++ b/spoolcourse/control/leadership/feature_level.py
@@ -38,7 +38,7 @@
     return entry is not None and feature_level_of(entry.value) >= SERVICES_LEVEL
 
 
-class FeatureLevel:
+class FeatureLevelRecorder:
     """Records the feature level once all controllers have reached it."""
 
     def __init__(
