--- a/spoolcourse/control/jobs/progress_writer.py
+++ b/spoolcourse/control/jobs/progress_writer.py
@@ -68,7 +68,7 @@
                         await self._write_results()
                     retry.reset()
             except StoreUnavailableError as exc:
-                log.debug("progress write failed: %s", exc)
+                log.debug("write of progress or a final state failed: %s", exc)
                 self._wake.set()
                 await retry.wait()
 
--- a/spoolcourse/control/jobs/term_transactions.py
+++ b/spoolcourse/control/jobs/term_transactions.py
@@ -70,9 +70,9 @@
             RequestRefusedError: The term is superseded, or the watch cache could not be synced.
         """
         if TERM_KEY in outcome.conflicting_keys:
-            self._step_down("a write was refused: the term is superseded")
+            self._step_down("a write conflicted: the term is superseded")
             raise RequestRefusedError("write", "the term is superseded")
-        log.debug("progress write conflict: keys=%s", outcome.conflicting_keys)
+        log.debug("write conflict: keys=%s", outcome.conflicting_keys)
         if not await self._watch_cache.read_barrier():
             raise RequestRefusedError("read barrier after a conflict", "no answer")
         self._reconcile_with_cache()
