--- a/spoolcourse/control/store/errors.py
+++ b/spoolcourse/control/store/errors.py
@@ -85,22 +85,22 @@
 
     Attributes:
         prefix: The watched prefix.
-        since: The last revision that the watch cache has applied.
+        since_revision: The last revision that the watch cache has applied.
     """
 
-    def __init__(self, prefix: str, since: int, detail: str = "status 410") -> None:
-        super().__init__(f"watch {prefix} since revision {since}: {detail}")
+    def __init__(self, prefix: str, since_revision: int, detail: str = "status 410") -> None:
+        super().__init__(f"watch {prefix} since revision {since_revision}: {detail}")
         self.prefix = prefix
-        self.since = since
+        self.since_revision = since_revision
 
 
 class TooFarBehindError(RevisionCompactedError):
     """There are more changes than one watch response should hold.
 
     Attributes:
-        latest: The store's current revision.
+        latest_revision: The store's current revision.
     """
 
-    def __init__(self, prefix: str, since: int, latest: int) -> None:
-        super().__init__(prefix, since, f"the store is at revision {latest}")
-        self.latest = latest
+    def __init__(self, prefix: str, since_revision: int, latest_revision: int) -> None:
+        super().__init__(prefix, since_revision, f"the store is at revision {latest_revision}")
+        self.latest_revision = latest_revision
--- a/spoolcourse/control/store/watch_cache.py
+++ b/spoolcourse/control/store/watch_cache.py
@@ -142,7 +142,7 @@
         for listener in self._listeners:
             listener(key, value, revision)
 
-    def _advance(self, store_revision: int, changes: list[Change]) -> None:
+    def _apply_changes(self, store_revision: int, changes: list[Change]) -> None:
         for change in changes:
             # Responses to the watch and to read barriers overlap: an old put must not restore a
             # key that was deleted since.
@@ -167,14 +167,14 @@
         self._active_reloads += 1
         try:
             listing = await self._client.list_entries(self.live_prefix)
-            self._replace(listing.entries, listing.store_revision)
+            self._replace_entries(listing.entries, listing.store_revision)
         finally:
             self._active_reloads -= 1
-        self._advance(listing.store_revision, [])
+        self._apply_changes(listing.store_revision, [])
         self.synced_at = max(self.synced_at, started_at)
         self._mark_loaded()
 
-    def _replace(self, entries: list[Entry], store_revision: int) -> None:
+    def _replace_entries(self, entries: list[Entry], store_revision: int) -> None:
         listed_keys = {e.key for e in entries}
         for key in [
             k
@@ -242,7 +242,7 @@
         result = await self._client.watch(self.prefix, since, block_s, urgent=urgent)
         if result.store_revision < since:
             self._notify_gap(WatchGap.REVISION_DECREASED)
-        self._advance(result.store_revision, result.changes)
+        self._apply_changes(result.store_revision, result.changes)
         self.synced_at = max(self.synced_at, started_at)
 
     def _invalidate(self, error: RevisionCompactedError) -> None:
--- a/tests/failover/test_standby_properties.py
+++ b/tests/failover/test_standby_properties.py
@@ -146,14 +146,14 @@
         """The next revisions, and some earlier ones again."""
         reached = min(self.cache.store_revision + count, self.revision)
         since = self.cache.store_revision - again
-        self.cache._advance(reached, [c for c in self.log if since < c.revision <= reached])
+        self.cache._apply_changes(reached, [c for c in self.log if since < c.revision <= reached])
 
     @rule(behind=st.integers(1, 6), span=st.integers(1, 6))
     def answer_late(self, behind: int, span: int) -> None:
         """An answer that arrives after a later one."""
         reached = self.cache.store_revision - behind
         since = reached - span
-        self.cache._advance(reached, [c for c in self.log if since < c.revision <= reached])
+        self.cache._apply_changes(reached, [c for c in self.log if since < c.revision <= reached])
 
     @precondition(lambda self: self.log)
     @rule(data=st.data())
@@ -184,9 +184,9 @@
         entries += [Entry(k, v, r) for k, (v, r) in sorted(self.keys.items()) if "/prog/" in k]
         if seen:
             self.watch(self.revision, 0)
-        self.cache._replace(entries, first)
+        self.cache._replace_entries(entries, first)
         self.cache._active_reloads -= 1
-        self.cache._advance(first, [])
+        self.cache._apply_changes(first, [])
         self.cache._mark_loaded()
 
     # -- what must hold -------------------------------------------------------------------
--- a/tests/store/test_store_client.py
+++ b/tests/store/test_store_client.py
@@ -94,7 +94,7 @@
     assert refused.leases == (5,)
     compacted = await failure(410, REQUESTS["watch"])
     assert isinstance(compacted, RevisionCompactedError)
-    assert (compacted.prefix, compacted.since) == ("a", 3)
+    assert (compacted.prefix, compacted.since_revision) == ("a", 3)
     for error in (expired, refused, compacted, TooFarBehindError("a", 3, 5000)):
         assert not isinstance(error, StoreUnavailableError)
     assert issubclass(TooFarBehindError, RevisionCompactedError)
