--- a/spoolcourse/control/leadership/candidate.py
+++ b/spoolcourse/control/leadership/candidate.py
@@ -72,7 +72,7 @@
         # process that was carried out late has the same number, but its key is attached to another
         # lease, and renewing the new lease would not keep that key.
         record = TermRecord(number, self._run_id, lease_id)
-        revision = await self._claim(record, expected_revisions)
+        revision = await self._write_claim(record, expected_revisions)
         if revision is None:
             await self._watch_cache.read_barrier()
             return None
@@ -81,7 +81,9 @@
     def _expected_revisions(self) -> dict[str, int]:
         return {key: self._watch_cache.revision(key) for key in (LEADER_KEY, TERM_KEY)}
 
-    async def _claim(self, record: TermRecord, expected_revisions: dict[str, int]) -> int | None:
+    async def _write_claim(
+        self, record: TermRecord, expected_revisions: dict[str, int]
+    ) -> int | None:
         """Write the claim; return its revision, or None if a condition did not hold."""
         leader_value = LeaderRecord(record, self._label).value()
         term_value = record.value()
--- a/spoolcourse/control/scheduling/capacity_planning.py
+++ b/spoolcourse/control/scheduling/capacity_planning.py
@@ -30,7 +30,9 @@
         self._autoscaler = autoscaler
         self._indices = indices
 
-    def plan(self, snapshot: Snapshot, plan: Plan, team_cpus: list[float], now: float) -> None:
+    def request_machines(
+        self, snapshot: Snapshot, plan: Plan, team_cpus: list[float], now: float
+    ) -> None:
         """Request machines for the plan's unplaced tasks, then for headroom.
 
         `team_cpus` holds, by team, the CPUs that the team could still use before the pass.
--- a/spoolcourse/control/scheduling/scheduling_loop.py
+++ b/spoolcourse/control/scheduling/scheduling_loop.py
@@ -91,7 +91,7 @@
             self._assign(placement, now)
         with self._load.time_block("stop"):
             self._preemptor.preempt(snapshot, plan)
-        self._capacity_planner.plan(snapshot, plan, team_cpus, now)
+        self._capacity_planner.request_machines(snapshot, plan, team_cpus, now)
 
     def _assigned_cpus(self) -> float:
         """Return the CPUs of all attempts of live jobs."""
