--- a/spoolcourse/control/jobs/term_transactions.py
+++ b/spoolcourse/control/jobs/term_transactions.py
@@ -49,15 +49,15 @@
         """Commit a transaction; the result names keys whose revision is not the expected one.
 
         Raises:
-            RequestRefusedError: It was not carried out.
-            OutcomeUnknownError: It may have been carried out, or may be later. The job queue has
-                been reconciled with the watch cache if that could be synced.
+            RequestRefusedError: The transaction was not carried out.
+            OutcomeUnknownError: The transaction may have been carried out, or may be later. The
+                job queue has been reconciled with the watch cache if that could be synced.
         """
         try:
             return await self._client.compare_and_swap(expected_revisions, operations)
         except OutcomeUnknownError:
-            # It may have been carried out, or may still be: check. The retry has the same expected
-            # revisions, so at most one of the two is carried out.
+            # The transaction may have been carried out, or may still be: check. The retry has the
+            # same expected revisions, so at most one of the two is carried out.
             if not await self._watch_cache.read_barrier():
                 raise
             self._reconcile_with_cache()
@@ -70,9 +70,9 @@
             RequestRefusedError: The term is superseded, or the watch cache could not be synced.
         """
         if TERM_KEY in outcome.conflicting_keys:
-            self._step_down("a write was refused: the term is superseded")
+            self._step_down("a write conflicted: the term is superseded")
             raise RequestRefusedError("write", "the term is superseded")
-        log.debug("progress write conflict: keys=%s", outcome.conflicting_keys)
+        log.debug("write conflict: keys=%s", outcome.conflicting_keys)
         if not await self._watch_cache.read_barrier():
             raise RequestRefusedError("read barrier after a conflict", "no answer")
         self._reconcile_with_cache()
--- a/spoolcourse/control/leadership/candidate.py
+++ b/spoolcourse/control/leadership/candidate.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WonElection:
-    """A claim of a term that was carried out."""
+    """A won election: the claim of the term was carried out."""
 
     term: Term
     lease_requested_at: float  # monotonic, in seconds; the lease lasts its TTL from here at least
@@ -51,10 +51,11 @@
         return same_label and LeaderRecord.run_id_of(entry.value) != self._run_id
 
     async def stand_for_election(self) -> WonElection | None:
-        """Claim the next term; return None if another controller leads or claimed it first.
+        """Claim the next term; return None if another controller leads or claimed that term first.
 
         Raises `OutcomeUnknownError` if the claim may or may not be carried out,
-        `RequestRefusedError` if it is not, and `LeaseExpiredError` if its lease expired first.
+        `RequestRefusedError` if it is not, and `LeaseExpiredError` if the lease for the leader key
+        expired first.
         """
         if not await self._watch_cache.read_barrier():
             raise OutcomeUnknownError("read barrier", "no answer in time")
@@ -71,7 +72,7 @@
         # process that was carried out late has the same number, but its key is attached to another
         # lease, and renewing the new lease would not keep that key.
         record = TermRecord(number, self._run_id, lease_id)
-        revision = await self._claim(record, expected_revisions)
+        revision = await self._write_claim(record, expected_revisions)
         if revision is None:
             await self._watch_cache.read_barrier()
             return None
@@ -80,7 +81,9 @@
     def _expected_revisions(self) -> dict[str, int]:
         return {key: self._watch_cache.revision(key) for key in (LEADER_KEY, TERM_KEY)}
 
-    async def _claim(self, record: TermRecord, expected_revisions: dict[str, int]) -> int | None:
+    async def _write_claim(
+        self, record: TermRecord, expected_revisions: dict[str, int]
+    ) -> int | None:
         """Write the claim; return its revision, or None if a condition did not hold."""
         leader_value = LeaderRecord(record, self._label).value()
         term_value = record.value()
--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -3,7 +3,7 @@
 The term number is the workers' fencing token. Every write of a leader is conditional on the
 revision that the term key got when it was elected, so a deposed leader's writes fail however late
 they arrive. The lease only decides when others may stand for election; safety does not depend on
-it.
+the lease.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 RENEW_RETRY_TTL_FRACTION = 1 / 12  # after a failed renewal
 RELEASE_CANDIDACY_DELAY_S = 5.0  # a leader that released its lease lets others stand first
 ELECTION_RETRY_DELAY_RANGE_S = (0.1, 0.4)  # random, so that candidates don't retry in step
-RECENT_VIEW_MAX_TTLS = 2  # maximum age of a recent view of the key-value store, in lease TTLs
+RECENT_WATCH_CACHE_MAX_TTLS = 2  # maximum age of a recent watch cache, in lease TTLs
 
 
 class LeadershipListener(Protocol):
@@ -62,7 +62,7 @@
         listener: LeadershipListener | None = None,
         candidacy_delay_s: Callable[[], float] = no_candidacy_delay_s,
     ) -> None:
-        """`candidacy_delay_s` returns how long to let others stand first; used while behind."""
+        """`candidacy_delay_s` returns how long to let others stand first while behind them."""
         self._client = client
         self._watch_cache = watch_cache
         self._label = label
@@ -79,7 +79,7 @@
         self._candidacy_allowed_at = float("-inf")
         self._leader_changed = asyncio.Event()
         self._stepped_down = asyncio.Event()
-        watch_cache.add_listener(self._on_change)
+        watch_cache.add_listener(self._handle_change)
 
     # -- current leader -----------------------------------------------------------------
 
@@ -90,11 +90,11 @@
         return LeaderRecord.label_of(entry.value) if entry else None
 
     @property
-    def has_recent_view(self) -> bool:
+    def watch_cache_is_recent(self) -> bool:
         """Whether the watch cache is recent enough to show any change of leader."""
-        return self._view_age_s() < RECENT_VIEW_MAX_TTLS * self._lease_ttl_s
+        return self._watch_cache_age_s() < RECENT_WATCH_CACHE_MAX_TTLS * self._lease_ttl_s
 
-    def _view_age_s(self) -> float:
+    def _watch_cache_age_s(self) -> float:
         return asyncio.get_running_loop().time() - self._watch_cache.synced_at
 
     def holds_lease(self) -> bool:
@@ -130,19 +130,19 @@
         except StoreUnavailableError as exc:
             log.info("lease not released, it will expire, term=%d: %s", term.number, exc)
 
-    def _on_change(self, key: str, value: Any, revision: int) -> None:
+    def _handle_change(self, key: str, value: Any, revision: int) -> None:
         if key in (LEADER_KEY, TERM_KEY):
             self._leader_changed.set()
             if key == LEADER_KEY:
-                self._record_vacancy(value)
+                self._update_leaderless_since(value)
             if key == TERM_KEY and self.term is not None and revision > self.term.revision:
                 self.step_down("a newer term was elected")
 
-    def _record_vacancy(self, leader_value: Any) -> None:
+    def _update_leaderless_since(self, leader_value: Any) -> None:
         if leader_value is None:
             self.leaderless_since = asyncio.get_running_loop().time()
         elif LeaderRecord.label_of(leader_value) != self._label:
-            # If this controller is elected later, its failover starts at the next vacancy.
+            # If this controller is elected later, its failover begins when that leader is gone.
             self.leaderless_since = None
 
     # -- election -----------------------------------------------------------------------
@@ -169,7 +169,7 @@
     async def _follow(self) -> None:
         """Wait for a change of leader; read the store if the watch seems to hang."""
         changed = await wait_for_event(self._leader_changed, self._lease_ttl_s)
-        if not changed and self._view_age_s() > self._lease_ttl_s:
+        if not changed and self._watch_cache_age_s() > self._lease_ttl_s:
             await self._watch_cache.read_barrier()
 
     async def _leader_changed_during_delay(self) -> bool:
@@ -203,7 +203,7 @@
     # -- leading ------------------------------------------------------------------------
 
     async def _lead(self) -> None:
-        """Renew until deposed. If renewals fail the term continues, but the lease is not held."""
+        """Renew the lease until deposed. If renewals fail, the term continues without the lease."""
         while self.term is not None:
             pause_s = await self._renew_lease(self.term)
             await wait_for_event(self._stepped_down, pause_s)
@@ -226,7 +226,7 @@
         return self._lease_ttl_s * RENEW_PERIOD_TTL_FRACTION
 
     async def _is_latest(self, term: Term) -> bool:
-        """Whether the term key is unchanged; others may lead after a gap between renewals."""
+        """Whether the term key is unchanged; after a gap between renewals another may lead."""
         entry = await self._client.get(TERM_KEY)
         return entry is not None and entry.revision == term.revision
 
--- a/spoolcourse/control/placement/preempt.py
+++ b/spoolcourse/control/placement/preempt.py
@@ -1,10 +1,10 @@
 """Preemption for rank and team guarantee: running tasks are stopped for jobs that may preempt.
 
 This is the second exception to the arrival order (docs/design.md). A job may preempt if users
-wait for its class to start, or if it fits into its team's guarantee. It may preempt tasks of lower
-rank and, if it is within its guarantee, tasks of the same rank of teams that exceed their own
-guarantee. Jobs are scheduled in the same order (rank, guarantee, arrival), as two jobs must not
-preempt each other in turn.
+wait for jobs of its class, or if it fits into its team's guarantee. It may preempt tasks of lower
+rank. A job within its team's guarantee may also preempt tasks of the same rank, of teams that
+exceed their own guarantee. Jobs are scheduled in the same order (rank, guarantee, arrival), as two
+jobs must not preempt each other in turn.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     tasks_that_fit,
 )
 
-MIN_LOSS_DIVISOR_CPUS = 0.1  # for the loss per CPU of tasks with almost no CPUs
+MIN_LOSS_DIVISOR_CPUS = 0.1  # divisor of the loss per CPU for tasks that use fewer CPUs
 
 _Demand = tuple[int, int]  # index of a job that may preempt, number of its unplaced tasks
 
@@ -55,7 +55,7 @@
     def _victim_candidates(
         self, highest_rank: int, min_remaining_s: float
     ) -> list[tuple[int, RunningTask]]:
-        """Return the tasks that some demand may preempt with their machines, least loss first."""
+        """Return the machine index and task of each possible victim, least loss first."""
         now = self._snapshot.now
         candidates = sorted(
             (
@@ -84,12 +84,12 @@
 
     def run(self) -> list[int]:
         """Process the demands in order and return the attempt numbers of the tasks to stop."""
-        # Signatures of demands that found too few victims: the next such demand would find none.
-        # Searching all tasks again for each demand would cost O(machines * jobs).
+        # Signatures of demands that found too few victims: another demand with the same signature
+        # would find none, and searching all tasks for each demand costs O(machines * jobs).
         without_victims: set[tuple[object, ...]] = set()
         for job_index, unplaced_tasks in self._demands:
             job = self._snapshot.jobs[job_index]
-            missing = unplaced_tasks - self._book_freed(job, unplaced_tasks)
+            missing = unplaced_tasks - self._allocate_freed(job, unplaced_tasks)
             if missing <= 0 or not self._may_have_victims(job):
                 continue
             # These constraints depend on machines and on the job's own tasks, which the signature
@@ -109,23 +109,23 @@
             self._lowest_rank == job.rank and job.within_guarantee
         )
 
-    def _book_freed(self, job: PlacementJob, max_tasks: int) -> int:
-        """Book resources that are free or being freed; return for how many tasks."""
-        booked = 0
+    def _allocate_freed(self, job: PlacementJob, max_tasks: int) -> int:
+        """Allocate resources that are free or being freed; return for how many tasks."""
+        allocated = 0
         for machine_index, machine in enumerate(self._snapshot.machines):
-            if booked >= max_tasks:
+            if allocated >= max_tasks:
                 break
             has_cpus = machine.cpus + machine.cpus_being_freed + EPSILON >= job.cpus
             if has_cpus and _is_eligible_machine(job, machine_index, machine, self._snapshot.now):
-                booked += _book_freed_on_machine(job, machine, max_tasks - booked)
-        return booked
+                allocated += _allocate_freed_on_machine(job, machine, max_tasks - allocated)
+        return allocated
 
     def _preempt_for(self, job: PlacementJob, max_tasks: int) -> int:
         """Preempt tasks until `max_tasks` of the job fit; return how many then fit."""
-        booked = 0
+        allocated = 0
         victims_by_machine: dict[int, list[RunningTask]] = {}
         for machine_index, task in self._candidates:
-            if booked >= max_tasks:
+            if allocated >= max_tasks:
                 break
             machine = self._snapshot.machines[machine_index]
             if task.stopping or not _may_preempt(job, task, self._cpus_over_guarantee):
@@ -139,8 +139,8 @@
             for victim in victims:
                 self._stop(machine, victim)
             victims_by_machine[machine_index] = []
-            booked += _book_freed_on_machine(job, machine, max_tasks - booked)
-        return booked
+            allocated += _allocate_freed_on_machine(job, machine, max_tasks - allocated)
+        return allocated
 
     def _stop(self, machine: PlacementMachine, victim: RunningTask) -> None:
         victim.stopping = True
@@ -170,7 +170,7 @@
 
 
 def _demand_signature(job: PlacementJob) -> tuple[object, ...]:
-    """Return a key; demands with equal keys find the same victims."""
+    """Return a key that is equal for demands that may preempt the same tasks."""
     return (
         *(job.rank, job.within_guarantee, job.team),
         *(job.machine_types, job.zone, job.spot_allowed),
@@ -191,8 +191,8 @@
     return count >= 1
 
 
-def _book_freed_on_machine(job: PlacementJob, machine: PlacementMachine, max_tasks: int) -> int:
-    """Book resources of the machine that are free or being freed; return for how many tasks."""
+def _allocate_freed_on_machine(job: PlacementJob, machine: PlacementMachine, max_tasks: int) -> int:
+    """Allocate resources of the machine that are free or being freed; return for how many tasks."""
     fitting = tasks_that_fit(
         machine.cpus + machine.cpus_being_freed,
         machine.gpus + machine.gpus_being_freed,
--- a/spoolcourse/control/scheduling/capacity_planning.py
+++ b/spoolcourse/control/scheduling/capacity_planning.py
@@ -30,10 +30,12 @@
         self._autoscaler = autoscaler
         self._indices = indices
 
-    def plan(self, snapshot: Snapshot, plan: Plan, team_cpus: list[float], now: float) -> None:
+    def request_machines(
+        self, snapshot: Snapshot, plan: Plan, team_cpus: list[float], now: float
+    ) -> None:
         """Request machines for the plan's unplaced tasks, then for headroom.
 
-        `team_cpus` are the CPUs that each team could still use before the pass.
+        `team_cpus` holds, by team, the CPUs that the team could still use before the pass.
         """
         if self._autoscaler.scale_out.is_in_progress:
             return
@@ -75,8 +77,8 @@
 
     def _offer(self, machine_type: MachineType, zone: str, spot: bool) -> Offer:
         return Offer(
-            machine_type=self._indices.machine_types.number_of(machine_type.name),
-            zone=self._indices.zones.number_of(zone),
+            machine_type=self._indices.machine_types.index_of(machine_type.name),
+            zone=self._indices.zones.index_of(zone),
             spot=spot,
             cpus=machine_type.cpus,
             gpus=machine_type.gpus,
--- a/spoolcourse/control/scheduling/job_views.py
+++ b/spoolcourse/control/scheduling/job_views.py
@@ -1,4 +1,4 @@
-"""Builds the snapshot's view of jobs."""
+"""Converts the leader's job states into the jobs of a snapshot."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PassContext:
-    """Input that the views of all jobs of a pass share."""
+    """Input that is the same for all jobs of a pass."""
 
     now: float
     boot_s: float  # of the machine type that boots slowest
-    machine_numbers: dict[str, int]  # by machine ID: index in the snapshot
-    within_guarantee: set[str]  # jobs
-    starved_jobs: set[str]  # jobs
+    machine_indices: dict[str, int]  # by machine ID: index in the snapshot
+    within_guarantee: set[str]  # job IDs
+    starved_jobs: set[str]  # job IDs
 
 
-class JobViews:
-    """Builds the view of each job for a pass."""
+class PlacementJobBuilder:
+    """Builds the `PlacementJob` of each job for a pass."""
 
     def __init__(
         self,
@@ -53,13 +53,13 @@
         }
         self._completion_s_by_class = _completion_s_by_class(objectives)
 
-    def view(self, job_state: JobState, context: PassContext) -> PlacementJob:
-        """Return the view of a job; a job whose view can't be built gets no pending tasks.
+    def placement_job(self, job_state: JobState, context: PassContext) -> PlacementJob:
+        """Return a job as seen by a pass; if building it fails, the job gets no pending tasks.
 
         A rule that failed for jobs without a deadline once stopped every pass of every leader.
         """
         try:
-            return self._build_view(job_state, context)
+            return self._build_placement_job(job_state, context)
         except Exception:
             log.exception("job left out of this pass: job=%s", job_state.id)
             return PlacementJob(
@@ -69,11 +69,11 @@
                 memory_gb=0.0,
                 image=0,
                 image_gb=0.0,
-                team=self._indices.teams.number_of(job_state.record.submission.team),
+                team=self._indices.teams.index_of(job_state.record.submission.team),
                 estimate_s=0.0,
             )
 
-    def _build_view(self, job_state: JobState, context: PassContext) -> PlacementJob:
+    def _build_placement_job(self, job_state: JobState, context: PassContext) -> PlacementJob:
         submission = job_state.record.submission
         indices = self._indices
         types, zone = submission.machine_types, submission.zone
@@ -83,14 +83,14 @@
             cpus=submission.cpus,
             gpus=submission.gpus,
             memory_gb=submission.memory_gb,
-            image=indices.images.number_of(submission.image),
+            image=indices.images.index_of(submission.image),
             image_gb=submission.image_gb,
-            team=indices.teams.number_of(submission.team),
+            team=indices.teams.index_of(submission.team),
             estimate_s=run_estimate_s(job_state, self._policy),
             machine_types=(
-                None if types is None else frozenset(map(indices.machine_types.number_of, types))
+                None if types is None else frozenset(map(indices.machine_types.index_of, types))
             ),
-            zone=None if zone is None else indices.zones.number_of(zone),
+            zone=None if zone is None else indices.zones.index_of(zone),
             spot_allowed=submission.spot_allowed,
             one_zone=submission.one_zone,
             max_tasks_per_zone=_max_tasks_per_zone(submission),
@@ -101,7 +101,7 @@
             is_service=submission.is_service,
         )
         if submission.is_service:
-            _count_replicas(job, job_state, context.machine_numbers)
+            _count_replicas(job, job_state, context.machine_indices)
         if job_state.avoided_machines:
             job.avoided_machines = _avoided_machines(job_state, context)
         if submission.one_zone or submission.spread_over_zones:
@@ -118,8 +118,8 @@
         On-demand machines cost a multiple of spot machines. They are used for deadlines that would
         otherwise be missed and for jobs without a known deadline; other jobs wait for spot machines
         as long as possible. A job without its own deadline gets the one of its class's objectives.
-        A wait objective or a guarantee is already missed when a new machine has booted, so neither
-        is a reason to provision one.
+        By the time a new machine has booted, a wait objective or a guarantee is already missed, so
+        neither is a reason to provision one.
         """
         submission = job_state.record.submission
         if submission.is_service:
@@ -135,18 +135,18 @@
         return max(earliest_at, job_state.waiting_since + due_s - needed_s)
 
     def _count_tasks_by_zone(self, job: PlacementJob, job_state: JobState) -> None:
-        """Count tasks by zone; those that may be in any zone count against every zone."""
+        """Count the job's tasks by zone, and those on machines whose zone is unknown."""
         zones = self._indices.zones
         for attempt in job_state.attempts.values():
             machine = self._registry.machines.get(attempt.machine)
             if machine is None or machine.zone is None:
                 job.tasks_in_unknown_zones += 1
             else:
-                _count_task(job, zones.number_of(machine.zone))
+                _count_task(job, zones.index_of(machine.zone))
         for machine in self._registry.machines.values():
             for attempt_id in machine.unexpected_attempts:
                 if attempt_id.job == job_state.id:
-                    _count_task(job, zones.number_of(machine.zone or ""))
+                    _count_task(job, zones.index_of(machine.zone or ""))
 
 
 def _tasks_to_place(job_state: JobState, context: PassContext) -> int:
@@ -164,19 +164,21 @@
 
 
 def _avoided_machines(job_state: JobState, context: PassContext) -> frozenset[int]:
-    """Return the numbers of the machines on which the job failed recently."""
+    """Return the indices of the machines on which the job failed recently."""
     avoided = [name for name, until in job_state.avoided_machines.items() if until > context.now]
-    numbers = context.machine_numbers
-    return frozenset(numbers[name] for name in avoided if name in numbers)
+    indices = context.machine_indices
+    return frozenset(indices[name] for name in avoided if name in indices)
 
 
 def _count_replicas(
-    job: PlacementJob, job_state: JobState, machine_numbers: dict[str, int]
+    job: PlacementJob, job_state: JobState, machine_indices: dict[str, int]
 ) -> None:
     for attempt in job_state.attempts.values():
-        number = machine_numbers.get(attempt.machine)
-        if number is not None:
-            job.replicas_by_machine[number] = job.replicas_by_machine.get(number, 0) + 1
+        machine_index = machine_indices.get(attempt.machine)
+        if machine_index is not None:
+            job.replicas_by_machine[machine_index] = (
+                job.replicas_by_machine.get(machine_index, 0) + 1
+            )
 
 
 def _count_task(job: PlacementJob, zone: int) -> None:
--- a/spoolcourse/control/scheduling/scheduling_loop.py
+++ b/spoolcourse/control/scheduling/scheduling_loop.py
@@ -24,7 +24,7 @@
 
 
 class SchedulingLoop:
-    """Runs placement passes while this controller certainly holds the lease."""
+    """Runs placement passes while this controller is certain to hold the leader's lease."""
 
     def __init__(
         self,
@@ -91,7 +91,7 @@
             self._assign(placement, now)
         with self._load.time_block("stop"):
             self._preemptor.preempt(snapshot, plan)
-        self._capacity_planner.plan(snapshot, plan, team_cpus, now)
+        self._capacity_planner.request_machines(snapshot, plan, team_cpus, now)
 
     def _assigned_cpus(self) -> float:
         """Return the CPUs of all attempts of live jobs."""
--- a/spoolcourse/control/scheduling/snapshot_cache.py
+++ b/spoolcourse/control/scheduling/snapshot_cache.py
@@ -1,4 +1,4 @@
-"""Caches the machine views of snapshots between passes.
+"""Caches the machines of snapshots between passes.
 
 A machine's free resources and its tasks' expected ends are recomputed only after a change on the
 machine, or when they change with time alone. On a fleet of 534 machines, recomputing all of them
@@ -26,15 +26,15 @@
 ESTIMATE_REFRESH_S = 0.5  # recompute interval of tasks that overran or wait for a fetch
 OVERRUN_REMAINING_FRACTION = 0.5  # of the elapsed time of a task that overran its estimate
 MIN_OVERRUN_REMAINING_S = 1.0
-MIN_FETCH_LEFT_GB = 0.1  # of an image whose fetch should have finished
+MIN_REMAINING_FETCH_GB = 0.1  # of an image whose fetch should have finished
 MIN_FETCH_DELAY_S = 0.5
 
 
 class CachedMachine(msgspec.Struct):
-    """The computed state of a machine. Passes do not modify the collections."""
+    """The cached state of a machine. Passes do not modify its collections."""
 
-    change_count: int  # `Machine.change_count` at computation
-    valid_until: float
+    change_count: int  # `Machine.change_count` when this state was computed
+    valid_until: float  # when the estimates must be recomputed
     machine_type: int
     zone: int
     cpus: float  # free; also the next two
@@ -44,7 +44,7 @@
     gpus_being_freed: float
     memory_gb_being_freed: float
     cached_images: set[int]
-    fetch_left_gb: dict[int, float]
+    remaining_fetch_gb: dict[int, float]
     tasks: list[RunningTask]
 
 
@@ -58,7 +58,10 @@
         self._within_guarantee: set[str] = set()
 
     def update_guarantees(self, within_guarantee: set[str], jobs: dict[str, JobState]) -> None:
-        """Set the jobs within guarantees; drop the cached machines of jobs that changed."""
+        """Replace the jobs within their team's guarantee.
+
+        Drops the cached state of machines that run a job that was added or removed.
+        """
         for job in self._within_guarantee ^ within_guarantee:
             job_state = jobs.get(job)
             for attempt in job_state.attempts.values() if job_state is not None else ():
@@ -70,7 +73,7 @@
         if len(self._cached) > len(machines):
             self._cached = {name: c for name, c in self._cached.items() if name in machines}
 
-    def view(
+    def placement_machine(
         self,
         machine: Machine,
         machine_type: MachineType,
@@ -78,7 +81,7 @@
         now: float,
         has_scarce_type: bool,
     ) -> PlacementMachine:
-        """Return the view of a machine, recomputed only if the cached state is out of date."""
+        """Return a machine as seen by a pass; recomputes its cached state only if out of date."""
         cached = self._cached.get(machine.id)
         if (
             cached is None
@@ -87,7 +90,7 @@
         ):
             cached = self._cached[machine.id] = self._compute(machine, machine_type, jobs, now)
         # At most 15 keywords: CPython builds a dict for more, which takes three times as long.
-        view = PlacementMachine(
+        placement_machine = PlacementMachine(
             machine_type=cached.machine_type,
             zone=cached.zone,
             spot=bool(machine.spot),
@@ -97,82 +100,86 @@
             total_cpus=machine_type.cpus,
             fetch_gb_per_s=machine_type.fetch_gb_per_s,
             cached_images=cached.cached_images,
-            fetch_left_gb=dict(cached.fetch_left_gb) if cached.fetch_left_gb else {},
+            remaining_fetch_gb=dict(cached.remaining_fetch_gb) if cached.remaining_fetch_gb else {},
             tasks=cached.tasks,
             cpus_being_freed=cached.cpus_being_freed,
             gpus_being_freed=cached.gpus_being_freed,
             memory_gb_being_freed=cached.memory_gb_being_freed,
         )
-        view.scale_in_candidate = machine.scale_in_candidate
-        view.has_scarce_type = has_scarce_type
-        return view
+        placement_machine.scale_in_candidate = machine.scale_in_candidate
+        placement_machine.has_scarce_type = has_scarce_type
+        return placement_machine
 
     def _compute(
         self, machine: Machine, machine_type: MachineType, jobs: dict[str, JobState], now: float
     ) -> CachedMachine:
         gb_per_s = max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
-        view = PlacementMachine(
-            machine_type=self._indices.machine_types.number_of(machine_type.name),
-            zone=self._indices.zones.number_of(machine.zone or ""),
+        placement_machine = PlacementMachine(
+            machine_type=self._indices.machine_types.index_of(machine_type.name),
+            zone=self._indices.zones.index_of(machine.zone or ""),
             spot=bool(machine.spot),
             cpus=machine_type.cpus,
             gpus=machine_type.gpus,
             memory_gb=machine_type.memory_gb,
             total_cpus=machine_type.cpus,
             fetch_gb_per_s=machine_type.fetch_gb_per_s,
-            fetch_left_gb=self._fetch_left_gb(machine, gb_per_s, now),
+            remaining_fetch_gb=self._remaining_fetch_gb(machine, gb_per_s, now),
         )
-        fetch_s = sum(view.fetch_left_gb.values()) / gb_per_s
-        valid_until = self._add_tasks(view, machine, fetch_s, now)
+        fetch_s = sum(placement_machine.remaining_fetch_gb.values()) / gb_per_s
+        valid_until = self._add_tasks(placement_machine, machine, fetch_s, now)
         for job, _, _ in machine.unexpected_attempts:
             job_state = jobs.get(job)
             if job_state is not None:
-                _subtract(view, job_state.record.submission)
-        view.tasks.sort(key=lambda task: task.expected_end)
+                _subtract(placement_machine, job_state.record.submission)
+        placement_machine.tasks.sort(key=lambda task: task.expected_end)
         return CachedMachine(
             change_count=machine.change_count,
             valid_until=valid_until,
-            machine_type=view.machine_type,
-            zone=view.zone,
-            cpus=view.cpus,
-            gpus=view.gpus,
-            memory_gb=view.memory_gb,
-            cpus_being_freed=view.cpus_being_freed,
-            gpus_being_freed=view.gpus_being_freed,
-            memory_gb_being_freed=view.memory_gb_being_freed,
-            cached_images={self._indices.images.number_of(image) for image in machine.images},
-            fetch_left_gb=view.fetch_left_gb,
-            tasks=view.tasks,
+            machine_type=placement_machine.machine_type,
+            zone=placement_machine.zone,
+            cpus=placement_machine.cpus,
+            gpus=placement_machine.gpus,
+            memory_gb=placement_machine.memory_gb,
+            cpus_being_freed=placement_machine.cpus_being_freed,
+            gpus_being_freed=placement_machine.gpus_being_freed,
+            memory_gb_being_freed=placement_machine.memory_gb_being_freed,
+            cached_images={self._indices.images.index_of(image) for image in machine.images},
+            remaining_fetch_gb=placement_machine.remaining_fetch_gb,
+            tasks=placement_machine.tasks,
         )
 
-    def _fetch_left_gb(self, machine: Machine, gb_per_s: float, now: float) -> dict[int, float]:
+    def _remaining_fetch_gb(
+        self, machine: Machine, gb_per_s: float, now: float
+    ) -> dict[int, float]:
         """Estimate how much of each image the machine's attempts still need to fetch."""
-        fetch_left_gb: dict[int, float] = {}
+        remaining_fetch_gb: dict[int, float] = {}
         for attempt in machine.attempts.values():
             if attempt.is_executing:
                 continue
             submission = attempt.job_state.record.submission
             if submission.image not in machine.images:
                 since = machine.fetching.get(submission.image, now)
-                left_gb = max(submission.image_gb - gb_per_s * (now - since), MIN_FETCH_LEFT_GB)
-                fetch_left_gb[self._indices.images.number_of(submission.image)] = left_gb
-        return fetch_left_gb
+                remaining_gb = max(
+                    submission.image_gb - gb_per_s * (now - since), MIN_REMAINING_FETCH_GB
+                )
+                remaining_fetch_gb[self._indices.images.index_of(submission.image)] = remaining_gb
+        return remaining_fetch_gb
 
     def _add_tasks(
-        self, view: PlacementMachine, machine: Machine, fetch_s: float, now: float
+        self, placement_machine: PlacementMachine, machine: Machine, fetch_s: float, now: float
     ) -> float:
-        """Add the machine's attempts to its view; return the time until which it is valid."""
+        """Add the machine's attempts; return until when their estimates are valid."""
         valid_until = inf
         for attempt in machine.attempts.values():
-            _subtract(view, attempt.job_state.record.submission)
+            _subtract(placement_machine, attempt.job_state.record.submission)
             expected_end, is_constant = self._expected_end(attempt, now, fetch_s)
             valid_until = min(
                 valid_until, expected_end if is_constant else now + ESTIMATE_REFRESH_S
             )
             task = self._running_task(attempt, expected_end)
             if attempt.stopping:
-                view.expect_release(task)
-            view.tasks.append(task)
+                placement_machine.expect_release(task)
+            placement_machine.tasks.append(task)
         return valid_until
 
     def _running_task(self, attempt: Attempt, expected_end: float) -> RunningTask:
@@ -189,7 +196,7 @@
             # An attempt scheduled ahead of all ranks must not be preempted by rank, or the two
             # jobs would alternate: one first task was stopped a hundred times on a busy day.
             rank=0 if attempt.exempt_from_preemption else submission.rank_number,
-            team=self._indices.teams.number_of(submission.team),
+            team=self._indices.teams.index_of(submission.team),
             checkpoint_loss_cpu_s=checkpoint_cpu_s if is_executing and has_checkpoints else 0.0,
             stopping=attempt.stopping,
             within_guarantee=attempt.exempt_from_preemption
@@ -198,7 +205,7 @@
         )
 
     def _expected_end(self, attempt: Attempt, now: float, fetch_s: float) -> tuple[float, bool]:
-        """Return the expected end, and whether it stays the same as time passes."""
+        """Return an attempt's expected end, and whether that end stays the same as time passes."""
         estimate_s = run_estimate_s(attempt.job_state, self._policy)
         elapsed_s = now - attempt.stage_since
         if attempt.is_executing:
@@ -210,8 +217,8 @@
         return now + max(fetch_s - elapsed_s, MIN_FETCH_DELAY_S) + estimate_s, False
 
 
-def _subtract(view: PlacementMachine, submission: Submission) -> None:
+def _subtract(placement_machine: PlacementMachine, submission: Submission) -> None:
     """Subtract the resources of one task of the job."""
-    view.cpus -= submission.cpus
-    view.gpus -= submission.gpus
-    view.memory_gb -= submission.memory_gb
+    placement_machine.cpus -= submission.cpus
+    placement_machine.gpus -= submission.gpus
+    placement_machine.memory_gb -= submission.memory_gb
--- a/spoolcourse/control/store/records.py
+++ b/spoolcourse/control/store/records.py
@@ -15,14 +15,16 @@
 
 INITIAL_MACHINES_OVERHEAD_BYTES = 40  # of the stored form, without the names
 MAX_HELD_TASK_BYTES = 48  # of one held task in a progress value
-MIN_CHUNK_TASKS = 16
+MIN_TASKS_PER_CHUNK = 16
 
 _new_tuple = tuple.__new__
 
 
 @dataclass(slots=True)
 class JobRecord:
-    """A live job: accepted, not final yet; a cancelled one stays until its tasks are gone.
+    """A live job, from its acceptance to its final state.
+
+    A cancelled job stays live until its tasks are gone.
 
     Stored as `{"sub": submission, "at": accepted_at, "chunk": tasks_per_chunk, "aborted":
     cancelled_at}`, where "aborted" is there only if the job was cancelled.
@@ -123,13 +125,13 @@
         return int(value["done"], 16).bit_count(), len(value["held"])
 
 
-def chunk_tasks(value_kb: float) -> int:
-    """Tasks per progress key, so that one value can hold an assignment for each of them.
+def max_tasks_per_chunk(value_kb: float) -> int:
+    """How many tasks one progress key may cover: its value can hold an assignment for each.
 
     Args:
         value_kb: The largest value that the store accepts, in KiB.
     """
-    return max(MIN_CHUNK_TASKS, int(value_kb * 1024) // MAX_HELD_TASK_BYTES)
+    return max(MIN_TASKS_PER_CHUNK, int(value_kb * 1024) // MAX_HELD_TASK_BYTES)
 
 
 @dataclass(frozen=True, slots=True)
@@ -154,20 +156,20 @@
 
     @staticmethod
     def from_value(value: dict[str, Any]) -> FinalState:
-        """The final state of a stored form, or of a peer's answer."""
+        """The final state of a stored form."""
         return FinalState(JobStage(value["stage"]), value.get("done", 0), value.get("at", 0.0))
 
 
 @dataclass(frozen=True, slots=True)
 class TermRecord:
-    """A term, and the run of a controller's process that was elected for it.
+    """A term, and the controller process that was elected for it.
 
     Stored as `{"term": number, "run": run_id, "hold": lease}`.
 
     Attributes:
         number: The term's number, which is its fencing token.
-        run_id: Identifies one run of a controller's process.
-        lease: The lease of the leader's key; it distinguishes two claims of one run for one term.
+        run_id: Identifies the controller process; a restart gets another one.
+        lease: The lease of the leader's key; tells apart two claims of one process for one term.
     """
 
     number: int
@@ -209,7 +211,7 @@
 
     @staticmethod
     def run_id_of(value: dict[str, Any]) -> str | None:
-        """The leader's run in a stored form; None if it names none."""
+        """The `run_id` of the leader's process in a stored form; None if the form has none."""
         return value.get("run")
 
 
--- a/spoolcourse/control/store/watch_cache.py
+++ b/spoolcourse/control/store/watch_cache.py
@@ -6,7 +6,7 @@
 - `read_barrier` returns once the cache holds every change that was made before the call. One
   request serves all callers that are waiting.
 - `catch_up_to` polls at once, for a caller that knows the revision it needs.
-- `reload` reads all keys, when single changes are not available.
+- `reload` reads all keys; needed if changes since the last poll are not available.
 
 Source: PROTOCOL, GET /watch.
 """
@@ -31,7 +31,7 @@
 
 log = logging.getLogger(__name__)
 
-FOLLOWER_WATCH_PAUSE_S = 0.25  # only elections and starts of new jobs wait for it
+FOLLOWER_WATCH_PAUSE_S = 0.25  # only elections and starts of new jobs wait for this pause
 LEADER_WATCH_PAUSE_S = 0.05
 WATCH_BLOCK_S = 10.0  # a poll without changes returns after this time
 BARRIER_PAUSE_S = 0.1  # between requests for read barriers, so that each serves more callers
@@ -56,7 +56,7 @@
 
 
 class WatchObserver(Protocol):
-    """Is notified of events that are not visible as single changes."""
+    """Is notified when changes were missed and when all keys were read again."""
 
     def on_watch_gap(self, gap: WatchGap) -> None:
         """Changes were missed. A reload follows, except after `REVISION_DECREASED`."""
@@ -142,7 +142,7 @@
         for listener in self._listeners:
             listener(key, value, revision)
 
-    def _advance(self, store_revision: int, changes: list[Change]) -> None:
+    def _apply_changes(self, store_revision: int, changes: list[Change]) -> None:
         for change in changes:
             # Responses to the watch and to read barriers overlap: an old put must not restore a
             # key that was deleted since.
@@ -167,14 +167,14 @@
         self._active_reloads += 1
         try:
             listing = await self._client.list_entries(self.live_prefix)
-            self._replace(listing.entries, listing.store_revision)
+            self._replace_entries(listing.entries, listing.store_revision)
         finally:
             self._active_reloads -= 1
-        self._advance(listing.store_revision, [])
+        self._apply_changes(listing.store_revision, [])
         self.synced_at = max(self.synced_at, started_at)
         self._mark_loaded()
 
-    def _replace(self, entries: list[Entry], store_revision: int) -> None:
+    def _replace_entries(self, entries: list[Entry], store_revision: int) -> None:
         listed_keys = {e.key for e in entries}
         for key in [
             k
@@ -205,7 +205,7 @@
                 # Changes made during this pause arrive in one response.
                 await asyncio.sleep(self.watch_pause_s)
             except RevisionCompactedError as exc:
-                log.info("watch fell behind, reading all keys again: %s", exc)
+                log.info("watch missed changes, reading all keys again: %s", exc)
                 self._invalidate(exc)
             except StoreUnavailableError as exc:
                 log.debug("watch: %s", exc)
@@ -242,7 +242,7 @@
         result = await self._client.watch(self.prefix, since, block_s, urgent=urgent)
         if result.store_revision < since:
             self._notify_gap(WatchGap.REVISION_DECREASED)
-        self._advance(result.store_revision, result.changes)
+        self._apply_changes(result.store_revision, result.changes)
         self.synced_at = max(self.synced_at, started_at)
 
     def _invalidate(self, error: RevisionCompactedError) -> None:
@@ -278,9 +278,9 @@
 
     async def _serve_barriers(self) -> None:
         while self._barrier_waiters:
-            batch, self._barrier_waiters = self._barrier_waiters, []
+            waiters, self._barrier_waiters = self._barrier_waiters, []
             error = await self._poll_for_barrier()
-            for waiter in batch:
+            for waiter in waiters:
                 if not waiter.done():
                     if error is None:
                         waiter.set_result(None)
--- a/tests/scenarios/test_jobs_through_troubles.py
+++ b/tests/scenarios/test_jobs_through_troubles.py
@@ -242,14 +242,14 @@
     world = World()
     await world.start_controllers()
     leader_term, active = world.controllers[str(world.leader)].leader_term, world.active()
-    build = active.snapshot_builder._job_views._build_view
+    build = active.snapshot_builder._placement_job_builder._build_placement_job
 
     def fail_for_first_job(job_state: Any, context: Any) -> Any:
         if job_state.id == "job-000001":
             raise TypeError("unforeseen")
         return build(job_state, context)
 
-    active.snapshot_builder._job_views._build_view = fail_for_first_job  # type: ignore[method-assign]
+    active.snapshot_builder._placement_job_builder._build_placement_job = fail_for_first_job  # type: ignore[method-assign]
     await world.submit(job(1))
     await world.submit(job(2))
     await world.wait_until_done(2)
