--- a/spoolcourse/control/cloud/client.py
+++ b/spoolcourse/control/cloud/client.py
@@ -86,24 +86,30 @@
         except RateLimitExceededError as exc:
             raise CloudRequestFailedError(method, path, None, f"not sent, {exc}") from exc
         try:
-            reply = await self._http_client.call(
+            response = await self._http_client.call(
                 self._addr, method, path, body, timeout_s=self._timeout_s
             )
         except NoResponseError as exc:
             raise CloudRequestFailedError(method, path, None, str(exc)) from exc
-        if reply.status == TOO_MANY_REQUESTS:
+        if response.status == TOO_MANY_REQUESTS:
             self._request_budget.drain()
-        if reply.status == UNAVAILABLE and reply.data and reply.data.get("error") == NO_CAPACITY:
-            raise NoCapacityError(method, path, reply.status, NO_CAPACITY)
-        if reply.status != OK:
-            raise CloudRequestFailedError(method, path, reply.status, f"status {reply.status}")
-        return reply
+        if (
+            response.status == UNAVAILABLE
+            and response.data
+            and response.data.get("error") == NO_CAPACITY
+        ):
+            raise NoCapacityError(method, path, response.status, NO_CAPACITY)
+        if response.status != OK:
+            raise CloudRequestFailedError(
+                method, path, response.status, f"status {response.status}"
+            )
+        return response
 
     async def fetch_catalog(self) -> Catalog:
         """Return the machine types with their current prices."""
-        reply = await self._request("GET", paths.CATALOG)
+        response = await self._request("GET", paths.CATALOG)
         try:
-            return parse(reply.data, Catalog)
+            return parse(response.data, Catalog)
         except MalformedError as exc:
             raise _malformed("GET", paths.CATALOG, exc) from exc
 
@@ -113,9 +119,9 @@
         last_name = ""
         while True:
             path = list_path(last_name)
-            reply = await self._request("GET", path)
+            response = await self._request("GET", path)
             try:
-                page = parse(reply.data, MachineListPage)
+                page = parse(response.data, MachineListPage)
             except MalformedError as exc:
                 raise _malformed("GET", path, exc) from exc
             machines += page.machines
@@ -154,9 +160,9 @@
             CloudRequestFailedError: The request failed, or its outcome is unknown.
         """
         body = provision_body(request_name, kind, count)
-        reply = await self._request("POST", paths.HOSTS, body)
+        response = await self._request("POST", paths.HOSTS, body)
         try:
-            return parse(reply.data, ProvisionedMachines).machines
+            return parse(response.data, ProvisionedMachines).machines
         except MalformedError as exc:
             raise _malformed("POST", paths.HOSTS, exc) from exc
 
--- a/spoolcourse/control/failover/hint_loop.py
+++ b/spoolcourse/control/failover/hint_loop.py
@@ -64,12 +64,14 @@
         query = HintQuery(self._next_page_after, self._settings.hint_machines)
         self._next_page_after = ""
         try:
-            reply = await self._http_client.call(
+            response = await self._http_client.call(
                 leader.endpoint, "GET", query.path, timeout_s=REQUEST_TIMEOUT_S
             )
-            if reply.status != 200:
-                return UNSUPPORTED_DELAY_S if reply.status == 404 else self._settings.hint_period_s
-            page = parse(reply.data, HintPage)
+            if response.status != 200:
+                return (
+                    UNSUPPORTED_DELAY_S if response.status == 404 else self._settings.hint_period_s
+                )
+            page = parse(response.data, HintPage)
             self._hint_cache.accept_page(
                 page, leader.label, query, known_term_number(self._watch_cache)
             )
--- a/spoolcourse/control/failover/leadership_transfer.py
+++ b/spoolcourse/control/failover/leadership_transfer.py
@@ -9,33 +9,33 @@
 from spoolcourse.control.context import ControllerContext
 from spoolcourse.control.leadership.election import Leadership
 from spoolcourse.control.leadership.peers import STANDBY_QUERY, query_peers
-from spoolcourse.wire.peers import HandoverReply, StandbyReply
+from spoolcourse.wire.peers import LeadershipTransferResponse, StandbyResponse
 
 
 class PeerIneligibility(Enum):
     """Why a controller is not an eligible successor."""
 
-    NO_REPLY = "no reply"  # or a version without the standby query
+    NO_RESPONSE = "no reply"  # or a version without the standby query
     NOT_CAUGHT_UP = "not caught up"
     OTHER_TERM = "other term"  # it does not know this term yet, or knows a later one
 
 
 @dataclass(frozen=True, slots=True)
 class IneligiblePeer:
-    """A controller that is not an eligible successor, with its reply if there was one."""
+    """A controller that is not an eligible successor, with its response if there was one."""
 
     label: str
     ineligibility: PeerIneligibility
     leader_term: int
-    reply: StandbyReply | None = None
+    response: StandbyResponse | None = None
 
     def __str__(self) -> str:
         """The text for the operator who requested the transfer."""
-        if self.reply is None:
+        if self.response is None:
             return f"{self.label} does not answer"
         if self.ineligibility is PeerIneligibility.NOT_CAUGHT_UP:
-            return f"{self.label} is not: {self.reply.reason}"
-        return f"{self.label} knows of term {self.reply.term}, not of {self.leader_term}"
+            return f"{self.label} is not: {self.response.reason}"
+        return f"{self.label} knows of term {self.response.term}, not of {self.leader_term}"
 
 
 class TransferRefusal(Enum):
@@ -60,7 +60,9 @@
         self.ineligible_peers = ineligible_peers
 
 
-async def transfer_leadership(context: ControllerContext, leadership: Leadership) -> HandoverReply:
+async def transfer_leadership(
+    context: ControllerContext, leadership: Leadership
+) -> LeadershipTransferResponse:
     """Step down if another controller is caught up; an election decides which one leads next.
 
     Raises `LeadershipTransferRefusedError` if none is, or if this controller does not lead.
@@ -68,15 +70,17 @@
     term = leadership.term
     if term is None or not leadership.holds_lease():
         raise LeadershipTransferRefusedError(TransferRefusal.LEASE_UNCERTAIN)
-    replies = await query_peers(context.http_client, context.peers, STANDBY_QUERY)
+    responses = await query_peers(context.http_client, context.peers, STANDBY_QUERY)
     successors: list[str] = []
     ineligible_peers: list[IneligiblePeer] = []
-    for peer, reply in zip(context.peers, replies, strict=True):
-        ineligibility = _ineligibility(reply, term.number)
+    for peer, response in zip(context.peers, responses, strict=True):
+        ineligibility = _ineligibility(response, term.number)
         if ineligibility is None:
             successors.append(peer.label)
         else:
-            ineligible_peers.append(IneligiblePeer(peer.label, ineligibility, term.number, reply))
+            ineligible_peers.append(
+                IneligiblePeer(peer.label, ineligibility, term.number, response)
+            )
     if not successors:
         raise LeadershipTransferRefusedError(TransferRefusal.NO_SUCCESSOR, ineligible_peers)
     if leadership.term is not term:
@@ -84,12 +88,12 @@
     await leadership.step_down_and_release_lease(
         f"leadership transferred to one of {', '.join(successors)}"
     )
-    return HandoverReply(term.number, successors)
+    return LeadershipTransferResponse(term.number, successors)
 
 
-def _ineligibility(reply: StandbyReply | None, term: int) -> PeerIneligibility | None:
-    if reply is None:
-        return PeerIneligibility.NO_REPLY
-    if not reply.caught_up:
+def _ineligibility(response: StandbyResponse | None, term: int) -> PeerIneligibility | None:
+    if response is None:
+        return PeerIneligibility.NO_RESPONSE
+    if not response.caught_up:
         return PeerIneligibility.NOT_CAUGHT_UP
-    return PeerIneligibility.OTHER_TERM if reply.term != term else None
+    return PeerIneligibility.OTHER_TERM if response.term != term else None
--- a/spoolcourse/control/failover/standby_readiness.py
+++ b/spoolcourse/control/failover/standby_readiness.py
@@ -7,7 +7,7 @@
 from spoolcourse.control.failover.shadow_status import ShadowState, ShadowStatus
 from spoolcourse.control.leadership.term import known_term_number
 from spoolcourse.control.store.watch_cache import WatchCache
-from spoolcourse.wire.peers import StandbyReply
+from spoolcourse.wire.peers import StandbyResponse
 from spoolcourse.wire.standby_settings import StandbySettings
 
 
@@ -41,13 +41,13 @@
         """Seconds to wait before a candidacy, so that other controllers may stand first."""
         return 0.0 if self.caught_up else self._settings.defer_s
 
-    def reply(self) -> StandbyReply:
-        """The reply to a leader that looks for a successor to transfer leadership to."""
+    def response(self) -> StandbyResponse:
+        """The response to a leader that looks for a successor to transfer leadership to."""
         term = known_term_number(self._watch_cache)
         revision = self._watch_cache.store_revision
         if self.caught_up:
-            return StandbyReply(True, term, revision)
-        return StandbyReply(False, term, revision, self._not_caught_up_reason())
+            return StandbyResponse(True, term, revision)
+        return StandbyResponse(False, term, revision, self._not_caught_up_reason())
 
     def _not_caught_up_reason(self) -> str:
         status = self._shadow_status
--- a/spoolcourse/control/jobs/cancellation_query.py
+++ b/spoolcourse/control/jobs/cancellation_query.py
@@ -17,7 +17,7 @@
 from spoolcourse.control.leadership.term import Term, known_term_number
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.commands import to_json_object
-from spoolcourse.wire.peers import CancellationReply, parse_since_revision
+from spoolcourse.wire.peers import CancellationsResponse, parse_since_revision
 from spoolcourse.wire.settings import Peer
 
 QUERY_PERIOD_S = 1.0
@@ -32,7 +32,7 @@
     Raises `MalformedError` if the query has no valid revision.
     """
     since_revision = parse_since_revision(query)
-    reply = CancellationReply(
+    reply = CancellationsResponse(
         known_term_number(watch_cache),
         watch_cache.synced_at > float("-inf"),
         job_index.cancellations.after(since_revision),
@@ -89,6 +89,6 @@
         )
 
 
-def _acknowledges(reply: CancellationReply | None) -> bool:
+def _acknowledges(reply: CancellationsResponse | None) -> bool:
     """Whether the reply contains every cancellation that the peer can have confirmed."""
     return reply is not None and reply.has_read_store and reply.cancelled is not None
--- a/spoolcourse/control/leadership/peers.py
+++ b/spoolcourse/control/leadership/peers.py
@@ -11,9 +11,9 @@
 from spoolcourse.wire import paths
 from spoolcourse.wire.messages import MalformedError, parse
 from spoolcourse.wire.peers import (
-    CancellationReply,
-    LevelReply,
-    StandbyReply,
+    CancellationsResponse,
+    FeatureLevelResponse,
+    StandbyResponse,
     cancellations_path,
 )
 from spoolcourse.wire.settings import Peer
@@ -33,13 +33,13 @@
     reply_type: type[Reply_co]
 
 
-LEVEL_QUERY = PeerQuery(paths.FEATURE_LEVEL, LevelReply)
-STANDBY_QUERY = PeerQuery(paths.STANDBY, StandbyReply)
+LEVEL_QUERY = PeerQuery(paths.FEATURE_LEVEL, FeatureLevelResponse)
+STANDBY_QUERY = PeerQuery(paths.STANDBY, StandbyResponse)
 
 
-def cancellations_query(since_revision: int) -> PeerQuery[CancellationReply]:
+def cancellations_query(since_revision: int) -> PeerQuery[CancellationsResponse]:
     """Return the query for the cancellations that a peer knows of since a revision."""
-    return PeerQuery(cancellations_path(since_revision), CancellationReply)
+    return PeerQuery(cancellations_path(since_revision), CancellationsResponse)
 
 
 async def query_peers(
--- a/spoolcourse/control/peer_api.py
+++ b/spoolcourse/control/peer_api.py
@@ -43,8 +43,8 @@
         if parts.lifecycle.current is None:
             return self._not_leader_response()
         try:
-            reply = await transfer_leadership(parts.context, parts.leadership)
-            return Response(200, to_json_object(reply))
+            response = await transfer_leadership(parts.context, parts.leadership)
+            return Response(200, to_json_object(response))
         except LeadershipTransferRefusedError as exc:
             return error_response(409, str(exc))
 
@@ -71,7 +71,7 @@
         """Whether this controller's warm standby is caught up."""
         if self._parts.standby is None:
             return _standby_disabled_response()
-        return Response(200, to_json_object(self._parts.standby.readiness.reply()))
+        return Response(200, to_json_object(self._parts.standby.readiness.response()))
 
     def get_hints(self, request: Request) -> Response:
         """A page of the leader's hints for standbys."""
--- a/spoolcourse/wire/peers.py
+++ b/spoolcourse/wire/peers.py
@@ -18,7 +18,7 @@
     revision: int = msgspec.field(name="stamp")
 
 
-class CancellationReply(msgspec.Struct, frozen=True):
+class CancellationsResponse(msgspec.Struct, frozen=True):
     """What a controller knows of the cancellations after a revision.
 
     `cancelled` is null if it may have evicted some; `has_read_store` says whether it has read the
@@ -31,7 +31,7 @@
 
 
 def cancellations_path(since_revision: int) -> str:
-    """The path, with its query, that asks for a `CancellationReply`."""
+    """The path, with its query, that asks for a `CancellationsResponse`."""
     return f"{paths.CANCELLATIONS}?{SINCE_REVISION_PARAMETER}={since_revision}"
 
 
@@ -43,7 +43,7 @@
     return int(text)
 
 
-class LevelReply(msgspec.Struct, frozen=True):
+class FeatureLevelResponse(msgspec.Struct, frozen=True):
     """The feature level of a controller."""
 
     level: int
@@ -68,7 +68,7 @@
     has_next: bool = False
 
 
-class StandbyReply(msgspec.Struct, frozen=True):
+class StandbyResponse(msgspec.Struct, frozen=True):
     """Whether a controller could lead without a restore of the job queue, or the reason why not."""
 
     caught_up: bool
@@ -77,7 +77,7 @@
     reason: str = ""
 
 
-class HandoverReply(msgspec.Struct, frozen=True):
+class LeadershipTransferResponse(msgspec.Struct, frozen=True):
     """The leader has stepped down; `successors` are the controllers that were caught up."""
 
     term: int
--- a/tests/leadership/test_election_and_peers.py
+++ b/tests/leadership/test_election_and_peers.py
@@ -18,7 +18,7 @@
 from spoolcourse.control.store.keys import FEATURE_LEVEL_KEY, PREFIX
 from spoolcourse.control.store.watch_cache import WatchCache
 from spoolcourse.wire.messages import MalformedError
-from spoolcourse.wire.peers import CancellationReply, LevelReply, parse_since_revision
+from spoolcourse.wire.peers import CancellationsResponse, FeatureLevelResponse, parse_since_revision
 from spoolcourse.wire.settings import Peer
 from tests.fakes.key_value_store import FakeKeyValueStore
 from tests.fakes.network import FakeNetwork
@@ -151,7 +151,7 @@
     store.network.hosts["n3:81"] = host(200, {"level": "x"})
     store.network.hosts["n4:81"] = host(200, {"level": 2})
     replies = await query_peers(store.network.end_of("n0"), peers, LEVEL_QUERY)
-    assert replies == [LevelReply(1), None, None, LevelReply(2)]
+    assert replies == [FeatureLevelResponse(1), None, None, FeatureLevelResponse(2)]
 
 
 def test_the_query_for_cancellations_keeps_its_spelling_on_the_wire() -> None:
@@ -161,5 +161,5 @@
     for malformed in ("", "beyond=", "beyond=x", "beyond=-1", "since=17", "beyond=\u0663"):
         with pytest.raises(MalformedError, match="beyond"):
             parse_since_revision(malformed)
-    reply = CancellationReply(3, has_read_store=True, cancelled=None)
+    reply = CancellationsResponse(3, has_read_store=True, cancelled=None)
     assert msgspec.to_builtins(reply) == {"term": 3, "informed": True, "cancelled": None}
--- a/tests/recorded/forms/adapter.py
+++ b/tests/recorded/forms/adapter.py
@@ -269,7 +269,7 @@
     # Between controllers. Relayed heartbeats and their responses have the format for workers.
     "cancellation": _message(peers.Cancellation(job="job-000001", at=1000.5, revision=18)),
     "cancellation reply": _message(
-        peers.CancellationReply(
+        peers.CancellationsResponse(
             term=3,
             has_read_store=True,
             cancelled=[
@@ -279,18 +279,18 @@
         )
     ),
     "cancellation reply, none": _message(
-        peers.CancellationReply(term=0, has_read_store=False, cancelled=[])
+        peers.CancellationsResponse(term=0, has_read_store=False, cancelled=[])
     ),
     "cancellation reply, some forgotten": _message(
-        peers.CancellationReply(term=3, has_read_store=True, cancelled=None)
+        peers.CancellationsResponse(term=3, has_read_store=True, cancelled=None)
     ),
-    "level reply": _message(peers.LevelReply(level=2)),
+    "level reply": _message(peers.FeatureLevelResponse(level=2)),
     "level reply of this version": CodecCase(
-        peers.LevelReply(level=feature_level.SERVICES_LEVEL),
+        peers.FeatureLevelResponse(level=feature_level.SERVICES_LEVEL),
         lambda reply: (
             feature_level.level_reply() if reply.level == feature_level.SERVICES_LEVEL else None
         ),
-        lambda data: messages.parse(data, peers.LevelReply),
+        lambda data: messages.parse(data, peers.FeatureLevelResponse),
     ),
     "hint": _message(HINTS[0]),
     "hint, no images": _message(HINTS[1]),
@@ -300,11 +300,11 @@
     "hint page, last and empty": _message(
         peers.HintPage(term=3, leader="n1", revision=40, hints=[])
     ),
-    "standby reply": _message(peers.StandbyReply(caught_up=True, term=3, revision=40)),
+    "standby reply": _message(peers.StandbyResponse(caught_up=True, term=3, revision=40)),
     "standby reply, not caught up": _message(
-        peers.StandbyReply(caught_up=False, term=3, revision=40, reason="its shadow is unfit")
+        peers.StandbyResponse(caught_up=False, term=3, revision=40, reason="its shadow is unfit")
     ),
-    "handover reply": _message(peers.HandoverReply(term=3, successors=["n0", "n2"])),
+    "handover reply": _message(peers.LeadershipTransferResponse(term=3, successors=["n0", "n2"])),
     # From and to workers.
     "report": _message(_heartbeat()),
     "report, spot, about to end": _message(_heartbeat(spot=True, terminates_in_s=12.5)),
@@ -418,7 +418,7 @@
 MESSAGES_WITH_FEWEST_FIELDS: list[tuple[type[msgspec.Struct], str]] = [
     (peers.Hint, '{"machine":"m","address":"m:1","session":1}'),
     (peers.HintPage, '{"term":1,"leader":"n1","revision":2,"hints":[]}'),
-    (peers.StandbyReply, '{"caught_up":true,"term":1,"revision":2}'),
+    (peers.StandbyResponse, '{"caught_up":true,"term":1,"revision":2}'),
     (messages.TaskStatus, '{"piece":"job-000001/0","try":1,"stage":"running"}'),
     (messages.JobStatus, '{"id":"job-000001","stage":"queued"}'),
     (messages.MachineListPage, '{"spindles":[]}'),
