--- a/spoolcourse/control/workers/command_builder.py
+++ b/spoolcourse/control/workers/command_builder.py
@@ -17,7 +17,7 @@
 
 
 class CommandBuilder:
-    """Derives commands from the attempts assigned to a machine and those that it reports."""
+    """Derives commands from the attempts assigned to a machine and the attempts it reports."""
 
     def __init__(self, machines: MachineTable, leader: Leader, clock: Callable[[], float]) -> None:
         self._machines = machines
@@ -63,7 +63,7 @@
         return urgent, others
 
     def _is_cancelled(self, job: str) -> bool:
-        """Whether the job's tasks must end at once: it is cancelled, or unknown and over."""
+        """Whether the job's tasks must end at once: the job is cancelled, or unknown and over."""
         job_state = self._job_queue.jobs.get(job)
         if job_state is None:
             return self._leader.is_job_over(job)
@@ -73,7 +73,7 @@
         """Return stops for cancelled attempts that the heartbeat does not list.
 
         Their starts may be in flight to the machine's address. If a stop arrives before the start,
-        a later heartbeat lists the attempt, and it is stopped again.
+        a later heartbeat lists the attempt, and its response carries the stop again.
         """
         cancelled = [
             attempt
@@ -150,7 +150,7 @@
     def claim_starts(self, machine: Machine) -> list[Attempt]:
         """Return the attempts to start by a call to the machine's address; mark them as sent.
 
-        From here on the starts may arrive at any time.
+        After the call, a start may reach the worker at any time.
         """
         if not (self._leader.holds_lease() and machine.is_schedulable):
             return []
@@ -165,8 +165,8 @@
         return attempts
 
     def _may_acknowledge(self, machine: Machine, task_id: TaskId, status: TaskStatus) -> bool:
-        """Whether the worker may forget an ended attempt; not before its result is durable."""
-        if _includes_attempt(machine.unacknowledgeable, task_id, status.attempt):
+        """Whether the worker may forget an ended attempt: a result must be durable first."""
+        if _includes_attempt(machine.attempts_not_to_acknowledge, task_id, status.attempt):
             return False
         job_state = self._job_queue.jobs.get(task_id.job)
         if job_state is None:
@@ -192,7 +192,7 @@
 
 
 def _includes_attempt(attempt_ids: set[AttemptId], task_id: TaskId, number: int) -> bool:
-    """Whether the set contains the attempt; builds no `AttemptId` for an empty set, as most are."""
+    """Whether the set has the attempt; most sets are empty, and need no `AttemptId` built."""
     return bool(attempt_ids) and AttemptId(*task_id, number) in attempt_ids
 
 
--- a/spoolcourse/control/workers/command_dispatcher.py
+++ b/spoolcourse/control/workers/command_dispatcher.py
@@ -2,8 +2,8 @@
 
 A command sent to a machine's address may be executed minutes late. A start without a response may
 therefore take effect until the worker's incarnation or this term ends
-(`Attempt.in_flight_incarnation`). Each command of an attempt is sent this way once; if the call
-fails, heartbeat responses carry it.
+(`Attempt.in_flight_incarnation`). Each command is sent to the address once; if the call fails,
+heartbeat responses carry the command.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 log = logging.getLogger(__name__)
 
-UNREACHABLE_RETRY_DELAY_S = 10.0  # until a machine whose address did not answer is called again
+UNREACHABLE_RETRY_DELAY_S = 10.0  # until a machine that did not respond is called again
 MIN_CONCURRENT_CALLS = 192  # lower bound; large fleets get more
 RESERVED_SOCKET_FRACTION = 0.15  # of the sockets, for users, peers and calls in progress
 
@@ -43,7 +43,7 @@
             while True:
                 await self.wake.wait()
                 self.wake.clear()
-                for machine in self._registry.commands.machines_to_call(self._calls):
+                for machine in self._registry.command_builder.machines_to_call(self._calls):
                     if self._is_at_limit():
                         break  # the next call that ends wakes this loop for the rest
                     call = asyncio.get_running_loop().create_task(self._send(machine))
@@ -59,10 +59,10 @@
         )
 
     def may_keep_connections(self) -> bool:
-        """Whether connections to machines may stay open besides those of their heartbeats.
+        """Whether connections opened for commands may stay open after the call.
 
-        Two connections per machine of a large fleet would use up the controller's sockets, and new
-        connections of workers and users would fail.
+        With those of their heartbeats, a large fleet would have two connections per machine and use
+        up the controller's sockets; new connections of workers and users would fail.
         """
         if not self._sockets:
             return True
@@ -78,9 +78,9 @@
                 self.wake.set()
 
     async def _send_commands(self, machine: Machine) -> None:
-        attempts = self._registry.commands.claim_starts(machine)
+        attempts = self._registry.command_builder.claim_starts(machine)
         incarnation = WorkerIncarnation(machine.address, machine.incarnation)
-        commands = self._registry.commands.claim_stops(machine) + [
+        commands = self._registry.command_builder.claim_stops(machine) + [
             Start(attempt.name, attempt.number) for attempt in attempts
         ]
         try:
--- a/spoolcourse/control/workers/fencing_token_announcer.py
+++ b/spoolcourse/control/workers/fencing_token_announcer.py
@@ -21,11 +21,11 @@
 
 
 class UnconfirmedWorker(Protocol):
-    """A worker that may not know this term's fencing token, such as a `Machine` of the registry."""
+    """A worker that may not know this term's fencing token: a `Machine` or a `HintedWorker`."""
 
     @property
     def id(self) -> str:
-        """The name of its machine."""
+        """The name of the worker's machine."""
         ...
 
     @property
@@ -35,14 +35,15 @@
 
     @property
     def confirmed(self) -> bool:
-        """Whether it has reported the fencing token, so that no call is needed."""
+        """Whether the worker has reported the fencing token, so that no call is needed."""
         ...
 
 
 class FencingTokenAnnouncer:
-    """Raises the token by requests without commands, and processes the heartbeats they return.
+    """Announces the token by requests without commands; processes the heartbeats they return.
 
-    The workers may be sending their heartbeats to a controller that can't learn of this leader.
+    Waiting for heartbeats is not enough: a worker may be sending its own to a controller that is
+    cut off and can't learn of this leader.
     """
 
     def __init__(self, http_client: HttpClient, registry: WorkerRegistry, sockets: int) -> None:
@@ -63,7 +64,7 @@
     async def _announce_to(self, worker: UnconfirmedWorker, semaphore: asyncio.Semaphore) -> None:
         async with semaphore:
             if worker.confirmed:
-                return  # its own heartbeat arrived in the meantime
+                return  # a heartbeat of the worker arrived in the meantime
             try:
                 heartbeat = await raise_fencing_token(
                     self._http_client, self._registry.proof, worker.address
--- a/spoolcourse/control/workers/heartbeat_relay.py
+++ b/spoolcourse/control/workers/heartbeat_relay.py
@@ -37,7 +37,7 @@
     """A worker's latest heartbeat that the leader answered through this follower."""
 
     relayed_at: float  # on the event loop's clock
-    leader_receives_no_heartbeats: bool  # no worker reached the leader directly
+    leader_receives_no_heartbeats: bool  # directly from workers, as the leader's response says
 
 
 class HeartbeatRelay:
@@ -63,8 +63,8 @@
             worker: The worker's machine.
             raw: The heartbeat as received.
             leader_label: The leader as far as this controller knows.
-            leader_is_recent: Whether `leader_label` is at most a lease or two old. A controller
-                that was cut off must not redirect workers to a leader replaced long ago.
+            leader_is_recent: Whether this controller would know of a change of leader by now. If
+                it was cut off, it must not redirect workers to a leader replaced long ago.
         """
         if leader_label is None or leader_label == self._label or leader_label not in self._peers:
             return redirect(None)
@@ -99,7 +99,11 @@
         )
 
     def _should_redirect(self, previous: RelayedHeartbeat, now: float) -> bool:
-        """Whether to redirect a worker that reports here again; a redirect counts as a probe."""
+        """Whether to redirect a worker whose previous heartbeat was relayed too.
+
+        While the leader receives no heartbeats directly, one worker per `LEADER_PROBE_PERIOD_S` is
+        redirected to probe whether workers can reach the leader again.
+        """
         if not previous.leader_receives_no_heartbeats:
             return True
         if now - self._probed_at <= LEADER_PROBE_PERIOD_S:
@@ -110,7 +114,7 @@
     async def _forward(
         self, worker: str, raw: bytes, leader_label: str
     ) -> HeartbeatResponse | None:
-        """Return the leader's response, or None if it refuses or is malformed.
+        """Return the leader's response; None if its status is not 200 or it is malformed.
 
         Raises:
             NoResponseError: The leader did not respond.
--- a/spoolcourse/control/workers/leader_interface.py
+++ b/spoolcourse/control/workers/leader_interface.py
@@ -23,7 +23,7 @@
         ...
 
     def on_capacity_change(self) -> None:
-        """Called when tasks may fit that did not fit before."""
+        """Notify the leader that tasks may now fit on machines where they did not fit before."""
         ...
 
     def record_phase(self, phase: FailoverPhase) -> None:
--- a/spoolcourse/control/workers/machine.py
+++ b/spoolcourse/control/workers/machine.py
@@ -16,21 +16,21 @@
 
 log = logging.getLogger(__name__)
 
-# Consecutive ineffective answers, each within a lease of the previous one, that make a machine
-# unresponsive: later answers are assumed to have no effect either.
-MAX_INEFFECTIVE_ANSWERS = 3
+# Consecutive ineffective responses, each within a lease of the previous one, that make a machine
+# unresponsive: later responses are assumed to have no effect either.
+INEFFECTIVE_RESPONSES_UNTIL_UNRESPONSIVE = 3
 
 
 @dataclass(slots=True, eq=False)
 class Machine:
     """A machine and its state in this term. Unknown values are None.
 
-    There are two kinds of heartbeats: a machine's own heartbeats, whose answers renew its lease,
+    There are two kinds of heartbeats: a machine's own heartbeats, whose responses renew its lease,
     and heartbeats returned by calls to its address, which renew nothing.
     """
 
     id: str
-    first_seen_at: float  # when this term's leader first learnt of it
+    first_seen_at: float  # when this term's leader first learned of the machine
 
     # Type and location.
     machine_type: str | None = None
@@ -42,25 +42,25 @@
     incarnation: int = 0
     sequence: int = -1
     last_heartbeat_at: float | None = None  # of either kind
-    last_own_heartbeat_at: float = 0.0  # initially when its first heartbeat of either kind came
+    last_own_heartbeat_at: float = 0.0  # at first, the time of the first heartbeat of either kind
 
     # Fencing token and lease.
     confirmed: bool = False  # reported this term's fencing token in this incarnation
     fencing_token_seen_at: float = 0.0  # last heartbeat under this term's token, or first seen
     last_answered_at: float | None = None  # with status 200, which may renew its lease
-    # The latest time at which its lease can have begun: the last answer, or, for an incarnation
-    # that had this term's fencing token before it was answered, when that became known.
+    # The latest time at which its lease can have begun: the last response to it, or the time at
+    # which its incarnation was confirmed, if that is later.
     lease_started_at: float | None = None
-    lease_expired: bool = False  # since the last answer
+    lease_expired: bool = False  # since its last heartbeat
 
-    # Ineffective answers: its heartbeats arrive, but the answers may not.
-    ineffective_answers: int = 0
-    answers_unproven_since: float = 0.0  # last ineffective answer, or start of incarnation
+    # Ineffective responses: its heartbeats arrive, but the responses to it may be lost.
+    ineffective_responses: int = 0
+    responses_unproven_since: float = 0.0  # last ineffective response, or new incarnation
     unresponsive_since: float | None = None
 
     # Reachability and free capacity.
-    unreachable_until: float = 0.0  # its address did not answer; no calls until then
-    start_refused_until: float = 0.0  # it refused a start; no starts until then
+    unreachable_until: float = 0.0  # a call to its address failed; no calls until then
+    start_refused_until: float = 0.0  # the worker refused a start; no starts until then
 
     # State of the cloud instance.
     listed_stage: ListedMachineStage | None = None  # in the cloud's list
@@ -74,25 +74,27 @@
 
     # Attempts that may be on it, and images.
     attempts: dict[TaskId, Attempt] = field(default_factory=dict)
-    unexpected_attempts: set[AttemptId] = field(default_factory=set)  # run, but not expected here
+    # Attempts that run on the machine although the leader did not expect them there.
+    unexpected_attempts: set[AttemptId] = field(default_factory=set)
     # Ended attempts that must not be acknowledged in this incarnation: see `reconciliation`.
-    unacknowledgeable: set[AttemptId] = field(default_factory=set)
+    attempts_not_to_acknowledge: set[AttemptId] = field(default_factory=set)
     failed_jobs: set[str] = field(default_factory=set)  # jobs whose tasks failed here
     # Cached images and their sizes in GB, the least recently used first.
     images: OrderedDict[str, float] = field(default_factory=OrderedDict)
     fetching: dict[str, float] = field(default_factory=dict)  # image: start time
-    change_count: int = 0  # of attempts, unexpected attempts and images: see `snapshot_cache`
+    # Counts changes of attempts, unexpected attempts and images, for `snapshot_cache`.
+    change_count: int = 0
 
     # -- states ------------------------------------------------------------------------------
 
     @property
     def is_in_service(self) -> bool:
-        """Whether it is confirmed, its lease has not expired, and no deletion is requested."""
+        """Whether the machine is confirmed, its lease is valid, and no deletion is requested."""
         return self.confirmed and not self.lease_expired and not self.deletion_requested
 
     @property
     def is_schedulable(self) -> bool:
-        """Whether it may get new attempts, apart from conditions that depend on the time."""
+        """Whether the machine may get new attempts, apart from conditions that depend on time."""
         return (
             self.is_in_service
             and self.unresponsive_since is None
@@ -102,11 +104,11 @@
 
     @property
     def is_unresponsive(self) -> bool:
-        """Whether its heartbeats arrive but the answers have no effect."""
+        """Whether the machine's heartbeats arrive but the responses have no effect."""
         return self.unresponsive_since is not None
 
     def is_overdue(self, now: float, limit_s: float) -> bool:
-        """Whether its last own heartbeat is older than the limit.
+        """Whether the machine's last own heartbeat is older than the limit.
 
         Heartbeats returned by calls don't count: a machine that reaches no controller loses its
         lease, and with it any attempt that a call started there.
@@ -114,7 +116,7 @@
         return now - self.last_own_heartbeat_at > limit_s
 
     def is_reachable(self, now: float) -> bool:
-        """Whether commands may be sent to its address now."""
+        """Whether commands may be sent to the machine's address now."""
         return bool(self.address) and self.unreachable_until <= now
 
     def is_newer(self, heartbeat: Heartbeat) -> bool:
@@ -123,7 +125,7 @@
 
     # -- transitions -------------------------------------------------------------------------
 
-    def record_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
+    def update_from_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
         """Store what a newer heartbeat reports about the machine itself."""
         self.last_heartbeat_at = now
         self.incarnation, self.sequence = heartbeat.incarnation, heartbeat.sequence
@@ -136,8 +138,8 @@
         else:
             self.terminates_at = None
 
-    def record_lease_expiry(self) -> None:
-        """Record that the lease expired: all attempts of this incarnation are gone.
+    def mark_lease_expired(self) -> None:
+        """Mark the lease as expired: all attempts of this incarnation are gone.
 
         Heartbeats of this incarnation that still arrive were delayed in transit, so only a later
         incarnation shows that the machine is alive.
@@ -148,26 +150,29 @@
         self.unexpected_attempts.clear()
         self.change_count += 1
 
-    def record_ineffective_answer(self, now: float) -> None:
-        """Count an answer without effect; `MAX_INEFFECTIVE_ANSWERS` make a machine unresponsive.
+    def count_ineffective_response(self, now: float) -> None:
+        """Count a response without effect, and mark the machine as unresponsive after too many.
 
         An unresponsive machine gets no new attempts, and its pending starts are released once they
-        are proven not to have arrived. As its heartbeats continue, its lease never expires, and
-        those tasks would stay assigned to it forever.
+        are proven not to have arrived. Its heartbeats continue, so its lease never expires, and
+        without the release those tasks would stay assigned to it forever.
         """
-        self.ineffective_answers += 1
-        self.answers_unproven_since = now
-        if self.ineffective_answers >= MAX_INEFFECTIVE_ANSWERS and not self.is_unresponsive:
+        self.ineffective_responses += 1
+        self.responses_unproven_since = now
+        if (
+            self.ineffective_responses >= INEFFECTIVE_RESPONSES_UNTIL_UNRESPONSIVE
+            and not self.is_unresponsive
+        ):
             log.info("machine unresponsive, answers have no effect: machine=%s", self.id)
             self.unresponsive_since = now
 
-    def clear_ineffective_answers(self) -> None:
-        """Reset the count: answers have effect again."""
-        self.ineffective_answers = 0
+    def reset_ineffective_responses(self) -> None:
+        """Reset the count: responses have effect again."""
+        self.ineffective_responses = 0
         self.unresponsive_since = None
 
-    def record_cached_image(self, image: str, size_gb: float, disk_gb: float) -> None:
-        """Record that an image is cached, as a task runs it; evict the least recently used ones."""
+    def add_cached_image(self, image: str, size_gb: float, disk_gb: float) -> None:
+        """Add an image that a task runs, or mark it as last used; evict the least recent ones."""
         if next(reversed(self.images), None) == image:
             return
         self.change_count += image not in self.images
--- a/spoolcourse/control/workers/machine_table.py
+++ b/spoolcourse/control/workers/machine_table.py
@@ -1,4 +1,4 @@
-"""The machines of a term and the attempts that may be on each: state only, no decisions."""
+"""The table of a term's machines and of the attempts that may be on each of them."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.wire.identities import TaskId
 
-# Heartbeats of deleted machines and lists that name them may be minutes late, so names are kept for
-# this time whatever their number.
+# How long the names of deleted machines are kept, however many there are: their heartbeats, and
+# machine lists that name them, may be minutes late.
 DELETED_NAME_RETENTION_S = 3600.0
 
 
@@ -48,8 +48,8 @@
     def is_suspect(self, machine: Machine) -> bool:
         """Whether a machine's own heartbeats have been missing for `suspect_after_s`.
 
-        That proves nothing about its attempts, but it gets no new ones and is not called: with a
-        zone cut off, hundreds of hanging calls would delay those to other machines, and new
+        This proves nothing about the machine's attempts, but it gets no new ones and is not called:
+        if a zone is cut off, hundreds of hanging calls would delay those to other machines, and new
         attempts would stay assigned there until leases expire.
         """
         return machine.last_heartbeat_at is not None and machine.is_overdue(
@@ -57,7 +57,7 @@
         )
 
     def track_attempt(self, attempt: Attempt) -> None:
-        """Record on its machine that an attempt may be there."""
+        """Add an attempt to the machine that it is assigned to."""
         machine = self.ensure_machine(attempt.machine)
         machine.attempts[TaskId(attempt.job_state.id, attempt.task)] = attempt
         machine.change_count += 1
@@ -65,7 +65,7 @@
         self.pending_commands.add(machine.id)
 
     def request_stop(self, attempt: Attempt) -> None:
-        """Mark an attempt to be stopped; it counts until it is proven gone."""
+        """Mark an attempt to be stopped; it stays tracked until it is proven gone."""
         attempt.stopping = True
         self.ensure_machine(attempt.machine).change_count += 1
         self.pending_commands.add(attempt.machine)
--- a/spoolcourse/control/workers/reconciliation.py
+++ b/spoolcourse/control/workers/reconciliation.py
@@ -1,9 +1,9 @@
 """Reconciliation of the attempts expected on a machine with those that its heartbeat lists.
 
-A worker has one heartbeat in flight, executes an answer within its timeout or never, and discards
-it in a later incarnation. So the next newer heartbeat under this term's fencing token proves
-whether a start in an answer arrived. A start sent to the worker's address may arrive late, until
-the incarnation or the term ends (PROTOCOL, Delayed messages).
+A worker has one heartbeat in flight, executes a response within its timeout or never, and discards
+responses to earlier incarnations. So the next newer heartbeat under this term's fencing token
+proves whether a start in a response arrived. A start sent to the worker's address may arrive late,
+until the incarnation or the term ends (PROTOCOL, Delayed messages).
 """
 
 from __future__ import annotations
@@ -27,7 +27,8 @@
 
 log = logging.getLogger(__name__)
 
-# For a job that failed on the machine. Without an end, a job could run out of machines.
+# How long a job avoids a machine on which one of its tasks failed; if the time had no end, a job
+# could run out of machines.
 FAILED_MACHINE_AVOIDANCE_S = 60.0
 HEALTHY_REPLICA_S = 20.0  # a replica that has run longer resets its service's failure count
 REFUSED_START_RETRY_DELAY_S = 2.0  # after the worker refused a start
@@ -43,14 +44,14 @@
 
     def reconcile(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
         """Update the attempts and the image state of a machine from its heartbeat."""
-        present = self._reconcile_reported(machine, heartbeat, now)
+        listed_tasks = self._reconcile_reported(machine, heartbeat, now)
         if any(
-            _is_start_unconfirmed(attempt) and task_id not in present
+            _is_start_unconfirmed(attempt) and task_id not in listed_tasks
             for task_id, attempt in machine.attempts.items()
         ):
-            machine.record_ineffective_answer(now)
+            machine.count_ineffective_response(now)
         for task_id, attempt in list(machine.attempts.items()):
-            if task_id not in present:
+            if task_id not in listed_tasks:
                 self._reconcile_unlisted(machine, attempt, heartbeat)
         _update_image_fetches(machine, now)
         if machine.attempts:
@@ -63,21 +64,21 @@
     def _reconcile_reported(
         self, machine: Machine, heartbeat: Heartbeat, now: float
     ) -> set[TaskId]:
-        """Apply the listed attempts; return the tasks whose expected attempts are listed."""
-        present: set[TaskId] = set()
+        """Apply the listed attempts; return tasks whose expected or adopted attempt is listed."""
+        listed_tasks: set[TaskId] = set()
         unexpected_before = set(machine.unexpected_attempts)
         machine.unexpected_attempts.clear()
         for status in heartbeat.tasks:
             task_id = parse_task_name(status.task)
             attempt = machine.attempts.get(task_id)
             if attempt is not None and attempt.number == status.attempt:
-                present.add(task_id)
+                listed_tasks.add(task_id)
                 self._update_attempt(machine, attempt, status, now)
             elif self._reconcile_unexpected(machine, task_id, status, now):
-                present.add(task_id)
+                listed_tasks.add(task_id)
         if unexpected_before != machine.unexpected_attempts:
             machine.change_count += 1
-        return present
+        return listed_tasks
 
     def _update_attempt(
         self, machine: Machine, attempt: Attempt, status: TaskStatus, now: float
@@ -99,7 +100,7 @@
             machine.change_count += 1
         if attempt.is_executing:
             job_state = attempt.job_state
-            self._record_cached_image(machine, job_state.record.submission)
+            self._add_cached_image(machine, job_state.record.submission)
             machine.failed_jobs.discard(job_state.id)
             is_healthy = now - attempt.stage_since > HEALTHY_REPLICA_S
             if (
@@ -121,14 +122,16 @@
         if attempt.in_flight_incarnation is not None or (
             attempt.sent_directly and cause != EndCause.DONE
         ):
-            # A copy of the start may still be in flight to the worker's address. It has no effect
-            # while the worker remembers the attempt, but would start it again once that is
-            # acknowledged and forgotten.
-            machine.unacknowledgeable.add(AttemptId(job_state.id, attempt.task, attempt.number))
+            # A copy of the start may still be in flight to the worker's address. The copy has no
+            # effect while the worker remembers the attempt, but would start the attempt again once
+            # its end is acknowledged and the worker has forgotten it.
+            machine.attempts_not_to_acknowledge.add(
+                AttemptId(job_state.id, attempt.task, attempt.number)
+            )
         if cause == EndCause.DONE:
-            self._record_completion(machine, attempt, now)
+            self._handle_completed_attempt(machine, attempt, now)
         elif cause == EndCause.ERROR:
-            _record_error(machine, attempt, now)
+            _handle_task_error(machine, attempt, now)
         elif cause == EndCause.NO_ROOM:
             machine.start_refused_until = now + REFUSED_START_RETRY_DELAY_S
             _log_refused_start(machine, attempt, cause)
@@ -137,18 +140,18 @@
             _log_refused_start(machine, attempt, cause)
         self._machines.release_attempt(attempt)
 
-    def _record_completion(self, machine: Machine, attempt: Attempt, now: float) -> None:
+    def _handle_completed_attempt(self, machine: Machine, attempt: Attempt, now: float) -> None:
         job_state = attempt.job_state
-        self._record_cached_image(machine, job_state.record.submission)
+        self._add_cached_image(machine, job_state.record.submission)
         if job_state.record.submission.is_service:
             _count_failure(job_state, REPLICA_BACKOFF, now)  # a replica should not end by itself
             return
         job_state.consecutive_failures = 0
         self._job_queue.complete(job_state, attempt.task)
 
-    def _record_cached_image(self, machine: Machine, submission: Submission) -> None:
+    def _add_cached_image(self, machine: Machine, submission: Submission) -> None:
         disk_gb = self._leader.disk_gb(machine.machine_type or "")
-        machine.record_cached_image(submission.image, submission.image_gb, disk_gb)
+        machine.add_cached_image(submission.image, submission.image_gb, disk_gb)
 
     # -- listed attempts that are not expected there -----------------------------------------
 
@@ -163,17 +166,17 @@
         job_state = self._job_queue.jobs.get(task_id.job)
         if job_state is not None and task_id.index < job_state.record.submission.task_count:
             if status.stage is TaskStage.ENDED:
-                self._record_unexpected_end(job_state, task_id.index, status)
+                self._accept_unexpected_result(job_state, task_id.index, status)
                 return False
-            if _is_wanted(job_state, task_id.index):
+            if _needs_attempt(job_state, task_id.index):
                 self._adopt(machine, job_state, task_id, status, now)
                 return True
         if status.stage is not TaskStage.ENDED:
             machine.unexpected_attempts.add(AttemptId(*task_id, status.attempt))
         return False
 
-    def _record_unexpected_end(self, job_state: JobState, task: int, status: TaskStatus) -> None:
-        """Accept the result of any attempt: complete the task and stop another attempt at it."""
+    def _accept_unexpected_result(self, job_state: JobState, task: int, status: TaskStatus) -> None:
+        """Accept an unexpected attempt's result: complete the task, stop its other attempt."""
         if status.cause != EndCause.DONE or job_state.record.submission.is_service:
             return
         self._job_queue.complete(job_state, task)
@@ -197,7 +200,7 @@
     # -- attempts that the heartbeat does not list -------------------------------------------
 
     def _reconcile_unlisted(self, machine: Machine, attempt: Attempt, heartbeat: Heartbeat) -> None:
-        """Release an attempt that the heartbeat does not list, if that proves it gone."""
+        """Release an attempt that the heartbeat does not list, if it is thereby proven gone."""
         if attempt.in_flight_incarnation != heartbeat.incarnation:
             attempt.in_flight_incarnation = None  # a start for another incarnation is refused
         if attempt.stage is not AttemptStage.ASSIGNED:
@@ -216,17 +219,19 @@
         ):
             return
         attempt.start_heartbeat_id = None  # that start did not arrive and no longer can
-        unwanted = attempt.job_state.record.cancelled or attempt.stopping or machine.is_unresponsive
-        if unwanted and attempt.in_flight_incarnation is None:
+        should_not_start = (
+            attempt.job_state.record.cancelled or attempt.stopping or machine.is_unresponsive
+        )
+        if should_not_start and attempt.in_flight_incarnation is None:
             self._machines.release_attempt(attempt)
 
 
 def _is_start_unconfirmed(attempt: Attempt) -> bool:
-    """Whether an answer carried the start, so that the next heartbeat should list the attempt."""
+    """Whether a response carried the start, so that the next heartbeat should list the attempt."""
     return attempt.stage is AttemptStage.ASSIGNED and attempt.start_heartbeat_id is not None
 
 
-def _is_wanted(job_state: JobState, task: int) -> bool:
+def _needs_attempt(job_state: JobState, task: int) -> bool:
     """Whether the task should run and has no attempt on any machine."""
     return (
         task not in job_state.attempts
@@ -236,7 +241,7 @@
 
 
 def _update_image_fetches(machine: Machine, now: float) -> None:
-    """Update the images being fetched, keeping the start time of each fetch."""
+    """Set the images that the machine is fetching; keep the start times of ongoing fetches."""
     fetching_images = {
         attempt.job_state.record.submission.image
         for attempt in machine.attempts.values()
@@ -249,7 +254,7 @@
     }
 
 
-def _record_error(machine: Machine, attempt: Attempt, now: float) -> None:
+def _handle_task_error(machine: Machine, attempt: Attempt, now: float) -> None:
     job_state = attempt.job_state
     job_state.avoided_machines[machine.id] = now + FAILED_MACHINE_AVOIDANCE_S
     machine.failed_jobs.add(job_state.id)
--- a/spoolcourse/control/workers/worker_client.py
+++ b/spoolcourse/control/workers/worker_client.py
@@ -1,6 +1,6 @@
 """Calls to workers' addresses (PROTOCOL, Controller nodes -> workers).
 
-Every response is the worker's heartbeat; a call renews no lease.
+A worker responds to every call with its heartbeat. A call renews no lease.
 """
 
 from __future__ import annotations
--- a/spoolcourse/control/workers/worker_registry.py
+++ b/spoolcourse/control/workers/worker_registry.py
@@ -27,7 +27,7 @@
 log = logging.getLogger(__name__)
 
 LEASE_EXPIRY_MARGIN_S = 1.0  # beyond a lease and clock drift, for a worker to end its tasks
-RENEWED_LEASE_FRACTION = 0.8  # an answer less than this part of a lease ago should have renewed it
+RENEWED_LEASE_FRACTION = 0.8  # a response within this part of a lease should have renewed it
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,8 +41,8 @@
 class OutdatedHeartbeat:
     """A heartbeat no newer than the latest one known, or of a deleted machine.
 
-    It is a delayed copy: it doesn't show that the machine is alive, and its response must not renew
-    a lease, or lease expiry would have to wait for every delayed copy.
+    Such a heartbeat is a delayed copy: it doesn't show that the machine is alive. Its response must
+    not renew a lease, or lease expiry would have to wait for every delayed copy.
     """
 
 
@@ -72,7 +72,7 @@
         self._clock = clock
         self.leader = leader
         self._reconciler = HeartbeatReconciler(self, leader)
-        self.commands = CommandBuilder(self, leader, clock)
+        self.command_builder = CommandBuilder(self, leader, clock)
         # Images cached according to the previous leader; valid in the same incarnation only.
         self.hinted_images: dict[str, Hint] = {}
 
@@ -92,13 +92,13 @@
                 and now - machine.lease_started_at > self._lease_expired_after_s
             ):
                 log.info("lease expired, machine silent: machine=%s", machine.id)
-                machine.record_lease_expiry()
+                machine.mark_lease_expired()
                 self.release_all_attempts(machine)
 
     # -- heartbeats ------------------------------------------------------------------
 
     def process_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatOutcome:
-        """Process a machine's own heartbeat whose fencing token is not above this term's."""
+        """Process a machine's own heartbeat; its fencing token must not be above this term's."""
         now = self._clock()
         if heartbeat.machine in self.deleted_names:
             return OutdatedHeartbeat()
@@ -109,7 +109,7 @@
         machine.last_own_heartbeat_at = machine.last_answered_at = machine.lease_started_at = now
         has_current_token = heartbeat.fencing_token == self.fencing_token
         return AcceptedHeartbeat(
-            self.commands.build_response(machine, heartbeat, has_current_token)
+            self.command_builder.build_response(machine, heartbeat, has_current_token)
         )
 
     def observe_unanswered_heartbeat(self, heartbeat: Heartbeat) -> None:
@@ -138,15 +138,15 @@
             or machine.last_heartbeat_at is None
         ):
             self._begin_incarnation(machine, now)
-        elif now - machine.answers_unproven_since > self._lease_expired_after_s:
-            # The incarnation has since outlived a lease, so answers do arrive. Commands that reach
-            # its address prove no such thing: they renew no lease.
-            machine.clear_ineffective_answers()
+        elif now - machine.responses_unproven_since > self._lease_expired_after_s:
+            # The incarnation has since outlived a lease, so responses do arrive. Commands that
+            # reach its address prove nothing of the kind: they renew no lease.
+            machine.reset_ineffective_responses()
         if machine.last_heartbeat_at is None:
-            # It was booting until now, so it could not have reported anything earlier.
+            # The machine was booting until now, so it could not have reported anything earlier.
             machine.fencing_token_seen_at = now
             machine.last_own_heartbeat_at = now
-        machine.record_heartbeat(heartbeat, now)
+        machine.update_from_heartbeat(heartbeat, now)
         if heartbeat.fencing_token == self.fencing_token:
             machine.fencing_token_seen_at = now
             if not machine.confirmed:
@@ -159,17 +159,17 @@
             and machine.last_answered_at is not None
             and now - machine.last_answered_at < RENEWED_LEASE_FRACTION * self._lease_s
         ):
-            # Its lease expired although it was answered in time.
-            machine.record_ineffective_answer(now)
+            # The previous incarnation's lease expired although it was answered in time.
+            machine.count_ineffective_response(now)
         machine.confirmed = False
-        machine.unacknowledgeable.clear()
-        machine.answers_unproven_since = now
+        machine.attempts_not_to_acknowledge.clear()
+        machine.responses_unproven_since = now
 
     def _confirm_incarnation(self, machine: Machine, now: float) -> None:
-        """Mark an incarnation as under this term's token: only this leader can renew its lease."""
+        """Mark that the incarnation has this term's token: only this leader can renew its lease."""
         machine.confirmed = True
-        # An incarnation known only from calls, as of a machine that reaches no controller, may have
-        # begun just now. Counting its lease from an earlier answer would release attempts that
+        # An incarnation known only from calls, because its machine reaches no controller, may have
+        # begun just now. Counting its lease from an earlier response would release attempts that
         # still run.
         machine.lease_started_at = now
         log.debug(
@@ -185,4 +185,4 @@
             return
         disk_gb = self.leader.disk_gb(machine.machine_type or "")
         for image, size_gb in reversed(hint.images.items()):
-            machine.record_cached_image(image, size_gb, disk_gb)
+            machine.add_cached_image(image, size_gb, disk_gb)
--- a/tests/failover/test_standby_hints.py
+++ b/tests/failover/test_standby_hints.py
@@ -93,7 +93,7 @@
         harness.heartbeat(spindle=f"m-{number}")
         machine = harness.registry.machines[f"m-{number}"]
         for image in range(MAX_IMAGES_PER_MACHINE + 4):
-            machine.record_cached_image(f"i{image}", 1.0, 100.0)
+            machine.add_cached_image(f"i{image}", 1.0, 100.0)
     page = build_hint_page(harness.registry, "n0", 40, "after=m-1&most=2")
     assert [hint.machine for hint in page.hints] == ["m-2", "m-3"]
     assert page.has_next
--- a/tests/scenarios/test_late_messages.py
+++ b/tests/scenarios/test_late_messages.py
@@ -65,14 +65,14 @@
     harness.observe()
     assert not harness.registry.is_suspect(machine)
     harness.assign()
-    assert harness.registry.commands.machines_to_call(()) == [machine]
+    assert harness.registry.command_builder.machines_to_call(()) == [machine]
     harness.now += 1.5
     harness.observe()
     assert machine.last_heartbeat_at == harness.now
     assert harness.registry.is_suspect(machine)
-    assert harness.registry.commands.machines_to_call(()) == [], "nor are starts sent"
+    assert harness.registry.command_builder.machines_to_call(()) == [], "nor are starts sent"
     harness.heartbeat()
-    assert harness.registry.commands.machines_to_call(()) == [machine]
+    assert harness.registry.command_builder.machines_to_call(()) == [machine]
 
 
 def test_the_first_answer_after_a_change_of_leader_ends_what_is_cancelled() -> None:
--- a/tests/workers/test_worker_registry.py
+++ b/tests/workers/test_worker_registry.py
@@ -155,8 +155,8 @@
     harness.heartbeat()
     attempt = harness.assign()
     machine = harness.registry.machines["m-1"]
-    assert harness.registry.commands.claim_starts(machine) == [attempt]
-    assert harness.registry.commands.machines_to_call(()) == [], "sent that way once only"
+    assert harness.registry.command_builder.claim_starts(machine) == [attempt]
+    assert harness.registry.command_builder.machines_to_call(()) == [], "sent that way once only"
     harness.job_state.record.cancelled_at = 100.0
     harness.heartbeat()
     harness.heartbeat()
@@ -169,7 +169,7 @@
     harness = RegistryHarness()
     harness.heartbeat()
     attempt = harness.assign()
-    harness.registry.commands.claim_starts(harness.registry.machines["m-1"])
+    harness.registry.command_builder.claim_starts(harness.registry.machines["m-1"])
     attempt.in_flight_incarnation = None  # it was answered, but a copy may come late
     harness.heartbeat(on())
     assert harness.heartbeat(on(stage="ended", cause="halted")) == []
