--- a/spoolcourse/control/context.py
+++ b/spoolcourse/control/context.py
@@ -18,10 +18,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ControllerContext:
-    """Created once per controller, and shared by all of its leader terms.
+    """The clients, settings and clocks of one controller, shared by all of its leader terms.
 
-    `policy_source` returns the operators' policy. `machine_types` returns the cloud's machine
-    types by name; it is empty until the catalog has been read once.
+    `compiled_policy` is the operators' policy. `machine_types` returns the cloud's machine types
+    by name: none until the catalog has been read once.
     """
 
     http_client: HttpClient
@@ -31,7 +31,7 @@
     cloud: CloudClient
     peers: list[Peer]
     params: DeploymentSettings
-    policy_source: CompiledPolicy
+    compiled_policy: CompiledPolicy
     machine_types: Callable[[], dict[str, MachineType]]
     clock: Callable[[], float]  # monotonic, in seconds
     wall_clock: Callable[[], float]  # Unix time, in seconds
--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -1,4 +1,4 @@
-"""The composition root of a controller."""
+"""Builds the components of a controller and connects them."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Clients:
-    """Clients of other hosts, and the local cache and job index of the key-value store."""
+    """The HTTP, store and cloud clients, and the local copies of the key-value store's records."""
 
     http_client: HttpClient
     store_client: StoreClient
@@ -70,7 +70,8 @@
 class Controller:
     """A controller: its components, its loops, and the handlers of its two addresses.
 
-    `public` handles requests to the public address, `peers` those to the cluster address.
+    `public_handler` handles requests to the public address (`listen` in the settings),
+    `cluster_handler` those to the peer address (`cluster_listen`).
     """
 
     def __init__(
@@ -125,7 +126,7 @@
             self.standby.resume_shadowing()
 
     def _build_handlers(self, settings: Settings) -> tuple[Handler, Handler]:
-        """The handlers of the public and the cluster address."""
+        """The handlers of the public address and of the peer address."""
         parts = ControllerParts(
             label=settings.label,
             context=self._context,
@@ -207,7 +208,7 @@
         cloud=clients.cloud,
         peers=settings.seeds,
         params=settings.settings,
-        policy_source=policy,
+        compiled_policy=policy,
         machine_types=lambda: catalog.machine_types,
         clock=asyncio.get_running_loop().time,
         wall_clock=wall_clock,
@@ -254,7 +255,7 @@
 def _failover_trace_writer(
     context: ControllerContext, label: str
 ) -> Callable[[FailoverTimeline], None]:
-    # Imported only with tracing on: leases can expire while the process starts.
+    # Imported only with tracing on: the import takes time, and leases can expire during the start.
     from spoolcourse.control.failover.tracing import FailoverTracer
 
     return FailoverTracer(label, context.clock, context.wall_clock).write
--- a/spoolcourse/control/controller_parts.py
+++ b/spoolcourse/control/controller_parts.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ControllerParts:
-    """Created once per controller; `standby` is None if the warm standby is disabled."""
+    """The components of one controller; `standby` is None if the warm standby is disabled."""
 
     label: str
     context: ControllerContext
--- a/spoolcourse/control/leader/active_leader.py
+++ b/spoolcourse/control/leader/active_leader.py
@@ -31,10 +31,10 @@
 
 
 class ActiveLeader:
-    """Builds and connects the job queue, the worker registry and the loops that use them.
+    """Builds the worker registry and the loops that use it, and connects them to the job queue.
 
-    The components reach one another through this object (`leader_interface.Leader`,
-    `AutoscalerOwner`).
+    The registry and the autoscaler call other components through this object, which implements
+    their interfaces `leader_interface.Leader` and `AutoscalerOwner`.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         return LeaderContext(
             controller=self._context,
             proof=self.proof,
-            policy=self._context.policy_source.initial(),
+            policy=self._context.compiled_policy.initial(),
             job_queue=self.job_queue,
             registry=self.registry,
         )
@@ -143,7 +143,7 @@
         return self._leadership.holds_lease()
 
     def is_job_over(self, job: str) -> bool:
-        """Whether the job is certainly no longer live; its record is written before any start."""
+        """Whether the job is certainly over: the record of a live job is known before any start."""
         return job not in self._context.job_index.live and job not in self.job_queue.jobs
 
     def disk_gb(self, machine_type: str) -> float:
@@ -160,7 +160,7 @@
         self._timeline.record(phase)
 
     def initial_machine_names(self) -> frozenset[str]:
-        """Return the machines that are never deleted for being idle."""
+        """Return the names of the machines that are never deleted for being idle."""
         return self.initial_machines.names()
 
     def is_scarce_type(self, machine_type: str) -> bool:
@@ -168,7 +168,7 @@
         return self.snapshot_builder.is_scarce_type(machine_type, self._clock())
 
     async def on_machine_list(self, listed_machines: list[ListedMachine]) -> None:
-        """Process a new machine list from the cloud."""
+        """Record the initial machines, unless they have been recorded, from a new machine list."""
         await self.initial_machines.record_once(listed_machines)
 
     def on_fleet_summary(self) -> None:
--- a/spoolcourse/control/leader/heartbeat_handler.py
+++ b/spoolcourse/control/leader/heartbeat_handler.py
@@ -29,7 +29,11 @@
 
 
 class HeartbeatHandler:
-    """Answers heartbeats unless a confirmed cancellation may have been unknown for too long."""
+    """Answers heartbeats as the leader.
+
+    Refuses them, so that no lease is renewed, while this controller may not know of a confirmed
+    cancellation.
+    """
 
     def __init__(
         self,
@@ -57,8 +61,8 @@
         if heartbeat.fencing_token > self._registry.fencing_token:
             return step_down_for_higher_token(heartbeat, self._leadership)
         if not self._may_renew_leases():
-            # Other controllers may have confirmed cancellations that this one can't know of. Leases
-            # must expire so that the cancelled attempts end in time.
+            # Other controllers may have confirmed cancellations that this one can't know of. The
+            # workers' leases must expire so that the cancelled attempts end in time.
             self._registry.observe_unanswered_heartbeat(heartbeat)
             return retry_later("confirmed cancellations may be unknown")
         with self._load.time_block("report"):
--- a/spoolcourse/control/leader/hinted_workers.py
+++ b/spoolcourse/control/leader/hinted_workers.py
@@ -1,8 +1,8 @@
 """A new leader's calls to the workers that the previous leader knew.
 
-Workers otherwise become known by their heartbeats, within a heartbeat period, and by the cloud's
-machine list once it is read. By calls to the addresses in the hints they are known a few
-milliseconds after the failover. Their state is taken from their own responses only.
+Without these calls, the leader learns of workers from their heartbeats, within a heartbeat
+interval, or from the cloud's machine list. By calling the addresses in the hints, it learns of them
+a few milliseconds after the failover. A worker's state is taken only from its own response.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HintedWorker:
-    """A worker at the address in its hint, whether or not the registry knows it."""
+    """A worker named by a hint, whether or not the registry has its machine."""
 
     hint: Hint
     registry: WorkerRegistry
 
     @property
     def id(self) -> str:
-        """The name of its machine."""
+        """The name of the worker's machine."""
         return self.hint.machine
 
     @property
@@ -34,13 +34,13 @@
 
     @property
     def confirmed(self) -> bool:
-        """Whether it has reported the leader's fencing token."""
+        """Whether the worker has reported the leader's fencing token."""
         machine = self.registry.machines.get(self.hint.machine)
         return machine is not None and machine.confirmed
 
 
 class HintedWorkers:
-    """Calls each hinted worker once, and passes the cached images in hints to the registry."""
+    """Calls each hinted worker once, and passes the hints' cached images to the registry."""
 
     def __init__(self, leader: LeaderContext, hints: list[Hint]) -> None:
         context = leader.controller
--- a/spoolcourse/control/leader/initial_machines.py
+++ b/spoolcourse/control/leader/initial_machines.py
@@ -1,7 +1,8 @@
-"""The initial machines: the operators' on-demand machines from before the service first ran.
+"""The initial machines: the on-demand machines that ran before the scheduler's first start.
 
 They are used, but never deleted for being idle. Their names are recorded once, from the first
-machine list that any leader gets; the leader of the first term has provisioned none by then.
+machine list that any leader gets. Only a list of the first term's leader shows which machines these
+are, as that leader has provisioned none by then; a later leader records an empty list.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 class InitialMachines:
-    """Reads the recorded names, and records them if they have not been."""
+    """Reads the names of the initial machines, and records them once."""
 
     def __init__(self, context: ControllerContext, term: Term) -> None:
         self._client = context.store_client
@@ -32,7 +33,7 @@
         self._term = term
 
     def names(self) -> frozenset[str]:
-        """Return the machines that are never deleted for being idle."""
+        """Return the names of the initial machines; empty until they are recorded."""
         entry = self._watch_cache.get(INITIAL_MACHINES_KEY)
         if entry is None:
             return frozenset()
@@ -46,9 +47,9 @@
     async def record_once(self, listed_machines: list[ListedMachine]) -> None:
         """Record the running on-demand machines, unless initial machines are already recorded.
 
-        Further parts are written first, as the first value holds their number: it takes effect
-        only when all parts exist. One value holds a few hundred names; without parts, none were
-        recorded of a larger fleet, and its idle machines were deleted.
+        One value holds a few hundred names, so the names of a larger fleet are split into parts.
+        Without parts, none of them were recorded, and idle initial machines were deleted. The first
+        part holds the number of further parts and is written last, when all others exist.
         """
         if self._watch_cache.get(INITIAL_MACHINES_KEY) is not None:
             return
@@ -70,7 +71,7 @@
 
     def _initial_machine_names(self, listed_machines: list[ListedMachine]) -> list[str]:
         if self._term.number != FIRST_TERM:
-            return []  # an earlier leader may have provisioned some
+            return []  # an earlier leader may have provisioned some of the machines
         return [
             m.id for m in listed_machines if not m.spot and m.stage is ListedMachineStage.RUNNING
         ]
--- a/spoolcourse/control/leader/job_changes.py
+++ b/spoolcourse/control/leader/job_changes.py
@@ -15,7 +15,7 @@
 
 
 class JobChanges:
-    """Applies changed records to the job queue, and stops the attempts of cancelled jobs."""
+    """Applies changed job records to the job queue, and stops attempts of cancelled jobs."""
 
     def __init__(
         self,
--- a/spoolcourse/control/leader/leader_term.py
+++ b/spoolcourse/control/leader/leader_term.py
@@ -1,4 +1,4 @@
-"""A leader's term; the object is discarded when the term ends."""
+"""A leader's term: the failover, then the leader's loops until the term ends."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class LeaderTerm:
-    """Runs from election to the end of the term; schedules once the failover is proven."""
+    """Runs one term from election to its end; `active` is set once the failover is proven."""
 
     def __init__(
         self,
--- a/spoolcourse/control/leader/term_lifecycle.py
+++ b/spoolcourse/control/leader/term_lifecycle.py
@@ -58,6 +58,6 @@
             self.current.on_change(key)
 
     def stop(self) -> None:
-        """Stop all loops of the term, because the controller stops."""
+        """Stop all loops of the current term, if there is one, because the controller stops."""
         if self.current is not None:
             self.current.stop()
--- a/spoolcourse/control/leader_context.py
+++ b/spoolcourse/control/leader_context.py
@@ -1,4 +1,4 @@
-"""State shared by the components of a leader; building it takes a failover proof."""
+"""State shared by the components of a leader, which exists only with a failover proof."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeaderContext:
-    """Created when the failover is proven, for the rest of the term."""
+    """What a leader's components share from the failover proof to the end of the term."""
 
     controller: ControllerContext
     proof: FailoverProof
--- a/spoolcourse/control/peer_api.py
+++ b/spoolcourse/control/peer_api.py
@@ -1,4 +1,4 @@
-"""Handlers for other controllers and operators, served on the cluster address only."""
+"""Handlers for other controllers and operators, served on the peer address only."""
 
 from __future__ import annotations
 
--- a/spoolcourse/control/routes.py
+++ b/spoolcourse/control/routes.py
@@ -1,4 +1,4 @@
-"""The route tables of a controller's public address and cluster address."""
+"""The route tables of a controller's public address and peer address."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 def peer_routes(
     peers: PeerApi, workers: WorkerApi, users: UserApi, health: HealthCheck
 ) -> list[Route]:
-    """Routes for operators and other controllers; a peer's request is never forwarded again."""
+    """Routes for operators and other controllers; requests from peers are never forwarded."""
     return [
         Route("POST", paths.HANDOVER, peers.transfer_leadership),
         Route("GET", paths.CANCELLATIONS, peers.get_cancellations),
--- a/spoolcourse/control/scheduling/scheduling_loop.py
+++ b/spoolcourse/control/scheduling/scheduling_loop.py
@@ -37,7 +37,7 @@
         self._clock = context.clock
         self._load = context.load
         self._params = context.params
-        self._policy_source = context.policy_source
+        self._compiled_policy = context.compiled_policy
         self._machine_types = context.machine_types
         self._policy = leader.policy
         self._job_queue = leader.job_queue
@@ -105,7 +105,7 @@
         total_cpus = sum(machine.total_cpus for machine in snapshot.machines)
         boot_times_s = [machine_type.boot_s for machine_type in self._machine_types().values()]
         waiting_jobs = sum(1 for job in snapshot.jobs if job.pending_tasks > 0)
-        self._policy_source.refresh(
+        self._compiled_policy.refresh(
             self._policy,
             {
                 "waiting_jobs": float(waiting_jobs),
