--- a/spoolcourse/control/autoscaling/autoscaler.py
+++ b/spoolcourse/control/autoscaling/autoscaler.py
@@ -1,7 +1,7 @@
 """Autoscaling of the fleet: the loops that list, provision and delete machines.
 
-The desired state follows from the capacity that the last placement pass lacked and from the idle
-machines; the loops request the difference from the cloud.
+Machines are provisioned for the capacity that the last placement pass lacked, and deleted if they
+are idle or faulty.
 """
 
 from __future__ import annotations
@@ -78,7 +78,7 @@
     async def scale_in_loop(self) -> None:
         """Delete the machines that scale-in chooses, until cancelled.
 
-        A failed deletion is requested again in the next round: `deletion_requested` stays set.
+        A failed deletion is requested again in the next round, as `deletion_requested` stays set.
         """
         summary_logged_at = float("-inf")
         while True:
--- a/spoolcourse/control/autoscaling/cancelled_work.py
+++ b/spoolcourse/control/autoscaling/cancelled_work.py
@@ -12,7 +12,8 @@
 from spoolcourse.control.workers.machine import Machine
 from spoolcourse.wire.settings import WorkerSettings
 
-# Of `cancel_s`: tasks should have ended by then, and the deletion may need retries.
+# Share of `cancel_s` after which tasks of a cancelled job should have ended. The rest of `cancel_s`
+# leaves time to retry a deletion.
 OVERDUE_SHARE = 0.4
 HEARTBEAT_TRANSIT_S = 0.5
 DELETION_TIME_S = 5.0  # reserved for the deletion itself
@@ -58,8 +59,8 @@
     def may_hold_overdue_tasks(self, machine: Machine, overdue: OverdueJobs) -> bool:
         """Whether a task of the overdue jobs may be on the machine.
 
-        The machine may be silent, or only our answers may not reach it: in both cases no stop
-        command reaches its tasks, so the machine is deleted.
+        The machine may be silent, or responses to its heartbeats may not reach it: in both cases no
+        stop command reaches its tasks, so the machine is deleted.
         """
         if not overdue:
             return False
@@ -72,9 +73,10 @@
     def _grace_period_s(self, age_when_learned_s: float) -> float:
         """Return how long a machine has to stop the tasks.
 
-        A leader elected later, or informed late, has less time left. Each machine still gets one
-        more heartbeat, or a fleet about to receive the stop command would be deleted (leases end
-        tasks anyway that no leader unaware of the cancellation may keep alive).
+        A leader that was elected after the cancellation, or learned of it late, has less time left.
+        Each machine still gets the time of one more heartbeat, or a fleet about to receive the stop
+        command would be deleted. That is safe: a leader that does not know of a cancellation may
+        not renew leases, so the tasks end when the leases expire.
         """
         next_heartbeat_s = self._workers.max_heartbeat_interval_s + HEARTBEAT_TRANSIT_S
         remaining_s = self._workers.cancel_s - DELETION_TIME_S - age_when_learned_s
--- a/spoolcourse/control/autoscaling/early_deletion.py
+++ b/spoolcourse/control/autoscaling/early_deletion.py
@@ -69,9 +69,9 @@
     def machines_to_delete(self) -> set[str]:
         """Return the machines to delete now; a leader without a valid lease must not use them.
 
-        Must be called in every round, to record disruptions: a worker that is still late after one
-        is not considered dead. On a recorded day, a leader that had been cut off from all workers
-        for seconds deleted those that came back last.
+        Must be called in every round, to record disruptions: a worker that is still late shortly
+        after a disruption is not considered dead. On a recorded day, a leader that had been cut off
+        from all workers for seconds deleted the machines whose heartbeats came back last.
         """
         now = self._clock()
         self._record_disruptions(now)
--- a/spoolcourse/control/autoscaling/excess_capacity.py
+++ b/spoolcourse/control/autoscaling/excess_capacity.py
@@ -41,8 +41,9 @@
     ) -> None:
         """Mark on-demand machines above recent demand as scale-in candidates, the emptiest first.
 
-        They cost a multiple of spot machines. Marked ones run out of work and are deleted. Types
-        that jobs depend on are kept, and so are initial machines and those reserved for services.
+        On-demand machines cost a multiple of spot machines. Marked machines run out of work and are
+        deleted. Machines of types that jobs depend on are not marked, nor are initial machines and
+        machines reserved for services.
         """
         peak_cpus = self.demand.peak_cpus(now, self._policy.ordinary_keep_s)
         excess_cpus = self._capacity_cpus() - self._policy.ordinary_headroom * peak_cpus
@@ -53,7 +54,7 @@
             and machine.is_schedulable
             and machine.id not in initial_machines
         ]
-        # Marked machines stay marked if possible: they have lost work since they were marked.
+        # Marked machines stay marked if possible: they have run out of work since they were marked.
         for machine in sorted(on_demand, key=lambda m: (not m.scale_in_candidate, len(m.attempts))):
             cpus = self._types.cpus(machine)
             is_needed = machine.id in reserved or self._is_scarce_type(machine.machine_type or "")
--- a/spoolcourse/control/autoscaling/machine_faults.py
+++ b/spoolcourse/control/autoscaling/machine_faults.py
@@ -50,7 +50,7 @@
         return DeletionReason.FAULTY if _is_faulty(machine) else None
 
     def _find_communication_fault(self, machine: Machine, now: float) -> DeletionReason | None:
-        """Return the fault if heartbeats, answers or the token were lost for `silent_leases`."""
+        """Return the fault if heartbeats, responses or the token were lost for `silent_leases`."""
         timeout_s = self._policy.silent_leases * self._workers.lease_s
         if now - _last_contact_at(machine) > timeout_s:
             return DeletionReason.SILENT
@@ -58,7 +58,7 @@
         if unresponsive_since is not None and now - unresponsive_since > timeout_s:
             return DeletionReason.UNRESPONSIVE
         if now - machine.fencing_token_seen_at > timeout_s:
-            # It could never be proven that its tasks have ended.
+            # Without this term's token on the machine, an end of its tasks can't be proven.
             return DeletionReason.FENCING_TOKEN_NOT_SEEN
         return None
 
@@ -68,7 +68,7 @@
         )
 
     def _is_boot_overdue(self, machine: Machine, now: float) -> bool:
-        """Whether it boots longer than `boot_patience` and a heartbeat would have arrived."""
+        """Whether the machine exceeds `boot_patience` and a heartbeat would have arrived."""
         if machine.expected_ready_at is None:
             return False
         boot_s = self._types.boot_s(machine)
@@ -83,7 +83,7 @@
 
 
 def _is_booting(machine: Machine) -> bool:
-    """Whether there is no sign yet that it is up."""
+    """Whether the machine is expected to boot, and nothing shows yet that it is up."""
     return (
         machine.last_heartbeat_at is None
         and machine.expected_ready_at is not None
@@ -93,12 +93,12 @@
 
 
 def _last_contact_at(machine: Machine) -> float:
-    """Return the time of its last heartbeat, or when it could have sent the first one."""
+    """Return the time of the machine's last heartbeat, or when it could have sent the first."""
     if machine.last_heartbeat_at is not None:
         return machine.last_heartbeat_at
     return machine.listed_running_since or machine.first_seen_at
 
 
 def _is_faulty(machine: Machine) -> bool:
-    """Whether tasks of several jobs failed on it, and nothing runs on it now."""
+    """Whether tasks of several jobs failed on the machine, and nothing runs there now."""
     return len(machine.failed_jobs) >= FAILED_JOBS_UNTIL_FAULTY and not machine.attempts
--- a/spoolcourse/control/autoscaling/machine_list.py
+++ b/spoolcourse/control/autoscaling/machine_list.py
@@ -94,5 +94,5 @@
             if machine is not None
             and machine.address
             and not machine.confirmed
-            and not machine.lease_expired  # it has reported the token before and will again
+            and not machine.lease_expired  # it has reported the token before, and will again
         ]
--- a/spoolcourse/control/autoscaling/owner.py
+++ b/spoolcourse/control/autoscaling/owner.py
@@ -8,10 +8,10 @@
 
 
 class ScaleInOwner(Protocol):
-    """Queries of scale-in before a machine is deleted."""
+    """What scale-in asks the leader before it deletes a machine."""
 
     def initial_machine_names(self) -> frozenset[str]:
-        """Names of machines older than the scheduler's first start; not deleted for being idle."""
+        """Return the names of the initial machines, which are not deleted for being idle."""
         ...
 
     def is_scarce_type(self, machine_type: str) -> bool:
@@ -20,7 +20,7 @@
 
 
 class AutoscalerOwner(ScaleInOwner, Protocol):
-    """Queries and notifications of the whole autoscaler."""
+    """What the autoscaler asks the leader, and the events that it reports to the leader."""
 
     def holds_lease(self) -> bool:
         """Whether no other controller can be leader yet, so that machines may be provisioned."""
--- a/spoolcourse/control/autoscaling/planner.py
+++ b/spoolcourse/control/autoscaling/planner.py
@@ -89,15 +89,15 @@
             freed = sum(task.cpus for task in machine.tasks if task.expected_end <= now + boot_s)
             self._cpus[key] = self._cpus.get(key, 0.0) + freed
 
-    def book(self, job: PlacementJob, allowance: _ZoneAllowance, wanted: int) -> int:
-        """Book CPUs for up to `wanted` tasks of the job; return how many tasks fit."""
+    def book(self, job: PlacementJob, allowance: _ZoneAllowance, task_count: int) -> int:
+        """Book CPUs for up to `task_count` tasks of the job; return how many tasks fit."""
         booked = 0
         for key, cpus in self._cpus.items():
             machine_type, zone, spot, total_cpus = key
             if total_cpus + EPSILON < job.cpus or not job.runs_on(machine_type, spot):
                 continue
             fitting_tasks = math.floor(cpus / job.cpus)
-            count = min(wanted - booked, fitting_tasks, allowance.tasks_left(zone))
+            count = min(task_count - booked, fitting_tasks, allowance.tasks_left(zone))
             if count > 0:
                 self._cpus[key] -= count * job.cpus
                 allowance.plan(zone, count)
@@ -122,12 +122,12 @@
     booting = [replace(machine) for machine in machines if machine.ready_at > now]
     requested: dict[Offer, int] = {}
     remaining_team_cpus = list(team_cpus)
-    for job, wanted in demand:
-        unplaced = min(wanted, tasks_within_limit(remaining_team_cpus[job.team], job.cpus))
+    for job, task_count in demand:
+        unplaced = min(task_count, tasks_within_limit(remaining_team_cpus[job.team], job.cpus))
         remaining_team_cpus[job.team] -= unplaced * job.cpus
-        # Without the allowance, a job spread over zones that lost machines in one of them would
-        # wait forever, while machines are provisioned again and again in a zone that takes
-        # no more of its tasks.
+        # Without the allowance, a job that is spread over zones and lost machines in one of them
+        # would wait forever, while machines are provisioned again and again in another zone, where
+        # no more of its tasks may run.
         allowance = _ZoneAllowance(job)
         if job.cpus > 0:
             unplaced -= freed_soon.book(job, allowance, unplaced)
--- a/spoolcourse/control/autoscaling/replica_places.py
+++ b/spoolcourse/control/autoscaling/replica_places.py
@@ -1,7 +1,7 @@
-"""Checks whether another machine can run a replica of a service, once it has ended here.
+"""Checks whether another machine can run a replica of a service in place of its present one.
 
-This is checked before an action that takes the machine from a replica: an early deletion, or a
-move after a termination notice of the cloud.
+The check precedes actions that take the machine from a replica: an early deletion, or a move after
+a termination notice of the cloud.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
     def can_run_elsewhere(self, replica: Attempt) -> bool:
         """Whether the rules for starting tasks allow the replica on some other machine.
 
-        Work of lower priority does not count: it is preempted for a replica.
+        Work of lower rank does not count: it is preempted for a replica.
         """
         now = self._clock()
         machine_types = self._machine_types()
--- a/spoolcourse/control/autoscaling/replica_probe.py
+++ b/spoolcourse/control/autoscaling/replica_probe.py
@@ -22,7 +22,7 @@
 
 PROBE_PERIOD_S = 0.5
 FAILURES_UNTIL_UNREACHABLE = 2  # in a row, as a single call may be lost like a heartbeat
-CONCURRENT_PROBES_MAX = 64  # calls to machines that are cut off last until they time out
+CONCURRENT_PROBES_MAX = 64  # a call to a machine that is cut off lasts until its timeout
 
 
 @dataclass(slots=True)
@@ -51,7 +51,7 @@
         self._in_flight: dict[str, asyncio.Task[None]] = {}
 
     def is_unreachable(self, machine: Machine) -> bool:
-        """Whether it answered none of the last probes and has sent no heartbeat since."""
+        """Whether the machine answered none of the last probes and has sent no heartbeat since."""
         failures = self._failed_probes.get(machine.id)
         return (
             failures is not None
--- a/spoolcourse/control/autoscaling/scale_in.py
+++ b/spoolcourse/control/autoscaling/scale_in.py
@@ -28,13 +28,13 @@
     holds_lease: bool
     treat_silence_as_fault: bool
     overdue_jobs: OverdueJobs
-    early_deletions: set[str]  # because of the replicas on them
-    protected: set[str]  # not deleted for being idle
+    early_deletions: set[str]  # machines chosen by `EarlyDeletion`
+    protected: set[str]  # machines that are not deleted for being idle
     spare_cpus: float  # above peak demand with headroom; reduced by each machine deleted as idle
 
 
 class ScaleIn:
-    """Decides anew for each machine on every call."""
+    """Chooses the machines to delete, without regard to the choices of earlier rounds."""
 
     def __init__(
         self,
@@ -66,10 +66,10 @@
     def machines_to_delete(self, holds_lease: bool) -> list[str]:
         """Return the names of the machines to delete now, the most urgent ones first.
 
-        After a pause of the process, or cut off from the key-value store, this controller may no
-        longer lead (`holds_lease` is false): machines that look idle or silent may be working for
-        another leader. Machines that may hold cancelled work are deleted nevertheless, as there
-        may be no other leader to do it.
+        If the process was paused or is cut off from the key-value store, this controller may no
+        longer lead (`holds_lease` is false), and machines that look idle or silent may be working
+        for another leader. Machines that may hold cancelled work are deleted nevertheless, as there
+        may be no other leader to delete them.
         """
         round_context = self._assess_round(holds_lease)
         urgent: list[str] = []
@@ -129,13 +129,13 @@
         return None
 
     def _is_excess(self, machine: Machine, round_context: _RoundContext) -> bool:
-        """Whether it is idle, and neither protected nor needed for peak demand."""
+        """Whether the machine is idle, and neither protected nor needed for peak demand."""
         if machine.id in round_context.protected or not self._is_idle(machine, round_context.now):
             return False
         return machine.scale_in_candidate or self._types.cpus(machine) <= round_context.spare_cpus
 
     def _is_idle(self, machine: Machine, now: float) -> bool:
-        """Whether it has been empty for longer than an idle machine is retained."""
+        """Whether the machine has been empty for longer than an idle machine is retained."""
         if not machine.confirmed or machine.idle_since is None:
             return False
         if machine.attempts or machine.unexpected_attempts:
--- a/spoolcourse/control/autoscaling/scale_out.py
+++ b/spoolcourse/control/autoscaling/scale_out.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class _Refusal:
+class _Backoff:
     """The backoff of a kind that the cloud has refused: not requested before `until`."""
 
     until: float
@@ -57,7 +57,7 @@
         self._registry = leader.registry
         self._types = types
         self._holds_lease = holds_lease
-        self._refusals: dict[MachineKind, _Refusal] = {}
+        self._backoffs: dict[MachineKind, _Backoff] = {}
         self._pending: list[ScaleOutRequest] = []
         self._wake = asyncio.Event()
         self._requesting = False
@@ -74,8 +74,8 @@
 
     def may_request(self, kind: MachineKind) -> bool:
         """Whether the kind is not in backoff after a refusal."""
-        refusal = self._refusals.get(kind)
-        return refusal is None or refusal.until <= self._clock()
+        backoff = self._backoffs.get(kind)
+        return backoff is None or backoff.until <= self._clock()
 
     async def run(self) -> None:
         """Run until cancelled."""
@@ -97,7 +97,7 @@
             try:
                 names = await self._cloud.provision(request_name, request.kind, request.count)
             except NoCapacityError:
-                self._record_refusal(request.kind)
+                self._start_or_extend_backoff(request.kind)
                 return
             except CloudRequestFailedError as exc:
                 log.info("scale out failed: request=%s reason=%s", request_name, exc)
@@ -120,9 +120,9 @@
             " ".join(names),
         )
         if len(names) < count:
-            self._record_refusal(kind)
+            self._start_or_extend_backoff(kind)
         else:
-            self._refusals.pop(kind, None)
+            self._backoffs.pop(kind, None)
 
     def _register_machine(self, name: str, kind: MachineKind, requested_at: float) -> None:
         machine = self._registry.ensure_machine(name)
@@ -135,14 +135,14 @@
         if machine.last_heartbeat_at is None:
             machine.expected_ready_at = requested_at + self._types.boot_s(machine)
 
-    def _record_refusal(self, kind: MachineKind) -> None:
+    def _start_or_extend_backoff(self, kind: MachineKind) -> None:
         """Start the backoff of a kind, or lengthen it."""
-        previous = self._refusals.get(kind)
+        previous = self._backoffs.get(kind)
         backoff_s = self._policy.refused_s
         if previous is not None:
             backoff_max_s = BACKOFF_MAX_FACTOR * self._policy.refused_s
             backoff_s = min(previous.backoff_s * BACKOFF_GROWTH_FACTOR, backoff_max_s)
-        self._refusals[kind] = _Refusal(self._clock() + backoff_s, backoff_s)
+        self._backoffs[kind] = _Backoff(self._clock() + backoff_s, backoff_s)
         log.info("scale out refused: %s backoff_s=%.1f", _format_kind(kind), backoff_s)
 
 
--- a/spoolcourse/control/failover/comparison.py
+++ b/spoolcourse/control/failover/comparison.py
@@ -29,38 +29,38 @@
     stage: AttemptStage
 
 
-def list_differences(left: RestoredJobs, right: RestoredJobs) -> list[str]:
+def list_differences(first: RestoredJobs, second: RestoredJobs) -> list[str]:
     """Describe the differences; empty if the queues are interchangeable."""
     differences: list[str] = []
-    left_jobs, right_jobs = left.job_queue.jobs, right.job_queue.jobs
+    first_jobs, second_jobs = first.job_queue.jobs, second.job_queue.jobs
     differences += [
-        f"{job}: only in {'the first' if job in left_jobs else 'the second'}"
-        for job in sorted(left_jobs.keys() ^ right_jobs.keys())
+        f"{job}: only in {'the first' if job in first_jobs else 'the second'}"
+        for job in sorted(first_jobs.keys() ^ second_jobs.keys())
     ]
-    for job in sorted(left_jobs.keys() & right_jobs.keys()):
-        fields = _list_job_differences(left_jobs[job], right_jobs[job])
+    for job in sorted(first_jobs.keys() & second_jobs.keys()):
+        fields = _list_job_differences(first_jobs[job], second_jobs[job])
         differences += [f"{job}: {field}" for field in fields]
-    if set(left.job_queue.pending_final_states) != set(right.job_queue.pending_final_states):
+    if set(first.job_queue.pending_final_states) != set(second.job_queue.pending_final_states):
         differences.append("jobs with a pending final state")
-    if set(left.job_queue.pending_writes) != set(right.job_queue.pending_writes):
+    if set(first.job_queue.pending_writes) != set(second.job_queue.pending_writes):
         differences.append("chunks with pending writes")
-    if set(left.leftover_keys) != set(right.leftover_keys):
+    if set(first.leftover_keys) != set(second.leftover_keys):
         differences.append("leftover progress of finished jobs")
     return differences
 
 
-def _list_job_differences(left: JobState, right: JobState) -> list[str]:
+def _list_job_differences(first: JobState, second: JobState) -> list[str]:
     pairs = {
-        "record": (left.record, right.record),
-        "chunks": (_chunks(left), _chunks(right)),
-        "attempts": (_attempts(left), _attempts(right)),
-        "tasks done": (left.done_count, right.done_count),
-        "requeued tasks": (left.requeued_tasks, right.requeued_tasks),
-        "first unassigned task": (left.first_unassigned, right.first_unassigned),
-        "most held tasks per chunk": (left.max_held_per_chunk, right.max_held_per_chunk),
+        "record": (first.record, second.record),
+        "chunks": (_chunks(first), _chunks(second)),
+        "attempts": (_attempts(first), _attempts(second)),
+        "tasks done": (first.done_count, second.done_count),
+        "requeued tasks": (first.requeued_tasks, second.requeued_tasks),
+        "first unassigned task": (first.first_unassigned, second.first_unassigned),
+        "most held tasks per chunk": (first.max_held_per_chunk, second.max_held_per_chunk),
     }
     return [
-        field for field, (left_value, right_value) in pairs.items() if left_value != right_value
+        field for field, (first_value, second_value) in pairs.items() if first_value != second_value
     ]
 
 
--- a/spoolcourse/control/failover/hint_cache.py
+++ b/spoolcourse/control/failover/hint_cache.py
@@ -1,4 +1,4 @@
-"""A follower's hints, and the checks that a page of hints must pass."""
+"""A follower's cache of the leader's hints, and the checks that a page of hints must pass."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from spoolcourse.wire.peers import Hint, HintPage
 
 MAX_HINTS = 20_000  # in the cache, however many the leader sends
-MAX_NAME_CHARS = 200  # of a machine, an address or an image
+MAX_NAME_CHARS = 200  # of a machine's name, an address or an image's name
 
 
 class HintRejection(Enum):
@@ -50,8 +50,8 @@
         """Replace the hints in the range that the page covers with those in it.
 
         `leader` is the label of the controller that was asked, `query` the query sent to it, and
-        `known_term` the latest term that this controller knows. Counts a page that can't be the
-        response, and raises `HintPageRejectedError`.
+        `known_term` the latest term that this controller knows. If the page fails a check, counts
+        the rejection and raises `HintPageRejectedError`.
         """
         try:
             _check_origin(page, leader, max(known_term, self._term))
--- a/spoolcourse/control/failover/hint_loop.py
+++ b/spoolcourse/control/failover/hint_loop.py
@@ -1,7 +1,7 @@
 """A follower's loop that requests hints from the leader.
 
-It requests one page at a time, so a lost page is requested again, and a leader of a version
-without hints (404) costs nothing.
+The loop requests one page at a time. After the last page or a failure, it starts again with the
+first one; a leader of a version without hints (404) is asked less often.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
             await asyncio.sleep(delay_s)
 
     async def _request_page(self, leader: Peer) -> float:
-        """Request the next page; returns the seconds to wait before the following request."""
+        """Request the next page; return the seconds to wait before the following request."""
         query = HintQuery(self._next_page_after, self._settings.hint_machines)
         self._next_page_after = ""
         try:
--- a/spoolcourse/control/failover/hint_page.py
+++ b/spoolcourse/control/failover/hint_page.py
@@ -1,8 +1,8 @@
 """A leader's response to a query for hints.
 
 Hints describe the workers that a leader knows, which improves the next leader's first placement
-pass. They never prove that an attempt has ended, and a hint alone does not make a machine known:
-the worker that it names is asked for a heartbeat.
+pass. A hint never proves that an attempt has ended, and it does not add its machine to the next
+leader's registry: the worker is asked for a heartbeat, which does.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 def build_hint_page(
     registry: WorkerRegistry, label: str, store_revision: int, query: str
 ) -> HintPage:
-    """Build the page for a follower's query; raises `MalformedError` if that is out of range.
+    """Build the page for a follower's query; raises `MalformedError` if the query is invalid.
 
     `label` is this controller's label; `store_revision` is the store revision that it has read.
     """
--- a/spoolcourse/control/failover/hint_query.py
+++ b/spoolcourse/control/failover/hint_query.py
@@ -25,7 +25,7 @@
 
     @classmethod
     def parse(cls, query: str) -> Self:
-        """Parse a follower's query; raises `MalformedError` if it is out of range."""
+        """Parse a follower's query; raises `MalformedError` if it is invalid."""
         fields = parse_qs(query)
         after, most = fields.get("after", [""])[0], fields.get("most", [""])[0]
         if not most.isascii() or not most.isdigit() or not 1 <= int(most) <= MAX_MACHINES_PER_PAGE:
--- a/spoolcourse/control/failover/leadership_transfer.py
+++ b/spoolcourse/control/failover/leadership_transfer.py
@@ -17,7 +17,7 @@
 
     NO_RESPONSE = "no reply"  # or a version without the standby query
     NOT_CAUGHT_UP = "not caught up"
-    OTHER_TERM = "other term"  # it does not know this term yet, or knows a later one
+    OTHER_TERM = "other term"  # the controller does not know this term yet, or knows a later one
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +65,7 @@
 ) -> LeadershipTransferResponse:
     """Step down if another controller is caught up; an election decides which one leads next.
 
-    Raises `LeadershipTransferRefusedError` if none is, or if this controller does not lead.
+    Raises `LeadershipTransferRefusedError` if no other is, or if this controller does not lead.
     """
     term = leadership.term
     if term is None or not leadership.holds_lease():
--- a/spoolcourse/control/failover/shadow_job_queue.py
+++ b/spoolcourse/control/failover/shadow_job_queue.py
@@ -1,8 +1,8 @@
 """A copy of the job queue, updated with each change of the records.
 
-At any moment it equals what a restore from the records would build: the same jobs, progress and
-attempts. The cost of a change is bounded by the chunk of tasks that it names, whatever the size of
-the fleet and the backlog.
+The copy always equals what a restore from the records would build: the same jobs, progress and
+attempts. The cost of applying a change is bounded by the size of one chunk of tasks, whatever the
+size of the fleet and the backlog.
 """
 
 from __future__ import annotations
@@ -81,7 +81,7 @@
             self._apply_term(value)
 
     def as_restored(self) -> RestoredJobs:
-        """The job queue as a restore would build it now: attempt ages count from this call.
+        """The job queue as a restore would build it now; ages of attempts count from this call.
 
         The queue is not copied: after a leader modifies it, apply no further changes here.
         """
@@ -115,7 +115,7 @@
         if job_state is not None:
             _check_same_job(job_state.record, record)
             job_state.record = record
-            self._update_finished(job_state)
+            self._update_pending_final_state(job_state)
             return
         job_state = self._job_queue.restore(record, self._clock(), {})
         for chunk in self._orphaned_chunks.pop(job, {}).values():
@@ -156,9 +156,9 @@
         attempts_before = len(job_state.attempts)
         self._job_queue.apply_recorded_chunk(job_state, chunk, self._clock())
         self._add_to_usage(job_state, len(job_state.attempts) - attempts_before)
-        self._update_finished(job_state)
+        self._update_pending_final_state(job_state)
 
-    def _update_finished(self, job_state: JobState) -> None:
+    def _update_pending_final_state(self, job_state: JobState) -> None:
         if job_state.is_finished:
             self._job_queue.queue_final_state_if_finished(job_state)
         else:
@@ -173,7 +173,7 @@
 
 
 def _check_same_job(known: JobRecord, changed: JobRecord) -> None:
-    """A job's submission never changes, and a cancellation is final."""
+    """Raise `InconsistentChangeError` for a changed submission or an undone cancellation."""
     job = known.submission.id
     known_identity = (known.submission, known.accepted_at, known.tasks_per_chunk)
     if known_identity != (changed.submission, changed.accepted_at, changed.tasks_per_chunk):
@@ -183,7 +183,7 @@
 
 
 def _check_progress(job_state: JobState, chunk: Chunk) -> None:
-    """Tasks belong to their chunk, and results are never lost."""
+    """Raise `InconsistentChangeError` for tasks outside the chunk or lost results."""
     record = job_state.record
     key = progress_key(job_state.id, chunk.index)
     first_task = chunk.index * record.tasks_per_chunk
--- a/spoolcourse/control/failover/shadow_reload_loop.py
+++ b/spoolcourse/control/failover/shadow_reload_loop.py
@@ -1,4 +1,4 @@
-"""Reloads the watch cache when a shadow is stale and the cache does not reload by itself."""
+"""Reloads the watch cache if the shadow is stale and the cache does not reload by itself."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         self._requested = asyncio.Event()
 
     def request(self) -> None:
-        """Request a reload; requests made before it is done count as one."""
+        """Request a reload; requests made before the reload is done count as one."""
         self._requested.set()
 
     async def run(self) -> None:
--- a/spoolcourse/control/failover/strategies.py
+++ b/spoolcourse/control/failover/strategies.py
@@ -1,4 +1,4 @@
-"""A new leader's first step: the failover proof and the job queue."""
+"""Strategies by which a new leader proves its failover and obtains its job queue."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 class FailoverFromRecords:
-    """A read barrier and a restore from the records: the strategy without a warm standby."""
+    """Waits for a read barrier and restores from the records; used without a warm standby."""
 
     def __init__(self, context: ControllerContext) -> None:
         self._context = context
@@ -73,7 +73,7 @@
 
 
 class FailoverFromShadow:
-    """Catches up to the claim with one request; the shadow then equals a restore."""
+    """Catches up to the claim with one request, and uses the shadow, which then is current."""
 
     def __init__(
         self, context: ControllerContext, standby: WarmStandby, settings: StandbySettings
@@ -120,6 +120,6 @@
 def _complete(
     context: ControllerContext, proof: FailoverProof, restored: RestoredJobs, hints: list[Hint]
 ) -> FailoverResult:
-    """Restore waiting times and build the result; the last step of every strategy."""
+    """Restore waiting times and build the result, as the last step of every strategy."""
     restore_waiting_times(context, restored.job_queue)
     return FailoverResult(proof, restored, hints)
--- a/spoolcourse/control/failover/warm_standby.py
+++ b/spoolcourse/control/failover/warm_standby.py
@@ -22,7 +22,7 @@
 
 
 class WarmStandby:
-    """Keeps a shadow while this controller is a follower, and detaches it at its election."""
+    """Keeps a shadow while this controller is a follower, and detaches it once elected."""
 
     def __init__(self, context: ControllerContext, settings: StandbySettings) -> None:
         self._context = context
@@ -56,12 +56,12 @@
             self._reload_loop.request()
 
     def on_watch_gap(self, gap: WatchGap) -> None:
-        """Changes were missed: the shadow is stale."""
+        """Mark the shadow as stale, because changes were missed."""
         if self.status.state is ShadowState.LEADING:
             return
         self._mark_stale(gap.value)
         if gap is WatchGap.REVISION_DECREASED:
-            self._reload_loop.request()  # after other gaps the watch cache reloads by itself
+            self._reload_loop.request()  # after any other gap, the watch cache reloads by itself
 
     def _mark_stale(self, reason: str) -> None:
         if self.status.state is not ShadowState.STALE:
@@ -71,7 +71,7 @@
         self.status.stale_reason = reason
 
     def on_reload(self) -> None:
-        """All keys were read again: rebuild the shadow."""
+        """Rebuild the shadow, because the watch cache has read all keys again."""
         self._rebuild()
 
     def _rebuild(self) -> None:
