--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -38,7 +38,7 @@
 from spoolcourse.control.user_api.api import UserApi
 from spoolcourse.control.worker_api import WorkerApi
 from spoolcourse.control.workers.heartbeat_relay import HeartbeatRelay
-from spoolcourse.policy.keys import CompiledPolicy, check_policy
+from spoolcourse.policy.keys import CompiledPolicy, compile_policy
 from spoolcourse.wire.settings import Settings
 from spoolcourse.wire.standby_settings import STANDBY_OFF, StandbySettings
 
@@ -99,7 +99,7 @@
         self._catalog = CatalogLoop(
             clients.cloud, clients.store_client, self.watch_cache, self.leadership
         )
-        policy = policy or check_policy({}, "defaults")
+        policy = policy or compile_policy({}, "defaults")
         self._context = _build_context(settings, clients, self._catalog, policy, wall_clock)
         self._failover_parts = _build_failover(
             self._context, self.leadership, settings.label, standby
--- a/spoolcourse/policy/keys.py
+++ b/spoolcourse/policy/keys.py
@@ -120,7 +120,7 @@
             setattr(policy, key, float(round(value)) if key in INTEGER_KEYS else value)
 
 
-def check_policy(table: dict[str, object], source: str) -> CompiledPolicy:
+def compile_policy(table: dict[str, object], source: str) -> CompiledPolicy:
     """Compile a policy; raises `UserError` with key, column and reason of every problem."""
     problems = [f"{key}: column 1: unknown key" for key in table if key not in KEYS]
     expressions: dict[str, Expression] = {}
@@ -145,7 +145,7 @@
 def load_policy(path: str | None) -> CompiledPolicy:
     """The policy of a file, or the defaults without one."""
     if path is None:
-        return check_policy({}, "defaults")
+        return compile_policy({}, "defaults")
     try:
         data = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as exc:
@@ -160,7 +160,7 @@
     table = data.get("policy", {})
     if not isinstance(table, dict):
         raise UserError(f"{path}: policy: column 1: must be a table")
-    return check_policy(table, path)
+    return compile_policy(table, path)
 
 
 assert {f.name for f in fields(Policy)} == set(KEYS)
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -11,7 +11,7 @@
 from spoolcourse.control.controller import Controller
 from spoolcourse.control.http_client import NoResponseError, Request, Response
 from spoolcourse.control.leader.active_leader import ActiveLeader
-from spoolcourse.policy.keys import check_policy
+from spoolcourse.policy.keys import compile_policy
 from spoolcourse.wire.settings import Settings, parse_settings
 from spoolcourse.wire.standby_settings import STANDBY_OFF, StandbySettings
 from tests.fakes.cloud import FakeCloud, FakeWorker, Task
@@ -83,7 +83,7 @@
     ) -> None:
         self.standby = STANDBY if standby is None else standby
         self.params = params or {}
-        self.policy = check_policy(policy or {}, "test")
+        self.policy = compile_policy(policy or {}, "test")
         self.network = FakeNetwork()
         self.state = FakeKeyValueStore()
         self.cloud = FakeCloud(self.network, [(n, f"{n}:80") for n in LABELS])
--- a/tests/policy/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -9,7 +9,7 @@
 
 from spoolcourse.cli import main
 from spoolcourse.errors import UserError
-from spoolcourse.policy.keys import INPUTS, KEYS, check_policy, load_policy
+from spoolcourse.policy.keys import INPUTS, KEYS, compile_policy, load_policy
 from spoolcourse.policy.lang import Expression, Range, compile_expression
 from tests.test_cli import write_settings
 
@@ -104,7 +104,9 @@
 
 def test_all_problems_are_reported_at_once() -> None:
     with pytest.raises(UserError) as raised:
-        check_policy({"headroom": "load", "pace": 1, "keep_s": True, "idle_boots": "1 /"}, "p.toml")
+        compile_policy(
+            {"headroom": "load", "pace": 1, "keep_s": True, "idle_boots": "1 /"}, "p.toml"
+        )
     lines = str(raised.value).splitlines()
     assert len(lines) == 4
     for line, words in zip(
--- a/tests/recorded/forms/interfaces.py
+++ b/tests/recorded/forms/interfaces.py
@@ -226,7 +226,7 @@
 
 def policy() -> dict[str, Any]:
     """Keys with defaults and ranges, the values they take, and what is said of wrong ones."""
-    source = policy_keys.check_policy({}, "sample")
+    source = policy_keys.compile_policy({}, "sample")
     values = source.initial()
     at_first = {name: getattr(values, name) for name in policy_keys.KEYS}
     source.refresh(
@@ -235,7 +235,7 @@
 
     def error(given: dict[str, object]) -> str:
         try:
-            policy_keys.check_policy(given, "sample")
+            policy_keys.compile_policy(given, "sample")
         except UserError as exc:
             return str(exc)
         return "accepted"
--- a/tests/scheduling/test_on_demand_machines.py
+++ b/tests/scheduling/test_on_demand_machines.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from spoolcourse.control.scheduling.snapshot_builder import SnapshotBuilder
-from spoolcourse.policy.keys import check_policy
+from spoolcourse.policy.keys import compile_policy
 from spoolcourse.wire.messages import MachineType
 from tests.fakes.registry import RegistryHarness
 from tests.fakes.world import settings
@@ -23,7 +23,7 @@
         ]
     ).settings
     world = RegistryHarness(**fields)
-    policy = check_policy({}, "test").initial()
+    policy = compile_policy({}, "test").initial()
     builder = SnapshotBuilder(world.job_queue, world.registry, params, policy)
     return builder.build_snapshot(world.now, CATALOG).jobs[0].on_demand_from - world.now
 
--- a/tests/scheduling/test_snapshot_cache.py
+++ b/tests/scheduling/test_snapshot_cache.py
@@ -10,7 +10,7 @@
 from spoolcourse.control.placement.preempt import choose_victims
 from spoolcourse.control.scheduling.snapshot_builder import SnapshotBuilder
 from spoolcourse.control.store.records import JobRecord
-from spoolcourse.policy.keys import check_policy
+from spoolcourse.policy.keys import compile_policy
 from spoolcourse.wire.messages import MachineType, Submission, parse
 from tests.fakes.registry import RegistryHarness, on
 from tests.fakes.world import World, job, settings
@@ -19,7 +19,7 @@
 
 
 def snapshot_builder(job_queue: Any, registry: Any) -> SnapshotBuilder:
-    policy = check_policy({}, "test").initial()
+    policy = compile_policy({}, "test").initial()
     return SnapshotBuilder(job_queue, registry, settings().settings, policy)
 
 
