--- a/spoolcourse/control/cloud/catalog.py
+++ b/spoolcourse/control/cloud/catalog.py
@@ -32,7 +32,7 @@
 
 
 class CatalogLoop:
-    """Keeps the machine types current; on the leader also their stored copy."""
+    """Keeps the machine types current and, on the leader, their stored copy."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         return LEADER_READ_PERIOD_S if self._leadership.term else FOLLOWER_READ_PERIOD_S
 
     def _on_change(self, key: str, value: Any, revision: int) -> None:
-        """Use the stored copy, on a change of its key, until the cloud's catalog has been read."""
+        """Use the stored copy when its key changes, if no machine types are known yet."""
         if key != CATALOG_KEY or value is None or self.machine_types:
             return
         try:
--- a/spoolcourse/control/cloud/client.py
+++ b/spoolcourse/control/cloud/client.py
@@ -67,7 +67,7 @@
 
 
 class CloudClient:
-    """The requests that any controller may send. Each raises `CloudError` unless it succeeds."""
+    """Sends the requests that any controller may send; they raise `CloudError` on failure."""
 
     def __init__(
         self, http_client: HttpClient, addr: str, rps: float, timeout_s: float = REQUEST_TIMEOUT_S
@@ -172,7 +172,7 @@
         Returns once everything on them has ended.
 
         Raises:
-            CloudError: It is unknown whether they were deleted.
+            CloudError: The request failed; the machines may have been deleted or not.
         """
         await self._request("POST", paths.HOSTS_DELETE, delete_body(names))
 
--- a/spoolcourse/control/cloud/stored_catalog.py
+++ b/spoolcourse/control/cloud/stored_catalog.py
@@ -12,7 +12,10 @@
 
 
 class StoredCatalog:
-    """Writes the copy, on the leader only. Its prices may be outdated."""
+    """Writes the copy of the catalog, on the leader only.
+
+    The prices in the copy may be outdated: it is written again only if the types' names change.
+    """
 
     def __init__(
         self, client: StoreClient, watch_cache: WatchCache, leadership: Leadership
--- a/spoolcourse/control/health.py
+++ b/spoolcourse/control/health.py
@@ -20,7 +20,7 @@
 class HealthCheck:
     """Checks the key-value store, and the peers if the store does not respond.
 
-    `ready`: the keys have been read and the machine types are known; never reset.
+    `ready`: the keys have been read and the machine types are known; stays true from then on.
     `healthy`: requests can be answered. When no controller reaches the key-value store, all of
     them stay healthy: taking them out of service would only lengthen the outage for users.
     """
--- a/spoolcourse/control/http_client.py
+++ b/spoolcourse/control/http_client.py
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A response; `data` is decoded JSON or, on the server side, the value to encode."""
+    """A response; `data` is its decoded JSON body or, on the server side, the value to encode."""
 
     status: int
     data: Any = None
@@ -97,7 +97,7 @@
         ...
 
 
-# By (request has a body, connection may stay open).
+# Request headers, by (request has a body, connection may stay open).
 _HEADERS = {
     (has_body, keep_open): ({"Content-Type": "application/json"} if has_body else {})
     | ({} if keep_open else {"Connection": "close"})
@@ -138,7 +138,7 @@
         if self._session is None:
             # No limit over all hosts: calls to partitioned machines hang until they time out,
             # and a renewal of the leader's lease must never queue behind them. Callers with many
-            # hosts limit their own concurrency (`command_dispatcher`, `machine_list`).
+            # hosts limit their own concurrency (`call_limit`, `replica_probe`).
             connector = aiohttp.TCPConnector(
                 limit=0,
                 limit_per_host=MAX_CONNECTIONS_PER_HOST,
--- a/spoolcourse/control/http_connection.py
+++ b/spoolcourse/control/http_connection.py
@@ -201,7 +201,7 @@
             encoded = encode_response(response, close)
         except Exception:
             log.exception("response encoding failed")
-            encoded = encode_response(retry_later("internal"), close)
+            encoded = encode_response(retry_later("internal error"), close)
         self.transport.write(encoded)
         if close:
             self._open_connections.discard(self)
@@ -219,4 +219,4 @@
 def _internal_error(request: Request) -> Response:
     """Log the current exception and return a retryable 503; call it from an `except` block."""
     log.exception("request failed: method=%s path=%s", request.method, request.path)
-    return retry_later("internal")
+    return retry_later("internal error")
--- a/spoolcourse/control/rate_limit.py
+++ b/spoolcourse/control/rate_limit.py
@@ -21,7 +21,7 @@
 
 
 class TokenBucket:
-    """A token bucket. Callers are served in order; urgent ones don't wait.
+    """A token bucket that serves callers in order; urgent callers don't wait.
 
     A caller that would wait longer than `max_wait_s` is rejected at once and takes no tokens.
     Otherwise a burst of requests that time out while waiting would leave a token debt that
@@ -73,7 +73,7 @@
         return self._tokens >= self.burst * SPARE_TOKEN_SHARE
 
     def drain(self) -> None:
-        """Drop all tokens, after a 429: fewer were left than assumed."""
+        """Drop all tokens, after a 429 response: the server has granted fewer than assumed."""
         self._refill()
         self._tokens = min(self._tokens, 0.0)
 
--- a/spoolcourse/control/status.py
+++ b/spoolcourse/control/status.py
@@ -1,4 +1,4 @@
-"""The status of a controller for operators; `metrics` exposes the same as numbers.
+"""The status of a controller for operators; `metrics` derives Prometheus metrics from it.
 
 Durations are in seconds. Operators' tools depend on the encoded field names.
 """
@@ -126,7 +126,7 @@
         attempts=shadow.attempt_count if shadow else 0,
         team_cpus={team: used.cpus for team, used in usage.items()},
         hints=len(standby.hints),
-        hints_refused={refusal.value: count for refusal, count in standby.hints.rejections.items()},
+        hints_refused={reason.value: count for reason, count in standby.hints.rejections.items()},
         mismatches=status.mismatches,
     )
 
--- a/spoolcourse/control/user_api/checks.py
+++ b/spoolcourse/control/user_api/checks.py
@@ -21,7 +21,7 @@
 def rejection_reason(
     submission: Submission, machine_types: dict[str, MachineType], params: DeploymentSettings
 ) -> str | None:
-    """Why the job can never run; None if it can."""
+    """Why the job can never run; None if it can run."""
     team = next((t for t in params.teams if t.name == submission.team), None)
     if team is None:
         return f"unknown team {submission.team!r}"
@@ -37,7 +37,7 @@
 
 
 def _service_rejection_reason(submission: Submission, team: Team, zones: set[str]) -> str | None:
-    """Why a service can never run; None if it can.
+    """Why a service can never run; None if it can run.
 
     All replicas of a service run at once; an array may run one task after another. `zones`: those
     with usable machine types.
--- a/spoolcourse/control/user_api/job_states.py
+++ b/spoolcourse/control/user_api/job_states.py
@@ -2,8 +2,8 @@
 
 A final state never changes, so it may be answered from memory. Any other state needs a read
 barrier: after it, this controller has applied every write confirmed before the request arrived.
-A 404 also needs a consistent read of the job's final state after the barrier: it finds a job that
-was final by then, and any other job unknown after the barrier was never accepted before.
+A job that is still unknown after the barrier either was final by then or had never been accepted.
+Before a 404, a consistent read of the job's final state tells which.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
             raise CannotAnswerError("read barrier timed out")
 
     async def read(self, job: str) -> JobStatus | None:
-        """The job's current state; None if it was never accepted.
+        """The job's current state; None if the job was never accepted.
 
         Raises:
             CannotAnswerError: The key-value store does not respond in time.
@@ -62,5 +62,5 @@
         return status or await self._job_records.read_final_status(job)
 
     def is_known(self, job: str) -> bool:
-        """Whether the job is in this controller's index; if not, it may still exist."""
+        """Whether the job is in this controller's index; a job that is not may still exist."""
         return job in self._job_index.live or self._job_index.known_final_status(job) is not None
--- a/spoolcourse/control/user_api/peer_fallback.py
+++ b/spoolcourse/control/user_api/peer_fallback.py
@@ -21,7 +21,7 @@
 
 log = logging.getLogger(__name__)
 
-# Users time out after 5 s, and after 2 s for a poll; this controller tries locally first.
+# Users time out after 5 s, and after 2 s for a poll (GET); this controller tries locally first.
 PEER_TIMEOUT_S = 1.0
 ALL_PEERS_TIMEOUT_S = 1.5
 ALL_PEERS_POLL_TIMEOUT_S = 0.6
@@ -43,7 +43,7 @@
         self._job_index = job_index
 
     async def answer(self, request: Request, retry_after_s: float) -> Response:
-        """The first conclusive answer of a peer, the leader asked first; else a retryable 503.
+        """The first conclusive response of a peer, the leader asked first; else a retryable 503.
 
         Peers that hang, as in a network partition, must not use up the user's timeout.
         """
--- a/spoolcourse/control/user_api/submissions.py
+++ b/spoolcourse/control/user_api/submissions.py
@@ -85,8 +85,8 @@
     async def _all_support_services(self) -> bool:
         """Whether every controller supports services.
 
-        Peers are not asked: they know no more than a read barrier shows here, and asking them
-        delayed users by a second or more when one was partitioned.
+        Peers are not asked: they know no more than this controller does after a read barrier, and
+        asking them delayed users by a second or more when one was partitioned.
         """
         if all_controllers_support_services(self._watch_cache):
             return True
@@ -123,7 +123,7 @@
         return msgspec.structs.replace(submission, machine_types=usable)
 
     async def _reject_unless_accepted(self, job: str | None, rejection: Response) -> Response:
-        """The rejection, or the job's state if it was accepted before."""
+        """The rejection, or the job's state if the job was accepted before."""
         status = await self._job_states.read(job) if job is not None else None
         return rejection if status is None else job_response(200, status)
 
@@ -134,7 +134,7 @@
 
 
 def _parse_job_id(body: bytes) -> str | None:
-    """The job id of an otherwise malformed submission, if it has a valid one."""
+    """The job id in a malformed submission; None if there is no valid one."""
     try:
         data = decode(body)
     except MalformedError:
--- a/spoolcourse/policy/keys.py
+++ b/spoolcourse/policy/keys.py
@@ -1,4 +1,4 @@
-"""The operators' policy: its keys, their ranges and defaults, and the values in force.
+"""The operators' policy: its keys, their ranges and defaults, and their current values.
 
 A policy file is TOML with one table, `[policy]`; a value is a number or an expression
 (`lang`). Keys that a file omits keep their defaults.
@@ -16,7 +16,7 @@
 INPUTS: dict[str, Range] = {
     "waiting_jobs": Range(0, 1e6),  # jobs with unplaced tasks
     "machines": Range(0, 1e5),  # machines that can take work
-    "load": Range(0, 100),  # CPUs wanted, divided by those of all machines
+    "load": Range(0, 100),  # CPUs demanded, divided by the CPUs of all machines
     "pass_cost_s": Range(0, 10),  # processor time of the last scheduling pass
     "boot_s": Range(1, 3600),  # longest usual boot time in the catalog
     "report_s": Range(0.01, 3600),
@@ -71,7 +71,7 @@
 
 @dataclass(slots=True)
 class Policy:
-    """The current values; refreshed before each scheduling pass."""
+    """The current values of all keys; refreshed before each scheduling pass."""
 
     node_fetches: float = 0.0
     zone_fetches: float = 0.0
--- a/spoolcourse/policy/lang.py
+++ b/spoolcourse/policy/lang.py
@@ -1,13 +1,13 @@
-"""The operators' expression language: small, total, and checked before it runs.
+"""The operators' expression language: small, and checked so that evaluation never fails.
 
 Numbers, booleans, named inputs, `+ - * /`, comparisons, `and`, `or`, `not`,
-`A if C else B`, `min(...)` and `max(...)`; nothing else. It is parsed by Python's own
-parser, and only the nodes listed here are accepted.
+`A if C else B`, `min(...)` and `max(...)`; nothing else. Expressions are parsed by Python's
+own parser, and all other syntax nodes are rejected.
 
 The checker computes the range of values that each expression can take, given the ranges
 of its inputs. It rejects a division whose divisor may be zero, and a result that may be
-outside its key's range. So a checked expression always has a usable value: inputs are
-clamped to their ranges when it is evaluated.
+outside its key's range. Inputs are clamped to their ranges at evaluation, so a checked
+expression always has a usable value.
 """
 
 from __future__ import annotations
@@ -78,6 +78,8 @@
 
 
 class _Checker:
+    """Checks the nodes of a syntax tree, and compiles them to functions of the inputs."""
+
     def __init__(self, inputs: Mapping[str, Range]) -> None:
         self._inputs = inputs
         self.diagnostics: list[Diagnostic] = []
@@ -86,6 +88,7 @@
         self.diagnostics.append(Diagnostic(node.col_offset + 1, reason))
 
     def check_number(self, node: ast.expr) -> tuple[_Subexpression, Range] | None:
+        """The checked subexpression and its range, or None if it has problems or is a boolean."""
         part = self.check(node)
         if part is None:
             return None
@@ -208,7 +211,7 @@
         if any(p is None for p in parts):
             return None
         operands = [p[0].evaluate for p in parts if p is not None]
-        links = [
+        pairwise_comparisons = [
             (compare, left, right)
             for compare, left, right in zip(comparisons, operands, operands[1:], strict=False)
             if compare
@@ -216,7 +219,8 @@
         constant = all(p[0].constant for p in parts if p is not None)
         return _Subexpression(
             lambda inputs: all(
-                compare(left(inputs), right(inputs)) for compare, left, right in links
+                compare(left(inputs), right(inputs))
+                for compare, left, right in pairwise_comparisons
             ),
             None,
             constant,
@@ -279,7 +283,7 @@
 def compile_expression(
     text: str, inputs: Mapping[str, Range], allowed: Range
 ) -> Expression | list[Diagnostic]:
-    """The checked expression, or all problems found in it."""
+    """Check an expression; return it compiled, or all problems in it."""
     if len(text) > MAX_EXPRESSION_CHARACTERS:
         return [
             Diagnostic(
--- a/spoolcourse/wire/cloud.py
+++ b/spoolcourse/wire/cloud.py
@@ -25,7 +25,7 @@
 def provision_body(request_name: str, kind: MachineKind, count: int) -> dict[str, Any]:
     """The body of a provision request, for `MAX_MACHINES_PER_PROVISION_REQUEST` machines at most.
 
-    The cloud carries out only one request per name, so a name is never used for another request.
+    The cloud carries out only one request per name, so each request needs a name of its own.
     """
     return {
         "hire": request_name,
--- a/spoolcourse/wire/peers.py
+++ b/spoolcourse/wire/peers.py
@@ -1,4 +1,4 @@
-"""Messages between controllers. Their forms stay: older versions may run beside this one."""
+"""Messages between controllers. Other versions may run beside this one, so the forms stay."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 class CancellationsResponse(msgspec.Struct, frozen=True):
     """What a controller knows of the cancellations after a revision.
 
-    `cancelled` is null if it may have evicted some; `has_read_store` says whether it has read the
-    key-value store since its process started.
+    `cancelled` is null if the controller may have evicted some of them; `has_read_store` says
+    whether it has read the key-value store since its process started.
     """
 
     term: int
@@ -50,7 +50,7 @@
 
 
 class Hint(msgspec.Struct, frozen=True):
-    """What a leader knows of one incarnation of a worker; not a proof of its present state."""
+    """What a leader knows of one incarnation of a worker, which may have changed since."""
 
     machine: str
     address: str
--- a/spoolcourse/wire/settings.py
+++ b/spoolcourse/wire/settings.py
@@ -77,7 +77,7 @@
 
     @property
     def suspect_after_s(self) -> float:
-        """After this time without a heartbeat, a worker has certainly missed two."""
+        """The time without a heartbeat after which a worker has certainly missed two."""
         return 3 * self.heartbeat_interval_s + 1.0
 
 
@@ -101,7 +101,7 @@
 
     @property
     def lower_limits(self) -> StoreLimits:
-        """The lower of the current and the next limits: the change is not announced."""
+        """The lower of the current and the next limits, as the change is not announced."""
         if self.next is None:
             return self
         upcoming = self.next
