--- a/spoolcourse/control/scheduling/snapshot_cache.py
+++ b/spoolcourse/control/scheduling/snapshot_cache.py
@@ -153,7 +153,7 @@
                 continue
             submission = attempt.job_state.record.submission
             if submission.image not in machine.images:
-                since = machine.fetching.get(submission.image, now)
+                since = machine.image_fetch_started_at.get(submission.image, now)
                 left_gb = max(submission.image_gb - gb_per_s * (now - since), MIN_FETCH_LEFT_GB)
                 fetch_left_gb[self._indices.images.number_of(submission.image)] = left_gb
         return fetch_left_gb
--- a/spoolcourse/control/status.py
+++ b/spoolcourse/control/status.py
@@ -156,7 +156,7 @@
             for a in attempts
             if a.stage is AttemptStage.OPEN or a.in_flight_incarnation is not None
         ),
-        image_fetches=sum(len(machine.fetching) for machine in machines),
+        image_fetches=sum(len(machine.image_fetch_started_at) for machine in machines),
         machines=len(machines),
         machines_confirmed=sum(1 for machine in machines if machine.confirmed),
         passes=leader.scheduling.passes,
--- a/spoolcourse/control/workers/machine.py
+++ b/spoolcourse/control/workers/machine.py
@@ -81,7 +81,7 @@
     failed_jobs: set[str] = field(default_factory=set)  # jobs whose tasks failed here
     # Cached images and their sizes in GB, the least recently used first.
     images: OrderedDict[str, float] = field(default_factory=OrderedDict)
-    fetching: dict[str, float] = field(default_factory=dict)  # image: start time
+    image_fetch_started_at: dict[str, float] = field(default_factory=dict)  # by image
     # Counts changes of attempts, unexpected attempts and images, for `snapshot_cache`.
     change_count: int = 0
 
--- a/spoolcourse/control/workers/reconciliation.py
+++ b/spoolcourse/control/workers/reconciliation.py
@@ -247,8 +247,8 @@
         for attempt in machine.attempts.values()
         if attempt.stage is AttemptStage.FETCHING
     }
-    machine.fetching = {
-        image: machine.fetching.get(image, now)
+    machine.image_fetch_started_at = {
+        image: machine.image_fetch_started_at.get(image, now)
         for image in fetching_images
         if image not in machine.images
     }
