--- a/spoolcourse/control/leader/hinted_workers.py
+++ b/spoolcourse/control/leader/hinted_workers.py
@@ -49,7 +49,7 @@
         )
         self._workers = [HintedWorker(hint, leader.registry) for hint in hints]
         for hint in hints:
-            leader.registry.hinted_images[hint.machine] = hint
+            leader.registry.unapplied_hints[hint.machine] = hint
 
     async def run(self) -> None:
         """Call all hinted workers, with bounded concurrency."""
--- a/spoolcourse/control/workers/command_builder.py
+++ b/spoolcourse/control/workers/command_builder.py
@@ -105,18 +105,18 @@
     def machines_to_call(self, machines_being_called: Container[str]) -> list[Machine]:
         """Return the machines to send commands to now, without `machines_being_called`.
 
-        Machines whose commands must wait stay pending. Only pending machines are examined, never
-        the whole fleet.
+        Machines whose commands must wait stay in `machines_with_unsent_commands`. Only the machines
+        in this set are examined, never the whole fleet.
         """
         now, holds_lease = self._clock(), self._leader.holds_lease()
         machines: list[Machine] = []
-        for name in list(self._machines.pending_commands):
+        for name in list(self._machines.machines_with_unsent_commands):
             machine = self._machines.machines.get(name)
             attempts = machine.attempts.values() if machine is not None else ()
             if machine is None or not any(
                 _needs_direct_stop(a) or _needs_direct_start(a) for a in attempts
             ):
-                self._machines.pending_commands.discard(name)
+                self._machines.machines_with_unsent_commands.discard(name)
             elif (
                 name not in machines_being_called
                 and machine.confirmed
--- a/spoolcourse/control/workers/command_dispatcher.py
+++ b/spoolcourse/control/workers/command_dispatcher.py
@@ -74,7 +74,7 @@
         finally:
             was_at_limit = self._is_at_limit()
             self._calls.pop(machine.id, None)
-            if was_at_limit or machine.id in self._registry.pending_commands:
+            if was_at_limit or machine.id in self._registry.machines_with_unsent_commands:
                 self.wake.set()
 
     async def _send_commands(self, machine: Machine) -> None:
--- a/spoolcourse/control/workers/machine_table.py
+++ b/spoolcourse/control/workers/machine_table.py
@@ -35,7 +35,8 @@
         self.machines: dict[str, Machine] = {}
         # Deletion time by name, the earliest first; names are never reused.
         self.deleted_names: OrderedDict[str, float] = OrderedDict()
-        self.pending_commands: set[str] = set()  # machines that may have unsent commands
+        # Names of machines that may have commands to send to their addresses.
+        self.machines_with_unsent_commands: set[str] = set()
 
     def ensure_machine(self, name: str) -> Machine:
         """Return the machine of this name, adding it if unknown."""
@@ -62,13 +63,13 @@
         machine.attempts[TaskId(attempt.job_state.id, attempt.task)] = attempt
         machine.change_count += 1
         machine.idle_since = None
-        self.pending_commands.add(machine.id)
+        self.machines_with_unsent_commands.add(machine.id)
 
     def request_stop(self, attempt: Attempt) -> None:
         """Mark an attempt to be stopped; it stays tracked until it is proven gone."""
         attempt.stopping = True
         self.ensure_machine(attempt.machine).change_count += 1
-        self.pending_commands.add(attempt.machine)
+        self.machines_with_unsent_commands.add(attempt.machine)
 
     def release_attempt(self, attempt: Attempt) -> None:
         """Remove an attempt that is proven gone."""
--- a/spoolcourse/control/workers/worker_registry.py
+++ b/spoolcourse/control/workers/worker_registry.py
@@ -73,8 +73,9 @@
         self.leader = leader
         self._reconciler = HeartbeatReconciler(self, leader)
         self.command_builder = CommandBuilder(self, leader, clock)
-        # Images cached according to the previous leader; valid in the same incarnation only.
-        self.hinted_images: dict[str, Hint] = {}
+        # The previous leader's hints, by machine, until the machine is confirmed. The cached images
+        # in a hint are valid only in the same incarnation.
+        self.unapplied_hints: dict[str, Hint] = {}
 
     def expire_leases(self) -> None:
         """Release the attempts on machines whose leases have expired.
@@ -180,7 +181,7 @@
         self.leader.on_capacity_change()
 
     def _apply_hinted_images(self, machine: Machine) -> None:
-        hint = self.hinted_images.pop(machine.id, None)
+        hint = self.unapplied_hints.pop(machine.id, None)
         if hint is None or hint.incarnation != machine.incarnation:
             return
         disk_gb = self.leader.disk_gb(machine.machine_type or "")
--- a/tests/failover/test_standby_hints.py
+++ b/tests/failover/test_standby_hints.py
@@ -107,7 +107,7 @@
 def test_hinted_images_count_only_in_the_incarnation_that_they_belong_to(incarnation: int) -> None:
     harness = RegistryHarness()
     harness.disk_gb = lambda machine_type: 50.0  # type: ignore[method-assign]
-    harness.registry.hinted_images["m-1"] = Hint("m-1", "m-1:9", 1, {"new": 1.0, "old": 2.0})
+    harness.registry.unapplied_hints["m-1"] = Hint("m-1", "m-1:9", 1, {"new": 1.0, "old": 2.0})
     harness.heartbeat(shift=incarnation)
     images = list(harness.registry.machines["m-1"].images)
     assert images == (["old", "new"] if incarnation == 1 else [])
