--- a/spoolcourse/control/leader/active_leader.py
+++ b/spoolcourse/control/leader/active_leader.py
@@ -155,7 +155,7 @@
         """Wake the scheduling loop: tasks may fit that did not fit before."""
         self.scheduling.wake.set()
 
-    def record_phase(self, phase: FailoverPhase) -> None:
+    def record_failover_phase(self, phase: FailoverPhase) -> None:
         """Record that the failover reached a phase; only the first call for a phase counts."""
         self._timeline.record(phase)
 
--- a/spoolcourse/control/scheduling/scheduling_loop.py
+++ b/spoolcourse/control/scheduling/scheduling_loop.py
@@ -79,7 +79,7 @@
         with self._load.time_block("place"):
             plan = place(snapshot)
         self.passes += 1
-        self._registry.leader.record_phase(FailoverPhase.FIRST_PASS)
+        self._registry.leader.record_failover_phase(FailoverPhase.FIRST_PASS)
         job_states = self._snapshot_builder.job_states
         self.waiting_jobs.set_reasons(
             {job_states[index].id: reason for index, reason in plan.wait_reasons.items()}
--- a/spoolcourse/control/workers/command_builder.py
+++ b/spoolcourse/control/workers/command_builder.py
@@ -97,7 +97,7 @@
                 return
             if attempt.stage is AttemptStage.ASSIGNED and _is_startable(attempt):
                 attempt.start_heartbeat_id = HeartbeatId(heartbeat.incarnation, heartbeat.sequence)
-                self._leader.record_phase(FailoverPhase.FIRST_START)
+                self._leader.record_failover_phase(FailoverPhase.FIRST_START)
                 commands.append(Start(attempt.name, attempt.number))
 
     # -- in calls to a machine's address -----------------------------------------------------
@@ -158,7 +158,7 @@
             :MAX_COMMANDS_PER_MESSAGE
         ]
         if attempts:
-            self._leader.record_phase(FailoverPhase.FIRST_START)
+            self._leader.record_failover_phase(FailoverPhase.FIRST_START)
         for attempt in attempts:
             attempt.sent_directly = True
             attempt.in_flight_incarnation = machine.incarnation
--- a/spoolcourse/control/workers/leader_interface.py
+++ b/spoolcourse/control/workers/leader_interface.py
@@ -26,6 +26,6 @@
         """Notify the leader that tasks may now fit on machines where they did not fit before."""
         ...
 
-    def record_phase(self, phase: FailoverPhase) -> None:
+    def record_failover_phase(self, phase: FailoverPhase) -> None:
         """Record that the failover reached a phase; only the first call for a phase counts."""
         ...
--- a/spoolcourse/control/workers/worker_registry.py
+++ b/spoolcourse/control/workers/worker_registry.py
@@ -176,7 +176,7 @@
         log.debug(
             "incarnation confirmed: machine=%s incarnation=%d", machine.id, machine.incarnation
         )
-        self.leader.record_phase(FailoverPhase.FIRST_WORKER)
+        self.leader.record_failover_phase(FailoverPhase.FIRST_WORKER)
         self._apply_hinted_images(machine)
         self.leader.on_capacity_change()
 
--- a/tests/fakes/registry.py
+++ b/tests/fakes/registry.py
@@ -50,7 +50,7 @@
     def on_capacity_change(self) -> None:
         pass
 
-    def record_phase(self, phase: FailoverPhase) -> None:
+    def record_failover_phase(self, phase: FailoverPhase) -> None:
         pass
 
     def heartbeat(self, *pieces: dict[str, Any], **fields: Any) -> list[dict[str, Any]] | None:
