--- a/spoolcourse/control/autoscaling/excess_capacity.py
+++ b/spoolcourse/control/autoscaling/excess_capacity.py
@@ -54,7 +54,7 @@
             and machine.is_schedulable
             and machine.id not in initial_machines
         ]
-        # Marked machines stay marked if possible: they have run out of work since they were marked.
+        # Marked machines stay marked if possible: their work has been running out since then.
         for machine in sorted(on_demand, key=lambda m: (not m.scale_in_candidate, len(m.attempts))):
             cpus = self._types.cpus(machine)
             is_needed = machine.id in reserved or self._is_scarce_type(machine.machine_type or "")
--- a/spoolcourse/control/leader/heartbeat_handler.py
+++ b/spoolcourse/control/leader/heartbeat_handler.py
@@ -31,8 +31,8 @@
 class HeartbeatHandler:
     """Answers heartbeats as the leader.
 
-    Refuses them, so that no lease is renewed, while this controller may not know of a confirmed
-    cancellation.
+    Refuses them, so that no lease is renewed, while a confirmed cancellation may have been unknown
+    to this controller for too long.
     """
 
     def __init__(
--- a/spoolcourse/control/leader/initial_machines.py
+++ b/spoolcourse/control/leader/initial_machines.py
@@ -1,4 +1,4 @@
-"""The initial machines: the on-demand machines that ran before the scheduler's first start.
+"""The initial machines: operators' on-demand machines from before the scheduler's first start.
 
 They are used, but never deleted for being idle. Their names are recorded once, from the first
 machine list that any leader gets. Only a list of the first term's leader shows which machines these
--- a/spoolcourse/control/workers/command_builder.py
+++ b/spoolcourse/control/workers/command_builder.py
@@ -150,7 +150,7 @@
     def claim_starts(self, machine: Machine) -> list[Attempt]:
         """Return the attempts to start by a call to the machine's address; mark them as sent.
 
-        After the call, a start may reach the worker at any time.
+        Once they are marked, the starts may reach the worker at any time.
         """
         if not (self._leader.holds_lease() and machine.is_schedulable):
             return []
--- a/spoolcourse/control/workers/machine.py
+++ b/spoolcourse/control/workers/machine.py
@@ -89,7 +89,7 @@
 
     @property
     def is_in_service(self) -> bool:
-        """Whether the machine is confirmed, its lease is valid, and no deletion is requested."""
+        """Whether the machine is confirmed, its lease not expired, and no deletion requested."""
         return self.confirmed and not self.lease_expired and not self.deletion_requested
 
     @property
