--- a/spoolcourse/control/autoscaling/scale_in.py
+++ b/spoolcourse/control/autoscaling/scale_in.py
@@ -34,7 +34,7 @@
 
 
 class ScaleIn:
-    """Chooses the machines to delete, without regard to the choices of earlier rounds."""
+    """Chooses the machines to delete; assesses every machine anew on each call."""
 
     def __init__(
         self,
