--- a/spoolcourse/control/scheduling/snapshot_cache.py
+++ b/spoolcourse/control/scheduling/snapshot_cache.py
@@ -158,7 +158,7 @@
                 continue
             submission = attempt.job_state.record.submission
             if submission.image not in machine.images:
-                since = machine.fetching.get(submission.image, now)
+                since = machine.image_fetch_started_at.get(submission.image, now)
                 remaining_gb = max(
                     submission.image_gb - gb_per_s * (now - since), MIN_REMAINING_FETCH_GB
                 )
--- a/spoolcourse/control/workers/command_builder.py
+++ b/spoolcourse/control/workers/command_builder.py
@@ -17,7 +17,7 @@
 
 
 class CommandBuilder:
-    """Derives commands from the attempts assigned to a machine and those that it reports."""
+    """Derives commands from the attempts assigned to a machine and the attempts it reports."""
 
     def __init__(self, machines: MachineTable, leader: Leader, clock: Callable[[], float]) -> None:
         self._machines = machines
@@ -63,7 +63,7 @@
         return urgent, others
 
     def _is_cancelled(self, job: str) -> bool:
-        """Whether the job's tasks must end at once: it is cancelled, or unknown and over."""
+        """Whether the job's tasks must end at once: the job is cancelled, or unknown and over."""
         job_state = self._job_queue.jobs.get(job)
         if job_state is None:
             return self._leader.is_job_over(job)
@@ -73,7 +73,7 @@
         """Return stops for cancelled attempts that the heartbeat does not list.
 
         Their starts may be in flight to the machine's address. If a stop arrives before the start,
-        a later heartbeat lists the attempt, and it is stopped again.
+        a later heartbeat lists the attempt, and its response carries the stop again.
         """
         cancelled = [
             attempt
@@ -97,7 +97,7 @@
                 return
             if attempt.stage is AttemptStage.ASSIGNED and _is_startable(attempt):
                 attempt.start_heartbeat_id = HeartbeatId(heartbeat.incarnation, heartbeat.sequence)
-                self._leader.record_phase(FailoverPhase.FIRST_START)
+                self._leader.record_failover_phase(FailoverPhase.FIRST_START)
                 commands.append(Start(attempt.name, attempt.number))
 
     # -- in calls to a machine's address -----------------------------------------------------
@@ -105,18 +105,18 @@
     def machines_to_call(self, machines_being_called: Container[str]) -> list[Machine]:
         """Return the machines to send commands to now, without `machines_being_called`.
 
-        Machines whose commands must wait stay pending. Only pending machines are examined, never
-        the whole fleet.
+        Machines whose commands must wait stay in `machines_with_unsent_commands`. Only the machines
+        in this set are examined, never the whole fleet.
         """
         now, holds_lease = self._clock(), self._leader.holds_lease()
         machines: list[Machine] = []
-        for name in list(self._machines.pending_commands):
+        for name in list(self._machines.machines_with_unsent_commands):
             machine = self._machines.machines.get(name)
             attempts = machine.attempts.values() if machine is not None else ()
             if machine is None or not any(
                 _needs_direct_stop(a) or _needs_direct_start(a) for a in attempts
             ):
-                self._machines.pending_commands.discard(name)
+                self._machines.machines_with_unsent_commands.discard(name)
             elif (
                 name not in machines_being_called
                 and machine.confirmed
@@ -150,7 +150,7 @@
     def claim_starts(self, machine: Machine) -> list[Attempt]:
         """Return the attempts to start by a call to the machine's address; mark them as sent.
 
-        From here on the starts may arrive at any time.
+        Once they are marked, the starts may reach the worker at any time.
         """
         if not (self._leader.holds_lease() and machine.is_schedulable):
             return []
@@ -158,15 +158,15 @@
             :MAX_COMMANDS_PER_MESSAGE
         ]
         if attempts:
-            self._leader.record_phase(FailoverPhase.FIRST_START)
+            self._leader.record_failover_phase(FailoverPhase.FIRST_START)
         for attempt in attempts:
             attempt.sent_directly = True
             attempt.in_flight_incarnation = machine.incarnation
         return attempts
 
     def _may_acknowledge(self, machine: Machine, task_id: TaskId, status: TaskStatus) -> bool:
-        """Whether the worker may forget an ended attempt; not before its result is durable."""
-        if _includes_attempt(machine.unacknowledgeable, task_id, status.attempt):
+        """Whether the worker may forget an ended attempt: a result must be durable first."""
+        if _includes_attempt(machine.attempts_not_to_acknowledge, task_id, status.attempt):
             return False
         job_state = self._job_queue.jobs.get(task_id.job)
         if job_state is None:
@@ -192,7 +192,7 @@
 
 
 def _includes_attempt(attempt_ids: set[AttemptId], task_id: TaskId, number: int) -> bool:
-    """Whether the set contains the attempt; builds no `AttemptId` for an empty set, as most are."""
+    """Whether the set has the attempt; most sets are empty, and need no `AttemptId` built."""
     return bool(attempt_ids) and AttemptId(*task_id, number) in attempt_ids
 
 
--- a/spoolcourse/control/workers/leader_interface.py
+++ b/spoolcourse/control/workers/leader_interface.py
@@ -23,9 +23,9 @@
         ...
 
     def on_capacity_change(self) -> None:
-        """Called when tasks may fit that did not fit before."""
+        """Notify the leader that tasks may now fit on machines where they did not fit before."""
         ...
 
-    def record_phase(self, phase: FailoverPhase) -> None:
+    def record_failover_phase(self, phase: FailoverPhase) -> None:
         """Record that the failover reached a phase; only the first call for a phase counts."""
         ...
