--- a/tests/autoscaling/test_early_deletion.py
+++ b/tests/autoscaling/test_early_deletion.py
@@ -1,4 +1,4 @@
-"""Silent machines with replicas are deleted before their lease runs out, within bounds."""
+"""Silent machines with replicas are deleted before their lease expires, within bounds."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from tests.fakes.services import service, wait_for_replicas
 from tests.fakes.world import World, job
 
-LEASE_PROOF_S = 11.0  # the lease of 10 s, and what must be added to be certain
+LEASE_EXPIRY_S = 11.0  # the 10 s lease plus the margin after which it has surely expired
 
 
 async def running_service(machines: str = "aabb", **fields: Any) -> World:
-    """A service whose replicas run, on machines in the zones that `machines` spells."""
+    """Runs a service's replicas on one machine per letter of `machines`, its zone."""
     world = World()
     world.cloud.run_s = lambda task: 10_000.0
     world.cloud.capacity = len(machines)
@@ -30,7 +30,7 @@
 
 
 def machine_of(world: World, replica: int = 0) -> str:
-    """The machine that a replica runs on."""
+    """Returns the machine that a replica runs on."""
     name = f"job-000001/{replica}"
     return next(
         w.name
@@ -40,77 +40,84 @@
 
 
 def requested_deletions(world: World) -> list[str]:
-    """Names that the cloud has been asked to delete, in order."""
-    requested: list[str] = []
+    """Returns a list that collects the machines in deletion requests, in order."""
+    deletion_requests: list[str] = []
 
-    def note(src: str, dst: str, method: str, path: str, body: Any) -> None:
+    def record_deletions(src: str, dst: str, method: str, path: str, body: Any) -> None:
         if path == "/hosts/delete":
-            requested.extend(body["spindles"])
+            deletion_requests.extend(body["spindles"])
 
-    world.network.filters.insert(0, note)
-    return requested
+    world.network.filters.insert(0, record_deletions)
+    return deletion_requests
 
 
 def make_unreachable(world: World, name: str) -> Any:
-    """No call reaches the machine, and no controller takes its heartbeats; it tries again each
-    second, so that it is back soon after the end, within its lease."""
+    """Cuts calls to the machine and answers its heartbeats with 503; returns the filter.
 
-    def check(src: str, dst: str, *rest: Any) -> str | None:
+    The worker retries each second, so it is back within its lease once the filter is removed.
+    """
+
+    def block(src: str, dst: str, *rest: Any) -> str | None:
         if src == name:
             return "503"
         return "cut" if dst.startswith(name) else None
 
-    world.network.filters.append(check)
-    return check
+    world.network.filters.append(block)
+    return block
 
 
 async def restart_time_s(world: World, replica: int = 0) -> float:
-    """How long it takes until the replica has been started once more."""
-    before = len(world.cloud.starts)
+    """Waits until the replica is started again and returns the time this took."""
+    starts_before = len(world.cloud.starts)
     return await world.until(
-        lambda: any(n == f"job-000001/{replica}" for _, n, _ in world.cloud.starts[before:]), 40
+        lambda: any(
+            task == f"job-000001/{replica}" for _, task, _ in world.cloud.starts[starts_before:]
+        ),
+        40,
     )
 
 
-async def test_the_replica_of_a_machine_that_died_runs_again_before_its_lease_is_over() -> None:
+async def test_a_replica_of_a_dead_machine_restarts_before_the_lease_expires() -> None:
     world = await running_service()
-    requested, lost = requested_deletions(world), machine_of(world)
-    world.cloud.workers[lost].die()  # the cloud goes on listing it
-    assert await restart_time_s(world) < 7.5 < LEASE_PROOF_S
-    assert requested[0] == lost
+    deletion_requests, lost_machine = requested_deletions(world), machine_of(world)
+    world.cloud.workers[lost_machine].die()  # the cloud still lists it
+    assert await restart_time_s(world) < 7.5 < LEASE_EXPIRY_S
+    assert deletion_requests[0] == lost_machine
     assert world.cloud.violations == []
 
 
 async def test_no_machine_is_deleted_for_one_lost_heartbeat() -> None:
     world = await running_service()
-    requested, name = requested_deletions(world), machine_of(world)
+    deletion_requests, name = requested_deletions(world), machine_of(world)
 
-    def lose_reports(src: str, dst: str, *rest: Any) -> str | None:
+    def cut_heartbeats(src: str, dst: str, *rest: Any) -> str | None:
         return "cut" if src == name else None
 
     for _ in range(3):
-        world.network.filters.append(lose_reports)
-        await asyncio.sleep(1.9)  # one heartbeat falls into it
-        world.network.filters.remove(lose_reports)
+        world.network.filters.append(cut_heartbeats)
+        await asyncio.sleep(1.9)  # one heartbeat is due in this time
+        world.network.filters.remove(cut_heartbeats)
         await asyncio.sleep(12)
-    assert requested == []
+    assert deletion_requests == []
     assert len(world.cloud.starts) == 2
 
 
 async def test_a_machine_that_answers_calls_is_kept_while_no_controller_takes_heartbeats() -> None:
     world = await running_service()
-    requested, name = requested_deletions(world), machine_of(world)
+    deletion_requests, name = requested_deletions(world), machine_of(world)
     world.network.filters.append(lambda src, dst, *rest: "503" if src == name else None)
     await asyncio.sleep(8.5)
     world.network.filters.pop()
     await asyncio.sleep(12)
-    assert requested == [], "it came back within its lease"
-    assert len(world.cloud.starts) == 2, "it came back within its lease"
+    assert deletion_requests == [], "deleted a machine that came back within its lease"
+    assert len(world.cloud.starts) == 2, (
+        "restarted a replica whose machine came back within its lease"
+    )
 
 
 async def test_no_machine_is_deleted_while_its_zone_is_cut_off() -> None:
     world = await running_service("aabb", scatter=False)
-    requested, zone = (
+    deletion_requests, zone = (
         requested_deletions(world),
         world.cloud.workers[machine_of(world)].host["yard"],
     )
@@ -122,14 +129,14 @@
     for cut in cuts:
         world.network.filters.remove(cut)
     await asyncio.sleep(10)
-    # A worker that lost two heartbeats in a row has lost its lease as well; nothing is deleted.
-    assert requested == []
+    # Two lost heartbeats in a row also cost a worker its lease; no machine is deleted.
+    assert deletion_requests == []
     assert world.cloud.violations == []
 
 
 async def test_a_leader_that_gets_no_heartbeats_deletes_no_machine() -> None:
     world = await running_service()
-    requested, leader = requested_deletions(world), str(world.leader)
+    deletion_requests, leader = requested_deletions(world), str(world.leader)
     world.network.filters.append(
         lambda src, dst, *rest: (
             "cut" if dst == f"{leader}:80" or (src == leader and dst.startswith("m-")) else None
@@ -138,13 +145,17 @@
     await asyncio.sleep(9)
     world.network.filters.pop()
     await asyncio.sleep(10)
-    assert requested == []
+    assert deletion_requests == []
     assert len(world.cloud.starts) == 2
 
 
-async def test_a_machine_that_is_back_last_after_a_disruption_is_not_deleted() -> None:
+async def test_the_last_machine_to_return_after_a_disruption_is_not_deleted() -> None:
     world = await running_service("aaaabbbb")
-    requested, leader, name = requested_deletions(world), str(world.leader), machine_of(world)
+    deletion_requests, leader, name = (
+        requested_deletions(world),
+        str(world.leader),
+        machine_of(world),
+    )
 
     def cut_leader_off(src: str, dst: str, *rest: Any) -> str | None:
         return "cut" if dst == f"{leader}:80" or (src == leader and dst[:2] == "m-") else None
@@ -154,18 +165,18 @@
     world.network.filters.remove(cut_leader_off)
     cut = make_unreachable(world, name)
     await asyncio.sleep(6)
-    assert requested == []
+    assert deletion_requests == []
     world.network.filters.remove(cut)
     await asyncio.sleep(10)
     assert world.cloud.violations == []
 
 
-async def test_no_machine_is_deleted_early_whose_replicas_have_no_place_elsewhere() -> None:
+async def test_no_machine_is_deleted_early_when_its_replicas_fit_nowhere_else() -> None:
     world = await running_service("ab", yard=None)
-    requested, lost = requested_deletions(world), machine_of(world)
-    world.cloud.workers[lost].die()
+    deletion_requests, lost_machine = requested_deletions(world), machine_of(world)
+    world.cloud.workers[lost_machine].die()
     await asyncio.sleep(9.5)
-    assert requested == []
+    assert deletion_requests == []
     assert await wait_for_replicas(world, 1, 2, 90)
     assert world.cloud.violations == []
 
@@ -175,35 +186,35 @@
     world.network.filters.append(
         lambda src, dst, method, path, body: "hold" if path == "/hosts/delete" else None
     )
-    requested = requested_deletions(world)
+    deletion_requests = requested_deletions(world)
     service_machines = {machine_of(world, replica) for replica in range(8)}
     by_zone = [
         sorted(n for n in service_machines if world.cloud.workers[n].host["yard"] == zone)[:2]
         for zone in ("a", "b")
     ]
-    lost = [name for names in by_zone for name in names]
-    assert len(lost) >= 3
-    for name in lost:
+    lost_machines = [name for names in by_zone for name in names]
+    assert len(lost_machines) >= 3
+    for name in lost_machines:
         world.cloud.workers[name].die()
-    await asyncio.sleep(LEASE_PROOF_S - 1.0)
-    assert len(set(requested)) == 2
+    await asyncio.sleep(LEASE_EXPIRY_S - 1.0)
+    assert len(set(deletion_requests)) == 2
     world.network.filters.clear()
     await wait_for_replicas(world, 1, 8, 60)
     assert world.cloud.violations == []
 
 
 async def test_a_machine_that_reports_again_during_its_deletion_gets_no_new_work() -> None:
-    # The machine is heard again while its deletion is on its way: it gets no new work, and its
+    # Its heartbeats arrive again while the deletion is in progress: it gets no new tasks, and its
     # replica starts elsewhere only once the deletion is confirmed.
     world = await running_service()
-    requested, name = requested_deletions(world), machine_of(world)
+    deletion_requests, name = requested_deletions(world), machine_of(world)
     cut = make_unreachable(world, name)
     world.network.filters.append(
         lambda src, dst, method, path, body: "hold" if path == "/hosts/delete" else None
     )
-    await world.until(lambda: requested, 12)
+    await world.until(lambda: deletion_requests, 12)
     world.network.filters.remove(cut)
-    await world.submit(job(2, pieces=12))  # more than the other machines take
+    await world.submit(job(2, pieces=12))  # more than fits on the other machines
     await asyncio.sleep(6)
     assert len([s for s in world.cloud.starts if s[1] == "job-000001/0"]) == 1
     assert not [s for s in world.cloud.starts if s[1].startswith("job-000002") and s[2] == name]
@@ -213,9 +224,9 @@
     assert world.cloud.violations == []
 
 
-async def test_a_deletion_that_takes_effect_late_under_the_next_leader_breaks_no_rule() -> None:
+async def test_a_deletion_applied_late_under_the_next_leader_causes_no_violation() -> None:
     world = await running_service()
-    requested, name = requested_deletions(world), machine_of(world)
+    deletion_requests, name = requested_deletions(world), machine_of(world)
     world.cloud.run_s = lambda task: 10_000.0 if "job-000001" in task else 10.0
     cut = make_unreachable(world, name)
 
@@ -223,13 +234,13 @@
         return "hold" if path == "/hosts/delete" else None
 
     world.network.filters.append(hold)
-    await world.until(lambda: requested, 12)
+    await world.until(lambda: deletion_requests, 12)
     world.kill(str(world.leader))
     world.network.filters.remove(cut)
     world.network.filters.remove(hold)
     await world.until(lambda: world.leader, 20)
     await world.submit(job(2, pieces=12), str(world.leader))
-    await asyncio.sleep(8)  # the machine came back within its lease and is given work
+    await asyncio.sleep(8)  # the machine came back within its lease and is assigned tasks
     assert name in world.cloud.workers
     await world.network.release()
     assert name not in world.cloud.workers
--- a/tests/scheduling/test_snapshot_cache.py
+++ b/tests/scheduling/test_snapshot_cache.py
@@ -1,4 +1,4 @@
-"""What passes see of machines is kept between them: it must be what is there."""
+"""Machine views cached between placement passes must equal freshly built ones."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 def machine_views(
     builder: SnapshotBuilder, now: float, machine_types: dict[str, MachineType]
 ) -> dict[str, Any]:
-    """Everything that a pass gets of the machines, by names."""
+    """Returns everything that a pass reads of each machine, by machine name."""
     snapshot = builder.build_snapshot(now, machine_types)
     images, views = builder.indices.images.names, {}
     for machine, view in zip(builder.machines, snapshot.machines, strict=True):
@@ -58,28 +58,35 @@
     return views
 
 
-async def test_what_is_kept_of_a_machine_is_what_a_new_look_shows() -> None:
-    # Guards against a change that is not noticed: room that is not there any more would be
-    # given away, and room that is there never used.
+async def test_cached_machine_views_equal_freshly_built_ones() -> None:
+    # Guards against missed invalidation: a pass would place tasks on capacity that is gone, or
+    # never use capacity that is free.
     world = World()
     world.cloud.run_s = lambda name: 3.0 + sum(name.encode()) % 7
     await world.start_controllers()
-    compared = 0
+    compared_tasks = 0
 
     def compare(active: ActiveLeader) -> None:
-        nonlocal compared
+        nonlocal compared_tasks
         now, machine_types = world.now(), active._context.machine_types()
-        fresh = snapshot_builder(active.job_queue, active.registry)
-        kept = machine_views(active.snapshot_builder, now, machine_types)
-        assert kept == machine_views(fresh, now, machine_types)
-        compared += sum(len(row[3]) for row in kept.values())
+        fresh_builder = snapshot_builder(active.job_queue, active.registry)
+        cached = machine_views(active.snapshot_builder, now, machine_types)
+        assert cached == machine_views(fresh_builder, now, machine_types)
+        compared_tasks += sum(len(view[3]) for view in cached.values())
 
     for number in range(1, 13):
         crew = "red" if number % 3 else "blue"
         rank = "high" if number % 4 == 0 else "standard"
-        saves = {"markEveryS": 2.0, "markCostS": 1.0} if number % 2 else {}
+        checkpoint_fields = {"markEveryS": 2.0, "markCostS": 1.0} if number % 2 else {}
         await world.submit(
-            job(number, pieces=9, crew=crew, rank=rank, bundle=f"img{number % 5}", **saves)
+            job(
+                number,
+                pieces=9,
+                crew=crew,
+                rank=rank,
+                bundle=f"img{number % 5}",
+                **checkpoint_fields,
+            )
         )
         for _ in range(5):
             await asyncio.sleep(0.7)
@@ -97,19 +104,19 @@
             next(iter(world.cloud.workers.values())).die()
         if number == 9:
             world.kill(str(world.leader))
-    assert compared > 200
+    assert compared_tasks > 200
 
 
-def test_an_attempt_that_outlives_its_job_still_counts_and_stops_no_pass() -> None:
-    # A piece that was completed elsewhere may still run here when its job is over. A pass
-    # once looked its job up among the live ones and ended with an error, and the leader's
-    # term with it; and its CPUs were given to the team a second time.
+def test_an_attempt_that_outlives_its_job_still_counts_and_fails_no_pass() -> None:
+    # A task that was completed elsewhere may still run here when its job has ended. A pass once
+    # looked its job up among the live ones and raised an error that ended the leader's term;
+    # the CPUs in use were also given to the team a second time.
     harness = RegistryHarness(pieces=1)
     harness.heartbeat()
     harness.assign()
     harness.heartbeat(task_entry())
-    other = task_entry(stage="ended", attempt=9, cause="done")
-    harness.heartbeat(other, spindle="m-2", address="m-2:9")
+    completed_elsewhere = task_entry(stage="ended", attempt=9, cause="done")
+    harness.heartbeat(completed_elsewhere, spindle="m-2", address="m-2:9")
     assert harness.job_state.is_finished
     before = snapshot_builder(harness.job_queue, harness.registry).build_snapshot(
         harness.now, MACHINE_TYPES
@@ -120,17 +127,17 @@
     )
     red = [t.name for t in settings().settings.teams].index("red")
     assert after.teams[red].cpus == before.teams[red].cpus == 64.0 - 2.0
-    harness.heartbeat()  # it is gone from the machine
-    gone = snapshot_builder(harness.job_queue, harness.registry).build_snapshot(
+    harness.heartbeat()  # the attempt is gone from the machine
+    released = snapshot_builder(harness.job_queue, harness.registry).build_snapshot(
         harness.now, MACHINE_TYPES
     )
-    assert gone.teams[red].cpus == 64.0
+    assert released.teams[red].cpus == 64.0
 
 
-def test_what_went_before_rank_so_that_its_job_begins_is_not_stopped_by_rank() -> None:
-    # Measured on fleets: after `begin_s` the first task of a job was started, stopped for the
-    # next urgent claim and started again, up to a hundred times, and the job never began.
-    def stopped(waited_s: float) -> list[int]:
+def test_a_task_started_for_a_starved_job_is_not_preempted_by_rank() -> None:
+    # Measured on fleets: after `begin_s` the first task of a job was started, preempted by the
+    # next urgent job and started again, up to a hundred times, and the job never began.
+    def victims(waited_s: float) -> list[int]:
         harness = RegistryHarness(pieces=3, vcpus=8.0, expectS=100.0)
         harness.heartbeat()
         harness.now += waited_s
@@ -144,5 +151,5 @@
         snapshot = builder.build_snapshot(harness.now, MACHINE_TYPES)
         return choose_victims(snapshot, place(snapshot), 5.0)
 
-    assert stopped(10.0) == [1], "urgent work stops other work"
-    assert stopped(200.0) == []
+    assert victims(10.0) == [1], "urgent work does not preempt a job that is not starved"
+    assert victims(200.0) == []
