--- a/tests/jobs/test_progress_writer.py
+++ b/tests/jobs/test_progress_writer.py
@@ -1,4 +1,4 @@
-"""Order of writes, writes that are skipped, and what stays pending after a failed write."""
+"""The progress writer: order of writes, skipped writes, and what stays pending after a failure."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class WriterHarness:
-    """A term's progress writer, its job queue and its key-value store; created within `play`."""
+    """A term's progress writer, job queue and key-value store; needs a running event loop."""
 
     def __init__(self, limits: StoreLimits) -> None:
         self.store, network = FakeKeyValueStore(), FakeNetwork()
@@ -62,14 +62,14 @@
         return asyncio.get_running_loop().time()
 
 
-async def test_starts_are_written_by_rank_and_before_results() -> None:
+async def test_start_writes_are_ordered_by_rank_and_precede_results() -> None:
     harness = WriterHarness(StoreLimits(rps=200.0, write_rps=6.0, value_kb=8.0, txn_ops=12))
     queue = harness.job_queue
     term_revision = await harness.write(TERM_KEY, {"term": 1})
     ranks = ["standard"] * 20 + ["best_effort", "high"]
     jobs = [await harness.add_job(number, rank=rank) for number, rank in enumerate(ranks, 1)]
     await asyncio.sleep(10)
-    running = await harness.start(term_revision)
+    writer_task = await harness.start(term_revision)
     for job_state in jobs[:20]:
         queue.complete(job_state, 0)
     low = queue.assign(jobs[20], 0, "m-1", 1, 0.0)
@@ -78,17 +78,19 @@
     while not (low.is_persisted and high.is_persisted):
         await asyncio.sleep(0.02)
     assert harness.now() - began < 1.0
-    written = [op["set"] for t in harness.store.transactions[-1:] for op in t["apply"]]
+    written = [
+        op["set"] for transaction in harness.store.transactions[-1:] for op in transaction["apply"]
+    ]
     assert [key.split("/")[3] for key in written[:2]] == [jobs[21].id, jobs[20].id]
-    # A start that is assigned while results wait for the budget does not wait for them.
+    # A start that is assigned while results wait for the write budget does not wait for them.
     began = harness.now()
     late = queue.assign(jobs[21], 1, "m-1", 3, 0.0)
     while not late.is_persisted:
         await asyncio.sleep(0.02)
     assert harness.now() - began < 1.0
-    while queue.pending_writes:  # the results follow
+    while queue.pending_writes:  # the writes of the results follow
         await asyncio.sleep(0.1)
-    running.cancel()
+    writer_task.cancel()
 
 
 async def test_a_value_above_a_lowered_limit_is_not_retried_repeatedly() -> None:
@@ -96,21 +98,21 @@
     store, queue = harness.store, harness.job_queue
     term_revision = await harness.write(TERM_KEY, {"term": 1})
     job_state = await harness.add_job(pieces=170)
-    running = await harness.start(term_revision)
+    writer_task = await harness.start(term_revision)
     attempts = [queue.assign(job_state, task, "m-000001", task, 0.0) for task in range(100)]
     await asyncio.sleep(2)
-    assert attempts[0].is_persisted, "the former limit still holds"
+    assert attempts[0].is_persisted, "not written, though the former limit still holds"
     store.max_value_bytes = 1024
     queue.complete(job_state, 150)
     await asyncio.sleep(10)
     assert store.oversized_count == 1
-    assert not running.done()
+    assert not writer_task.done()
     for attempt in attempts[:80]:
-        queue.drop(attempt)  # they end gradually
+        queue.drop(attempt)  # the attempts end over time
     await asyncio.sleep(2)
     assert store.oversized_count == 1
     assert job_state.chunk(0).is_persisted
-    running.cancel()
+    writer_task.cancel()
 
 
 async def test_a_start_write_stays_pending_after_a_conflict() -> None:
@@ -118,13 +120,13 @@
     queue = harness.job_queue
     term_revision = await harness.write(TERM_KEY, {"term": 1})
     job_state = await harness.add_job(pieces=2)
-    running = await harness.start(term_revision)
+    writer_task = await harness.start(term_revision)
     # The leader has not seen this cancellation yet: the start must not become durable.
     await harness.write(job_key(job_state.id), job_state.record.value() | {"aborted": 2.0})
     attempt = queue.assign(job_state, 0, "m-1", 1, 0.0)
     await asyncio.sleep(5)
     assert not attempt.is_persisted
-    assert not running.done()
+    assert not writer_task.done()
     assert not harness.step_downs
     assert harness.store.value(progress_key(job_state.id, 0)) is None
     chunk = job_state.chunk(0)
@@ -138,21 +140,21 @@
     assert not queue.jobs
     assert not queue.pending_writes
     assert not queue.pending_start_writes
-    running.cancel()
+    writer_task.cancel()
 
 
 async def test_a_writer_of_a_superseded_term_changes_nothing_and_steps_down() -> None:
     harness = WriterHarness(StoreLimits(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24))
     term_revision = await harness.write(TERM_KEY, {"term": 1})
     job_state = await harness.add_job(pieces=2)
-    running = await harness.start(term_revision)
+    writer_task = await harness.start(term_revision)
     await harness.write(TERM_KEY, {"term": 2})
     attempt = harness.job_queue.assign(job_state, 0, "m-1", 1, 0.0)
     await asyncio.sleep(5)
     assert harness.step_downs
     assert not attempt.is_persisted
     assert harness.store.value(progress_key(job_state.id, 0)) is None
-    running.cancel()
+    writer_task.cancel()
 
 
 def test_a_batch_fits_one_transaction_and_has_its_expected_revisions() -> None:
@@ -176,14 +178,14 @@
             (job_key(job_state.id), job_state.record.revision),
         )
     }
-    # The others stay pending; one whose value is too large comes back with its next change.
+    # The others stay pending; a chunk whose value is too large is pending again once it changes.
     assert list(queue.pending_writes) == chunk_ids[1:]
     assert not select_batch(queue, chunk_ids, BatchLimits(8, max_operations=2), {}).writes
     assert not queue.pending_writes
     assert not queue.pending_start_writes
 
 
-def test_a_job_of_many_chunks_ends_in_one_transaction_that_leaves_some_progress() -> None:
+def test_a_job_with_many_chunks_finishes_in_one_transaction_and_lists_leftover_keys() -> None:
     queue = JobQueue()
     record = JobRecord(parse(job(pieces=64), Submission), 1.0, 16, None, 5)
     job_state = queue.restore(
