--- a/tests/leadership/test_election_and_peers.py
+++ b/tests/leadership/test_election_and_peers.py
@@ -25,18 +25,18 @@
 from tests.fakes.proof import LIMITS
 
 
-class Store:
+class StoreHarness:
     """A key-value store with one client."""
 
     def __init__(self) -> None:
-        self.state, self.network = FakeKeyValueStore(), FakeNetwork()
-        self.network.hosts["state:1"] = self.state.serve
+        self.store, self.network = FakeKeyValueStore(), FakeNetwork()
+        self.network.hosts["state:1"] = self.store.serve
         self.client = StoreClient(self.network.client_of("n0"), "state:1", LIMITS, controllers=1)
         self.watch_cache = WatchCache(self.client, PREFIX)
 
 
 class Listener:
-    """Records the calls it gets."""
+    """Records elections and step-downs."""
 
     def __init__(self) -> None:
         self.calls: list[Any] = []
@@ -56,7 +56,7 @@
     loop.call_later(0.5, event.set)
     assert await wait_for_event(event, 2.0)
     assert loop.time() - began == pytest.approx(2.5)
-    assert await wait_for_event(event, 0.0), "an event that is set needs no time"
+    assert await wait_for_event(event, 0.0), "an event that is already set is taken for a timeout"
 
 
 async def test_a_cancelled_wait_is_not_taken_for_a_timeout() -> None:
@@ -68,9 +68,9 @@
 
 
 async def test_the_listener_is_called_for_each_election_and_step_down_once() -> None:
-    store, listener = Store(), Listener()
-    leadership = Leadership(store.client, store.watch_cache, "n0", "run-0", listener=listener)
-    await store.watch_cache.reload()
+    harness, listener = StoreHarness(), Listener()
+    leadership = Leadership(harness.client, harness.watch_cache, "n0", "run-0", listener=listener)
+    await harness.watch_cache.reload()
     assert not leadership.holds_lease()
     await leadership._stand_for_election()
     assert leadership.holds_lease()
@@ -79,22 +79,22 @@
     leadership.step_down("again")
     assert not leadership.holds_lease()
     assert listener.calls == [1, "stepped down"]
-    assert leadership.leader_label == "n0", "the watch has not shown the release yet"
-    assert known_term_number(store.watch_cache) == 1
+    assert leadership.leader_label == "n0", "the label changed before the watch showed the release"
+    assert known_term_number(harness.watch_cache) == 1
 
 
 async def test_a_fenced_write_of_a_superseded_term_changes_nothing() -> None:
-    store = Store()
-    first = Leadership(store.client, store.watch_cache, "n0", "run-0")
-    await store.watch_cache.reload()
+    harness = StoreHarness()
+    first = Leadership(harness.client, harness.watch_cache, "n0", "run-0")
+    await harness.watch_cache.reload()
     await first._stand_for_election()
     superseded_term = first.term
     assert superseded_term is not None
 
     async def write(term: Term, level: int, revision: int) -> bool:
         return await write_fenced(
-            store.client,
-            store.watch_cache,
+            harness.client,
+            harness.watch_cache,
             term,
             FEATURE_LEVEL_KEY,
             {"level": level},
@@ -102,55 +102,57 @@
         )
 
     assert await write(superseded_term, 1, 0)
-    written_revision = store.watch_cache.revision(FEATURE_LEVEL_KEY)
-    assert not await write(superseded_term, 2, 0), "the key has another revision than expected"
+    written_revision = harness.watch_cache.revision(FEATURE_LEVEL_KEY)
+    assert not await write(superseded_term, 2, 0), (
+        "written although the key has another revision than expected"
+    )
     await first.step_down_and_release_lease("test")
-    successor = Leadership(store.client, store.watch_cache, "n1", "run-1")
-    await store.watch_cache.read_barrier()
+    successor = Leadership(harness.client, harness.watch_cache, "n1", "run-1")
+    await harness.watch_cache.read_barrier()
     await successor._stand_for_election()
     assert successor.term is not None
     assert successor.term.number == superseded_term.number + 1
     assert not await write(superseded_term, 2, written_revision)
-    assert store.state.value(FEATURE_LEVEL_KEY) == {"level": 1}
+    assert harness.store.value(FEATURE_LEVEL_KEY) == {"level": 1}
     assert await write(successor.term, 2, written_revision)
-    assert store.state.value(FEATURE_LEVEL_KEY) == {"level": 2}
+    assert harness.store.value(FEATURE_LEVEL_KEY) == {"level": 2}
 
 
 async def test_a_fenced_write_of_unknown_outcome_counts_as_not_written() -> None:
-    store = Store()
-    leadership = Leadership(store.client, store.watch_cache, "n0", "run-0")
-    await store.watch_cache.reload()
+    harness = StoreHarness()
+    leadership = Leadership(harness.client, harness.watch_cache, "n0", "run-0")
+    await harness.watch_cache.reload()
     await leadership._stand_for_election()
     assert leadership.term is not None
-    store.network.filters.append(
+    harness.network.filters.append(
         lambda src, dst, method, path, body: "hold" if path == "/multi" else None
     )
     assert not await write_fenced(
-        store.client,
-        store.watch_cache,
+        harness.client,
+        harness.watch_cache,
         leadership.term,
         FEATURE_LEVEL_KEY,
         {"level": 2},
         {FEATURE_LEVEL_KEY: 0},
     )
-    assert store.watch_cache.get(FEATURE_LEVEL_KEY) is None
+    assert harness.watch_cache.get(FEATURE_LEVEL_KEY) is None
 
 
-async def test_peers_reply_in_order_and_one_that_does_not_know_the_query_has_no_reply() -> None:
-    store = Store()
+async def test_peer_replies_are_in_order_and_none_for_a_peer_that_does_not_know_the_query() -> None:
+    harness = StoreHarness()
 
-    def host(status: int, data: Any) -> Any:
+    def serve_with(status: int, data: Any) -> Any:
         async def serve(method: str, path: str, body: Any) -> Response:
             return Response(status, data)
 
         return serve
 
     peers = [Peer(label, f"{label}:81") for label in ("n1", "n2", "n3", "n4")]
-    store.network.hosts["n1:81"] = host(200, {"level": 1})
-    store.network.hosts["n2:81"] = host(404, {"error": "no such resource"})
-    store.network.hosts["n3:81"] = host(200, {"level": "x"})
-    store.network.hosts["n4:81"] = host(200, {"level": 2})
-    replies = await query_peers(store.network.client_of("n0"), peers, LEVEL_QUERY)
+    harness.network.hosts["n1:81"] = serve_with(200, {"level": 1})
+    harness.network.hosts["n2:81"] = serve_with(404, {"error": "no such resource"})
+    harness.network.hosts["n3:81"] = serve_with(200, {"level": "x"})
+    harness.network.hosts["n4:81"] = serve_with(200, {"level": 2})
+    replies = await query_peers(harness.network.client_of("n0"), peers, LEVEL_QUERY)
     assert replies == [LevelReply(1), None, None, LevelReply(2)]
 
 
--- a/tests/leadership/test_failover_proof.py
+++ b/tests/leadership/test_failover_proof.py
@@ -25,7 +25,7 @@
     assert (proof.fencing_token, proof.claim_revision, proof.applied_revision) == (3, 41, 41)
 
 
-def test_a_superseded_claim_proves_nothing() -> None:
+def test_there_is_no_proof_for_a_superseded_term() -> None:
     watch_cache = cache_at(60)
     watch_cache.apply(TERM_KEY, {"term": 4}, 55)
     with pytest.raises(TermSupersededError):
--- a/tests/store/test_store_records.py
+++ b/tests/store/test_store_records.py
@@ -1,4 +1,4 @@
-"""The stored spelling: other versions read it, so it is pinned byte for byte."""
+"""The stored format: other versions read it, so it is pinned byte for byte."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     assert parse_progress_key(progress_key("j-1", 2)) == ChunkId("j-1", 2) == ("j-1", 2)
 
 
-def test_progress_keeps_its_spelling() -> None:
+def test_progress_keeps_its_stored_format() -> None:
     progress = Progress(0b1011, {2: Assignment("m-1", 9)})
     stored = b'{"done":"b","held":{"2":["m-1",9]}}'
     assert orjson.dumps(progress.value()) == stored
@@ -63,7 +63,7 @@
         Progress.from_value({"done": "0", "held": {"2": pair}})
 
 
-def test_job_records_keep_their_spelling() -> None:
+def test_job_records_keep_their_stored_format() -> None:
     submission = parse(job(), Submission)
     record = JobRecord(submission, 7.5, 16, None, 3)
     value = record.value()
@@ -75,7 +75,7 @@
     assert JobRecord.from_value(orjson.loads(orjson.dumps(value)), 3) == record
 
 
-def test_terms_final_states_and_lists_keep_their_spelling() -> None:
+def test_terms_final_states_and_machine_lists_keep_their_stored_format() -> None:
     term = TermRecord(4, "run-1", 7)
     assert orjson.dumps(term.value()) == b'{"term":4,"run":"run-1","hold":7}'
     leader = LeaderRecord(term, "n0").value()
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: one clear line for whatever is wrong."""
+"""The command line: each error is reported in one line."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "named"),
+    ("change", "field_name"),
     [
         (lambda d: d.pop("listen"), "listen"),
         (lambda d: d["settings"]["workers"].pop("lease_s"), "lease_s"),
@@ -42,21 +42,21 @@
     ],
 )
 @pytest.mark.parametrize("command", ["check", "serve"])
-def test_a_wrong_field_ends_the_start_with_one_line_naming_it(
+def test_an_invalid_field_fails_the_start_with_one_line_naming_it(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
     change: Any,
-    named: str,
+    field_name: str,
     command: str,
 ) -> None:
     path = write_settings(tmp_path / "s.json", change)
     assert main([command, "--config", path]) == 1
     error = capsys.readouterr().err
-    assert named in error
+    assert field_name in error
     assert error.count("\n") == 1
 
 
-def test_unreadable_files_bad_addresses_and_bad_ids_end_with_one_line(
+def test_unreadable_files_bad_addresses_and_bad_ids_are_reported_in_one_line(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     broken = tmp_path / "x.json"
@@ -76,9 +76,9 @@
 
 
 def test_the_version_is_printed(capsys: pytest.CaptureFixture[str]) -> None:
-    with pytest.raises(SystemExit) as end:
+    with pytest.raises(SystemExit) as exit_info:
         main(["--version"])
-    assert end.value.code == 0
+    assert exit_info.value.code == 0
     assert __version__ in capsys.readouterr().out
 
 
@@ -86,7 +86,7 @@
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     for argv in ([], ["status", "--node", "a:1", "--timeout", "-1", "job-000001"], ["fly"]):
-        with pytest.raises(SystemExit) as end:
+        with pytest.raises(SystemExit) as exit_info:
             main(argv)
-        assert end.value.code == 2
+        assert exit_info.value.code == 2
         assert "error: " in capsys.readouterr().err
