--- a/spoolcourse/control/scheduling/job_views.py
+++ b/spoolcourse/control/scheduling/placement_jobs.py
@@ -54,7 +54,7 @@
         self._completion_s_by_class = _completion_s_by_class(objectives)
 
     def placement_job(self, job_state: JobState, context: PassContext) -> PlacementJob:
-        """Return a job as seen by a pass; if building it fails, the job gets no pending tasks.
+        """Return the `PlacementJob` of a job; if building it fails, one without pending tasks.
 
         A rule that failed for jobs without a deadline once stopped every pass of every leader.
         """
--- a/spoolcourse/control/scheduling/snapshot_builder.py
+++ b/spoolcourse/control/scheduling/snapshot_builder.py
@@ -6,8 +6,8 @@
 from spoolcourse.control.jobs.model import Attempt, JobState
 from spoolcourse.control.placement.model import PlacementMachine, Snapshot
 from spoolcourse.control.scheduling.job_order import JobOrder, order_jobs
-from spoolcourse.control.scheduling.job_views import PassContext, PlacementJobBuilder
 from spoolcourse.control.scheduling.name_index import NameIndex, SnapshotIndices
+from spoolcourse.control.scheduling.placement_jobs import PassContext, PlacementJobBuilder
 from spoolcourse.control.scheduling.scarce_machine_types import ScarceMachineTypes
 from spoolcourse.control.scheduling.snapshot_cache import SnapshotCache
 from spoolcourse.control.scheduling.team_budgets import team_budgets
--- a/tests/scenarios/test_jobs_through_troubles.py
+++ b/tests/scenarios/test_jobs_through_troubles.py
@@ -238,7 +238,7 @@
     assert world.cloud.violations == []
 
 
-async def test_a_job_whose_view_cannot_be_built_does_not_stop_the_others() -> None:
+async def test_a_job_whose_placement_job_cannot_be_built_does_not_stop_the_others() -> None:
     world = World()
     await world.start_controllers()
     leader_term, active = world.controllers[str(world.leader)].leader_term, world.active()
--- a/tests/scheduling/test_snapshot_cache.py
+++ b/tests/scheduling/test_snapshot_cache.py
@@ -23,13 +23,13 @@
     return SnapshotBuilder(job_queue, registry, settings().settings, policy)
 
 
-def machine_views(
+def machine_properties(
     builder: SnapshotBuilder, now: float, machine_types: dict[str, MachineType]
 ) -> dict[str, Any]:
     """Everything that a pass gets of the machines, by names."""
     snapshot = builder.build_snapshot(now, machine_types)
-    images, views = builder.indices.images.names, {}
-    for machine, view in zip(builder.machines, snapshot.machines, strict=True):
+    images, properties = builder.indices.images.names, {}
+    for machine, placement_machine in zip(builder.machines, snapshot.machines, strict=True):
         tasks = sorted(
             (
                 t.attempt_number,
@@ -40,22 +40,26 @@
                 t.within_guarantee,
                 round(t.loss_cpu_s(now), 3),
             )
-            for t in view.tasks
+            for t in placement_machine.tasks
         )
-        views[machine.id] = (
+        properties[machine.id] = (
             (
-                view.cpus,
-                view.gpus,
-                view.memory_gb,
-                (view.cpus_being_freed, view.gpus_being_freed, view.memory_gb_being_freed),
-                view.zone,
-                view.scale_in_candidate,
+                placement_machine.cpus,
+                placement_machine.gpus,
+                placement_machine.memory_gb,
+                (
+                    placement_machine.cpus_being_freed,
+                    placement_machine.gpus_being_freed,
+                    placement_machine.memory_gb_being_freed,
+                ),
+                placement_machine.zone,
+                placement_machine.scale_in_candidate,
             ),
-            sorted(images[i] for i in view.cached_images),
-            sorted(images[i] for i in view.remaining_fetch_gb),
+            sorted(images[i] for i in placement_machine.cached_images),
+            sorted(images[i] for i in placement_machine.remaining_fetch_gb),
             tasks,
         )
-    return views
+    return properties
 
 
 async def test_what_is_kept_of_a_machine_is_what_a_new_look_shows() -> None:
@@ -70,8 +74,8 @@
         nonlocal compared
         now, machine_types = world.now(), active._context.machine_types()
         fresh = snapshot_builder(active.job_queue, active.registry)
-        kept = machine_views(active.snapshot_builder, now, machine_types)
-        assert kept == machine_views(fresh, now, machine_types)
+        kept = machine_properties(active.snapshot_builder, now, machine_types)
+        assert kept == machine_properties(fresh, now, machine_types)
         compared += sum(len(row[3]) for row in kept.values())
 
     for number in range(1, 13):
