--- a/spoolcourse/control/jobs/cancellation_query.py
+++ b/spoolcourse/control/jobs/cancellation_query.py
@@ -1,6 +1,6 @@
 """A leader's query to its peers for cancellations that it has not read from the key-value store.
 
-The query is sent while the store does not answer the leader. Once all peers have replied, the
+The query is sent while the store does not answer the leader. Once all peers have responded, the
 leader may go on renewing the workers' leases: tasks survive a store outage, and tasks of a job
 whose cancellation a peer has confirmed still end in time.
 """
@@ -25,18 +25,20 @@
 STORE_READ_AGE_MAX_S = 2.0  # then peers are queried; the health check reads each second
 
 
-def cancellation_reply(job_index: JobIndex, watch_cache: WatchCache, query: str) -> dict[str, Any]:
-    """Return the reply to a leader that has applied all changes up to the query's revision.
+def cancellations_response(
+    job_index: JobIndex, watch_cache: WatchCache, query: str
+) -> dict[str, Any]:
+    """Return the response to a leader that has applied all changes up to the query's revision.
 
     Raises `MalformedError` if the query has no valid revision.
     """
     since_revision = parse_since_revision(query)
-    reply = CancellationsResponse(
+    response = CancellationsResponse(
         known_term_number(watch_cache),
         watch_cache.synced_at > float("-inf"),
         job_index.cancellations.after(since_revision),
     )
-    return to_json_object(reply)
+    return to_json_object(response)
 
 
 class CancellationQuery:
@@ -71,23 +73,23 @@
                 await self._query_peers()
 
     async def _query_peers(self) -> None:
-        """Query every peer once; step down if one knows a later term, else apply the replies."""
+        """Query every peer once; step down if one knows a later term, else apply the responses."""
         queried_at = self._clock()
         query = cancellations_query(self._watch_cache.store_revision)
-        replies = await query_peers(self._http_client, self._peers, query)
-        for reply in replies:
-            if reply is not None and reply.term > self._term.number:
-                self._step_down(f"a peer knows of term {reply.term}")
+        responses = await query_peers(self._http_client, self._peers, query)
+        for response in responses:
+            if response is not None and response.term > self._term.number:
+                self._step_down(f"a peer knows of term {response.term}")
                 return
-        for reply in replies:
-            for cancellation in (reply and reply.cancelled) or ():
+        for response in responses:
+            for cancellation in (response and response.cancelled) or ():
                 self._job_index.apply_cancellation(cancellation)
         # After the loop above: a lease may be renewed only once the cancellations are applied.
         self._renewal_deadline.record_peer_acknowledgements(
-            queried_at, [_acknowledges(reply) for reply in replies]
+            queried_at, [_acknowledges(response) for response in responses]
         )
 
 
-def _acknowledges(reply: CancellationsResponse | None) -> bool:
-    """Whether the peer replied with every cancellation that it can have confirmed."""
-    return reply is not None and reply.has_read_store and reply.cancelled is not None
+def _acknowledges(response: CancellationsResponse | None) -> bool:
+    """Whether the peer responded with every cancellation that it can have confirmed."""
+    return response is not None and response.has_read_store and response.cancelled is not None
--- a/spoolcourse/control/jobs/job_index.py
+++ b/spoolcourse/control/jobs/job_index.py
@@ -71,7 +71,7 @@
                 del self._task_counts[job]
 
     def apply_cancellation(self, cancellation: Cancellation) -> None:
-        """Apply a cancellation from a peer's reply, if this controller does not know it yet."""
+        """Apply a cancellation from a peer's response, if this controller does not know it yet."""
         record = self.live.get(cancellation.job)
         if record is not None and not record.cancelled:
             cancelled = replace(record, cancelled_at=cancellation.at)
--- a/spoolcourse/control/leadership/feature_level.py
+++ b/spoolcourse/control/leadership/feature_level.py
@@ -27,8 +27,8 @@
 QUERY_PERIOD_S = 1.0
 
 
-def level_reply() -> dict[str, int]:
-    """Return this version's reply to the level query."""
+def level_response() -> dict[str, int]:
+    """Return this version's response to the level query."""
     return feature_level_value(SERVICES_LEVEL)
 
 
@@ -58,8 +58,10 @@
     async def run(self) -> None:
         """Query the peers until all of them have this version's level, then record it."""
         while not all_controllers_support_services(self._watch_cache):
-            replies = await query_peers(self._http_client, self._peers, LEVEL_QUERY)
-            if all(reply is not None and reply.level >= SERVICES_LEVEL for reply in replies):
+            responses = await query_peers(self._http_client, self._peers, LEVEL_QUERY)
+            if all(
+                response is not None and response.level >= SERVICES_LEVEL for response in responses
+            ):
                 await self._record_level()
             await asyncio.sleep(QUERY_PERIOD_S)
 
--- a/spoolcourse/control/leadership/peers.py
+++ b/spoolcourse/control/leadership/peers.py
@@ -20,17 +20,17 @@
 
 log = logging.getLogger(__name__)
 
-Reply = TypeVar("Reply")
-Reply_co = TypeVar("Reply_co", covariant=True)
+ResponseT = TypeVar("ResponseT")
+ResponseT_co = TypeVar("ResponseT_co", covariant=True)
 QUERY_TIMEOUT_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class PeerQuery(Generic[Reply_co]):
-    """The path of a query, and the type of its reply."""
+class PeerQuery(Generic[ResponseT_co]):
+    """The path of a query, and the type of its response."""
 
     path: str
-    reply_type: type[Reply_co]
+    response_type: type[ResponseT_co]
 
 
 LEVEL_QUERY = PeerQuery(paths.FEATURE_LEVEL, FeatureLevelResponse)
@@ -43,21 +43,23 @@
 
 
 async def query_peers(
-    http_client: HttpClient, peers: list[Peer], query: PeerQuery[Reply]
-) -> list[Reply | None]:
-    """Query all peers concurrently; return their replies in the order of the peers.
+    http_client: HttpClient, peers: list[Peer], query: PeerQuery[ResponseT]
+) -> list[ResponseT | None]:
+    """Query all peers concurrently; return their responses in the order of the peers.
 
-    The reply is None if a peer does not answer in time or its version does not know the query.
+    The response is None if a peer does not answer in time or its version does not know the query.
     """
     return await asyncio.gather(*(_query_peer(http_client, peer, query) for peer in peers))
 
 
-async def _query_peer(http_client: HttpClient, peer: Peer, query: PeerQuery[Reply]) -> Reply | None:
+async def _query_peer(
+    http_client: HttpClient, peer: Peer, query: PeerQuery[ResponseT]
+) -> ResponseT | None:
     try:
         response = await http_client.call(
             peer.endpoint, "GET", query.path, timeout_s=QUERY_TIMEOUT_S
         )
-        return parse(response.data, query.reply_type) if response.status == 200 else None
+        return parse(response.data, query.response_type) if response.status == 200 else None
     except (NoResponseError, MalformedError) as exc:
         log.debug("query failed, controller=%s path=%s: %s", peer.label, query.path, exc)
         return None
--- a/spoolcourse/control/leadership/renewal_deadline.py
+++ b/spoolcourse/control/leadership/renewal_deadline.py
@@ -36,10 +36,10 @@
         self.caught_up_at = max(self.caught_up_at, sent_at)
 
     def record_peer_acknowledgements(self, queried_at: float, acknowledged: Iterable[bool]) -> bool:
-        """Record that all other controllers were queried and their replies applied.
+        """Record that all other controllers were queried and their responses applied.
 
         The first of them was queried at `queried_at`. `acknowledged` holds for each controller
-        whether it replied with all cancellations it knows and has read the key-value store since it
+        whether it returned all cancellations it knows and has read the key-value store since it
         started. Returns whether all of them did; only then is the leader caught up.
 
         Every cancellation was confirmed by one of them or by this controller. A controller
--- a/spoolcourse/control/peer_api.py
+++ b/spoolcourse/control/peer_api.py
@@ -10,7 +10,7 @@
     transfer_leadership,
 )
 from spoolcourse.control.http_client import Request, Response, error_response
-from spoolcourse.control.jobs.cancellation_query import cancellation_reply
+from spoolcourse.control.jobs.cancellation_query import cancellations_response
 from spoolcourse.control.leadership import feature_level
 from spoolcourse.control.status import collect_status
 from spoolcourse.wire.commands import to_json_object
@@ -56,14 +56,16 @@
         try:
             return Response(
                 200,
-                cancellation_reply(context.job_index, context.watch_cache, _query_string(request)),
+                cancellations_response(
+                    context.job_index, context.watch_cache, _query_string(request)
+                ),
             )
         except MalformedError as exc:
             return error_response(400, str(exc))
 
     def get_feature_level(self, request: Request) -> Response:
         """The feature level of this version."""
-        return Response(200, feature_level.level_reply())
+        return Response(200, feature_level.level_response())
 
     def get_standby(self, request: Request) -> Response:
         """Whether this controller's warm standby is caught up."""
--- a/tests/recorded/forms/adapter.py
+++ b/tests/recorded/forms/adapter.py
@@ -288,7 +288,7 @@
     "level reply of this version": CodecCase(
         peers.FeatureLevelResponse(level=feature_level.SERVICES_LEVEL),
         lambda reply: (
-            feature_level.level_reply() if reply.level == feature_level.SERVICES_LEVEL else None
+            feature_level.level_response() if reply.level == feature_level.SERVICES_LEVEL else None
         ),
         lambda data: messages.parse(data, peers.FeatureLevelResponse),
     ),
