--- a/spoolcourse/control/store/client.py
+++ b/spoolcourse/control/store/client.py
@@ -127,7 +127,7 @@
             return None
         if response.status != 200:
             raise OutcomeUnknownError(f"get {key}", f"status {response.status}")
-        return wire.read_entry(key, response.data)
+        return wire.parse_entry(key, response.data)
 
     async def list_entries(self, prefix: str) -> EntryList:
         """Read all keys below a prefix, page by page."""
@@ -146,7 +146,7 @@
         response = await self._call("GET", wire.page_path(prefix, page_size, after_key))
         if response.status != 200:
             raise OutcomeUnknownError(f"list {prefix}", f"status {response.status}")
-        return wire.read_page(response.data)
+        return wire.parse_page(response.data)
 
     async def watch(
         self, prefix: str, since: int, block_s: float, *, urgent: bool = False
@@ -164,7 +164,7 @@
             raise OutcomeUnknownError(
                 f"watch {prefix} since revision {since}", f"status {response.status}"
             )
-        return wire.read_watch(response.data)
+        return wire.parse_watch(response.data)
 
     # -- writes ---------------------------------------------------------------------------
 
@@ -193,9 +193,9 @@
         body = wire.transaction_body(expected_revisions, operations)
         response = await self._call("POST", paths.TRANSACTION, body, urgent=urgent)
         if response.status == 200:
-            return wire.read_success(response.data)
+            return wire.parse_success(response.data)
         if response.status == 409:
-            return wire.read_conflict(response.data)
+            return wire.parse_conflict(response.data)
         raise self._transaction_error(request, operations, response)
 
     def _transaction_error(
@@ -222,7 +222,7 @@
         response = await self._call("POST", paths.LEASES, wire.grant_body(ttl_s), urgent=True)
         if response.status != 200:
             raise RequestRefusedError(f"grant of a lease of {ttl_s} s", f"status {response.status}")
-        return wire.read_lease(response.data)
+        return wire.parse_lease(response.data)
 
     async def renew_lease(self, lease: int) -> None:
         """Renew a lease; raises `LeaseExpiredError` if it has expired."""
--- a/spoolcourse/wire/key_value_store.py
+++ b/spoolcourse/wire/key_value_store.py
@@ -138,18 +138,18 @@
     return body
 
 
-def read_entry(key: str, data: dict[str, Any]) -> Entry:
+def parse_entry(key: str, data: dict[str, Any]) -> Entry:
     """The entry in the response to a read of one key."""
     return Entry(key, data["v"], data["stamp"])
 
 
-def read_page(data: dict[str, Any]) -> Page:
+def parse_page(data: dict[str, Any]) -> Page:
     """The page in the response to a read of a prefix."""
     entries = [Entry(pair["k"], pair["v"], pair["stamp"]) for pair in data["pairs"]]
     return Page(entries, bool(data["hasNext"] and entries), data["ledger"])
 
 
-def read_watch(data: dict[str, Any]) -> WatchResult:
+def parse_watch(data: dict[str, Any]) -> WatchResult:
     """The changes in the response to a watch."""
     changes = [
         Change(entry["set"], entry["v"], entry["stamp"])
@@ -160,16 +160,16 @@
     return WatchResult(data["ledger"], changes)
 
 
-def read_lease(data: dict[str, Any]) -> int:
+def parse_lease(data: dict[str, Any]) -> int:
     """The lease in the response to a request for one."""
     return int(data["hold"])
 
 
-def read_success(data: dict[str, Any]) -> CompareAndSwapResult:
+def parse_success(data: dict[str, Any]) -> CompareAndSwapResult:
     """The result of a transaction that was committed (200)."""
     return CompareAndSwapResult(True, data["ledger"])
 
 
-def read_conflict(data: dict[str, Any]) -> CompareAndSwapResult:
+def parse_conflict(data: dict[str, Any]) -> CompareAndSwapResult:
     """The result of a transaction that was rejected because of conflicting keys (409)."""
     return CompareAndSwapResult(False, data["ledger"], tuple(data["failed"]))
--- a/tests/recorded/forms/adapter.py
+++ b/tests/recorded/forms/adapter.py
@@ -434,13 +434,13 @@
 def readings() -> dict[str, Any]:
     """What the product parses from recorded responses and values, as plain data."""
     data = {name: orjson.loads(text) for name, text in STORE_RESPONSES.items()}
-    watch_result = key_value_store.read_watch(data["changes"])
+    watch_result = key_value_store.parse_watch(data["changes"])
     outcomes = (
-        key_value_store.read_success(data["carried out"]),
-        key_value_store.read_conflict(data["conditions failed"]),
+        key_value_store.parse_success(data["carried out"]),
+        key_value_store.parse_conflict(data["conditions failed"]),
     )
-    pages = [key_value_store.read_page(data[name]) for name in ("page", "page, empty")]
-    entry = key_value_store.read_entry("a", data["entry"])
+    pages = [key_value_store.parse_page(data[name]) for name in ("page", "page, empty")]
+    entry = key_value_store.parse_entry("a", data["entry"])
     progress = {"done": "6f0", "held": {"0": ["m", 1], "2": ["m", 2]}}
     return {
         "messages without their optional fields": [
@@ -456,7 +456,7 @@
             watch_result.store_revision,
             [[c.key, c.value, c.revision] for c in watch_result.changes],
         ],
-        "store lease": key_value_store.read_lease(data["lease"]),
+        "store lease": key_value_store.parse_lease(data["lease"]),
         "store outcomes": [
             [o.succeeded, o.store_revision, list(o.conflicting_keys)] for o in outcomes
         ],
