--- a/spoolcourse/control/autoscaling/planner.py
+++ b/spoolcourse/control/autoscaling/planner.py
@@ -89,20 +89,20 @@
             freed = sum(task.cpus for task in machine.tasks if task.expected_end <= now + boot_s)
             self._cpus[key] = self._cpus.get(key, 0.0) + freed
 
-    def book(self, job: PlacementJob, allowance: _ZoneAllowance, task_count: int) -> int:
-        """Book CPUs for up to `task_count` tasks of the job; return how many tasks fit."""
-        booked = 0
+    def allocate(self, job: PlacementJob, allowance: _ZoneAllowance, task_count: int) -> int:
+        """Allocate CPUs for up to `task_count` tasks of the job; return how many tasks fit."""
+        allocated = 0
         for key, cpus in self._cpus.items():
             machine_type, zone, spot, total_cpus = key
             if total_cpus + EPSILON < job.cpus or not job.runs_on(machine_type, spot):
                 continue
             fitting_tasks = math.floor(cpus / job.cpus)
-            count = min(task_count - booked, fitting_tasks, allowance.tasks_left(zone))
+            count = min(task_count - allocated, fitting_tasks, allowance.tasks_left(zone))
             if count > 0:
                 self._cpus[key] -= count * job.cpus
                 allowance.plan(zone, count)
-                booked += count
-        return booked
+                allocated += count
+        return allocated
 
 
 def plan_provisioning(
@@ -130,7 +130,7 @@
         # no more of its tasks may run.
         allowance = _ZoneAllowance(job)
         if job.cpus > 0:
-            unplaced -= freed_soon.book(job, allowance, unplaced)
+            unplaced -= freed_soon.allocate(job, allowance, unplaced)
         unplaced = _pack(job, allowance, unplaced, booting)
         while unplaced > 0 and max_machines > 0:
             offer = _cheapest_offer(job, allowance, unplaced, offers, now)
