--- a/tests/failover/test_leadership_transfer.py
+++ b/tests/failover/test_leadership_transfer.py
@@ -24,12 +24,12 @@
     reply = await request_transfer(world, follower)
     assert reply.status == 421
     assert reply.data == {"error": f"{former} leads"}
-    began = world.now()
+    requested_at = world.now()
     reply = await request_transfer(world, former)
     assert reply.status == 200
     assert set(reply.data["successors"]) == set(other_labels(former))
     await wait_for_failover(world, former)
-    assert world.now() - began < 1.5, "nobody waits for the lease to run out"
+    assert world.now() - requested_at < 1.5, "the transfer waited for the lease to expire"
     await world.wait_until_done(1)
     assert world.cloud.violations == []
 
--- a/tests/failover/test_standby_failover.py
+++ b/tests/failover/test_standby_failover.py
@@ -34,9 +34,11 @@
     former = await start_with_running_job(world)
     world.kill(former)
     successor = await wait_for_failover(world, former)
-    follower = next(n for n in world.controllers if n != successor)
+    follower = next(label for label in world.controllers if label != successor)
     await world.until(lambda: world.controllers[follower].leadership.leader_label == successor, 5)
-    assert world.controllers[follower].leadership.leaderless_since is None, "another has filled it"
+    assert world.controllers[follower].leadership.leaderless_since is None, (
+        "still leaderless, although another controller leads"
+    )
     proof = world.active(successor).proof
     assert proof.source is ProofSource.SHADOW
     assert proof.applied_revision >= proof.claim_revision
@@ -44,11 +46,14 @@
     states = [standby.status.state]
     world.controllers[successor].leadership.step_down("test")
     states.append(standby.status.state)
-    assert states == [ShadowState.LEADING, ShadowState.USABLE], "it is a standby again"
+    assert states == [ShadowState.LEADING, ShadowState.USABLE], (
+        "the controller is not a usable standby after it stepped down"
+    )
     await finish_each_task_once(world, 1)
 
 
-RESUMED_AT: dict[str, tuple[str, RequestMatcher]] = {
+# When the paused leader resumes: after the given host has executed the matching request.
+RESUME_TRIGGERS: dict[str, tuple[str, RequestMatcher]] = {
     "before the claim": ("state:1", lambda method, path, body: path == "/holds"),
     "at the claim": ("state:1", sets_key_below(TERM_KEY)),
     "before the first write": (
@@ -63,28 +68,32 @@
 }
 
 
-@pytest.mark.parametrize("when", RESUMED_AT)
-async def test_late_writes_of_a_paused_leader_that_resumes_during_a_failover_do_no_harm(
-    when: str,
+@pytest.mark.parametrize("moment", RESUME_TRIGGERS)
+async def test_late_writes_of_a_leader_that_resumes_during_a_failover_start_no_task_twice(
+    moment: str,
 ) -> None:
-    # Its writes, commands and cloud calls arrive late, and it goes on for a moment as a leader.
+    # Its writes, commands and cloud calls arrive late, and it acts as leader for a moment.
     world = World(standby=STANDBY_ON)
     former = await start_with_running_job(world, tasks=6)
     paused = PausedController(world, former)
     await world.submit(job(2, pieces=6, vcpus=1.0), other_labels(former)[0])
-    await asyncio.sleep(0.3)  # it decides and writes: that is held
-    host, request = RESUMED_AT[when]
+    await asyncio.sleep(0.3)  # the paused leader places tasks; its writes are held
+    host, request = RESUME_TRIGGERS[moment]
     run_after_request(world, host, request, paused.resume)
-    stored, taken_over = record_placements_at_claim(world), record_placements_of_failover(world)
+    stored, adopted = record_placements_at_claim(world), record_placements_of_failover(world)
     await wait_for_failover(world, former)
     assert stored
-    assert stored == taken_over
+    assert stored == adopted
     await world.until(lambda: paused.is_resumed, 30)
     statuses = {reply.status for reply in paused.late_placements}
-    if when == "before the claim":
-        assert 200 in statuses, "carried out, and seen"
+    if moment == "before the claim":
+        assert 200 in statuses, (
+            "every late placement was refused, although it came before the claim"
+        )
     else:
-        assert statuses == {409}, "refused, whatever else has not changed"
+        assert statuses == {409}, (
+            "a late placement was not refused, although at least the term had changed"
+        )
     await finish_each_task_once(world, 1, 2)
 
 
@@ -92,7 +101,7 @@
 async def test_a_standby_behind_a_burst_of_changes_decides_only_after_it_has_caught_up(
     watch: str,
 ) -> None:
-    # Placements that it has not seen run already: to decide without them starts tasks twice.
+    # The tasks of the unseen placements already run: deciding without them starts tasks twice.
     world = World(standby=STANDBY_ON)
     world.cloud.run_s = lambda task: 15.0
     await world.start_with_machine()
@@ -108,10 +117,10 @@
         world.store.compact()
     world.kill(former)
     world.network.stalled.clear()
-    stored, taken_over = record_placements_at_claim(world), record_placements_of_failover(world)
+    stored, adopted = record_placements_at_claim(world), record_placements_of_failover(world)
     successor = await wait_for_failover(world, former, 30)
     assert len(stored) == 8
-    assert stored == taken_over
+    assert stored == adopted
     proof = world.active(successor).proof
     assert proof.applied_revision >= proof.claim_revision > 1000
     await finish_each_task_once(world, 1)
@@ -126,8 +135,8 @@
     claimed: list[str] = []
 
     async def kill_claimant() -> None:
-        run = world.store.value(TERM_KEY)["run"]
-        label = next(n for n, c in world.controllers.items() if c.leadership.run_id == run)
+        run_id = world.store.value(TERM_KEY)["run"]
+        label = next(n for n, c in world.controllers.items() if c.leadership.run_id == run_id)
         claimed.append(label)
         world.kill(label)
 
@@ -141,38 +150,42 @@
     await finish_each_task_once(world, 1)
 
 
-@pytest.mark.parametrize("claim", ["lose", "hold", "outage"])
-async def test_a_claim_whose_outcome_is_unknown_starts_no_task_twice(claim: str) -> None:
-    # Carried out and the answer lost, carried out late, or an outage right after it.
+@pytest.mark.parametrize("fault", ["lose", "hold", "outage"])
+async def test_a_claim_whose_outcome_is_unknown_starts_no_task_twice(fault: str) -> None:
+    # It is stored and the answer lost, it is stored late, or an outage begins right after it.
     world = World(standby=STANDBY_ON)
     former = await start_with_running_job(world)
-    verdicts = [claim] if claim != "outage" else []
+    verdicts = [fault] if fault != "outage" else []
 
-    def unclear(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
+    def disturb_claim(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
         is_claim = sets_key_below(TERM_KEY)(method, path, body or {})
         return verdicts.pop() if verdicts and is_claim else None
 
-    async def go_out() -> None:
+    async def begin_outage() -> None:
         world.store.in_outage = True
 
-    if claim == "outage":
-        run_after_request(world, "state:1", sets_key_below(TERM_KEY), go_out)
-    world.network.filters.append(unclear)
+    if fault == "outage":
+        run_after_request(world, "state:1", sets_key_below(TERM_KEY), begin_outage)
+    world.network.filters.append(disturb_claim)
     world.kill(former)
-    if claim == "outage":
+    if fault == "outage":
         await world.until(lambda: world.store.in_outage, 20)
         await asyncio.sleep(2)
-        assert not any(is_active(world, n) for n in world.controllers), "nothing is proven yet"
+        assert not any(is_active(world, n) for n in world.controllers), (
+            "a controller leads before its claim is proven"
+        )
         world.store.end_outage()
     successor = await wait_for_failover(world, former, 30)
-    if claim == "lose":
-        assert world.active(successor).proof.fencing_token == 2, "it reads that it was elected"
+    if fault == "lose":
+        assert world.active(successor).proof.fencing_token == 2, (
+            "the successor claimed again instead of reading that it leads"
+        )
     await asyncio.sleep(3)
     await world.network.release()
     await finish_each_task_once(world, 1)
 
 
-async def test_jobs_cancelled_before_and_after_a_failover_end_in_time() -> None:
+async def test_jobs_cancelled_before_and_after_a_failover_stop_in_time() -> None:
     world = World(standby=STANDBY_ON)
     world.cloud.run_s = lambda task: 500.0
     await world.start_with_machine()
@@ -193,15 +206,15 @@
     assert world.starts_after_cancellation == []
 
 
-async def test_results_and_starts_that_two_leaders_did_not_write_are_not_repeated() -> None:
-    # Tasks that have ended without an acknowledgement, and starts that no heartbeat has shown.
+async def test_tasks_whose_results_or_starts_two_leaders_did_not_store_are_not_repeated() -> None:
+    # Tasks whose end was not acknowledged, and starts that no heartbeat has reported.
     world = World(standby=STANDBY_ON)
     world.cloud.run_s = lambda task: 3.0
     await world.start_with_machine()
     former = str(world.leader)
     await world.submit(job(1, pieces=8, vcpus=1.0))
     await world.until(lambda: len(world.cloud.starts) >= 4)
-    world.network.filters.append(  # heartbeats and results reach it no more, its starts go out
+    world.network.filters.append(  # it receives no heartbeats or results; its starts still go out
         lambda src, dst, method, path, body: (
             "cut" if dst == f"{former}:80" and path == "/v1/report" else None
         )
@@ -210,7 +223,7 @@
     await asyncio.sleep(0.5)
     world.kill(former)
     second = await wait_for_failover(world, former)
-    world.network.filters.append(  # it hears the results, and can't write them down
+    world.network.filters.append(  # it receives the results and can't store them
         lambda src, dst, method, path, body: "cut" if src == second and path == "/multi" else None
     )
     await asyncio.sleep(3)
@@ -232,7 +245,7 @@
         world.kill(former)
         successor = await wait_for_failover(world, former)
         await asyncio.sleep(12)
-        assert len(world.cloud.starts) == 2, "they run on"
+        assert len(world.cloud.starts) == 2, "a replica was started again"
         world.start(former)
         await asyncio.sleep(2)
         former = successor
@@ -250,7 +263,7 @@
     await finish_each_task_once(world, 1)
 
 
-def refuse_one_lease(world: World, label: str) -> None:
+def refuse_first_lease_request(world: World, label: str) -> None:
     refused: list[str] = []
 
     def refuse(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
@@ -263,18 +276,19 @@
 
 
 async def test_a_stale_follower_defers_its_candidacy_and_leads_if_all_are_stale() -> None:
-    for behind in (1, 2):
+    for stale_count in (1, 2):
         world = World(standby=STANDBY_ON)
         former = await start_with_running_job(world)
         first, second = other_labels(former)
-        for label in (first, second)[:behind]:
+        for label in (first, second)[:stale_count]:
             standby_of(world, label)._mark_stale("test")
-        refuse_one_lease(world, second)  # it is slower, which a bounded wait makes up for
+        # It loses time by this, but less than the bounded wait of a stale follower.
+        refuse_first_lease_request(world, second)
         world.kill(former)
         successor = await wait_for_failover(world, former)
-        assert successor == second or behind == 2
+        assert successor == second or stale_count == 2
         source = world.active(successor).proof.source
-        assert source is (ProofSource.SHADOW if behind == 1 else ProofSource.RECORDS)
+        assert source is (ProofSource.SHADOW if stale_count == 1 else ProofSource.RECORDS)
         await finish_each_task_once(world, 1)
 
 
@@ -299,12 +313,12 @@
     world = World(standby=STANDBY_ON)
     former = await start_with_running_job(world)
     follower = other_labels(former)[0]
-    node, standby = world.controllers[follower], standby_of(world, follower)
+    controller, standby = world.controllers[follower], standby_of(world, follower)
     assert standby.shadow is not None
     shadow, rebuilds = standby.shadow, standby.status.rebuilds
-    earlier = Term(0, node.watch_cache.revision(TERM_KEY) - 1, 0)
+    superseded_term = Term(0, controller.watch_cache.revision(TERM_KEY) - 1, 0)
     with pytest.raises(TermSupersededError):
-        await node._failover.run(earlier)
+        await controller._failover.run(superseded_term)
     assert standby.shadow is shadow
     assert standby.status.state is ShadowState.USABLE
     assert (standby.status.rebuilds, standby.status.mismatches) == (rebuilds, 0)
--- a/tests/failover/test_standby_hints.py
+++ b/tests/failover/test_standby_hints.py
@@ -1,4 +1,4 @@
-"""Hints of a leader's workers: pages, the follower's cache, and their use by a new leader."""
+"""Hints about a leader's workers: pages, the follower's cache, and their use by a new leader."""
 
 from __future__ import annotations
 
@@ -30,9 +30,9 @@
 
 
 def accept(
-    hint_cache: HintCache, page: HintPage, asked: str = "n0", after: str = "", most: int = 2
+    hint_cache: HintCache, page: HintPage, leader: str = "n0", after: str = "", limit: int = 2
 ) -> None:
-    hint_cache.accept_page(page, asked, HintQuery(after, most), known_term=7)
+    hint_cache.accept_page(page, leader, HintQuery(after, limit), known_term=7)
 
 
 @pytest.mark.parametrize(
@@ -50,7 +50,7 @@
         (replace(PAGE, hints=[], has_next=True), HintRejection.MALFORMED),
     ],
 )
-def test_a_page_that_can_not_be_the_answer_is_rejected_and_changes_nothing(
+def test_an_invalid_page_is_rejected_and_leaves_the_cache_unchanged(
     page: HintPage, rejection: HintRejection
 ) -> None:
     hint_cache = HintCache()
@@ -79,10 +79,12 @@
 
 def test_a_page_replaces_all_hints_of_the_names_that_it_covers() -> None:
     hint_cache = HintCache()
-    first = replace(PAGE, has_next=True)
-    accept(hint_cache, first)
+    first_page = replace(PAGE, has_next=True)
+    accept(hint_cache, first_page)
     accept(hint_cache, replace(PAGE, hints=[Hint("m-5", "m-5:9", 1)]), after="m-2")
-    accept(hint_cache, replace(first, hints=[Hint("m-2", "m-2:9", 1), Hint("m-3", "m-3:9", 1)]))
+    accept(
+        hint_cache, replace(first_page, hints=[Hint("m-2", "m-2:9", 1), Hint("m-3", "m-3:9", 1)])
+    )
     assert sorted(hint.machine for hint in hint_cache.for_term(7)) == ["m-2", "m-3", "m-5"]
 
 
@@ -117,7 +119,7 @@
     world = World(standby=STANDBY_ON)
     former = await start_with_running_job(world)
     await asyncio.sleep(3)
-    world.network.filters.append(  # neither the list nor their own heartbeats tell of them
+    world.network.filters.append(  # neither the cloud's list nor heartbeats reach the new leader
         lambda src, dst, method, path, body: (
             "cut" if path.startswith("/hosts") or path == "/v1/report" else None
         )
@@ -130,7 +132,7 @@
     assert world.cloud.violations == []
 
 
-async def test_a_hint_of_a_deleted_machine_makes_no_machine_known() -> None:
+async def test_a_hint_of_a_deleted_machine_does_not_register_it() -> None:
     world = World(standby=STANDBY_ON)
     former = await start_with_running_job(world, tasks=4)
     idle = world.cloud.add_machine()
@@ -144,20 +146,20 @@
     assert idle not in world.active(successor).registry.machines
 
 
-async def test_a_failover_succeeds_if_peers_of_an_older_version_know_no_hints() -> None:
+async def test_a_failover_succeeds_if_peers_of_an_older_version_serve_no_hints() -> None:
     world = World(standby=STANDBY_ON)
     requested_by: list[str] = []
 
-    def know_no_hints(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
+    def refuse_hints(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
         if path.startswith("/hints"):
             requested_by.append(src)
             return "404"
         return None
 
-    world.network.filters.append(know_no_hints)
+    world.network.filters.append(refuse_hints)
     former = await start_with_running_job(world)
     await asyncio.sleep(10)
-    assert 1 <= len(requested_by) <= 4, "asked again after a long while only"
+    assert 1 <= len(requested_by) <= 4, "hints were not requested, or were requested again too soon"
     world.kill(former)
     await wait_for_failover(world, former)
     await world.wait_until_done(1)
--- a/tests/failover/test_standby_properties.py
+++ b/tests/failover/test_standby_properties.py
@@ -1,7 +1,8 @@
 """However changes arrive, a shadow equals a restore from the records.
 
 The key-value store is a model. The watch delivers its changes in parts, twice, out of order or not
-at all, and pages are read while it changes.
+at all, and pages are read while keys change. The source of the state machine, without its comments,
+is part of the seed of Hypothesis: an edit there changes the examples.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 from tests.fakes.world import job
 
 CHUNK = 16
-# Few jobs and tasks, so that changes meet; they lie in three chunks.
+# Few jobs and tasks, so that changes often concern the same ones; the tasks lie in three chunks.
 JOBS = st.integers(1, 5)
 TASKS = st.sampled_from([0, 1, 16, 33])
 TASK_COUNTS = st.sampled_from([2, 18, 34])
@@ -58,7 +59,7 @@
         self.standby = WarmStandby(self.context, StandbySettings(enabled=True))
         self.list_entries(lambda: None)
 
-    # -- what is written ------------------------------------------------------------------
+    # -- writes to the key-value store ----------------------------------------------------
 
     def write(self, *changes: tuple[str, Any]) -> None:
         self.revision += 1
@@ -82,7 +83,7 @@
 
     @rule(number=JOBS, tasks=TASK_COUNTS)
     def accept(self, number: int, tasks: int) -> None:
-        if number not in self.accepted:  # ids never come back
+        if number not in self.accepted:  # ids are never reused
             self.accepted.add(number)
             submission = parse(job(number, pieces=tasks), Submission)
             record = JobRecord(submission, float(number), CHUNK, None, 0)
@@ -189,7 +190,7 @@
         self.cache._advance(first, [])
         self.cache._mark_loaded()
 
-    # -- what must hold -------------------------------------------------------------------
+    # -- invariants -----------------------------------------------------------------------
 
     @invariant()
     def the_shadow_equals_a_restore(self) -> None:
@@ -224,8 +225,8 @@
 TestShadow = ShadowMachine.TestCase
 
 
-def test_progress_left_over_from_a_finished_job_is_listed() -> None:
-    # The state machine above reaches this too rarely.
+def test_leftover_progress_of_a_finished_job_is_listed() -> None:
+    # The state machine above rarely reaches this state.
     machine = ShadowMachine()
     machine.accept(1, 34)
     machine.place(1, 0, "m-1")
@@ -238,8 +239,8 @@
     machine.the_shadow_equals_a_restore()
 
 
-def test_a_shadow_that_sees_a_result_vanish_is_stale() -> None:
-    # The state machine must not do this: no controller does, so the shadow may not go on from it.
+def test_a_shadow_becomes_stale_if_a_result_is_deleted() -> None:
+    # No controller does this, so the state machine must not. The shadow is unusable afterwards.
     machine = ShadowMachine()
     machine.accept(1, 18)
     machine.end(1, 16, True)
@@ -247,7 +248,8 @@
     key, _ = machine.progress(1, 16)
     machine.write((key, None))
     machine.end(1, 16, False)
-    machine.cache.apply(key, *machine.keys[key])  # as its own write, ahead of the deletion
+    # The follower's own write is applied before the watch delivers the deletion.
+    machine.cache.apply(key, *machine.keys[key])
     assert machine.standby.shadow is None
     assert machine.standby.status.state is ShadowState.STALE
     assert "has lost results" in machine.standby.status.stale_reason
--- a/tests/failover/test_standby_status.py
+++ b/tests/failover/test_standby_status.py
@@ -15,13 +15,13 @@
 
 async def test_with_the_standby_off_its_paths_and_status_do_not_exist() -> None:
     world = World(standby=StandbySettings())
-    former = await start_with_running_job(world)
+    leader = await start_with_running_job(world)
     for path in ("/hints?after=&most=1", "/standby"):
-        assert (await world.network.call("u", f"{former}:81", "GET", path, None, 1)).status == 404
+        assert (await world.network.call("u", f"{leader}:81", "GET", path, None, 1)).status == 404
     assert (
-        await world.network.call("user", f"{former}:81", "POST", "/handover", None, 5.0)
+        await world.network.call("user", f"{leader}:81", "POST", "/handover", None, 5.0)
     ).status == 409
-    status = await world.network.call("u", f"{former}:81", "GET", "/status", None, 1)
+    status = await world.network.call("u", f"{leader}:81", "GET", "/status", None, 1)
     assert "standby" not in status.data
     assert "storeWrites" in status.data
 
@@ -43,14 +43,14 @@
     assert status.data["standby"]["caughtUp"]
     assert status.data["standby"]["jobs"] == 2
     jobs = world.active(successor).job_queue.jobs.values()
-    held = sum(len(job_state.attempts) for job_state in jobs)
-    assert held
-    assert status.data["standby"]["teamCpus"] == {"red": float(held)}
-    text = await world.network.call("u", f"{follower}:81", "GET", "/metrics", None, 1)
-    assert b"spoolcourse_standby_caught_up 1.0" in text.data
-    out = StringIO()
-    FailoverTracer(successor, world.now, world.now, out).write(timeline)
-    spans = [orjson.loads(line) for line in out.getvalue().splitlines()]
+    attempt_count = sum(len(job_state.attempts) for job_state in jobs)
+    assert attempt_count
+    assert status.data["standby"]["teamCpus"] == {"red": float(attempt_count)}
+    metrics = await world.network.call("u", f"{follower}:81", "GET", "/metrics", None, 1)
+    assert b"spoolcourse_standby_caught_up 1.0" in metrics.data
+    trace_output = StringIO()
+    FailoverTracer(successor, world.now, world.now, trace_output).write(timeline)
+    spans = [orjson.loads(line) for line in trace_output.getvalue().splitlines()]
     assert {span["name"] for span in spans} == {"take-over"} | {
         phase.value for phase in FailoverPhase if phase is not FailoverPhase.VACANT
     }
--- a/tests/recorded/forms/interfaces.py
+++ b/tests/recorded/forms/interfaces.py
@@ -1,4 +1,7 @@
-"""What operators and users see, played on the fake clock with the standby off and on."""
+"""Scenarios that record what operators and users see, with the standby off and on.
+
+They run in simulated time.
+"""
 
 from __future__ import annotations
 
@@ -30,15 +33,15 @@
 from tests.fakes.world import LABELS, World, job
 from tests.recorded.forms.adapter import SETTINGS
 
-# The same as `tests.fakes.world.STANDBY` without and with WARM_STANDBY; both are always played.
+# The same as `tests.fakes.world.STANDBY` without and with WARM_STANDBY; both are always run.
 VARIANTS = {"standby off": STANDBY_OFF, "standby on": StandbySettings(enabled=True, verify=True)}
 
 
 def normalised(text: str) -> str:
-    """The one place where what differs from run to run is taken out of an answer.
+    """Replace what differs from run to run in an answer; no other function does so.
 
-    Revisions of the store, times of day, ages, the length of such bodies, and which of the three
-    controllers leads.
+    These are revisions of the store, times of day, ages, the length of such bodies, and which of
+    the three controllers leads.
     """
     text = re.sub(r'"(revision|stamp|at)":[0-9.]+', r'"\1":"N"', text)
     text = re.sub(r"for [0-9.]+ s\b", "for N s", text)
@@ -47,55 +50,55 @@
 
 
 def shape(value: Any) -> Any:
-    """Keys with the types of their values, in order; a list by what its items have in common."""
+    """Keys in order with the types of their values; a list has the merged shape of its items."""
     if isinstance(value, dict):
-        # A worker may be heard before or after the first pass: the order of phases is open.
+        # A heartbeat may arrive before or after the first pass: the order of phases varies.
         order = sorted if "first_pass" in value else list
         return {key: shape(value[key]) for key in order(value)}
     if isinstance(value, list):
-        found: Any = "nothing"
+        item_shape: Any = "nothing"
         for item in value:
-            found = merged(found, shape(item))
-        return [found]
+            item_shape = merged_shape(item_shape, shape(item))
+        return [item_shape]
     return type(value).__name__
 
 
-def merged(one: Any, other: Any) -> Any:
+def merged_shape(one: Any, other: Any) -> Any:
     if one in ("nothing", other):
         return other
     if other == "nothing":
         return one
     if isinstance(one, dict) and isinstance(other, dict):
         keys = sorted({*one, *other})
-        return {k: merged(one.get(k, "nothing"), other.get(k, "nothing")) for k in keys}
+        return {k: merged_shape(one.get(k, "nothing"), other.get(k, "nothing")) for k in keys}
     if isinstance(one, list) and isinstance(other, list):
-        return [merged(one[0], other[0])]
-    words = {word for part in (one, other) for word in str(part).split(" or ")}
-    return " or ".join(sorted(words))
+        return [merged_shape(one[0], other[0])]
+    types = {name for part in (one, other) for name in str(part).split(" or ")}
+    return " or ".join(sorted(types))
 
 
-def _played(story: Callable[[], Any]) -> Any:
+def _run_scenario(scenario: Callable[[], Any]) -> Any:
     state = random.getstate()
-    random.seed(7)  # pauses between tries are random
+    random.seed(7)  # delays between retries are random
     try:
-        return run_in_simulated_time(story())
+        return run_in_simulated_time(scenario())
     finally:
         random.setstate(state)
 
 
 def _world(variant: str) -> World:
-    # The shortest time between passes is by default worked out of real processor time.
+    # By default the minimum interval between passes is computed from real processor time.
     return World(policy={"pass_gap_s": 0.1}, standby=VARIANTS[variant])
 
 
-async def _asked(handler: Any, method: str, path: str, raw: bytes = b"") -> Response:
-    found = handler(Request(method, path, raw))
-    reply: Response = found if isinstance(found, Response) else await found
+async def _answer_of(handler: Any, method: str, path: str, raw: bytes = b"") -> Response:
+    pending = handler(Request(method, path, raw))
+    reply: Response = pending if isinstance(pending, Response) else await pending
     return reply
 
 
-async def _busy(variant: str) -> World:
-    """A leader by failover, with services, jobs that run, wait and are cancelled."""
+async def _start_busy_world(variant: str) -> World:
+    """A world after a failover, with a service and with running, waiting and cancelled jobs."""
     world = _world(variant)
     world.cloud.run_s = lambda task: 10_000.0
     world.cloud.capacity = 3
@@ -113,34 +116,36 @@
     return world
 
 
-def _roles(world: World) -> dict[str, str]:
+def _labels_by_role(world: World) -> dict[str, str]:
     leader = str(world.leader)
     return {"leader": leader, "follower": next(n for n in world.controllers if n != leader)}
 
 
-def _of_both_roles(read: Callable[[Response], Any], path: str) -> dict[str, Any]:
-    found: dict[str, Any] = {}
+def _read_in_both_roles(read: Callable[[Response], Any], path: str) -> dict[str, Any]:
+    by_role: dict[str, Any] = {}
     for variant in VARIANTS:
 
-        async def story(variant: str = variant) -> dict[str, Any]:
-            world = await _busy(variant)
+        async def scenario(variant: str = variant) -> dict[str, Any]:
+            world = await _start_busy_world(variant)
             return {
                 f"{role}, {variant}": read(
-                    await _asked(world.controllers[node].cluster_handler, "GET", path)
+                    await _answer_of(world.controllers[label].cluster_handler, "GET", path)
                 )
-                for role, node in _roles(world).items()
+                for role, label in _labels_by_role(world).items()
             }
 
-        found |= _played(story)
-    return found
+        by_role |= _run_scenario(scenario)
+    return by_role
 
 
 def status() -> dict[str, Any]:
     """Keys and types of `/status`."""
-    return _of_both_roles(lambda reply: shape(orjson.loads(orjson.dumps(reply.data))), "/status")
+    return _read_in_both_roles(
+        lambda reply: shape(orjson.loads(orjson.dumps(reply.data))), "/status"
+    )
 
 
-def _families(reply: Response) -> Any:
+def _metric_families(reply: Response) -> Any:
     return [
         [
             f"{family.type} {family.name}: {family.documentation}",
@@ -153,34 +158,34 @@
 
 
 def metrics() -> dict[str, Any]:
-    """Names, types, descriptions and labels in `/metrics`."""
-    return _of_both_roles(_families, "/metrics")
+    """Names, types, descriptions and labels of the metrics in `/metrics`."""
+    return _read_in_both_roles(_metric_families, "/metrics")
 
 
 # -- the command line and the policy -----------------------------------------------------
 
 
-def _value(kind: Any, text: str) -> str:
+def _converted(convert: Any, text: str) -> str:
     try:
-        return repr(text if kind is None else kind(text))
+        return repr(text if convert is None else convert(text))
     except (argparse.ArgumentTypeError, ValueError) as exc:
         return f"refused: {exc}"
 
 
-def _option(action: argparse.Action) -> dict[str, Any]:
+def _option_fields(action: argparse.Action) -> dict[str, Any]:
     return {
         "options": list(action.option_strings),
         "destination": action.dest,
         "metavar": action.metavar,
         "required": action.required,
         "default": action.default if action.default != argparse.SUPPRESS else None,
-        "values": [_value(action.type, text) for text in ("0", "1.5", "3600", "3601", "x")],
+        "values": [_converted(action.type, text) for text in ("0", "1.5", "3600", "3601", "x")],
         "arguments": action.nargs,
         "help": action.help,
     }
 
 
-def _ran(*arguments: str) -> dict[str, Any]:
+def _run_command(*arguments: str) -> dict[str, Any]:
     out, err = io.StringIO(), io.StringIO()
     with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
         try:
@@ -191,18 +196,18 @@
 
 
 def command_line() -> dict[str, Any]:
-    """Commands with their options, and what some calls print."""
+    """Commands with their options, and the output of some calls."""
     parser = cli._parser()
-    found: dict[str, Any] = {}
+    cases: dict[str, Any] = {}
     for action in parser._actions:
         if isinstance(action, argparse._SubParsersAction):
             for name, command in action.choices.items():
-                found[f"command {name}"] = [_option(option) for option in command._actions]
-            found["commands"] = [[a.dest, a.help] for a in action._choices_actions]
+                cases[f"command {name}"] = [_option_fields(option) for option in command._actions]
+            cases["commands"] = [[a.dest, a.help] for a in action._choices_actions]
         else:
-            found[f"option {action.dest}"] = _option(action)
-    found["program"] = [parser.prog, parser.description]
-    node = ("--node", "127.0.0.1:1")
+            cases[f"option {action.dest}"] = _option_fields(action)
+    cases["program"] = [parser.prog, parser.description]
+    node_option = ("--node", "127.0.0.1:1")
     with tempfile.TemporaryDirectory() as folder, contextlib.chdir(folder):
         Path("good.json").write_bytes(orjson.dumps(SETTINGS))
         Path("bad.json").write_text("{}")
@@ -215,27 +220,27 @@
             ("check", "--config", "good.json", "--policy", "none.toml"),
             ("check", "--config", "good.json", "--standby", "bad.toml"),
             ("serve", "--config", "bad.json"),
-            ("submit", "none.json", *node),
-            ("status", "job-1", *node),
-            ("cancel", "job-1", *node),
+            ("submit", "none.json", *node_option),
+            ("status", "job-1", *node_option),
+            ("cancel", "job-1", *node_option),
             ("view", "--node", "nowhere"),
         ):
-            found["call: " + " ".join(call)] = _ran(*call)
-    return found
+            cases["call: " + " ".join(call)] = _run_command(*call)
+    return cases
 
 
 def policy() -> dict[str, Any]:
-    """Keys with defaults and ranges, the values they take, and what is said of wrong ones."""
+    """Keys with defaults and ranges, their values, and the error messages for invalid ones."""
     source = policy_keys.check_policy({}, "sample")
     values = source.initial()
-    at_first = {name: getattr(values, name) for name in policy_keys.KEYS}
+    initial_values = {name: getattr(values, name) for name in policy_keys.KEYS}
     source.refresh(
         values, {name: min(r.high, 2 * r.low + 50.0) for name, r in policy_keys.INPUTS.items()}
     )
 
-    def error(given: dict[str, object]) -> str:
+    def error(policy_values: dict[str, object]) -> str:
         try:
-            policy_keys.check_policy(given, "sample")
+            policy_keys.check_policy(policy_values, "sample")
         except UserError as exc:
             return str(exc)
         return "accepted"
@@ -244,7 +249,7 @@
         "keys": {n: [k.default, k.low, k.high, k.unit, k.description] for n, k in _policy_items()},
         "inputs": {name: [r.low, r.high] for name, r in policy_keys.INPUTS.items()},
         "whole": list(policy_keys.INTEGER_KEYS),
-        "values at first": at_first,
+        "values at first": initial_values,
         "values": {name: getattr(values, name) for name in policy_keys.KEYS},
         "errors": {
             f"{key} = {value!r}": error({key: value})
@@ -269,14 +274,14 @@
 # -- answers -------------------------------------------------------------------------------
 
 
-def _submissions() -> dict[str, bytes]:
-    """Every field left out, null, of another type or out of range, and some that cannot run."""
-    found: dict[str, bytes] = {}
+def _submission_bodies() -> dict[str, bytes]:
+    """Each field missing, null, of another type or out of range, and jobs that can't run."""
+    bodies: dict[str, bytes] = {}
     for field in job():
-        found[f"{field} missing"] = orjson.dumps({k: v for k, v in job().items() if k != field})
-        for word, value in (("null", None), ("of another type", {}), ("negative", -1)):
-            found[f"{field} {word}"] = orjson.dumps(job() | {field: value})
-    unfit: dict[str, dict[str, Any]] = {
+        bodies[f"{field} missing"] = orjson.dumps({k: v for k, v in job().items() if k != field})
+        for fault, value in (("null", None), ("of another type", {}), ("negative", -1)):
+            bodies[f"{field} {fault}"] = orjson.dumps(job() | {field: value})
+    invalid_fields: dict[str, dict[str, Any]] = {
         "no tasks": {"pieces": 0},
         "too many tasks": {"pieces": 100_001},
         "empty name": {"lane": ""},
@@ -292,14 +297,14 @@
         "replicas above the limit": {"shape": "standing", "pieces": 100, "vcpus": 8.0},
         "replicas in one zone": {"shape": "standing", "scatter": True, "oneZone": True},
     }
-    for name, fields in unfit.items():
-        found[name] = orjson.dumps(job() | fields)
+    for name, fields in invalid_fields.items():
+        bodies[name] = orjson.dumps(job() | fields)
     for text in ("", "{", "[]", "null", '"x"', '{"pieces":NaN}', '{"vcpus":1e999}'):
-        found[f"body {text!r}"] = text.encode()
-    return found
+        bodies[f"body {text!r}"] = text.encode()
+    return bodies
 
 
-def _reports(token: int) -> dict[str, bytes]:
+def _heartbeat_bodies(fencing_token: int) -> dict[str, bytes]:
     heartbeat: dict[str, Any] = {
         "spindle": "m-000099",
         "address": "m-000099:9000",
@@ -308,17 +313,17 @@
         "loaners": False,
         "shift": 1,
         "tick": 1,
-        "baton": token,
+        "baton": fencing_token,
         "recallS": None,
         "pieces": [],
     }
     ended = {"piece": "job-000009/0", "try": 1, "stage": "ended"}
-    found = {
+    missing_fields = {
         f"{field} missing": orjson.dumps({k: v for k, v in heartbeat.items() if k != field})
         for field in heartbeat
         if field != "recallS"
     }
-    return found | {
+    return missing_fields | {
         "not JSON": b"{",
         "ended without a cause": orjson.dumps(heartbeat | {"pieces": [ended]}),
         "not a task": orjson.dumps(
@@ -329,44 +334,46 @@
     }
 
 
-class _Table:
-    """Requests to a world, and the answers as they go over the wire."""
+class _AnswerRecorder:
+    """Sends requests to the controllers of a world and records the answers as HTTP text."""
 
     def __init__(self, world: World) -> None:
         self.world = world
-        self.found: dict[str, Any] = {}
+        self.answers: dict[str, Any] = {}
 
-    async def ask(
+    async def record(
         self, name: str, role: str, method: str, path: str, raw: bytes = b"", peers: bool = False
     ) -> None:
-        node = self.world.controllers[_roles(self.world)[role]]
-        reply = await _asked(
-            node.cluster_handler if peers else node.public_handler, method, path, raw
+        controller = self.world.controllers[_labels_by_role(self.world)[role]]
+        reply = await _answer_of(
+            controller.cluster_handler if peers else controller.public_handler, method, path, raw
         )
-        assert name not in self.found, name
-        self.found[name] = normalised(encode_response(reply).decode())
+        assert name not in self.answers, name
+        self.answers[name] = normalised(encode_response(reply).decode())
 
 
-async def _answers_while_all_is_well(table: _Table) -> None:
-    world = table.world
+async def _record_answers_without_faults(recorder: _AnswerRecorder) -> None:
+    world = recorder.world
     for role in ("leader", "follower"):
-        for name, raw in _submissions().items():
+        for name, raw in _submission_bodies().items():
             if role == "leader" or name in ("body '{'", "unknown team", "pieces missing"):
-                await table.ask(f"{role}: submit, {name}", role, "POST", "/submissions", raw)
-    # What was taken above (where null is the same as left out) is cancelled again.
+                await recorder.record(f"{role}: submit, {name}", role, "POST", "/submissions", raw)
+    # Cancel the job that was accepted above: for some fields null is the same as missing.
     await world.cancel(1, str(world.leader))
     await asyncio.sleep(5)
     number = 10
     for role in ("leader", "follower"):
         number += 1
-        where = f"/submissions/job-{number:06d}"
+        job_path = f"/submissions/job-{number:06d}"
         good, other = orjson.dumps(job(number)), orjson.dumps(job(number, pieces=9, lane="x"))
         malformed = orjson.dumps(job(number, pieces=-1))
-        await table.ask(f"{role}: submit", role, "POST", "/submissions", good)
-        await table.ask(f"{role}: submit again", role, "POST", "/submissions", good)
-        await table.ask(f"{role}: submit, other content", role, "POST", "/submissions", other)
-        await table.ask(f"{role}: submit, malformed again", role, "POST", "/submissions", malformed)
-        await table.ask(f"{role}: poll, queued", role, "GET", where)
+        await recorder.record(f"{role}: submit", role, "POST", "/submissions", good)
+        await recorder.record(f"{role}: submit again", role, "POST", "/submissions", good)
+        await recorder.record(f"{role}: submit, other content", role, "POST", "/submissions", other)
+        await recorder.record(
+            f"{role}: submit, malformed again", role, "POST", "/submissions", malformed
+        )
+        await recorder.record(f"{role}: poll, queued", role, "GET", job_path)
         for name, method, path in (
             ("poll, unknown job", "GET", "/submissions/job-000099"),
             ("poll, not a job", "GET", "/submissions/job"),
@@ -375,10 +382,10 @@
             ("withdraw, not a job", "POST", "/submissions/job/withdraw"),
             ("list", "GET", "/submissions"),
             ("wrong method, submit", "PUT", "/submissions"),
-            ("wrong method, poll", "DELETE", where),
-            ("wrong method, withdraw", "GET", f"{where}/withdraw"),
-            ("wrong path, below a job", "POST", f"{where}/stop"),
-            ("wrong path, further below", "POST", f"{where}/withdraw/x"),
+            ("wrong method, poll", "DELETE", job_path),
+            ("wrong method, withdraw", "GET", f"{job_path}/withdraw"),
+            ("wrong path, below a job", "POST", f"{job_path}/stop"),
+            ("wrong path, further below", "POST", f"{job_path}/withdraw/x"),
             ("wrong path", "GET", "/jobs"),
             ("wrong method, report", "GET", "/v1/report"),
             ("health", "GET", "/healthz"),
@@ -386,16 +393,18 @@
             ("metrics on the users' address", "GET", "/metrics"),
             ("handover on the users' address", "POST", "/handover"),
         ):
-            await table.ask(f"{role}: {name}", role, method, path)
-        await table.ask(f"{role}: withdraw", role, "POST", f"{where}/withdraw")
-        await table.ask(f"{role}: withdraw again", role, "POST", f"{where}/withdraw")
-        await table.ask(f"{role}: poll, withdrawn", role, "GET", where)
-        await table.ask(f"{role}: submit, withdrawn before", role, "POST", "/submissions", good)
+            await recorder.record(f"{role}: {name}", role, method, path)
+        await recorder.record(f"{role}: withdraw", role, "POST", f"{job_path}/withdraw")
+        await recorder.record(f"{role}: withdraw again", role, "POST", f"{job_path}/withdraw")
+        await recorder.record(f"{role}: poll, withdrawn", role, "GET", job_path)
+        await recorder.record(
+            f"{role}: submit, withdrawn before", role, "POST", "/submissions", good
+        )
     assert (await world.submit(service(20))).status == 201
 
 
-async def _answers_of_jobs_that_run(table: _Table) -> None:
-    world = table.world
+async def _record_answers_about_started_jobs(recorder: _AnswerRecorder) -> None:
+    world = recorder.world
     world.cloud.run_s = lambda task: 5.0 if "000031" in task else 10_000.0
     world.cloud.capacity = 6
     for number in (30, 31):
@@ -404,22 +413,24 @@
     await world.until(lambda: len(world.cloud.running_tasks("job-000030")) == 4, 120)
     await asyncio.sleep(8)
     for role in ("leader", "follower"):
-        for number, word in ((30, "running"), (31, "finished")):
-            where = f"/submissions/job-{number:06d}"
+        for number, stage in ((30, "running"), (31, "finished")):
+            job_path = f"/submissions/job-{number:06d}"
             raw = orjson.dumps(job(number))
-            await table.ask(f"{role}: poll, {word}", role, "GET", where)
-            await table.ask(f"{role}: submit, {word}", role, "POST", "/submissions", raw)
+            await recorder.record(f"{role}: poll, {stage}", role, "GET", job_path)
+            await recorder.record(f"{role}: submit, {stage}", role, "POST", "/submissions", raw)
         finished = "/submissions/job-000031/withdraw"
-        await table.ask(f"{role}: withdraw, finished", role, "POST", finished)
+        await recorder.record(f"{role}: withdraw, finished", role, "POST", finished)
 
 
-async def _answers_to_workers_and_peers(table: _Table) -> None:
-    token = table.world.store.value("spoolcourse/live/term")["term"]
+async def _record_answers_to_workers_and_peers(recorder: _AnswerRecorder) -> None:
+    fencing_token = recorder.world.store.value("spoolcourse/live/term")["term"]
     for role in ("leader", "follower"):
         for peers in (False, True):
-            where = f"{role}, peers' address" if peers else role
-            for name, raw in _reports(token).items():
-                await table.ask(f"{where}: report, {name}", role, "POST", "/v1/report", raw, peers)
+            prefix = f"{role}, peers' address" if peers else role
+            for name, raw in _heartbeat_bodies(fencing_token).items():
+                await recorder.record(
+                    f"{prefix}: report, {name}", role, "POST", "/v1/report", raw, peers
+                )
         for method, path in (
             ("GET", "/healthz"),
             ("GET", "/level"),
@@ -437,13 +448,13 @@
             ("GET", "/submissions/job-000031"),
             ("GET", "/submissions/job-000099"),
         ):
-            await table.ask(
+            await recorder.record(
                 f"{role}, peers' address: {method} {path}", role, method, path, peers=True
             )
 
 
-async def _answers_while_the_store_is_out(table: _Table) -> None:
-    world = table.world
+async def _record_answers_during_a_store_outage(recorder: _AnswerRecorder) -> None:
+    world = recorder.world
     world.store.in_outage = True
     await asyncio.sleep(6)
     for role in ("leader", "follower"):
@@ -458,8 +469,8 @@
             ("withdraw, finished", "POST", "/submissions/job-000031/withdraw", b""),
             ("health", "GET", "/healthz", b""),
         ):
-            await table.ask(f"{role}, store out: {name}", role, method, path, raw)
-        await table.ask(
+            await recorder.record(f"{role}, store out: {name}", role, method, path, raw)
+        await recorder.record(
             f"{role}, store out: poll of a peer",
             role,
             "GET",
@@ -471,48 +482,48 @@
 
 
 def answers() -> dict[str, Any]:
-    """Answers to users, workers and peers, and to what is not HTTP as it should be."""
-    found: dict[str, Any] = {"broken requests": _played(_broken_requests)}
+    """Answers to users, workers and peers, and to invalid HTTP requests."""
+    by_group: dict[str, Any] = {"broken requests": _run_scenario(_answers_to_raw_requests)}
     for variant in VARIANTS:
 
-        async def story(variant: str = variant) -> dict[str, Any]:
+        async def scenario(variant: str = variant) -> dict[str, Any]:
             world = _world(variant)
             world.start()
-            starting = _Table(world)
+            starting = _AnswerRecorder(world)
             raw = orjson.dumps(job())
             for method, path in (("POST", "/submissions"), ("GET", "/healthz")):
-                reply = await _asked(world.controllers["n0"].public_handler, method, path, raw)
-                starting.found[f"starting: {method} {path}"] = normalised(
+                reply = await _answer_of(world.controllers["n0"].public_handler, method, path, raw)
+                starting.answers[f"starting: {method} {path}"] = normalised(
                     encode_response(reply).decode()
                 )
             for label in LABELS:
                 world.kill(label)
             await world.start_controllers()
-            world.cloud.capacity = 0  # so that jobs wait
-            table = _Table(world)
-            table.found |= starting.found
-            await _answers_while_all_is_well(table)
-            await _answers_of_jobs_that_run(table)
-            await _answers_to_workers_and_peers(table)
-            await _answers_while_the_store_is_out(table)
-            await table.ask("follower: handover", "follower", "POST", "/handover", peers=True)
-            await table.ask("leader: handover", "leader", "POST", "/handover", peers=True)
-            return table.found
+            world.cloud.capacity = 0  # jobs wait in the queue
+            recorder = _AnswerRecorder(world)
+            recorder.answers |= starting.answers
+            await _record_answers_without_faults(recorder)
+            await _record_answers_about_started_jobs(recorder)
+            await _record_answers_to_workers_and_peers(recorder)
+            await _record_answers_during_a_store_outage(recorder)
+            await recorder.record("follower: handover", "follower", "POST", "/handover", peers=True)
+            await recorder.record("leader: handover", "leader", "POST", "/handover", peers=True)
+            return recorder.answers
 
-        found[variant] = _played(story)
-    return found
+        by_group[variant] = _run_scenario(scenario)
+    return by_group
 
 
-class _Transport(asyncio.Transport):
-    """Keeps what is written."""
+class _RecordingTransport(asyncio.Transport):
+    """Records the bytes that are written to it."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.text = b""
+        self.written = b""
         self.closed = False
 
     def write(self, data: Any) -> None:
-        self.text += bytes(data)
+        self.written += bytes(data)
 
     def is_closing(self) -> bool:
         return self.closed
@@ -527,17 +538,17 @@
         pass
 
 
-def _broken(request: Request) -> Response:
+def _serve(request: Request) -> Response:
     if request.path == "/broken":
-        raise RuntimeError("as planned")
+        raise RuntimeError("raised for the test")
     return Response(200, {"length": len(request.body)})
 
 
-async def _broken_requests() -> dict[str, Any]:
+async def _answers_to_raw_requests() -> dict[str, Any]:
     limit = str(MAX_BODY_BYTES).encode()
-    above = str(MAX_BODY_BYTES + 1).encode()
+    above_limit = str(MAX_BODY_BYTES + 1).encode()
     post, host = b"POST /a HTTP/1.1\r\nHost: x\r\n", b"Host: x\r\n"
-    found = {}
+    answers_and_states = {}
     for name, raw in {
         "good": post + b"Content-Length: 2\r\n\r\n{}",
         "as large as may be": post
@@ -545,7 +556,7 @@
         + limit
         + b"\r\n\r\n"
         + b"x" * MAX_BODY_BYTES,
-        "too large": post + b"Content-Length: " + above + b"\r\n\r\n",
+        "too large": post + b"Content-Length: " + above_limit + b"\r\n\r\n",
         "expects to continue": post + b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n",
         "not HTTP": b"what is this?\r\n\r\n",
         "another protocol": b"GET /a HTTP/1.1\r\n"
@@ -554,36 +565,39 @@
         "a failure inside": b"GET /broken HTTP/1.1\r\n" + host + b"\r\n",
         "the last request": b"GET /a HTTP/1.1\r\n" + host + b"Connection: close\r\n\r\n",
     }.items():
-        transport, connection = _Transport(), Connection(_broken, set())
+        transport, connection = _RecordingTransport(), Connection(_serve, set())
         connection.connection_made(transport)
         connection.data_received(raw)
-        found[name] = [transport.text.decode(), "closed" if transport.closed else "open"]
-    return found
+        answers_and_states[name] = [
+            transport.written.decode(),
+            "closed" if transport.closed else "open",
+        ]
+    return answers_and_states
 
 
 # -- traffic -------------------------------------------------------------------------------
 
 
-def _stem(path: str) -> str:
+def _path_pattern(path: str) -> str:
     path = re.sub(r"job-\d+", "JOB", path)
     path = re.sub(r"(since=|after=)[^&]+", r"\1NAME", path)
     return re.sub(r"\d+", "N", path)
 
 
 def _transaction_shapes(body: dict[str, Any]) -> dict[str, Any]:
-    """What is stored at each kind of key."""
-    found = {"if": shape(body["if"])}
+    """Shapes of the values that a transaction stores, by key pattern."""
+    shapes = {"if": shape(body["if"])}
     for operation in body.get("apply", []):
-        word = "set" if "set" in operation else "delete"
+        verb = "set" if "set" in operation else "delete"
         content = shape(operation)
-        if "/prog/" in operation[word] and word == "set":
+        if "/prog/" in operation[verb] and verb == "set":
             content["v"]["held"] = shape([*operation["v"]["held"].values()])
-        found[f"{word} {_stem(operation[word])}"] = content
-    return found
+        shapes[f"{verb} {_path_pattern(operation[verb])}"] = content
+    return shapes
 
 
-async def _traffic(variant: str) -> dict[str, Any]:  # noqa: PLR0915 - one story, step by step
-    """A leader that is refused by the store, loses workers, and is followed by another."""
+async def _traffic(variant: str) -> dict[str, Any]:  # noqa: PLR0915 - one scenario, step by step
+    """Requests while a leader loses workers, the store refuses a peer and fails, others lead."""
     seen: dict[str, Any] = {}
     world = _world(variant)
     world.cloud.run_s = lambda task: 300.0
@@ -597,18 +611,18 @@
         answered = reply.status in (200, 201, 421) or path.startswith("/kv/")
         if src == "user" or not answered:
             return reply
-        kind = re.sub(r"n\d:81", "controller", re.sub(r"m-\d+:9000", "worker", dst))
-        kind = re.sub(r"n\d:80", "controller for workers", kind)
+        destination = re.sub(r"n\d:81", "controller", re.sub(r"m-\d+:9000", "worker", dst))
+        destination = re.sub(r"n\d:80", "controller for workers", destination)
         content = _transaction_shapes(body) if path == "/multi" else shape(body)
         if path.startswith(("/kv", "/watch")) and isinstance(reply.data, dict):
-            told: Any = sorted(reply.data)
+            answer: Any = sorted(reply.data)
         elif path.startswith("/hints"):
-            told = sorted(reply.data)
+            answer = sorted(reply.data)
         else:
-            told = shape(reply.data)
-        name = f"{method} {kind} {_stem(path)}"
-        sort = {"body": content, f"answer {reply.status}": told}
-        seen[name] = merged(seen.get(name, "nothing"), sort)
+            answer = shape(reply.data)
+        name = f"{method} {destination} {_path_pattern(path)}"
+        exchange = {"body": content, f"answer {reply.status}": answer}
+        seen[name] = merged_shape(seen.get(name, "nothing"), exchange)
         return reply
 
     world.network.call = recorded_call  # type: ignore[method-assign]
@@ -619,15 +633,15 @@
     await asyncio.sleep(3)
     isolated = IsolatedLeader(world)
     assert (await world.submit(service(3))).status == 201
-    away = isolated.partition(isolated.leader, "m-")
+    partition = isolated.partition(isolated.leader, "m-")
     await asyncio.sleep(8)
     refusal = isolated.refuse_store_requests_of(isolated.others[0])
     await asyncio.sleep(2)
-    for ask in (world.poll(2, isolated.others[0]), world.cancel(2, isolated.others[0])):
-        assert (await ask).status == 200
+    for request in (world.poll(2, isolated.others[0]), world.cancel(2, isolated.others[0])):
+        assert (await request).status == 200
     assert (await world.submit(job(4), isolated.others[0])).status == 201
     world.network.filters.remove(refusal)
-    world.network.filters.remove(away)
+    world.network.filters.remove(partition)
     world.store.in_outage = True
     await asyncio.sleep(6)
     world.store.end_outage()
@@ -643,14 +657,14 @@
     await world.submit(job(5), str(world.leader))
     await world.wait_until_done(5, 200)
     await asyncio.sleep(200)
-    # Which of several shapes came first is open; the order of fields is held by `messages`.
-    found: dict[str, Any] = orjson.loads(orjson.dumps(seen, option=orjson.OPT_SORT_KEYS))
-    return found
+    # Which of several shapes came first varies; `messages` records the order of fields.
+    sorted_by_key: dict[str, Any] = orjson.loads(orjson.dumps(seen, option=orjson.OPT_SORT_KEYS))
+    return sorted_by_key
 
 
 def traffic() -> dict[str, Any]:
     """All requests of controllers, workers and peers, with keys and types of what they carry."""
-    return {variant: _played(partial(_traffic, variant)) for variant in VARIANTS}
+    return {variant: _run_scenario(partial(_traffic, variant)) for variant in VARIANTS}
 
 
 INTERFACES: dict[str, Callable[[], dict[str, Any]]] = {
--- a/tests/recorded/test_stored_forms.py
+++ b/tests/recorded/test_stored_forms.py
@@ -1,7 +1,7 @@
-"""What is stored, and what controllers say to one another, keeps its form.
+"""Stored records and requests between controllers keep their formats.
 
-Operators may run any landing beside this one, so the forms are held here as plain data: those
-of the production version (317b652b) and those of b0e3a7b, the last version before this file.
+Operators may run any other version beside this one, so the formats are kept here as plain data:
+those of the production version (317b652b) and those of b0e3a7b, the last version before this file.
 """
 
 from __future__ import annotations
@@ -39,8 +39,8 @@
     "markEveryS": 0.0,
     "markCostS": 0.0,
 }
-# Fields that a record has only where the user gave them, or where a cancellation added them.
-SOMETIMES = {"builds": ["c8"], "yard": "a", "dueS": 60.0, "aborted": 1000.5}
+# Fields that a record has only if the user gave them or a cancellation added them.
+OPTIONAL_FIELDS = {"builds": ["c8"], "yard": "a", "dueS": 60.0, "aborted": 1000.5}
 MACHINE_TYPE = {
     "name": "c8",
     "vcpus": 8.0,
@@ -87,7 +87,7 @@
     },
 }
 
-# Requests on the peers' port: method and path, then the body and the answer, if there is one.
+# Requests to the peers' address: method and path, then the body (or None) and the answer.
 HEARTBEAT = {
     "spindle": "m-000000",
     "address": "m-000000:9000",
@@ -100,7 +100,7 @@
     "recallS": None,
     "pieces": [{"piece": "job-000001/0", "try": 50331649, "stage": "running"}],
 }
-PEERS_317B652B: dict[tuple[str, str], tuple[Any, Any]] = {
+PEER_REQUESTS_317B652B: dict[tuple[str, str], tuple[Any, Any]] = {
     ("GET", "/healthz"): (None, {}),
     ("POST", "/v1/report"): (
         HEARTBEAT,
@@ -132,51 +132,53 @@
         {"id": "job-000001", "stage": "aborted"},
     ),
 }
-PEERS_B0E3A7B = PEERS_317B652B | {("GET", "/level"): (None, {"level": 2})}
+PEER_REQUESTS_B0E3A7B = PEER_REQUESTS_317B652B | {("GET", "/level"): (None, {"level": 2})}
 
 
-def assert_form(value: Any, sample: Any, where: str) -> None:
-    """`value` has the fields of `sample`, all of them and no other, with values of its types."""
+def assert_format(value: Any, sample: Any, location: str) -> None:
+    """Assert that `value` has the fields and types of `sample`; only optional ones may differ."""
     if isinstance(sample, dict):
-        assert isinstance(value, dict), where
-        assert set(value) - set(SOMETIMES) == set(sample) - set(SOMETIMES), where
+        assert isinstance(value, dict), location
+        assert set(value) - set(OPTIONAL_FIELDS) == set(sample) - set(OPTIONAL_FIELDS), location
         for field, content in value.items():
-            assert_form(content, sample.get(field, SOMETIMES.get(field)), f"{where}.{field}")
+            assert_format(
+                content, sample.get(field, OPTIONAL_FIELDS.get(field)), f"{location}.{field}"
+            )
     elif isinstance(sample, list):
-        assert isinstance(value, list), where
+        assert isinstance(value, list), location
         for item in value:
-            assert_form(item, sample[0], f"{where}[]")
+            assert_format(item, sample[0], f"{location}[]")
     else:
-        assert type(value) is type(sample), f"{where}: {value!r}"
+        assert type(value) is type(sample), f"{location}: {value!r}"
 
 
-def assert_held(value: dict[str, Any]) -> None:
+def assert_progress_format(value: dict[str, Any]) -> None:
     int(value["done"], 16)
-    for piece, holder in value["held"].items():
-        assert int(piece) >= 0
-        assert [type(part) for part in holder] == [str, int], holder
+    for task, assignment in value["held"].items():
+        assert int(task) >= 0
+        assert [type(part) for part in assignment] == [str, int], assignment
 
 
-def assert_stored_form(key: str, value: Any) -> None:
-    """As b0e3a7b stores it; what it calls an array is what 317b652b reads."""
+def assert_stored_format(key: str, value: Any) -> None:
+    """The format is that of b0e3a7b, with shapes spelled as 317b652b reads them."""
     if "/live/prog/" in key:
         assert set(value) == {"done", "held"}
-        assert_held(value)
+        assert_progress_format(value)
         return
     prefix = next(p for p in STORED_B0E3A7B if key.startswith(p.rpartition("job-")[0] or p))
     sample = STORED_B0E3A7B[prefix]
-    assert_form(value, sample, key)
+    assert_format(value, sample, key)
     if "/live/job/" in key:
         assert value["sub"]["shape"] in ("array", "standing")
 
 
-def store(world: World, stored: dict[str, Any]) -> None:
+def store_records(world: World, records: dict[str, Any]) -> None:
     world.store._apply(
-        [{"set": key, "v": v} for key, v in stored.items() if not key.endswith("/leader")]
+        [{"set": key, "v": v} for key, v in records.items() if not key.endswith("/leader")]
     )
 
 
-def test_records_are_read_and_written_again_unchanged() -> None:
+def test_records_are_unchanged_after_decoding_and_encoding() -> None:
     for stored in (STORED_317B652B, STORED_B0E3A7B):
         for key, value in stored.items():
             if "/live/job/" in key:
@@ -187,44 +189,46 @@
                 assert Progress.from_value(value).value() == value
 
 
-async def test_what_317b652b_stored_is_taken_over() -> None:
+async def test_a_leader_continues_from_records_of_317b652b() -> None:
     world = World()
     world.cloud.run_s = lambda task: 5.0
-    store(world, STORED_317B652B)
+    store_records(world, STORED_317B652B)
     world.accepted_jobs["job-000001"] = job()
     world.accepted_jobs["job-000002"] = job(2)
     world.cloud.add_machine()
     await world.start_controllers()
     assert world.store.value("spoolcourse/live/term")["term"] == 4
     await world.wait_until_done(1, 60)
-    assert len(world.cloud.starts) == 2, "two of four were done before"
+    assert len(world.cloud.starts) == 2, (
+        "starts are not those of the two of four tasks that were left"
+    )
     reply = await world.poll(2, "n1")
     assert (reply.data["stage"], reply.data["done"]) == ("done", 4)
     assert world.active().initial_machine_names() == {"m-000000"}
     assert world.cloud.violations == []
 
 
-async def test_what_b0e3a7b_stored_is_taken_over_with_services_running() -> None:
+async def test_a_leader_continues_running_services_from_records_of_b0e3a7b() -> None:
     world = World()
     world.cloud.run_s = lambda task: 10_000.0
-    store(world, STORED_B0E3A7B)
+    store_records(world, STORED_B0E3A7B)
     world.accepted_jobs["job-000003"] = service(3)
     world.cloud.add_machine()
-    # The catalog is read from the key-value store, for the cloud does not say it.
+    # The cloud refuses catalog requests, so the catalog is read from the key-value store.
     world.network.filters.append(
         lambda src, dst, method, path, body: "503" if path == "/catalog" else None
     )
     await world.start_controllers()
     await world.until(lambda: len(world.cloud.running_tasks("job-000003")) == 2, 60)
     reply = await world.submit(service(4), "n2")
-    assert reply.status == 201, "the note of `live/level` still holds"
+    assert reply.status == 201, "the stored feature level no longer permits services"
     assert (await world.cancel(3)).data["stage"] == "aborted"
     await world.until(lambda: not world.cloud.running_tasks("job-000003"), 40)
     assert world.cloud.violations == []
 
 
-async def test_what_is_written_and_asked_has_the_forms_that_older_versions_know() -> None:
-    """The leader is refused by the key-value store, loses workers, and peers relay and testify."""
+async def test_stored_records_and_peer_requests_have_formats_that_older_versions_know() -> None:
+    """The leader loses its workers, the key-value store refuses a peer, and an outage follows."""
 
     isolated = await IsolatedLeader.with_running_jobs()
     world, seen = isolated.world, dict[tuple[str, str], tuple[Any, Response]]()
@@ -235,22 +239,22 @@
     ) -> Response:
         reply = await call(src, dst, method, path, body, timeout)
         if dst.endswith(":81"):
-            kind = path.partition("?")[0].replace("job-000002", "job-000001")
-            if reply.status in (200, 201) or (method, kind) not in seen:
-                seen[method, kind] = (body, reply)
+            pattern = path.partition("?")[0].replace("job-000002", "job-000001")
+            if reply.status in (200, 201) or (method, pattern) not in seen:
+                seen[method, pattern] = (body, reply)
         return reply
 
     world.network.call = record  # type: ignore[method-assign]
     assert (await world.submit(service(3))).status == 201
-    away = isolated.partition(isolated.leader, "m-")
+    partition = isolated.partition(isolated.leader, "m-")
     await asyncio.sleep(8)
     refusal = isolated.refuse_store_requests_of(isolated.others[0])
     await asyncio.sleep(2)
-    for ask in (world.poll(2, isolated.others[0]), world.cancel(2, isolated.others[0])):
-        assert (await ask).status == 200
+    for request in (world.poll(2, isolated.others[0]), world.cancel(2, isolated.others[0])):
+        assert (await request).status == 200
     assert (await world.submit(job(4), isolated.others[0])).status == 201
     world.network.filters.remove(refusal)
-    world.network.filters.remove(away)
+    world.network.filters.remove(partition)
     world.store.in_outage = True
     await asyncio.sleep(6)
     world.store.end_outage()
@@ -264,33 +268,33 @@
         for op in body["apply"]
         if "set" in op
     ]
-    stems = {key.rpartition("job-")[0] or key for key, _ in written}
-    assert stems == {key.rpartition("job-")[0] or key for key in STORED_B0E3A7B}
+    key_prefixes = {key.rpartition("job-")[0] or key for key, _ in written}
+    assert key_prefixes == {key.rpartition("job-")[0] or key for key in STORED_B0E3A7B}
     for key, value in written:
-        assert_stored_form(key, value)
+        assert_stored_format(key, value)
 
-    asked = {(m, p.partition("?")[0]): forms for (m, p), forms in PEERS_B0E3A7B.items()}
-    # With the warm standby on one more question is asked; older versions answer it by 404.
+    samples = {(m, p.partition("?")[0]): sample for (m, p), sample in PEER_REQUESTS_B0E3A7B.items()}
+    # The warm standby sends one more request; older versions answer it with 404.
     hints = seen.pop(("GET", "/hints"), None)
     assert (hints is not None) == world.standby.enabled
     if hints is not None and hints[1].status == 200:
         assert set(hints[1].data) == {"term", "leader", "revision", "hints", "has_next"}
-    # `/level` was asked before the recording began; its answer is in the test below.
-    assert set(seen) == set(asked) - {("GET", "/level")}
-    for kind, (body, reply) in seen.items():
-        sample_body, sample_reply = asked[kind]
-        assert reply.status in (200, 201), kind
-        if kind == ("POST", "/v1/report"):
+    # `/level` was requested before the recording began; the test below checks its answer.
+    assert set(seen) == set(samples) - {("GET", "/level")}
+    for request_line, (body, reply) in seen.items():
+        sample_body, sample_reply = samples[request_line]
+        assert reply.status in (200, 201), request_line
+        if request_line == ("POST", "/v1/report"):
             assert set(body) == set(HEARTBEAT)
             assert set(reply.data) == set(sample_reply)
             continue
-        # A user's request is passed on as it came: fields may be null.
-        given = {field: v for field, v in (body or {}).items() if v is not None}
-        assert_form(given, sample_body or {}, str(kind))
-        assert_form(reply.data, sample_reply, str(kind))
+        # A user's request is forwarded unchanged: fields may be null.
+        sent_fields = {field: v for field, v in (body or {}).items() if v is not None}
+        assert_format(sent_fields, sample_body or {}, str(request_line))
+        assert_format(reply.data, sample_reply, str(request_line))
 
 
-async def test_questions_of_older_versions_are_answered_in_their_forms() -> None:
+async def test_requests_of_older_versions_are_answered_in_their_formats() -> None:
     isolated = await IsolatedLeader.with_running_jobs()
     world = isolated.world
     await world.cancel(1)
@@ -302,11 +306,11 @@
         if path == "/v1/report":
             body = body | {"baton": world.store.value("spoolcourse/live/term")["term"]}
         raw = b"" if body is None else orjson.dumps(body)
-        node = leader if path == "/v1/report" else follower
-        found = node.cluster_handler(Request(method, path, raw))
-        return found if isinstance(found, Response) else await found
+        controller = leader if path == "/v1/report" else follower
+        reply = controller.cluster_handler(Request(method, path, raw))
+        return reply if isinstance(reply, Response) else await reply
 
-    for (method, recorded_path), (body, answer) in PEERS_B0E3A7B.items():
+    for (method, recorded_path), (body, answer) in PEER_REQUESTS_B0E3A7B.items():
         asks_for_cancellations = recorded_path.startswith("/cancellations")
         path = "/cancellations?beyond=0" if asks_for_cancellations else recorded_path
         reply = await ask(method, path, body)
@@ -314,11 +318,11 @@
         if path == "/v1/report":
             assert {"baton", "orders", "deaf"} >= set(reply.data) >= {"orders", "deaf"}
             continue
-        told = orjson.loads(orjson.dumps(reply.data))
-        stage_only = {k: told[k] for k in answer} if path.startswith("/submissions") else told
-        assert_form(stage_only, answer, path)
+        data = orjson.loads(orjson.dumps(reply.data))
+        checked = {k: data[k] for k in answer} if path.startswith("/submissions") else data
+        assert_format(checked, answer, path)
     assert (await ask("GET", "/cancellations?beyond=x", None)).status == 400
-    # One that may have forgotten some says so by null, and vouches for nothing.
+    # A controller that may have forgotten cancellations answers null and confirms nothing.
     follower.job_index.cancellations = Cancellations(0)
     follower.job_index.cancellations.add(Cancellation("job-000001", 1000.5, 18))
     reply = await ask("GET", "/cancellations?beyond=0", None)
--- a/tests/user_api/test_user_api.py
+++ b/tests/user_api/test_user_api.py
@@ -1,4 +1,4 @@
-"""What users and operators are answered."""
+"""Answers to requests of users and operators."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.fakes.world import LABELS, World, job
 
 
-async def test_a_job_runs_and_every_controller_says_so() -> None:
+async def test_a_job_runs_and_every_controller_reports_its_stage() -> None:
     world = World()
     await world.start_controllers()
     first = await world.submit(job(), "n1")
@@ -24,9 +24,11 @@
         assert (await world.poll(7, label)).status == 404
         assert (await world.cancel(7, label)).status == 404
         assert (await world.cancel(1, label)).data["stage"] == "done"
-    # A repeat long after, malformed at that, is still the same job.
+    # A late repeat is still the same job, even if it is malformed.
     assert (await world.submit(job(pieces=-1), "n2")).data["stage"] == "done"
-    assert sorted(n for _, n, _ in world.cloud.starts) == [f"job-000001/{i}" for i in range(4)]
+    assert sorted(task for _, task, _ in world.cloud.starts) == [
+        f"job-000001/{i}" for i in range(4)
+    ]
 
 
 async def test_malformed_submissions_get_400_and_impossible_ones_422() -> None:
@@ -64,11 +66,11 @@
     world = World()
     await world.start_controllers()
 
-    def lose(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
-        puts = [op.get("set", "") for op in (body or {}).get("apply", [])]
-        return "lose" if any("/job/" in key for key in puts) else None
+    def lose_answer(src: str, dst: str, method: str, path: str, body: Any) -> str | None:
+        keys = [op.get("set", "") for op in (body or {}).get("apply", [])]
+        return "lose" if any("/job/" in key for key in keys) else None
 
-    world.network.filters.append(lose)
+    world.network.filters.append(lose_answer)
     assert (await world.submit(job())).status == 201
     assert (await world.cancel()).data["stage"] == "aborted"
     world.network.filters.clear()
@@ -89,12 +91,12 @@
     await world.wait_until_done()
 
 
-async def test_a_follower_never_answers_older_than_a_cancellation() -> None:
+async def test_a_follower_never_answers_with_a_state_before_a_confirmed_cancellation() -> None:
     world = World()
     await world.start_controllers()
     await world.submit(job(), "n0")
     assert (await world.poll(1, "n1")).status == 200
-    # n1's watch hangs; it can still ask.
+    # n1's watch hangs; it can still read from the key-value store.
     world.network.filters.append(
         lambda src, dst, method, path, body: (
             "cut" if src == "n1" and path.startswith("/watch") and "blockMs=0" not in path else None
@@ -114,43 +116,44 @@
         lambda src, dst, *rest: "cut" if (src, dst) == (follower, "state:1") else None
     )
     await asyncio.sleep(14)
-    began = world.now()
+    started_at = world.now()
     assert (await world.submit(job(), follower)).status == 201
-    assert world.now() - began < 0.2
+    assert world.now() - started_at < 0.2
 
 
-async def test_a_burst_beyond_the_budget_gets_retry_after_and_leaves_no_debt() -> None:
+async def test_a_burst_beyond_the_budget_gets_retry_after_and_delays_no_later_submission() -> None:
     world = World()
     await world.start_controllers()
     replies = await asyncio.gather(*(world.submit(job(n), "n1") for n in range(1, 600)))
-    accepted = [r for r in replies if r.status == 201]
-    refused = [r for r in replies if r.status == 503]
+    accepted = [reply for reply in replies if reply.status == 201]
+    refused = [reply for reply in replies if reply.status == 503]
     assert len(accepted) > 20
     assert len(refused) > 20
     assert len(accepted) + len(refused) == 599
-    assert all(1 <= int(r.headers["Retry-After"]) <= 30 for r in refused)
+    assert all(1 <= int(reply.headers["Retry-After"]) <= 30 for reply in refused)
     await asyncio.sleep(3)
-    began = world.now()
+    started_at = world.now()
     assert (await world.submit(job(700), "n1")).status == 201
-    assert world.now() - began < 0.5
+    assert world.now() - started_at < 0.5
 
 
-async def test_a_controller_without_a_certain_answer_says_so_while_users_still_wait() -> None:
-    # Its peers hang, as behind a cut: each of them was given a second, and users had left.
+async def test_a_controller_without_a_certain_answer_responds_503_before_users_time_out() -> None:
+    # Its peers hang, as in a network partition. With a second for each of them, the answer came
+    # after users had given up.
     world = World()
     await world.start_controllers()
     await world.submit(job(), "n1")
     await asyncio.sleep(3)
     world.network.filters.append(lambda src, dst, *rest: "cut" if src == "n0" else None)
     await asyncio.sleep(12)
-    for ask, limit in ((world.submit(job(2)), 5.0), (world.poll(1), 2.0)):
-        began = world.now()
-        reply = await ask
-        assert (reply.status, world.now() - began < limit) == (503, True)
+    for request, limit_s in ((world.submit(job(2)), 5.0), (world.poll(1), 2.0)):
+        started_at = world.now()
+        reply = await request
+        assert (reply.status, world.now() - started_at < limit_s) == (503, True)
         assert 1 <= int(reply.headers["Retry-After"]) <= 30
 
 
-async def test_operators_see_what_waits_and_why() -> None:
+async def test_status_and_metrics_show_waiting_jobs_and_the_reasons() -> None:
     world = World()
     world.cloud.capacity = 1
     await world.start_controllers()
@@ -171,17 +174,19 @@
     text = reply.data.decode()
     assert "spoolcourse_leader 1.0" in text
     assert "spoolcourse_waiting_jobs 2.0" in text
-    # Not on the users' address.
+    # `/status` is not served on the users' address.
     assert (await world.request(leader, "GET", "/status")).status == 404
 
 
-async def test_a_team_without_a_limit_runs_as_much_as_it_asks_for() -> None:
-    # A limit of 0 means none. Read as a limit of nothing, every submission was answered 422 and
-    # no task of a deployment with such a team ever started.
+async def test_a_team_with_a_limit_of_zero_is_not_limited() -> None:
+    # A limit of 0 means no limit. When it was read as a limit of zero, every submission was
+    # answered 422 and no task of a deployment with such a team ever started.
     world = World(params={"teams": [{"name": "red", "cpus": 0.0, "cpus_max": 0.0}]})
     await world.start_controllers()
     assert (await world.submit(job(pieces=40))).status == 201
-    assert (await world.submit(job(2, vcpus=9.0))).status == 422, "it fits no machine"
+    assert (await world.submit(job(2, vcpus=9.0))).status == 422, (
+        "accepted, although it fits no machine"
+    )
     service = job(3, shape="standing", expectS=0.0, loaners=False)
     assert (await world.submit(service)).status == 201
     await world.wait_until_done()
--- a/tests/workers/test_fencing_token_announcer.py
+++ b/tests/workers/test_fencing_token_announcer.py
@@ -26,26 +26,26 @@
 
 
 class Fleet:
-    """Workers that answer after a second; which were called, and how many at once."""
+    """Workers that answer each request after half a second; records calls and concurrency."""
 
     def __init__(self, count: int) -> None:
         self.harness = RegistryHarness()
         self.network = FakeNetwork()
         self.workers = [Worker(f"m-{number}") for number in range(count)]
-        self.called: list[str] = []
-        self.calls = 0
-        self.most_calls = 0
+        self.called_addresses: list[str] = []
+        self.concurrent_calls = 0
+        self.max_concurrent_calls = 0
         for worker in self.workers:
             self.serve(worker.address, worker.id)
 
     def serve(self, address: str, machine: str) -> None:
         async def answer(method: str, path: str, body: Any) -> Response:
             if method == "GET":
-                self.called.append(address)
-            self.calls += 1
-            self.most_calls = max(self.calls, self.most_calls)
+                self.called_addresses.append(address)
+            self.concurrent_calls += 1
+            self.max_concurrent_calls = max(self.concurrent_calls, self.max_concurrent_calls)
             await asyncio.sleep(0.5)
-            self.calls -= 1
+            self.concurrent_calls -= 1
             return Response(200, heartbeat(machine, address))
 
         self.network.hosts[address] = answer
@@ -65,15 +65,15 @@
     return data | {"shift": 1, "tick": 1, "baton": TERM, "pieces": []}
 
 
-async def test_all_workers_are_called_once_in_order_by_a_bounded_number_of_calls(
+async def test_all_workers_are_called_once_in_order_with_bounded_concurrency(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(fencing_token_announcer, "MIN_CONCURRENT_CALLS", 2)
 
-    fleet = Fleet(24)  # a call for eight workers
+    fleet = Fleet(24)  # one concurrent call for each eight workers
     await fleet.announce()
-    assert fleet.called == [worker.address for worker in fleet.workers]
-    assert fleet.most_calls == 3
+    assert fleet.called_addresses == [worker.address for worker in fleet.workers]
+    assert fleet.max_concurrent_calls == 3
     assert fleet.confirmed() == [worker.id for worker in fleet.workers]
 
 
@@ -87,10 +87,10 @@
     await asyncio.sleep(0.2)
     fleet.workers[1].confirmed = True
     await announcing
-    assert fleet.called == ["m-0:9", "m-2:9"]
+    assert fleet.called_addresses == ["m-0:9", "m-2:9"]
 
 
-async def test_a_silent_worker_and_one_at_the_address_of_another_do_not_affect_the_rest() -> None:
+async def test_an_unreachable_worker_and_a_reused_address_do_not_affect_the_rest() -> None:
     fleet = Fleet(3)
     del fleet.network.hosts["m-0:9"]
     fleet.serve("m-1:9", machine="m-9")
--- a/tests/workers/test_worker_registry.py
+++ b/tests/workers/test_worker_registry.py
@@ -1,4 +1,4 @@
-"""What heartbeats prove, and which commands workers get."""
+"""What heartbeats prove about attempts, and which commands workers get."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 REAP = {"verb": "reap", "piece": "job-000001/0", "try": 1}
 
 
-def test_a_start_follows_its_write_and_needs_a_valid_term() -> None:
+def test_a_start_is_sent_after_its_write_and_only_under_a_valid_lease() -> None:
     harness = RegistryHarness()
     harness.heartbeat()
     harness.assign(persisted=False)
@@ -30,10 +30,10 @@
     harness.heartbeat()
     attempt = harness.assign()
     assert harness.heartbeat() == [START]
-    assert harness.heartbeat(tick=1) is None, "a late copy"
+    assert harness.heartbeat(tick=1) is None, "a late copy of a heartbeat was processed"
     harness.sequence -= 1
     assert attempt.start_heartbeat_id == (1, 2)
-    assert harness.heartbeat() == [START], "a newer heartbeat without it: it never arrived"
+    assert harness.heartbeat() == [START], "the start is not repeated, although it never arrived"
     assert harness.heartbeat(task_entry()) == []
     assert attempt.stage is AttemptStage.RUNNING
 
@@ -43,7 +43,9 @@
     attempt = harness.job_queue.adopt(harness.job_state, 0, "m-1", 1, harness.now)
     harness.registry.track_attempt(attempt)
     assert harness.heartbeat(baton=TERM - 1) == []
-    assert harness.job_state.attempts, "the former leader's start may still arrive"
+    assert harness.job_state.attempts, (
+        "dropped, although the former leader's start may still arrive"
+    )
     harness.heartbeat()
     assert not harness.job_state.attempts
     assert harness.job_state.pending_count == 4
@@ -85,24 +87,26 @@
     assert harness.job_state.pending_count == 4
 
 
-def test_only_a_lease_that_we_alone_renewed_proves_an_end() -> None:
+def test_only_expiry_of_a_lease_renewed_by_this_leader_alone_proves_an_end() -> None:
     harness = RegistryHarness()
     harness.heartbeat()
     harness.assign()
     harness.heartbeat(task_entry())
     harness.now += 10.5
     harness.registry.expire_leases()
-    assert harness.job_state.attempts, "within drift and margin"
+    assert harness.job_state.attempts, "expired within drift and margin"
     harness.now += 1.0
     harness.registry.expire_leases()
     assert not harness.job_state.attempts
-    # A machine that has not reported our fencing token may be kept alive by somebody else.
-    other = RegistryHarness()
-    other.heartbeat(baton=TERM - 1)
-    other.registry.track_attempt(other.job_queue.adopt(other.job_state, 0, "m-1", 1, other.now))
-    other.now += 100.0
-    other.registry.expire_leases()
-    assert other.job_state.attempts
+    # Another leader may renew the lease of a machine that has not reported our fencing token.
+    other_harness = RegistryHarness()
+    other_harness.heartbeat(baton=TERM - 1)
+    other_harness.registry.track_attempt(
+        other_harness.job_queue.adopt(other_harness.job_state, 0, "m-1", 1, other_harness.now)
+    )
+    other_harness.now += 100.0
+    other_harness.registry.expire_leases()
+    assert other_harness.job_state.attempts
 
 
 def test_a_cancelled_job_is_stopped_and_never_started() -> None:
@@ -129,7 +133,7 @@
     assert harness.job_state.attempts[2].number == 44
 
 
-def test_a_heartbeat_held_while_its_machine_was_deleted_changes_nothing() -> None:
+def test_a_heartbeat_that_arrives_after_its_machine_was_deleted_changes_nothing() -> None:
     harness = RegistryHarness()
     harness.heartbeat()
     harness.assign()
@@ -145,34 +149,38 @@
             parse_heartbeat(raw)
 
 
-def test_progress_survives_its_record() -> None:
+def test_progress_is_unchanged_after_encoding_and_decoding() -> None:
     progress = Progress(0b1011, {2: Assignment("m-000001", 9)})
     assert Progress.from_value(progress.value()) == progress
 
 
-def test_a_start_sent_to_the_address_is_possible_until_the_incarnation_ends() -> None:
+def test_a_start_sent_to_the_address_may_arrive_until_the_incarnation_ends() -> None:
     harness = RegistryHarness()
     harness.heartbeat()
     attempt = harness.assign()
     machine = harness.registry.machines["m-1"]
     assert harness.registry.commands.claim_starts(machine) == [attempt]
-    assert harness.registry.commands.machines_to_call(()) == [], "sent that way once only"
+    assert harness.registry.commands.machines_to_call(()) == [], (
+        "the start would be sent to the address twice"
+    )
     harness.job_state.record.cancelled_at = 100.0
     harness.heartbeat()
     harness.heartbeat()
-    assert harness.job_state.attempts, "no answer: it may still arrive, whatever heartbeats say"
+    assert harness.job_state.attempts, "dropped, although the unanswered start may still arrive"
     harness.heartbeat(shift=2, tick=1)
     assert not harness.job_state.attempts
 
 
-def test_an_attempt_with_a_copy_under_way_stays_with_the_worker() -> None:
+def test_an_ended_attempt_is_not_reaped_while_a_copy_of_its_start_may_arrive() -> None:
     harness = RegistryHarness()
     harness.heartbeat()
     attempt = harness.assign()
     harness.registry.commands.claim_starts(harness.registry.machines["m-1"])
-    attempt.in_flight_incarnation = None  # it was answered, but a copy may come late
+    attempt.in_flight_incarnation = None  # it was answered, but a copy may arrive late
     harness.heartbeat(task_entry())
     assert harness.heartbeat(task_entry(stage="ended", cause="halted")) == []
     harness.mark_persisted()
     assert harness.heartbeat(task_entry(stage="ended", cause="halted")) == []
-    assert harness.job_state.pending_count == 4, "it is proven ended all the same"
+    assert harness.job_state.pending_count == 4, (
+        "the task is not free, although its attempt is proven ended"
+    )
