--- a/spoolcourse/control/placement/backfill.py
+++ b/spoolcourse/control/placement/backfill.py
@@ -1,8 +1,9 @@
-"""EASY backfilling with bin packing and limits on image fetches per machine and per zone.
+"""The placement pass: EASY backfilling with bin packing and limits on image fetches.
 
 Jobs are placed in the order of the snapshot. The first job that does not fit completely becomes
 the head of the queue. Its shadow time, the time at which it can start, follows from the expected
-ends of the running tasks. A later job may start now only if that does not delay the head.
+ends of the running tasks. A later job may start now only if that does not delay the head: it is
+then backfilled.
 
 A job that waits only for its team's limit does not become the head: machines reserved for it would
 stay idle without helping it.
@@ -26,10 +27,10 @@
 # machine is preferred), machine index. A plain tuple, as each pass builds and sorts many of them.
 _Candidate = tuple[int, float, int, float, int]
 
-# Penalties of a candidate. They are summed, and the lowest sum is preferred.
-SCARCE_TYPE_PENALTY = 1  # other jobs depend on this machine type
-SCALE_IN_PENALTY = 2  # the machine is to be emptied and released
-FETCH_PENALTY = 4  # for jobs that may preempt: users wait, so a cached image outweighs the others
+# Penalties of a candidate machine for a job. They are summed; the lowest sum is preferred.
+SCARCE_TYPE_PENALTY = 1  # some jobs can use this machine type, but not all types
+SCALE_IN_PENALTY = 2  # the autoscaler wants to empty and release the machine
+FETCH_PENALTY = 4  # only for jobs that may preempt: users wait, so a fetch outweighs the others
 
 
 def place(snapshot: Snapshot) -> Plan:
@@ -57,13 +58,14 @@
         ]
 
     def _has_room_for_smallest(self, machine: PlacementMachine) -> bool:
+        """Whether the machine has the CPUs and memory of the smallest pending task."""
         return (
             machine.cpus + EPSILON >= self._smallest_cpus
             and machine.memory_gb + EPSILON >= self._smallest_memory_gb
         )
 
     def run(self) -> Plan:
-        """Place as many tasks as possible, job by job in scheduling order."""
+        """Place as many pending tasks as possible, job by job in scheduling order."""
         plan = self._plan
         for job_index, job in enumerate(self._snapshot.jobs):
             if job.pending_tasks <= 0:
@@ -81,6 +83,7 @@
         return plan
 
     def _reserve_for_head(self, job_index: int, job: PlacementJob, unplaced: int) -> None:
+        """Make the job the head of the queue and reserve machines for its unplaced tasks."""
         reservations = reserve(self._snapshot, job, self._allowed_zones(job), unplaced)
         self._plan.head = job_index
         self._plan.shadow_time = reservations.shadow_time
@@ -151,6 +154,7 @@
     def _place_on_candidates(
         self, job_index: int, job: PlacementJob, candidates: list[_Candidate], max_tasks: int
     ) -> int:
+        """Place up to `max_tasks` tasks on the candidates; return how many were placed."""
         # In the first round, machines that must fetch the image get one task each: the fetches
         # run in parallel, and the more machines cache an image, the sooner its next job starts.
         # Services also get one replica per machine, as replicas should run on different machines.
@@ -177,7 +181,7 @@
     def _place_on(
         self, job_index: int, job: PlacementJob, machine_index: int, max_tasks: int
     ) -> int:
-        """Place up to `max_tasks` tasks on a machine and return how many were placed."""
+        """Place up to `max_tasks` tasks of a job on a machine; return how many were placed."""
         machine = self._snapshot.machines[machine_index]
         if not self._fetch_limits.allow(job, machine):
             return 0
--- a/spoolcourse/control/placement/image_fetches.py
+++ b/spoolcourse/control/placement/image_fetches.py
@@ -1,4 +1,7 @@
-"""Image fetches during a pass: their expected delay and the limits on concurrent fetches."""
+"""Image fetches in a placement pass: their expected delay and the limits on concurrent ones.
+
+A machine fetches the image of a task before it runs the task, and then caches the image.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +37,7 @@
 
 
 class FetchLimits:
-    """Counts concurrent fetches against the limits per machine and per zone."""
+    """Counts the fetches that run or are planned, against the limits per machine and per zone."""
 
     def __init__(self, snapshot: Snapshot) -> None:
         self._per_machine = max(snapshot.fetches_per_machine, 1)
@@ -46,11 +49,14 @@
 
     @property
     def requires_idle_zone(self) -> bool:
-        """Whether the zone limit is below one fetch: a fetch then needs a zone without fetches."""
+        """Whether the zone limit is below one; a fetch then starts only if its zone has none."""
         return self._per_zone < 1
 
     def allow(self, job: PlacementJob, machine: PlacementMachine) -> bool:
-        """Whether the job needs no new fetch on the machine, or the limits allow one more."""
+        """Whether a task of the job may start on the machine as far as fetches are concerned.
+
+        It may if it needs no new fetch there, or if the limits allow one more.
+        """
         if not needs_fetch(job, machine):
             return True
         if (
@@ -64,7 +70,7 @@
         return running < self._per_zone
 
     def add_required_fetch(self, job: PlacementJob, machine: PlacementMachine) -> None:
-        """Count the fetch that a start of the job on the machine requires, if any."""
+        """Count the fetch that starting a task of the job on the machine requires, if any."""
         if needs_fetch(job, machine):
             machine.remaining_fetch_gb[job.image] = job.image_gb
             self._running_by_zone[machine.zone] += 1
--- a/spoolcourse/control/placement/model.py
+++ b/spoolcourse/control/placement/model.py
@@ -1,4 +1,15 @@
-"""The placement model: what a pass reads (the snapshot) and what it returns (the plan).
+"""The placement model: what a placement pass reads (the snapshot) and returns (the plan).
+
+Terms of a placement pass:
+
+- Scheduling order: the order in which a pass considers the jobs.
+- Head of the queue: the first job in that order with pending tasks that no machine can take now.
+- Shadow time: when the first of the head's reserved tasks can start. It follows from the expected
+  ends of the running tasks.
+- Guarantee: the CPUs and GPUs that the settings promise to a team. A job is within the guarantee
+  if its unfinished tasks fit into it together with those of the team's earlier jobs.
+- Scarce machine type: one that some recent job can use, while that job can't use all types.
+- Scale-in candidate: an on-demand machine beyond recent demand, to be emptied and released.
 
 Machines, jobs, teams, zones, machine types and images are dense indices here. Times are seconds
 on the leader's clock, durations are in seconds, memory and image sizes in GB; CPU counts may be
@@ -40,7 +51,7 @@
 
 
 class RunningTask(msgspec.Struct):
-    """An attempt that holds resources of a machine until about `expected_end`."""
+    """An attempt on a machine; it uses the machine's resources until about `expected_end`."""
 
     expected_end: float  # infinite for a service
     cpus: float
@@ -49,9 +60,10 @@
     attempt_number: int = -1
     rank: int = 0  # 0 is the highest
     team: int = 0
-    checkpoint_loss_cpu_s: float = 0.0  # loss if stopped; used if `unsaved_since` is None
-    stopping: bool = False
-    within_guarantee: bool = False  # of its team; not preempted for another team's
+    # CPU seconds lost if the task is stopped; used only if `unsaved_since` is None.
+    checkpoint_loss_cpu_s: float = 0.0
+    stopping: bool = False  # the leader has already decided to stop it
+    within_guarantee: bool = False  # or exempt: no job of the same rank preempts it
     unsaved_since: float | None = None  # if stopped, all work since then is lost
 
     def loss_cpu_s(self, now: float) -> float:
@@ -62,7 +74,7 @@
 
 
 class FreeResources(msgspec.Struct):
-    """Free resources into which tasks are packed."""
+    """The free resources of one machine, into which tasks are packed."""
 
     cpus: float
     gpus: float
@@ -86,7 +98,7 @@
 
 
 class PlacementMachine(FreeResources, kw_only=True):
-    """A machine as seen by a pass; the inherited fields are its free resources."""
+    """A machine in a snapshot; the inherited fields are its free resources."""
 
     machine_type: int
     zone: int
@@ -94,11 +106,11 @@
     total_cpus: float
     fetch_gb_per_s: float
     cached_images: set[int] = msgspec.field(default_factory=set)
-    remaining_fetch_gb: dict[int, float] = msgspec.field(default_factory=dict)  # by image, estimate
+    remaining_fetch_gb: dict[int, float] = msgspec.field(default_factory=dict)  # estimate, by image
     tasks: list[RunningTask] = msgspec.field(default_factory=list)  # sorted by expected end
-    ready_at: float = 0.0  # in the future while it boots
+    ready_at: float = 0.0  # when the machine can take tasks; in the future while it boots
     scale_in_candidate: bool = False  # to be emptied and released
-    has_scarce_type: bool = False  # some job can use this type, but not all types
+    has_scarce_type: bool = False  # some recent job can use this type, but not all types
     cpus_being_freed: float = 0.0  # by tasks that are being stopped; also the next two
     gpus_being_freed: float = 0.0
     memory_gb_being_freed: float = 0.0
@@ -111,9 +123,9 @@
 
 
 class PlacementJob(msgspec.Struct):
-    """A job as seen by a pass, with its number of pending tasks."""
+    """A job in a snapshot."""
 
-    pending_tasks: int
+    pending_tasks: int  # tasks that the pass may place
     cpus: float  # per task; also the next two
     gpus: float
     memory_gb: float
@@ -122,19 +134,19 @@
     team: int
     estimate_s: float  # expected run time of a task; infinite for a service
     machine_types: frozenset[int] | None = None  # None: any
-    zone: int | None = None
-    spot_allowed: bool = True
-    one_zone: bool = False
-    max_tasks_per_zone: int | None = None
+    zone: int | None = None  # None: any
+    spot_allowed: bool = True  # on spot machines, besides on-demand ones
+    one_zone: bool = False  # all its tasks must run in the same zone
+    max_tasks_per_zone: int | None = None  # None: no limit
     tasks_by_zone: dict[int, int] = msgspec.field(default_factory=dict)  # tasks that may be running
-    tasks_in_unknown_zones: int = 0
+    tasks_in_unknown_zones: int = 0  # tasks on machines whose zone is unknown
     avoided_machines: frozenset[int] = frozenset()  # machines on which it failed recently
     rank: int = 2  # 0 is the highest
     may_preempt: bool = False  # running tasks may be preempted for it
-    within_guarantee: bool = False  # the job fits into its team's guarantee
-    replicas_by_machine: dict[int, int] = msgspec.field(default_factory=dict)  # of a service
+    within_guarantee: bool = False  # of its team; defined in the module docstring
+    replicas_by_machine: dict[int, int] = msgspec.field(default_factory=dict)  # if it is a service
     is_service: bool = False
-    on_demand_from: float = 0.0  # when on-demand machines may be provisioned
+    on_demand_from: float = 0.0  # time from which on-demand machines may be provisioned for it
 
     def runs_on(self, machine_type: int, spot: bool) -> bool:
         """Whether the job may run on spot or on-demand machines of this type."""
@@ -169,7 +181,7 @@
 
     cpus: float
     gpus: float
-    cpus_over_guarantee: float = 0.0  # negative below the guarantee
+    cpus_over_guarantee: float = 0.0  # CPUs in use beyond the guarantee; negative below it
 
     def tasks_that_fit(self, job: PlacementJob) -> int:
         """Return how many more tasks of the job the limits allow."""
@@ -178,14 +190,14 @@
 
 @dataclass(slots=True)
 class Snapshot:
-    """The input of a pass. A pass modifies it: it subtracts the resources of what it places."""
+    """The input of a pass. A pass modifies it: it subtracts the resources of placed tasks."""
 
     now: float
     jobs: list[PlacementJob]  # in scheduling order
     machines: list[PlacementMachine]
     teams: list[TeamBudget]
     zone_count: int
-    fetches_per_machine: int  # concurrent image fetches; also the next one
+    fetches_per_machine: int  # limit on concurrent image fetches; also the next one
     fetches_per_zone: int
 
 
@@ -193,8 +205,8 @@
 class Placement:
     """A number of tasks of a job to start on a machine."""
 
-    job: int
-    machine: int
+    job: int  # index in the snapshot
+    machine: int  # index in the snapshot
     task_count: int
 
 
@@ -203,7 +215,7 @@
     """The result of a pass. Jobs and machines are indices into the snapshot's lists."""
 
     placements: list[Placement] = field(default_factory=list)
-    head: int | None = None  # the first job that did not fit completely
-    shadow_time: float | None = None  # when the first reserved task of the head can start
+    head: int | None = None  # the head of the queue; None if no job waits for machines
+    shadow_time: float | None = None  # None also if the head's start can't be predicted
     unplaced_tasks: dict[int, int] = field(default_factory=dict)  # by job: tasks that need machines
     wait_reasons: dict[int, str] = field(default_factory=dict)  # by job: shown in /status
--- a/spoolcourse/control/placement/preempt.py
+++ b/spoolcourse/control/placement/preempt.py
@@ -1,10 +1,12 @@
-"""Preemption for rank and team guarantee: running tasks are stopped for jobs that may preempt.
+"""Preemption: chooses the running tasks (victims) to stop so that unplaced tasks can start.
 
 This is the second exception to the arrival order (docs/design.md). A job may preempt if users
 wait for jobs of its class, or if it fits into its team's guarantee. It may preempt tasks of lower
 rank. A job within its team's guarantee may also preempt tasks of the same rank, of teams that
-exceed their own guarantee. Jobs are scheduled in the same order (rank, guarantee, arrival), as two
-jobs must not preempt each other in turn.
+exceed their own guarantee. Jobs are scheduled in the same order (rank, guarantee, arrival);
+otherwise two jobs could preempt each other in turn.
+
+A demand is the number of unplaced tasks of one job that may preempt.
 """
 
 from __future__ import annotations
@@ -19,14 +21,15 @@
     tasks_that_fit,
 )
 
-MIN_LOSS_DIVISOR_CPUS = 0.1  # divisor of the loss per CPU for tasks that use fewer CPUs
+MIN_LOSS_DIVISOR_CPUS = 0.1  # a task's loss is divided by its CPUs, but at least by this
 
-_Demand = tuple[int, int]  # index of a job that may preempt, number of its unplaced tasks
+_Demand = tuple[int, int]  # job index, number of unplaced tasks
 
 
 def choose_victims(snapshot: Snapshot, plan: Plan, min_remaining_s: float) -> list[int]:
-    """Return the attempt numbers of the tasks to stop. Modifies the snapshot.
+    """Return the attempt numbers of the tasks to stop for the plan's unplaced tasks.
 
+    Modifies the snapshot.
     Tasks that lose the least work per CPU are chosen first. Tasks expected to end within
     `min_remaining_s` are not preempted. Resources of tasks already being stopped count as free.
     """
@@ -75,7 +78,7 @@
         return [(machine_index, task) for _, machine_index, _, task in candidates]
 
     def _is_preemptible(self, task: RunningTask, highest_rank: int) -> bool:
-        """Whether a demand of the highest rank may preempt the task."""
+        """Whether some demand may preempt the task; `highest_rank` is the highest of them."""
         if task.stopping or task.rank < highest_rank:
             return False
         return task.rank > highest_rank or (
@@ -105,12 +108,16 @@
         return self._chosen_attempts
 
     def _may_have_victims(self, job: PlacementJob) -> bool:
+        """Whether the job may preempt tasks of the lowest rank among the candidates."""
         return self._lowest_rank > job.rank or (
             self._lowest_rank == job.rank and job.within_guarantee
         )
 
     def _allocate_freed(self, job: PlacementJob, max_tasks: int) -> int:
-        """Allocate resources that are free or being freed; return for how many tasks."""
+        """Allocate free resources, and those being freed, for up to `max_tasks` tasks of the job.
+
+        Returns for how many tasks they suffice.
+        """
         allocated = 0
         for machine_index, machine in enumerate(self._snapshot.machines):
             if allocated >= max_tasks:
@@ -121,7 +128,7 @@
         return allocated
 
     def _preempt_for(self, job: PlacementJob, max_tasks: int) -> int:
-        """Preempt tasks until `max_tasks` of the job fit; return how many then fit."""
+        """Preempt tasks until `max_tasks` tasks of the job fit; return how many then fit."""
         allocated = 0
         victims_by_machine: dict[int, list[RunningTask]] = {}
         for machine_index, task in self._candidates:
@@ -143,6 +150,7 @@
         return allocated
 
     def _stop(self, machine: PlacementMachine, victim: RunningTask) -> None:
+        """Choose the victim and count its resources as being freed."""
         victim.stopping = True
         self._chosen_attempts.append(victim.attempt_number)
         self._cpus_over_guarantee[victim.team] -= victim.cpus
@@ -161,6 +169,7 @@
 def _is_eligible_machine(
     job: PlacementJob, machine_index: int, machine: PlacementMachine, now: float
 ) -> bool:
+    """Whether the machine is ready and the job may run on it, whatever resources are free."""
     return (
         machine.ready_at <= now
         and job.tasks_allowed_in_zone(machine.zone) > 0
@@ -192,7 +201,10 @@
 
 
 def _allocate_freed_on_machine(job: PlacementJob, machine: PlacementMachine, max_tasks: int) -> int:
-    """Allocate resources of the machine that are free or being freed; return for how many tasks."""
+    """Allocate the machine's free resources, and those being freed, for up to `max_tasks` tasks.
+
+    Returns for how many tasks of the job they suffice.
+    """
     fitting = tasks_that_fit(
         machine.cpus + machine.cpus_being_freed,
         machine.gpus + machine.gpus_being_freed,
--- a/spoolcourse/control/placement/reservations.py
+++ b/spoolcourse/control/placement/reservations.py
@@ -1,6 +1,7 @@
 """The reservations of EASY backfilling: resources kept for the head of the queue.
 
-The shadow time, at which the head can start, follows from the expected ends of the running tasks.
+The head of the queue is the first job that does not fit completely. The shadow time, at which its
+first reserved task can start, follows from the expected ends of the running tasks.
 """
 
 from __future__ import annotations
@@ -18,43 +19,48 @@
     Snapshot,
 )
 
-MAX_RESERVED_TASKS = 64  # tasks of the head that get reservations
+MAX_RESERVED_TASKS = 64  # no more tasks of the head get reservations
 
 
 class Reservation(FreeResources):
-    """Resources of a machine that its reserved tasks of the head leave free from `starts_at` on."""
+    """The reservation of a machine for tasks of the head of the queue.
 
-    starts_at: float
+    The inherited fields are the resources left free once all these tasks run.
+    """
+
+    starts_at: float  # when the last of the reserved tasks can start on this machine
 
     def tasks_allowed(self, job: PlacementJob, expected_end: float) -> int:
-        """Return how many tasks that run until `expected_end` do not delay the head."""
+        """Return how many tasks of `job` may run until `expected_end` without delaying the head."""
         if expected_end <= self.starts_at + EPSILON:
             return UNBOUNDED_TASKS
         return self.tasks_that_fit(job)
 
     def allocate_backfilled(self, job: PlacementJob, expected_end: float, count: int) -> None:
-        """Subtract the backfilled tasks, unless they end before the reservation starts."""
+        """Subtract the resources of backfilled tasks, unless they end by `starts_at`."""
         if expected_end > self.starts_at + EPSILON:
             self.allocate(job, count)
 
 
 @dataclass(slots=True)
 class HeadReservations:
-    """The reservations for the head by machine, and the start of its first reserved task."""
+    """The reservations for the head of the queue, by machine index."""
 
-    shadow_time: float | None = None
+    shadow_time: float | None = None  # when the first reserved task can start, if any can
     by_machine: dict[int, Reservation] = field(default_factory=dict)
 
 
-# A time at which a machine may take tasks of the head: the time, the machine index, and how many of
-# the machine's tasks have ended by then. A plain tuple, as each pass builds one per machine.
+# A time at which a machine may have room for tasks of the head of the queue: the time, the machine
+# index, and how many of the machine's tasks have ended by then. A plain tuple, as each pass builds
+# one per machine.
 _Event = tuple[float, int, int]
 
 
 def reserve(snapshot: Snapshot, job: PlacementJob, zones: set[int], tasks: int) -> HeadReservations:
-    """Reserve machines for the next tasks of the head, at most `MAX_RESERVED_TASKS` of them.
+    """Reserve machines for up to `tasks` tasks of `job`, the head of the queue.
 
-    Processes the expected ends of running tasks in time order until all of them fit.
+    At most `MAX_RESERVED_TASKS` tasks get a reservation. Processes the expected ends of running
+    tasks in time order until all tasks to be reserved fit.
     """
     events = _first_events(snapshot, job, zones)
     missing = min(tasks, MAX_RESERVED_TASKS)
@@ -93,7 +99,7 @@
 
 
 def _first_events(snapshot: Snapshot, job: PlacementJob, zones: set[int]) -> list[_Event]:
-    """Return a heap with each machine's earliest time at which it may take tasks of the head."""
+    """Return a heap of the earliest time at which each machine may take tasks of `job`."""
     events: list[_Event] = []
     now = snapshot.now
     for machine_index, machine in enumerate(snapshot.machines):
@@ -101,7 +107,8 @@
             continue
         if not job.runs_on(machine.machine_type, machine.spot):
             continue
-        if machine.tasks_that_fit(job):  # it still boots, or a fetch limit blocked it
+        # A task fits although none was placed: the machine boots, or a fetch limit excluded it.
+        if machine.tasks_that_fit(job):
             events.append((max(machine.ready_at, now), machine_index, 0))
         elif machine.tasks and machine.tasks[0].expected_end < inf:
             events.append((max(machine.tasks[0].expected_end, now), machine_index, 1))
@@ -112,7 +119,7 @@
 def _reservation(
     machine: PlacementMachine, job: PlacementJob, starts_at: float, count: int
 ) -> Reservation:
-    """Build the reservation for `count` tasks of the head on a machine."""
+    """Build a machine's reservation for `count` tasks of `job`, the head of the queue."""
     reservation = Reservation(machine.cpus, machine.gpus, machine.memory_gb, starts_at=starts_at)
     for task in machine.tasks:
         if task.expected_end <= starts_at + EPSILON:
