--- a/spoolcourse/control/scheduling/attempt_numbers.py
+++ b/spoolcourse/control/scheduling/attempt_numbers.py
@@ -1,13 +1,15 @@
-"""Attempt numbers, unique across leaders."""
+"""Attempt numbers, which no two attempts share, even under different leaders."""
 
 from __future__ import annotations
 
-ATTEMPT_BITS = 24  # low bits, below the fencing token, so that no leader reuses a number
+# Low bits of an attempt number, which count the attempts of a term. The fencing token is above
+# them, so that no leader reuses a number.
+ATTEMPT_BITS = 24
 MAX_ATTEMPTS_PER_TERM = (1 << ATTEMPT_BITS) - 1
 
 
 class AttemptNumbersExhaustedError(Exception):
-    """A term has used all its attempt numbers; the next one would belong to the next term.
+    """A term has used all its attempt numbers; the next number belongs to the next term.
 
     A newly elected leader has unused numbers.
     """
@@ -20,7 +22,7 @@
 
 
 class AttemptNumbers:
-    """The attempt numbers of a term: the fencing token followed by a counter."""
+    """Hands out the attempt numbers of a term: the fencing token followed by a counter."""
 
     def __init__(self, fencing_token: int) -> None:
         self._fencing_token = fencing_token
--- a/spoolcourse/control/scheduling/capacity_planning.py
+++ b/spoolcourse/control/scheduling/capacity_planning.py
@@ -1,4 +1,7 @@
-"""Capacity planning: requests machines for unplaced tasks and for headroom."""
+"""Capacity planning: requests machines for unplaced tasks and for headroom.
+
+Headroom is capacity beyond recent demand: tasks that start there need not wait for a boot.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,7 @@
 
 
 class CapacityPlanner:
-    """Requests scale out after each pass, for unplaced tasks and missing headroom."""
+    """Requests scale out after each placement pass, for unplaced tasks and missing headroom."""
 
     def __init__(
         self, leader: LeaderContext, autoscaler: FleetAutoscaler, indices: SnapshotIndices
@@ -65,7 +68,7 @@
             )
 
     def _offers(self) -> list[Offer]:
-        """Return the offers that may be requested now."""
+        """Return the kinds of machine (type, zone, spot or on-demand) that may be requested now."""
         return [
             self._offer(machine_type, zone, spot)
             for machine_type in self._machine_types().values()
--- a/spoolcourse/control/scheduling/job_order.py
+++ b/spoolcourse/control/scheduling/job_order.py
@@ -1,4 +1,4 @@
-"""The scheduling order: which job the placement pass considers first."""
+"""The scheduling order: the order in which a placement pass considers the jobs."""
 
 from __future__ import annotations
 
@@ -13,11 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class JobOrder:
-    """The live jobs in scheduling order, and two sets of job IDs that determine it."""
+    """The live jobs in scheduling order, and the sets of job IDs that determine it."""
 
     job_states: list[JobState]
-    within_guarantee: set[str]  # jobs that fit into their team's guarantee with its earlier jobs
-    starved_jobs: set[str]  # jobs whose first task is scheduled ahead of all ranks
+    # Jobs that fit into their team's guarantee together with the team's earlier jobs.
+    within_guarantee: set[str]
+    # Jobs that have waited so long without any task that their first task is placed before the
+    # tasks of all other jobs, whatever their rank.
+    starved_jobs: set[str]
 
 
 def order_jobs(
@@ -27,11 +30,12 @@
     policy: Policy,
     now: float,
 ) -> JobOrder:
-    """Sort the jobs into scheduling order.
+    """Sort the jobs, except cancelled ones, into scheduling order.
 
     This is the first exception to the arrival order (docs/design.md): jobs are sorted by rank,
     then by whether they are within their team's guarantee, then by arrival. Preemption uses the
-    same order, as otherwise two jobs would preempt each other in turn.
+    same order; otherwise two jobs would preempt each other in turn. Starved jobs come before all
+    others.
     """
     job_states = sorted(
         (state for state in jobs if not state.record.cancelled),
@@ -51,10 +55,11 @@
 
 
 def _is_starved(job_state: JobState, begin_s: float, now: float) -> bool:
-    """Whether the job has waited so long that its first task is scheduled ahead of all ranks.
+    """Whether the job has waited for longer than `begin_s` (a policy key) and no task has started.
 
     This is the fourth exception to the arrival order (docs/design.md): a steady arrival of urgent
-    jobs must not starve a job forever. The exception applies only to the job's first task.
+    jobs must not starve a job forever. It applies only to the job's first task, which is then
+    placed before the tasks of all other jobs, whatever their rank.
     """
     return (
         not job_state.attempts
@@ -66,7 +71,11 @@
 def _jobs_within_guarantee(
     job_states: list[JobState], team_settings: list[Team], teams: NameIndex
 ) -> set[str]:
-    """Return the jobs that fit into their team's guarantee together with its earlier jobs."""
+    """Return the IDs of the jobs within their team's guarantee.
+
+    They fit into its guaranteed CPUs and GPUs together with the team's earlier jobs; finished tasks
+    don't count.
+    """
     within_guarantee: set[str] = set()
     remaining_cpus = [team.cpus for team in team_settings]
     remaining_gpus = [team.gpus for team in team_settings]
--- a/spoolcourse/control/scheduling/name_index.py
+++ b/spoolcourse/control/scheduling/name_index.py
@@ -1,4 +1,4 @@
-"""Maps names to the dense indices of the placement model."""
+"""Maps names to the dense indices (0, 1, 2, ...) that snapshots use instead of names."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class NameIndex:
-    """Assigns indices to names in the order in which they are first seen."""
+    """Assigns dense indices to names, in the order in which the names are first seen."""
 
     def __init__(self, names: Iterable[str] = ()) -> None:
         self.names: list[str] = []  # by index
--- a/spoolcourse/control/scheduling/placement_jobs.py
+++ b/spoolcourse/control/scheduling/placement_jobs.py
@@ -17,20 +17,20 @@
 
 log = logging.getLogger(__name__)
 
-# Objective kinds for which users wait: the start of a job, the replicas of a service.
+# Objective kinds of classes whose users wait for a job to start, or for a service's replicas.
 LATENCY_SENSITIVE_OBJECTIVES = ("wait", "up")
-COMPLETION_OBJECTIVE = "finished"
+COMPLETION_OBJECTIVE = "finished"  # objective kind that limits the time until a job is done
 
 
 @dataclass(frozen=True, slots=True)
 class PassContext:
-    """Input that is the same for all jobs of a pass."""
+    """The input for building `PlacementJob`s that is the same for all jobs of a pass."""
 
     now: float
-    boot_s: float  # of the machine type that boots slowest
+    boot_s: float  # boot time of the machine type that boots slowest
     machine_indices: dict[str, int]  # by machine ID: index in the snapshot
-    within_guarantee: set[str]  # job IDs
-    starved_jobs: set[str]  # job IDs
+    within_guarantee: set[str]  # IDs of the jobs within their team's guarantee
+    starved_jobs: set[str]  # job IDs; see `JobOrder`
 
 
 class PlacementJobBuilder:
@@ -56,7 +56,8 @@
     def placement_job(self, job_state: JobState, context: PassContext) -> PlacementJob:
         """Return the `PlacementJob` of a job; if building it fails, one without pending tasks.
 
-        A rule that failed for jobs without a deadline once stopped every pass of every leader.
+        An error for one job must not stop the pass for all others: a rule that failed for jobs
+        without a deadline once stopped every pass of every leader.
         """
         try:
             return self._build_placement_job(job_state, context)
@@ -109,7 +110,7 @@
         return job
 
     def _is_latency_sensitive(self, submission: Submission) -> bool:
-        """Whether users wait for the job to start."""
+        """Whether users wait for the job to start: services, and classes with such an objective."""
         return submission.is_service or submission.job_class in self._latency_sensitive_classes
 
     def _on_demand_from(self, job_state: JobState, boot_s: float) -> float:
@@ -120,6 +121,10 @@
         as long as possible. A job without its own deadline gets the one of its class's objectives.
         By the time a new machine has booted, a wait objective or a guarantee is already missed, so
         neither is a reason to provision one.
+
+        Policy keys: `ordinary_wait_s` is the least time that a job waits for spot machines;
+        `rescue_estimates` times its estimated run time, plus a boot, is the time that must be left
+        before its deadline.
         """
         submission = job_state.record.submission
         if submission.is_service:
@@ -135,7 +140,7 @@
         return max(earliest_at, job_state.waiting_since + due_s - needed_s)
 
     def _count_tasks_by_zone(self, job: PlacementJob, job_state: JobState) -> None:
-        """Count the job's tasks by zone, and those on machines whose zone is unknown."""
+        """Count the tasks that may be running by zone, and those whose zone is unknown."""
         zones = self._indices.zones
         for attempt in job_state.attempts.values():
             machine = self._registry.machines.get(attempt.machine)
@@ -150,7 +155,7 @@
 
 
 def _tasks_to_place(job_state: JobState, context: PassContext) -> int:
-    """Return how many tasks of the job the pass may place."""
+    """Return how many tasks of the job the pass may place: only the first of a starved job."""
     if job_state.backoff_until > context.now:
         return 0
     if job_state.id in context.starved_jobs:
@@ -159,7 +164,10 @@
 
 
 def _max_tasks_per_zone(submission: Submission) -> int | None:
-    """Return half of the tasks, rounded up, for a job that is spread over zones."""
+    """Return the most tasks per zone: half of them, rounded up, if the job is spread over zones.
+
+    None means no limit.
+    """
     return -(-submission.task_count // 2) if submission.spread_over_zones else None
 
 
@@ -173,6 +181,7 @@
 def _count_replicas(
     job: PlacementJob, job_state: JobState, machine_indices: dict[str, int]
 ) -> None:
+    """Count the service's replicas by machine."""
     for attempt in job_state.attempts.values():
         machine_index = machine_indices.get(attempt.machine)
         if machine_index is not None:
@@ -186,7 +195,7 @@
 
 
 def _completion_s_by_class(objectives: list[Objective]) -> dict[str, float]:
-    """Return the strictest completion objective of each job class."""
+    """Return, by job class, the time of its strictest completion objective."""
     completion_s: dict[str, float] = {}
     for objective in objectives:
         if objective.kind == COMPLETION_OBJECTIVE:
--- a/spoolcourse/control/scheduling/preemption.py
+++ b/spoolcourse/control/scheduling/preemption.py
@@ -14,7 +14,7 @@
 
 
 class Preemptor:
-    """Stops the victims of each pass."""
+    """Stops the victims of each placement pass: the tasks chosen to be preempted."""
 
     def __init__(
         self,
--- a/spoolcourse/control/scheduling/scarce_machine_types.py
+++ b/spoolcourse/control/scheduling/scarce_machine_types.py
@@ -1,4 +1,7 @@
-"""Tracks scarce machine types: those needed by jobs that cannot use all types."""
+"""Tracks scarce machine types: those that some recent job can use, but not all types.
+
+Other jobs avoid scarce types, so that such a job finds room.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,10 @@
 
 
 class ScarceMachineTypes:
-    """Marks machine types as scarce, each for `rare_s` seconds (a policy key)."""
+    """Remembers which machine types are scarce.
+
+    A type stays scarce for `rare_s` seconds (a policy key) after the last such job was live.
+    """
 
     def __init__(self, policy: Policy) -> None:
         self._policy = policy
@@ -19,7 +25,10 @@
     def update(
         self, jobs: Iterable[JobState], machine_types: dict[str, MachineType], now: float
     ) -> None:
-        """Mark as scarce the types that a job can use, for each job that cannot use all types."""
+        """Mark types as scarce for the live jobs.
+
+        If a job can use only some of the types, these are marked.
+        """
         for job_state in jobs:
             usable_types = [
                 machine_type.name
@@ -31,5 +40,5 @@
                     self._scarce_until[name] = now + self._policy.rare_s
 
     def is_scarce_type(self, machine_type: str, now: float) -> bool:
-        """Whether a recent job could use this type, but not all types."""
+        """Whether some recent job could use this type, but not all types."""
         return self._scarce_until.get(machine_type, 0.0) > now
--- a/spoolcourse/control/scheduling/scheduling_loop.py
+++ b/spoolcourse/control/scheduling/scheduling_loop.py
@@ -49,13 +49,13 @@
         self._attempt_numbers = AttemptNumbers(leader.registry.fencing_token)
         self.waiting_jobs = WaitingJobs(leader)
         self.wake = asyncio.Event()
-        self.passes = 0
+        self.passes = 0  # run since this controller became the leader
         self.pass_cost_s = 0.0  # processor time of the latest pass
 
     async def run(self) -> None:
         """Run until cancelled."""
         while True:
-            # A pass runs when something changed, and at the latest after `pass_period_s`.
+            # A pass runs when something changed, and `pass_period_s` after the pause at the latest.
             await wait_for_event(self.wake, self._policy.pass_period_s)
             self.wake.clear()
             if self._registry.leader.holds_lease():
@@ -63,11 +63,12 @@
                 with self._load.time_block("pass"):
                     self._run_pass()
                 self.pass_cost_s = time.process_time() - started_at
-            # The policy lengthens the gap under load. Changes that arrive during the gap are
-            # handled together in the next pass.
+            # `pass_gap_s` is the pause between two passes; the policy lengthens it under load.
+            # Changes that arrive during the pause are handled together in the next pass.
             await asyncio.sleep(self._policy.pass_gap_s)
 
     def _run_pass(self) -> None:
+        """Run one placement pass and execute its plan."""
         now = self._clock()
         machine_types = self._machine_types()
         if not machine_types:
@@ -101,7 +102,7 @@
         )
 
     def _refresh_policy(self, snapshot: Snapshot, demanded_cpus: float) -> None:
-        """Update the policy values that depend on the load."""
+        """Recompute the policy's values from the current load."""
         total_cpus = sum(machine.total_cpus for machine in snapshot.machines)
         boot_times_s = [machine_type.boot_s for machine_type in self._machine_types().values()]
         waiting_jobs = sum(1 for job in snapshot.jobs if job.pending_tasks > 0)
@@ -119,7 +120,7 @@
         )
 
     def _assign(self, placement: Placement, now: float) -> None:
-        """Create the attempts of a placement."""
+        """Create an attempt for each task of a placement."""
         job_state = self._snapshot_builder.job_states[placement.job]
         machine = self._snapshot_builder.machines[placement.machine]
         is_starved = job_state.id in self._snapshot_builder.starved_jobs
--- a/spoolcourse/control/scheduling/snapshot_builder.py
+++ b/spoolcourse/control/scheduling/snapshot_builder.py
@@ -17,11 +17,11 @@
 from spoolcourse.wire.messages import ListedMachineStage, MachineType
 from spoolcourse.wire.settings import DeploymentSettings
 
-MIN_REMAINING_BOOT_S = 1.0  # shortest assumed time until a booting machine is ready
+MIN_REMAINING_BOOT_S = 1.0  # a booting machine is assumed to need at least this much longer
 
 
 class SnapshotBuilder:
-    """Builds snapshots and maps the job and machine indices of the latest one to objects."""
+    """Builds the snapshots, and maps the indices in the latest one back to jobs and machines."""
 
     def __init__(
         self,
@@ -53,11 +53,11 @@
 
     @property
     def starved_jobs(self) -> set[str]:
-        """Jobs of the latest snapshot whose first task is scheduled ahead of all ranks."""
+        """IDs of the jobs in the latest snapshot that are starved; see `JobOrder`."""
         return self._order.starved_jobs
 
     def is_scarce_type(self, machine_type: str, now: float) -> bool:
-        """Whether a recent job could use this type, but not all types."""
+        """Whether some recent job could use this type, but not all types."""
         return self._scarce_types.is_scarce_type(machine_type, now)
 
     def attempts(self, attempt_numbers: list[int]) -> list[Attempt]:
@@ -107,7 +107,7 @@
     def _placement_machines(
         self, now: float, machine_types: dict[str, MachineType]
     ) -> list[PlacementMachine]:
-        """Return the available machines as seen by a pass; sets `machines` to the same machines."""
+        """Return the available machines for a snapshot, and set `machines` to the same ones."""
         scarce_types = {name for name in machine_types if self.is_scarce_type(name, now)}
         self._snapshot_cache.remove_missing(self._registry.machines)
         self.machines = []
@@ -130,7 +130,7 @@
         return placement_machines
 
     def _is_available(self, machine: Machine, now: float) -> bool:
-        """Whether the machine accepts tasks now, or will after booting."""
+        """Whether the machine accepts tasks now, or will once it has booted."""
         if machine.last_heartbeat_at is None and machine.expected_ready_at is not None:
             return (
                 not machine.deletion_requested
--- a/spoolcourse/control/scheduling/snapshot_cache.py
+++ b/spoolcourse/control/scheduling/snapshot_cache.py
@@ -1,4 +1,4 @@
-"""Caches the machines of snapshots between passes.
+"""Caches the state of machines from one placement pass to the next.
 
 A machine's free resources and its tasks' expected ends are recomputed only after a change on the
 machine, or when they change with time alone. On a fleet of 534 machines, recomputing all of them
@@ -23,15 +23,22 @@
 from spoolcourse.policy.keys import Policy
 from spoolcourse.wire.messages import MachineType, Submission
 
-ESTIMATE_REFRESH_S = 0.5  # recompute interval of tasks that overran or wait for a fetch
-OVERRUN_REMAINING_FRACTION = 0.5  # of the elapsed time of a task that overran its estimate
+# Interval at which expected ends that shift as time passes are recomputed: those of tasks that
+# overran their estimate or wait for an image fetch.
+ESTIMATE_REFRESH_S = 0.5
+# Remaining time of a task that overran its estimate: this fraction of the elapsed time, plus a
+# constant.
+OVERRUN_REMAINING_FRACTION = 0.5
 MIN_OVERRUN_REMAINING_S = 1.0
-MIN_REMAINING_FETCH_GB = 0.1  # of an image whose fetch should have finished
-MIN_FETCH_DELAY_S = 0.5
+MIN_REMAINING_FETCH_GB = 0.1  # assumed for an image whose fetch should have finished
+MIN_FETCH_DELAY_S = 0.5  # assumed for a task that still waits for its image
 
 
 class CachedMachine(msgspec.Struct):
-    """The cached state of a machine. Passes do not modify its collections."""
+    """The cached state of a machine; the fields mean the same as in `PlacementMachine`.
+
+    Passes do not modify its collections.
+    """
 
     change_count: int  # `Machine.change_count` when this state was computed
     valid_until: float  # when the estimates must be recomputed
@@ -40,16 +47,16 @@
     cpus: float  # free; also the next two
     gpus: float
     memory_gb: float
-    cpus_being_freed: float
+    cpus_being_freed: float  # by tasks that are being stopped; also the next two
     gpus_being_freed: float
     memory_gb_being_freed: float
     cached_images: set[int]
-    remaining_fetch_gb: dict[int, float]
-    tasks: list[RunningTask]
+    remaining_fetch_gb: dict[int, float]  # estimate, by image
+    tasks: list[RunningTask]  # sorted by expected end
 
 
 class SnapshotCache:
-    """Caches the state of machines as seen by passes."""
+    """Creates the machines of snapshots, and caches what changes rarely about them."""
 
     def __init__(self, indices: SnapshotIndices, policy: Policy) -> None:
         self._indices = indices
@@ -58,9 +65,9 @@
         self._within_guarantee: set[str] = set()
 
     def update_guarantees(self, within_guarantee: set[str], jobs: dict[str, JobState]) -> None:
-        """Replace the jobs within their team's guarantee.
+        """Set which jobs (by ID) are within their team's guarantee.
 
-        Drops the cached state of machines that run a job that was added or removed.
+        Drops the cached state of machines with tasks of jobs for which this changed.
         """
         for job in self._within_guarantee ^ within_guarantee:
             job_state = jobs.get(job)
@@ -81,7 +88,7 @@
         now: float,
         has_scarce_type: bool,
     ) -> PlacementMachine:
-        """Return a machine as seen by a pass; recomputes its cached state only if out of date."""
+        """Return a machine for a snapshot; recomputes its cached state only if out of date."""
         cached = self._cached.get(machine.id)
         if (
             cached is None
@@ -113,6 +120,7 @@
     def _compute(
         self, machine: Machine, machine_type: MachineType, jobs: dict[str, JobState], now: float
     ) -> CachedMachine:
+        """Compute the state of a machine from its attempts."""
         gb_per_s = max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
         placement_machine = PlacementMachine(
             machine_type=self._indices.machine_types.index_of(machine_type.name),
@@ -151,7 +159,7 @@
     def _remaining_fetch_gb(
         self, machine: Machine, gb_per_s: float, now: float
     ) -> dict[int, float]:
-        """Estimate how much of each image the machine's attempts still need to fetch."""
+        """Estimate, by image, how many GB the machine must still fetch for its attempts."""
         remaining_fetch_gb: dict[int, float] = {}
         for attempt in machine.attempts.values():
             if attempt.is_executing:
@@ -168,7 +176,10 @@
     def _add_tasks(
         self, placement_machine: PlacementMachine, machine: Machine, fetch_s: float, now: float
     ) -> float:
-        """Add the machine's attempts; return until when their estimates are valid."""
+        """Add the machine's attempts as tasks; return until when their expected ends are valid.
+
+        `fetch_s` is the time that the machine needs to fetch all images its attempts wait for.
+        """
         valid_until = inf
         for attempt in machine.attempts.values():
             _subtract(placement_machine, attempt.job_state.record.submission)
@@ -193,8 +204,9 @@
             gpus=submission.gpus,
             memory_gb=submission.memory_gb,
             attempt_number=attempt.number,
-            # An attempt scheduled ahead of all ranks must not be preempted by rank, or the two
-            # jobs would alternate: one first task was stopped a hundred times on a busy day.
+            # The first task of a starved job was placed before all ranks, so it must not be
+            # preempted by rank, or it would start and stop again and again: one such task was
+            # stopped a hundred times on a busy day.
             rank=0 if attempt.exempt_from_preemption else submission.rank_number,
             team=self._indices.teams.index_of(submission.team),
             checkpoint_loss_cpu_s=checkpoint_cpu_s if is_executing and has_checkpoints else 0.0,
@@ -205,7 +217,7 @@
         )
 
     def _expected_end(self, attempt: Attempt, now: float, fetch_s: float) -> tuple[float, bool]:
-        """Return an attempt's expected end, and whether that end stays the same as time passes."""
+        """Return an attempt's expected end, and whether it stays the same as time passes."""
         estimate_s = run_estimate_s(attempt.job_state, self._policy)
         elapsed_s = now - attempt.stage_since
         if attempt.is_executing:
@@ -218,7 +230,7 @@
 
 
 def _subtract(placement_machine: PlacementMachine, submission: Submission) -> None:
-    """Subtract the resources of one task of the job."""
+    """Subtract the resources of one task of the submitted job from the machine's free ones."""
     placement_machine.cpus -= submission.cpus
     placement_machine.gpus -= submission.gpus
     placement_machine.memory_gb -= submission.memory_gb
--- a/spoolcourse/control/scheduling/team_budgets.py
+++ b/spoolcourse/control/scheduling/team_budgets.py
@@ -1,4 +1,4 @@
-"""Team budgets: what each team may still use, and its usage beyond its guarantee."""
+"""Team budgets: the resources each team may still use, and its CPUs beyond its guarantee."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 ) -> list[TeamBudget]:
     """Return the budget of each team, by team index.
 
-    All tasks that may be running count, including attempts that outlive their job and unexpected
-    attempts on machines.
+    Every task that may be running counts. That includes attempts that still run although their job
+    has finished, and attempts on machines where the leader does not expect them.
     """
     budgets = [
         TeamBudget(cpus=team.cpu_limit, gpus=team.gpu_limit, cpus_over_guarantee=-team.cpus)
@@ -24,7 +24,10 @@
     ]
 
     def charge(job_state: JobState, tasks: int, stoppable: bool = True) -> None:
-        """Charge tasks to their team; only stoppable tasks count towards `cpus_over_guarantee`."""
+        """Charge tasks of a job to its team.
+
+        Only tasks that a preemption could stop count towards `cpus_over_guarantee`.
+        """
         submission = job_state.record.submission
         budget = budgets[teams.index_of(submission.team)]
         cpus = submission.cpus * tasks
--- a/spoolcourse/control/scheduling/termination_notices.py
+++ b/spoolcourse/control/scheduling/termination_notices.py
@@ -14,10 +14,11 @@
 from spoolcourse.control.scheduling.estimates import run_estimate_s
 from spoolcourse.control.workers.machine import Machine
 
-POLL_INTERVAL_S = 0.5
+POLL_INTERVAL_S = 0.5  # between checks of the machines with a notice
 HEARTBEATS_TO_CONFIRM_STOP = 2  # until the leader knows that a stopped task has ended
-STOP_MARGIN_S = 1.0
-MAX_NEEDED_TIME_RATIO = 1.5  # of the remaining time; a task that needs more is stopped
+STOP_MARGIN_S = 1.0  # in addition to those heartbeats
+# A task without checkpoints is stopped if it needs more than this times the remaining time.
+MAX_NEEDED_TIME_RATIO = 1.5
 
 
 class TerminationNoticeLoop:
@@ -40,6 +41,7 @@
                     self._drain(machine, machine.terminates_at - self._clock())
 
     def _drain(self, machine: Machine, remaining_s: float) -> None:
+        """Release or stop attempts, where needed, on a machine that terminates in `remaining_s`."""
         for attempt in list(machine.attempts.values()):
             if attempt.stopping:
                 continue
@@ -51,10 +53,10 @@
                 self._registry.request_stop(attempt)
 
     def _must_stop(self, attempt: Attempt, remaining_s: float) -> bool:
-        """Whether to stop the attempt now.
+        """Whether to stop the attempt now, as its machine terminates in `remaining_s`.
 
-        A task with checkpoints is stopped while there is just time for a last checkpoint, a task
-        without them if it cannot finish anyway.
+        A task with checkpoints is stopped when there is just time left for a last checkpoint, a
+        task without them as soon as it is expected not to finish in time.
         """
         submission = attempt.job_state.record.submission
         if submission.is_service:
@@ -70,9 +72,9 @@
     def _must_move(self, replica: Attempt, remaining_s: float) -> bool:
         """Whether to stop a replica now so that it restarts on another machine.
 
-        The replica restarts sooner than if its machine first had to be proven gone. While there is
-        time, replicas move one at a time: only if all replicas of the service run and another
-        machine has room.
+        Without the stop, it could restart only after the leader had proven that its machine is
+        gone. While there is time, replicas move one at a time: only if all replicas of the service
+        run and another machine has room.
         """
         if remaining_s < self._stop_lead_s:
             return True
--- a/spoolcourse/control/scheduling/waiting_jobs.py
+++ b/spoolcourse/control/scheduling/waiting_jobs.py
@@ -11,19 +11,19 @@
 log = logging.getLogger(__name__)
 
 # Wait reasons shown in `/status` in addition to those of the placement pass.
-NEXT_PASS_REASON = "next pass"
-BACKOFF_REASON = "an error's pause"
+NEXT_PASS_REASON = "next pass"  # the latest pass gave no reason
+BACKOFF_REASON = "an error's pause"  # its tasks failed, so none starts for some time
 
 
 @dataclass(frozen=True, slots=True)
 class WaitingJob:
-    """A job with pending tasks and its wait reason."""
+    """A job with pending tasks, and why they wait."""
 
     id: str
     job_class: str
     team: str
-    tasks: int
-    waits_s: float
+    tasks: int  # pending ones
+    waits_s: float  # since the job was accepted
     reason: str
 
 
@@ -63,7 +63,7 @@
         return self._reasons.get(job_state.id, NEXT_PASS_REASON)
 
     def log_summary(self) -> None:
-        """Log the number of pending tasks by class and reason."""
+        """Log the number of pending tasks by job class and wait reason."""
         tasks: dict[tuple[str, str], int] = {}
         for job in self.list():
             key = (job.job_class, job.reason)
