--- a/spoolcourse/control/jobs/backoff.py
+++ b/spoolcourse/control/jobs/backoff.py
@@ -1,4 +1,4 @@
-"""Exponential backoff of a job whose attempts fail several times in a row."""
+"""Exponential backoff of jobs: pauses before the next start after failures in a row."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Backoff:
-    """After `free_failures` in a row, each further failure doubles the pause, up to a maximum."""
+    """The pause of a job after failures in a row: it doubles with each one, up to a maximum."""
 
     free_failures: int  # consecutive failures that cause no pause
     initial_pause_s: float
--- a/spoolcourse/control/jobs/cancellation_query.py
+++ b/spoolcourse/control/jobs/cancellation_query.py
@@ -1,8 +1,9 @@
 """A leader's query to its peers for cancellations that it has not read from the key-value store.
 
-The query is sent while the store does not answer the leader. Once all peers have responded, the
-leader may go on renewing the workers' leases: tasks survive a store outage, and tasks of a job
-whose cancellation a peer has confirmed still end in time.
+The query is sent to the other controllers (the peers) while the key-value store does not answer
+the leader. Once all peers have responded, the leader may go on renewing the workers' leases: tasks
+survive a store outage, and tasks of a job whose cancellation a peer has confirmed still end in
+time.
 """
 
 from __future__ import annotations
@@ -22,13 +23,17 @@
 from spoolcourse.wire.settings import Peer
 
 QUERY_PERIOD_S = 1.0
-STORE_READ_AGE_MAX_S = 2.0  # then peers are queried; the health check reads each second
+# Peers are queried if the last successful store read is older. The health check reads each second.
+STORE_READ_AGE_MAX_S = 2.0
 
 
 def cancellations_response(
     job_index: JobIndex, watch_cache: WatchCache, query: str
 ) -> dict[str, Any]:
-    """Return the response to a leader that has applied all changes up to the query's revision.
+    """Return this controller's response to a leader's query for cancellations.
+
+    The leader has applied all changes up to the revision in the query, so the response holds later
+    cancellations only.
 
     Raises `MalformedError` if the query has no valid revision.
     """
@@ -42,7 +47,7 @@
 
 
 class CancellationQuery:
-    """Queries the peers while the key-value store does not answer."""
+    """Queries the peers for cancellations while the key-value store does not answer."""
 
     def __init__(
         self,
@@ -91,5 +96,8 @@
 
 
 def _acknowledges(response: CancellationsResponse | None) -> bool:
-    """Whether the peer responded with every cancellation that it can have confirmed."""
+    """Whether the response holds every cancellation that the peer can have confirmed to users.
+
+    The revision of the query excludes those that the leader knows already.
+    """
     return response is not None and response.has_read_store and response.cancelled is not None
--- a/spoolcourse/control/jobs/cancellations.py
+++ b/spoolcourse/control/jobs/cancellations.py
@@ -1,9 +1,10 @@
 """Cancellations that this controller has confirmed or seen.
 
-A leader that can't read the key-value store queries its peers for them. A controller confirms a
-cancellation to users only after its own write or a read has brought it into the watch cache.
-Remembering every cancellation in the cache therefore covers all confirmed ones (docs/design.md,
-"What the leader may not know").
+A leader that can't read the key-value store queries the other controllers for the cancellations
+that they have confirmed (see `cancellation_query`). A controller confirms a cancellation to users
+only after its own write or a read has brought it into the watch cache. Remembering every
+cancellation in the cache therefore covers all confirmed ones (docs/design.md, "What the leader may
+not know").
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 from spoolcourse.wire.peers import Cancellation
 
-CANCELLATIONS_MAX = 20_000
+CANCELLATIONS_MAX = 20_000  # the oldest are evicted
 
 
 class Cancellations:
@@ -33,7 +34,7 @@
             self._evicted_up_to_revision = max(self._evicted_up_to_revision, oldest.revision)
 
     def after(self, store_revision: int) -> list[Cancellation] | None:
-        """Return cancellations after a store revision; None if some may have been evicted."""
+        """Return the cancellations later than a store revision; None if some may be evicted."""
         if store_revision < self._evicted_up_to_revision:
             return None
         return [c for c in self._by_job.values() if c.revision > store_revision]
--- a/spoolcourse/control/jobs/chunk_batch.py
+++ b/spoolcourse/control/jobs/chunk_batch.py
@@ -1,4 +1,4 @@
-"""Batches of progress chunks, each written in one transaction."""
+"""Batches of chunks (see `model`) whose progress is written in one transaction."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ChunkWrite:
-    """A snapshot of a chunk for writing; the chunk itself may change before the commit."""
+    """The write of one chunk, with a copy of its progress: the chunk may change meanwhile."""
 
     chunk: Chunk
     chunk_version: int  # of the chunk's content in `put`
     put: Put
-    value_bytes: int
+    value_bytes: int  # size of the value in `put`
     job_revision: int  # of the job's record; a cancellation since then makes the write fail
 
 
@@ -68,9 +68,11 @@
     limits: BatchLimits,
     expected_revisions: dict[str, int],
 ) -> ChunkBatch:
-    """Select as many of the chunks, in their order, as fit into one transaction.
+    """Build a batch of as many of the chunks, in the given order, as fit into one transaction.
 
-    Chunks that can't or need not be written are removed from the pending writes.
+    A chunk that can't or need not be written is removed from the queue's pending writes.
+    `expected_revisions` holds those that every transaction of the term requires; the batch adds
+    its own.
     """
     batch = ChunkBatch(expected_revisions)
     size_bytes = 0
--- a/spoolcourse/control/jobs/final_state.py
+++ b/spoolcourse/control/jobs/final_state.py
@@ -1,4 +1,4 @@
-"""The transaction that ends a job."""
+"""The transaction that ends a job: it writes the final state and deletes the record."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FinalStateWrite:
-    """Writes a job's final state and deletes its record and its progress."""
+    """The transaction that ends one job, and the progress keys to delete after it."""
 
-    stage: JobStage
-    expected_revisions: dict[str, int]
+    stage: JobStage  # done or cancelled
+    expected_revisions: dict[str, int]  # by key
     final_state: Put
     deletions: list[Delete]  # the job's record, then its progress keys
     leftover_keys: list[str]  # progress keys that don't fit into the transaction
@@ -34,10 +34,11 @@
 
     The progress of a job with many chunks does not fit into one transaction. If some of it were
     deleted before the job's record, those tasks would count as not done after a crash. So this
-    transaction writes the final state, and the remaining progress is deleted later.
+    transaction writes the final state and deletes the record with as much progress as fits;
+    progress that does not fit (`leftover_keys`) is deleted after it.
 
-    Like a cancellation, it is conditional on the job's record, so only one of the two succeeds
-    (docs/design.md, "Rules", `ran_cancelled`).
+    This transaction and a cancellation both require the same revision of the job's record, so only
+    one of them succeeds (docs/design.md, "Rules", `ran_cancelled`).
     """
     record = job_state.record
     record_key, final_state_key = job_key(job_state.id), final_key(job_state.id)
--- a/spoolcourse/control/jobs/job_index.py
+++ b/spoolcourse/control/jobs/job_index.py
@@ -1,4 +1,4 @@
-"""Each controller's index of jobs, updated from the watch cache."""
+"""The index of jobs that every controller keeps, updated from the watch cache."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 from spoolcourse.wire.messages import JobStage, JobStatus
 from spoolcourse.wire.peers import Cancellation
 
-FINAL_STATES_MAX = 20_000
+FINAL_STATES_MAX = 20_000  # kept in memory; the oldest are evicted
 
 
 class TaskCounts(NamedTuple):
-    """The number of a chunk's tasks that are done, and that are held by an attempt."""
+    """The numbers of tasks of one chunk that are done and held."""
 
-    done: int
-    held: int
+    done: int  # tasks with a result
+    held: int  # tasks with an attempt, which may be on a machine
 
 
 class JobIndex:
-    """The live jobs, and the most recent final states."""
+    """The live jobs with their numbers of tasks, and the most recent final states."""
 
     def __init__(self, watch_cache: WatchCache) -> None:
         self._watch_cache = watch_cache
@@ -89,7 +89,10 @@
     # -- queries --------------------------------------------------------------------------
 
     def known_final_status(self, job: str) -> JobStatus | None:
-        """Return the final status if known here; it never changes, so no sync is needed."""
+        """Return the job's final status if this controller knows it, else None.
+
+        A final status never changes, so the caller need not sync the watch cache first.
+        """
         record = self.live.get(job)
         if record is not None and record.cancelled:
             return self._status(job, JobStage.CANCELLED)
@@ -97,7 +100,7 @@
         return final_status(job, final_state) if final_state is not None else None
 
     def known_status(self, job: str) -> JobStatus | None:
-        """Return the status as of the last sync; None if this controller does not know the job."""
+        """Return the job's status in the watch cache; None if this controller does not know it."""
         final = self.known_final_status(job)
         if final is not None:
             return final
--- a/spoolcourse/control/jobs/job_queue.py
+++ b/spoolcourse/control/jobs/job_queue.py
@@ -1,7 +1,8 @@
 """The leader's live jobs and their pending writes.
 
-Progress is changed in memory first; `ProgressWriter` persists it. Before a start is sent or a
-result acknowledged, `is_persisted` is checked (docs/design.md, "Rules").
+Progress is changed in memory first; `ProgressWriter` persists it. A task's start is sent, and a
+result acknowledged to a worker, only once `is_persisted` is true for the attempt or the chunk
+(docs/design.md, "Rules").
 """
 
 from __future__ import annotations
@@ -26,22 +27,22 @@
     def __init__(self, max_held_per_chunk: int = UNLIMITED_HELD_TASKS) -> None:
         self._max_held_per_chunk = max_held_per_chunk
         self.jobs: dict[str, JobState] = {}
-        self.pending_writes: dict[ChunkId, Chunk] = {}
-        # The pending writes that starts wait for: they are written first. Results can wait, since
-        # the workers keep them until they are durable.
+        self.pending_writes: dict[ChunkId, Chunk] = {}  # chunks whose progress is to be written
+        # Those of them with new assignments: they are written first, as the tasks can't start
+        # before. Results can wait, since the workers keep them until they are durable.
         self.pending_start_writes: dict[ChunkId, Chunk] = {}
-        self.pending_final_states: dict[str, JobState] = {}
+        self.pending_final_states: dict[str, JobState] = {}  # finished jobs, by ID
         self._write_listeners: list[Callable[[], None]] = []
         # Attempts that outlive their job: a task that an earlier attempt completed may still run
         # on another machine. They count against their team until they are proven gone.
         self._attempts_of_finished_jobs: dict[TaskId, Attempt] = {}
 
     def add_write_listener(self, listener: Callable[[], None]) -> None:
-        """Register a function that is called at each change that must be written."""
+        """Register a function that is called whenever a chunk or a final state must be written."""
         self._write_listeners.append(listener)
 
     def attempts_of_finished_jobs(self) -> list[Attempt]:
-        """Return attempts that outlive their finished job and are not proven gone yet."""
+        """Return the attempts that are not proven gone although their job has finished."""
         return list(self._attempts_of_finished_jobs.values())
 
     # -- jobs -----------------------------------------------------------------------------
@@ -157,8 +158,8 @@
     def complete(self, job_state: JobState, task: int) -> None:
         """Mark a task as done.
 
-        If the result is of the task's current attempt, the caller drops that attempt. A replica of
-        a service is never done, however it ended.
+        The task's attempt stays; the caller drops it if the result came from it. A replica of a
+        service is never done, however it ended.
         """
         if job_state.record.submission.is_service or job_state.is_done(task):
             return
--- a/spoolcourse/control/jobs/job_records.py
+++ b/spoolcourse/control/jobs/job_records.py
@@ -1,4 +1,4 @@
-"""The user API's reads and writes of jobs in the key-value store."""
+"""Reads and writes of jobs in the key-value store on behalf of users."""
 
 from __future__ import annotations
 
@@ -48,11 +48,11 @@
         self._job_index = job_index
 
     async def read_final_status(self, job: str) -> JobStatus | None:
-        """Read the final status of a job that the synced cache does not show as live.
+        """Read the final status of a job from the key-value store; None if there is none.
 
-        The caller syncs the cache before this read. A job that had ended by the sync is then found
-        here; one that is not found had not been accepted by the sync (docs/design.md, "Rules",
-        `forgotten`, `invented`).
+        The caller first syncs the watch cache, and calls this if the cache does not show the job as
+        live. A job that had ended by the sync is then found here; one that is not found had not
+        been accepted by the sync (docs/design.md, "Rules", `forgotten`, `invented`).
         """
         entry = await self._client.get(final_key(job))
         if entry is None:
@@ -62,7 +62,9 @@
         return final_status(job, final_state)
 
     async def accept(self, submission: Submission, accepted_at: float) -> bool:
-        """Write a new job; `accepted_at` is wall-clock time. False if the id already exists.
+        """Write the record of a new job; return False if a job with its id already exists.
+
+        `accepted_at` is wall-clock time in seconds since the epoch.
 
         Also raises RecordTooLargeError.
         """
@@ -76,11 +78,11 @@
         return await self._put(key, value, {key: 0, final_key(submission.id): 0})
 
     async def cancel(self, job: str, cancelled_at: float) -> bool:
-        """Mark a live job cancelled; `cancelled_at` is wall-clock time.
+        """Mark the record of a live job as cancelled; `cancelled_at` is wall-clock time.
 
-        Returns False if the record has changed meanwhile: the caller reads it again. The write is
-        conditional on the record's revision, like the leader's final state, so only one succeeds
-        (docs/design.md, "Rules", `ran_cancelled`).
+        Returns False if the record has changed meanwhile: the caller reads it again. The
+        cancellation and the leader's write of the final state both require the same revision of the
+        record, so only one of them succeeds (docs/design.md, "Rules", `ran_cancelled`).
         """
         record = self._job_index.live[job]
         if record.cancelled:
@@ -92,7 +94,10 @@
     async def _put(
         self, key: str, value: dict[str, Any], expected_revisions: dict[str, int]
     ) -> bool:
-        """Write a record; if the outcome is unknown, read back whether it was written."""
+        """Write a record if the keys have the expected revisions; return whether it was written.
+
+        If the outcome is unknown, the record is read back.
+        """
         try:
             outcome = await self._client.compare_and_swap(expected_revisions, [Put(key, value)])
         except OutcomeUnknownError:
--- a/spoolcourse/control/jobs/model.py
+++ b/spoolcourse/control/jobs/model.py
@@ -1,5 +1,11 @@
 """The leader's data model of jobs: attempts, chunks of progress and job states.
 
+- Attempt: the assignment of a task to a machine. It exists until the leader knows that it does not
+  run and can no longer start; then it is proven gone.
+- Held task: a task that has an attempt.
+- Chunk: consecutive tasks of a job whose progress (done and held tasks) is stored under one key.
+- Persisted: durable in the key-value store.
+
 `JobQueue` changes these objects and `ProgressWriter` persists them.
 """
 
@@ -15,19 +21,20 @@
 from spoolcourse.wire.identities import ChunkId, HeartbeatId
 from spoolcourse.wire.messages import TaskStage, task_name
 
-UNLIMITED_HELD_TASKS = sys.maxsize  # held tasks per chunk are limited by the chunk size alone
+UNLIMITED_HELD_TASKS = sys.maxsize  # only the chunk size limits the held tasks of a chunk
 
 
 class AttemptStage(Enum):
     """The stage of an attempt, as far as the leader knows."""
 
-    OPEN = "open"  # adopted from a record or a heartbeat; its actual stage is unknown
+    OPEN = "open"  # found in a record or a heartbeat; its actual stage is unknown
     ASSIGNED = "assigned"  # not yet reported by its machine
-    FETCHING = "fetching"
+    FETCHING = "fetching"  # the machine fetches its image
     RUNNING = "running"
-    SAVING = "saving"
+    SAVING = "saving"  # it saves a checkpoint
 
 
+# The attempt's stage by the stage that a heartbeat reports.
 REPORTED_STAGES = {
     TaskStage.FETCHING: AttemptStage.FETCHING,
     TaskStage.RUNNING: AttemptStage.RUNNING,
@@ -40,18 +47,21 @@
     """One attempt at a task. It exists until it is proven gone."""
 
     job_state: JobState
-    task: int
-    number: int
-    machine: str
-    chunk_version: int  # version of its chunk when the attempt was added
+    task: int  # index of the task in the job
+    number: int  # the attempt number
+    machine: str  # ID of the machine
+    chunk_version: int  # a version of its chunk that contains the attempt
     stage_since: float  # when `stage` began, in seconds of the monotonic clock
     stage: AttemptStage = AttemptStage.ASSIGNED
-    start_heartbeat_id: HeartbeatId | None = None  # the heartbeat whose response carried the start
-    sent_directly: bool = False  # the start was also sent to the machine's address
-    in_flight_incarnation: int | None = None  # a direct start may still reach this incarnation
-    # Placed ahead of its rank so that its job begins; it is not preempted.
+    # The heartbeat whose response carried the start command; None again once that response is
+    # known not to have arrived.
+    start_heartbeat_id: HeartbeatId | None = None
+    sent_directly: bool = False  # the start was sent to the machine's address
+    # The machine's incarnation to which a directly sent start may still be on its way.
+    in_flight_incarnation: int | None = None
+    # The first task of a starved job, placed before all ranks: it is not preempted.
     exempt_from_preemption: bool = False
-    stopping: bool = False
+    stopping: bool = False  # the leader has decided to stop it
     stop_sent: bool = False  # the stop was sent directly to the machine's address
 
     @property
@@ -61,12 +71,12 @@
 
     @property
     def is_executing(self) -> bool:
-        """Whether the attempt runs or saves a checkpoint, so its image is fetched."""
+        """Whether the attempt runs or saves a checkpoint; its image was fetched by then."""
         return self.stage is AttemptStage.RUNNING or self.stage is AttemptStage.SAVING
 
     @property
     def never_sent(self) -> bool:
-        """Whether no start was sent that has arrived or may still arrive."""
+        """Whether no start command for the attempt has arrived or may still arrive."""
         return (
             self.stage is AttemptStage.ASSIGNED
             and self.start_heartbeat_id is None
@@ -84,22 +94,22 @@
 
 @dataclass(slots=True, eq=False)
 class Chunk:
-    """The in-memory content of a progress key, and which version of it is durable."""
+    """The progress of a chunk in memory, and which version of it is durable."""
 
     id: ChunkId  # stored, so that changes and lookups don't construct a key each time
     progress: Progress = field(default_factory=Progress)
-    revision: int = 0  # of the key in the key-value store; 0 while there is none
+    revision: int = 0  # of its key in the key-value store; 0 if it has not been written
     version: int = 0  # number of changes of `progress` in this term
     persisted_version: int = 0  # latest version known to be durable
 
     @property
     def index(self) -> int:
-        """The index of the chunk in its job."""
+        """The index of the chunk in its job, from 0."""
         return self.id.index
 
     @property
     def is_persisted(self) -> bool:
-        """Whether the whole content is durable; no result may be acknowledged before.
+        """Whether the whole progress is durable; no result may be acknowledged before.
 
         Safety condition: docs/design.md, "Rules", `not_done`.
         """
@@ -110,7 +120,7 @@
     """A chunk's progress as the key-value store holds it."""
 
     progress: Progress
-    revision: int  # of its key
+    revision: int  # of the progress key
 
 
 @dataclass(slots=True, eq=False)
@@ -118,21 +128,23 @@
     """A live job on the leader; times are in seconds of the monotonic clock."""
 
     record: JobRecord
-    chunks: dict[int, Chunk] = field(default_factory=dict)
-    attempts: dict[int, Attempt] = field(default_factory=dict)
-    done_count: int = 0
-    requeued_tasks: set[int] = field(default_factory=set)  # tasks whose attempt was dropped
+    chunks: dict[int, Chunk] = field(default_factory=dict)  # by chunk index
+    attempts: dict[int, Attempt] = field(default_factory=dict)  # by task: the held tasks
+    done_count: int = 0  # tasks with a result
+    requeued_tasks: set[int] = field(default_factory=set)  # pending tasks whose attempt was dropped
     first_unassigned: int = 0  # all lower tasks are held, done or requeued
     backoff_until: float = 0.0  # no task is placed before this time
     consecutive_failures: int = 0  # attempts in a row that ended in error
     # Machines on which its attempts failed, and until when each is avoided.
     avoided_machines: dict[str, float] = field(default_factory=dict)
-    final_state_persisted: bool = False
-    waiting_since: float = 0.0
-    # Limits the held tasks of chunks that were sized for a larger value limit than the key-value
-    # store will have, so that values fit. Held tasks beyond it end one by one and are not replaced.
+    final_state_persisted: bool = False  # the job has ended, and that is durable
+    waiting_since: float = 0.0  # when the job was accepted; its waiting time counts from here
+    # The most tasks of one chunk that may be held at once. It applies to chunks sized for a larger
+    # value limit than the key-value store will have: fewer held tasks make a smaller value. Held
+    # tasks beyond it end one by one and are not replaced.
     max_held_per_chunk: int = UNLIMITED_HELD_TASKS
-    cancelled_known_at: float = 0.0  # when this leader learned of the cancellation, if any
+    # When this leader learned that the job is cancelled; without meaning for other jobs.
+    cancelled_known_at: float = 0.0
 
     @property
     def id(self) -> str:
@@ -146,7 +158,7 @@
 
     @property
     def pending_count(self) -> int:
-        """The number of tasks that are neither done nor held by an attempt."""
+        """The number of pending tasks: those neither done nor held."""
         return self.record.submission.task_count - self.done_count - len(self.attempts)
 
     @property
@@ -176,7 +188,7 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether only the final state is left to be written."""
+        """Whether nothing is left to do for the job but to write its final state."""
         if self.record.cancelled:
             return not self.attempts
         if self.record.submission.is_service:
--- a/spoolcourse/control/jobs/progress_writer.py
+++ b/spoolcourse/control/jobs/progress_writer.py
@@ -1,9 +1,9 @@
-"""Persists the leader's progress in batches of changed chunks, and the final states of jobs.
+"""Persists the progress of jobs in batches of changed chunks, and the final states of jobs.
 
-Every write is conditional on the revisions of the term, of the job's record and of the key itself.
-So no late write, of a deposed leader or of this one, overwrites a newer write, and no assignment
-becomes durable for a job that was cancelled before (docs/design.md, "Rules": `ran_twice`,
-`ran_cancelled`).
+Every write of progress or of a final state is conditional on the revisions of the term, of the
+job's record and of the key itself. So no late write, of a deposed leader or of this one, overwrites
+a newer write, and no assignment becomes durable for a job that was cancelled before
+(docs/design.md, "Rules": `ran_twice`, `ran_cancelled`).
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class ProgressWriter:
-    """Writes changed chunks and final states within the write budget."""
+    """Writes changed chunks and final states within this controller's write budget."""
 
     def __init__(
         self,
@@ -79,7 +79,10 @@
     # -- chunks ---------------------------------------------------------------------------
 
     async def _write_pending_starts(self) -> None:
-        """Write the chunks that starts wait for, by rank: users wait for these starts."""
+        """Write the chunks with new assignments, the highest rank first.
+
+        The tasks can't start before the write, and users wait for them.
+        """
         jobs = self._job_queue.jobs
         chunk_ids = [key for key in self._job_queue.pending_start_writes if key.job in jobs]
         chunk_ids.sort(key=lambda key: jobs[key.job].record.submission.rank_number)
@@ -99,7 +102,7 @@
         await self._write_chunks(list(self._job_queue.pending_writes))
 
     async def _write_chunks(self, chunk_ids: list[ChunkId]) -> None:
-        """Write as many of the chunks, in their order, as fit into one transaction."""
+        """Write as many of the chunks, in the given order, as fit into one transaction."""
         limits = BatchLimits(self._client.max_value_bytes, self._client.max_transaction_operations)
         batch = select_batch(
             self._job_queue, chunk_ids, limits, self._transactions.expected_revisions()
@@ -120,9 +123,9 @@
         self._apply_committed(batch, outcome.store_revision)
 
     def _pop_start_writes(self, batch: ChunkBatch) -> dict[ChunkId, Chunk]:
-        """Remove the batch's chunks from the pending start writes; return those that were there.
+        """Remove the batch's chunks from the pending start writes; return the removed ones.
 
-        A start that is decided while the batch is being committed adds its chunk again.
+        A task assigned while the batch is being committed adds its chunk again.
         """
         pending = self._job_queue.pending_start_writes
         return {
@@ -132,6 +135,7 @@
         }
 
     def _apply_committed(self, batch: ChunkBatch, store_revision: int) -> None:
+        """Record that a batch was written with this revision."""
         for write in batch.writes:
             chunk = write.chunk
             chunk.revision = store_revision
@@ -144,6 +148,7 @@
     # -- final states ---------------------------------------------------------------------
 
     async def _write_next_final_state(self) -> None:
+        """Write the final state of one finished job, if there is one."""
         job_state = self._next_finished_job()
         if job_state is None:
             return
@@ -182,9 +187,10 @@
         self._on_persisted()
 
     async def delete_progress(self, keys: list[str]) -> None:
-        """Delete progress of jobs that have ended.
+        """Delete progress keys of jobs that have ended.
 
-        Raises RequestRefusedError or OutcomeUnknownError; the next term deletes the remaining keys.
+        Raises RequestRefusedError or OutcomeUnknownError. The leader of the next term deletes keys
+        that this call has not deleted.
         """
         batch_size = self._client.max_transaction_operations
         for start in range(0, len(keys), batch_size):
--- a/spoolcourse/control/jobs/term_transactions.py
+++ b/spoolcourse/control/jobs/term_transactions.py
@@ -1,4 +1,7 @@
-"""Transactions of the leader's term, and reconciliation after they fail."""
+"""Transactions that a leader writes in its term, and reconciliation after they fail.
+
+Reconciliation compares the job queue with the watch cache, to learn what has been written.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 
 
 class TermTransactions:
-    """Commits transactions that are conditional on the term.
+    """Commits transactions that succeed only while this leader's term is the latest one.
 
     A deposed leader's write therefore changes nothing, however late it arrives (docs/design.md,
     "Rules", `ran_twice`).
@@ -46,7 +49,9 @@
     async def commit(
         self, expected_revisions: dict[str, int], operations: list[Operation]
     ) -> CompareAndSwapResult:
-        """Commit a transaction; the result names keys whose revision is not the expected one.
+        """Commit a transaction if the keys have the expected revisions.
+
+        The result tells whether it succeeded, and otherwise which keys have another revision.
 
         Raises:
             RequestRefusedError: The transaction was not carried out.
@@ -64,7 +69,10 @@
             raise
 
     async def reconcile_after_conflict(self, outcome: CompareAndSwapResult) -> None:
-        """Step down if a transaction conflicted with a later term, else reconcile the job queue.
+        """Handle a transaction that was not carried out because a key had another revision.
+
+        If that key is the term key, another controller was elected: step down. Otherwise reconcile
+        the job queue, so that the next transaction uses the current revisions.
 
         Raises:
             RequestRefusedError: The term is superseded, or the watch cache could not be synced.
@@ -78,7 +86,10 @@
         self._reconcile_with_cache()
 
     def _reconcile_with_cache(self) -> None:
-        """Update chunk revisions and remove ended jobs according to the synced watch cache."""
+        """Apply what the synced watch cache shows as written to the job queue.
+
+        Updates the revisions of chunks, and removes jobs whose final state was written.
+        """
         for job, job_state in list(self._job_queue.jobs.items()):
             revision = self._watch_cache.revision(job_key(job))
             if revision == 0 and job in self._job_queue.pending_final_states:
