--- a/spoolcourse/control/store/budget.py
+++ b/spoolcourse/control/store/budget.py
@@ -1,7 +1,7 @@
-"""Rate limits of this controller's requests to the key-value store.
+"""The budget: rate limits of this controller's requests to the key-value store.
 
 The store's limits apply to all controllers together; each one keeps to its share of them.
-Source: PROTOCOL, Limits and errors.
+Source: PROTOCOL (the specification of the network interfaces), Limits and errors.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from spoolcourse.control.store.errors import RequestRefusedError
 from spoolcourse.wire.settings import StoreLimits
 
-UNUSED_CONTROLLER_SHARES = 0.5  # of the request limit, in units of one controller's share
+UNUSED_CONTROLLER_SHARES = 0.5  # part of the request limit left unused, in controllers' shares
 LEADER_WRITE_SHARE = 0.5  # of the write limit; the leader makes most of the writes
 FOLLOWERS_WRITE_SHARE = 0.4  # of the write limit, for all followers together
 MIN_TRANSACTION_OPERATIONS = 3  # the transaction that ends a one-chunk job needs this many
@@ -34,7 +34,7 @@
         self.set_leader(False)
 
     def set_leader(self, leading: bool) -> None:
-        """Use the leader's share of the writes, or a follower's.
+        """Use the leader's share of the store's write limit, or a follower's.
 
         The leader writes most, so its share is larger; all shares together stay below the limit.
         """
@@ -53,11 +53,14 @@
         return self._operation_bucket.has_spare_capacity()
 
     async def acquire_request(self, request: str, urgent: bool) -> None:
-        """Wait for the budget of a request; raises `RequestRefusedError` if it is too long."""
+        """Wait until the budget allows a request, if `urgent` is false.
+
+        Raises `RequestRefusedError` if the wait would be too long.
+        """
         await _acquire(self._request_bucket, 1, request, urgent)
 
     async def acquire_operations(self, count: int, request: str, urgent: bool) -> None:
-        """Wait for the budget of `count` puts and deletes; raises as `acquire_request` does."""
+        """Wait for `count` puts and deletes in the same way as for a request."""
         await _acquire(self._operation_bucket, count, request, urgent)
 
     def on_too_many_requests(self) -> None:
--- a/spoolcourse/control/store/client.py
+++ b/spoolcourse/control/store/client.py
@@ -1,7 +1,11 @@
 """Client of the key-value store.
 
+Each write increases the store's revision; a key's revision is that of its last change. A
+compare-and-swap is carried out only if keys have the revisions that the writer expects.
+
 A response that does not show whether a request was carried out counts as neither success nor
-failure: it raises `OutcomeUnknownError`. Source: PROTOCOL, the key-value store.
+failure: it raises `OutcomeUnknownError`. Source: PROTOCOL (the specification of the network
+interfaces), the key-value store.
 """
 
 from __future__ import annotations
@@ -36,15 +40,17 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PAGE_KEYS = 1000  # the most keys that one response may hold
-FAILING_AFTER_S = 0.5  # without a successful request; the store may still answer other controllers
+MAX_PAGE_KEYS = 1000  # the most keys in one response to a read of a prefix
+# Requests count as failing if none has succeeded for so long. The store may still answer other
+# controllers.
+FAILING_AFTER_S = 0.5
 REQUEST_TIMEOUT_S = 1.0
 MAX_KEYS_IN_ERROR = 3  # keys of a transaction that an error message names
 
 
 @dataclass(frozen=True, slots=True)
 class EntryList:
-    """All entries below a prefix.
+    """All entries whose keys start with a prefix.
 
     Attributes:
         entries: The entries, in key order.
@@ -101,7 +107,7 @@
     # -- budget and health ----------------------------------------------------------------
 
     def set_leader(self, leading: bool) -> None:
-        """Use the leader's share of the writes, or a follower's."""
+        """Use the leader's share of the store's write limit, or a follower's."""
         self._budget.set_leader(leading)
 
     @property
@@ -110,11 +116,11 @@
         return self._budget.max_transaction_operations
 
     def has_spare_writes(self) -> bool:
-        """Whether at least half of the write budget is left."""
+        """Whether at least half of this controller's write budget is left."""
         return self._budget.has_spare_writes()
 
     def is_failing(self) -> bool:
-        """Whether requests have failed for a while: other controllers may be served better."""
+        """Whether all requests have failed for longer than `FAILING_AFTER_S`."""
         since = self._failing_since
         return since is not None and asyncio.get_running_loop().time() - since > FAILING_AFTER_S
 
@@ -130,7 +136,7 @@
         return wire.parse_entry(key, response.data)
 
     async def list_entries(self, prefix: str) -> EntryList:
-        """Read all keys below a prefix, page by page."""
+        """Read all entries whose keys start with a prefix, page by page."""
         page = await self._read_page(prefix, MAX_PAGE_KEYS)
         entries, store_revision = page.entries, page.store_revision
         while page.has_next:
@@ -151,7 +157,10 @@
     async def watch(
         self, prefix: str, since: int, block_s: float, *, urgent: bool = False
     ) -> WatchResult:
-        """Wait, for `block_s` at most, for changes below a prefix after the revision `since`.
+        """Return the changes after the revision `since` of keys that start with a prefix.
+
+        Without such changes, the store delays its response until there are some, for `block_s` at
+        most.
 
         Raises:
             RevisionCompactedError: The store no longer has all of these changes.
@@ -180,7 +189,7 @@
         Args:
             expected_revisions: Revisions by key; 0 means that the key must not exist.
             operations: Puts and deletes, `max_transaction_operations` at most.
-            urgent: Don't wait for the budget.
+            urgent: Send the request without waiting for the write and request budgets.
 
         Raises:
             LeaseExpiredError: A put names a lease that has expired.
@@ -201,6 +210,7 @@
     def _transaction_error(
         self, request: str, operations: Sequence[Operation], response: Response
     ) -> StoreError:
+        """Return the error for a response that shows neither success nor a conflict."""
         if (
             response.status == 400
             and response.data
@@ -218,7 +228,10 @@
     # -- leases ---------------------------------------------------------------------------
 
     async def grant_lease(self, ttl_s: float) -> int:
-        """Grant a lease, which expires `ttl_s` after its last renewal."""
+        """Get a new lease, which expires `ttl_s` after its last renewal; return its ID.
+
+        Keys attached to a lease are deleted when it expires.
+        """
         response = await self._call("POST", paths.LEASES, wire.grant_body(ttl_s), urgent=True)
         if response.status != 200:
             raise RequestRefusedError(f"grant of a lease of {ttl_s} s", f"status {response.status}")
@@ -233,7 +246,7 @@
             raise OutcomeUnknownError(f"renewal of lease {lease}", f"status {response.status}")
 
     async def revoke_lease(self, lease: int) -> None:
-        """Revoke a lease, which deletes its keys; an expired lease is not an error."""
+        """Revoke a lease, which deletes the keys attached to it; it may have expired already."""
         response = await self._call("DELETE", wire.revoke_path(lease), urgent=True)
         if response.status not in (200, 404):
             raise OutcomeUnknownError(f"revocation of lease {lease}", f"status {response.status}")
--- a/spoolcourse/control/store/errors.py
+++ b/spoolcourse/control/store/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the key-value store's client. Each names the request and the response.
+"""Errors of the key-value store's client. Each message names the request and the response.
 
     StoreError
         StoreUnavailableError       no usable response; the caller may retry
@@ -9,12 +9,12 @@
         RevisionCompactedError      the changes since a revision are not available
             TooFarBehindError       there are too many changes for one response
 
-Source: PROTOCOL, the key-value store.
+Source: PROTOCOL (the specification of the network interfaces), the key-value store.
 """
 
 from __future__ import annotations
 
-DEFAULT_RETRY_AFTER_S = 1.0
+DEFAULT_RETRY_AFTER_S = 1.0  # used if nothing says when to retry
 
 
 class StoreError(Exception):
@@ -50,7 +50,7 @@
 
 
 class ValueTooLargeError(RequestRefusedError):
-    """A limit was lowered: the store will not accept the transaction as it is.
+    """The store now applies announced lower limits and refuses the transaction as it is.
 
     Attributes:
         max_value_bytes: The largest value that is accepted from now on, in bytes.
@@ -62,11 +62,11 @@
 
 
 class OutcomeUnknownError(StoreUnavailableError):
-    """The request may have been carried out, or may still be carried out later."""
+    """It is unknown whether the store has carried out the request, or will later."""
 
 
 class LeaseExpiredError(StoreError):
-    """The key-value store no longer knows a lease that the request names.
+    """A lease that the request names has expired.
 
     Attributes:
         request: Describes the request.
@@ -81,7 +81,7 @@
 
 
 class RevisionCompactedError(StoreError):
-    """The changes since a revision are not available: all keys must be read again.
+    """A watch can't deliver the changes since a revision: all keys must be read again.
 
     Attributes:
         prefix: The watched prefix.
@@ -95,7 +95,7 @@
 
 
 class TooFarBehindError(RevisionCompactedError):
-    """There are more changes than one watch response should hold.
+    """There are more changes since the revision than one watch response should hold.
 
     Attributes:
         latest_revision: The store's current revision.
--- a/spoolcourse/control/store/keys.py
+++ b/spoolcourse/control/store/keys.py
@@ -10,14 +10,14 @@
 
 PREFIX = "spoolcourse/"
 LIVE_PREFIX = PREFIX + "live/"
-LEADER_KEY = LIVE_PREFIX + "leader"
-TERM_KEY = LIVE_PREFIX + "term"
-INITIAL_MACHINES_KEY = LIVE_PREFIX + "base"
+LEADER_KEY = LIVE_PREFIX + "leader"  # names the leader; attached to its lease
+TERM_KEY = LIVE_PREFIX + "term"  # the latest term
+INITIAL_MACHINES_KEY = LIVE_PREFIX + "base"  # machines that existed when the service first ran
 FEATURE_LEVEL_KEY = LIVE_PREFIX + "level"  # up to which every controller can read stored forms
-CATALOG_KEY = LIVE_PREFIX + "catalog"
-JOB_PREFIX = LIVE_PREFIX + "job/"
-PROGRESS_PREFIX = LIVE_PREFIX + "prog/"
-FINAL_PREFIX = PREFIX + "fin/"
+CATALOG_KEY = LIVE_PREFIX + "catalog"  # the machine types
+JOB_PREFIX = LIVE_PREFIX + "job/"  # the records of live jobs
+PROGRESS_PREFIX = LIVE_PREFIX + "prog/"  # the progress of live jobs, in chunks of tasks
+FINAL_PREFIX = PREFIX + "fin/"  # the final states of jobs
 
 
 def initial_machines_part_key(part: int) -> str:
--- a/spoolcourse/control/store/records.py
+++ b/spoolcourse/control/store/records.py
@@ -1,4 +1,4 @@
-"""Records in the key-value store, and their stored forms.
+"""Records in the key-value store, and their stored forms: the JSON values of the keys.
 
 Stored forms must not change: versions that run side by side read one another's records.
 """
@@ -13,8 +13,8 @@
 
 from spoolcourse.wire.messages import Catalog, JobStage, MachineType, Submission
 
-INITIAL_MACHINES_OVERHEAD_BYTES = 40  # of the stored form, without the names
-MAX_HELD_TASK_BYTES = 48  # of one held task in a progress value
+INITIAL_MACHINES_OVERHEAD_BYTES = 40  # size of the stored form without the names
+MAX_HELD_TASK_BYTES = 48  # the most that one held task (see `Progress`) takes in a value
 MIN_TASKS_PER_CHUNK = 16
 
 _new_tuple = tuple.__new__
@@ -24,17 +24,18 @@
 class JobRecord:
     """A live job, from its acceptance to its final state.
 
-    A cancelled job stays live until its tasks are gone.
+    A cancelled job stays live until its tasks are gone. The progress of its tasks is stored apart,
+    in chunks: each key covers `tasks_per_chunk` consecutive tasks.
 
     Stored as `{"sub": submission, "at": accepted_at, "chunk": tasks_per_chunk, "aborted":
     cancelled_at}`, where "aborted" is there only if the job was cancelled.
 
     Attributes:
-        submission: The submission that was accepted.
+        submission: What the user submitted.
         accepted_at: Seconds since the epoch; jobs are ordered by it.
-        tasks_per_chunk: The number of tasks whose progress shares one key.
+        tasks_per_chunk: The number of tasks per chunk.
         cancelled_at: Seconds since the epoch; None if it was not cancelled.
-        revision: The revision of the record's last change.
+        revision: The store revision of the record's last change.
     """
 
     submission: Submission
@@ -77,10 +78,10 @@
 
 
 class Assignment(NamedTuple):
-    """An attempt at a task that may be on a machine."""
+    """The machine that a task is assigned to, where it may be running."""
 
-    machine: str
-    attempt: int
+    machine: str  # ID of the machine
+    attempt: int  # the attempt number
 
 
 @dataclass(slots=True)
@@ -91,7 +92,8 @@
 
     Attributes:
         done: A bit set of the tasks that have a result; bit 0 is the chunk's first task.
-        held: The assignments by task; tasks are numbered from the job's first one.
+        held: The held tasks, which are assigned to a machine, with their assignments. Tasks are
+            numbered from the job's first one.
     """
 
     done: int = 0
@@ -118,7 +120,7 @@
 
     @staticmethod
     def counts_of(value: dict[str, Any]) -> tuple[int, int]:
-        """The number of tasks done, and of tasks held.
+        """The numbers of done and of held tasks in a stored form.
 
         Does not decode the value, as every controller sees every write of progress.
         """
@@ -126,7 +128,7 @@
 
 
 def max_tasks_per_chunk(value_kb: float) -> int:
-    """How many tasks one progress key may cover: its value can hold an assignment for each.
+    """The most tasks in one chunk, so that its value has room for an assignment of each.
 
     Args:
         value_kb: The largest value that the store accepts, in KiB.
@@ -136,14 +138,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FinalState:
-    """How a job ended; never deleted.
+    """How a job ended. Final states are never deleted.
 
     Stored as `{"stage": stage, "done": done, "at": accepted_at}`.
 
     Attributes:
         stage: Done or cancelled.
         done: The number of tasks with a result.
-        accepted_at: Seconds since the epoch.
+        accepted_at: When the job was accepted, in seconds since the epoch.
     """
 
     stage: JobStage
@@ -169,7 +171,8 @@
     Attributes:
         number: The term's number, which is its fencing token.
         run_id: Identifies the controller process; a restart gets another one.
-        lease: The lease of the leader's key; tells apart two claims of one process for one term.
+        lease: The ID of the lease of the leader key. It tells apart two claims (writes that
+            get a controller elected) of one process for the same term.
     """
 
     number: int
@@ -188,13 +191,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderRecord:
-    """The current leader; the key is attached to a lease and is deleted when that expires.
+    """The current leader. Its key is attached to a lease and is deleted when the lease expires.
 
     Stored as the term's form with an additional `"label"`.
 
     Attributes:
         term: The leader's term.
-        label: The leader's label.
+        label: The name of the leader's controller in the settings.
     """
 
     term: TermRecord
@@ -218,8 +221,8 @@
 def initial_machines_value(names: list[str], further_parts: int = 0) -> dict[str, Any]:
     """The stored form of the initial machines, or of as many as fit into one value.
 
-    Initial machines are those that existed when the service first ran. The rest is in further
-    parts, each a value of the same form.
+    Initial machines are those that existed when the service first ran. Names that don't fit are in
+    `further_parts` more values of the same form.
     """
     return {"machines": names} | ({"parts": further_parts} if further_parts else {})
 
@@ -230,7 +233,7 @@
 
 
 def initial_machines_values(names: list[str], value_bytes: float) -> list[dict[str, Any]]:
-    """Stored forms that hold all names, each within `value_bytes`."""
+    """Stored forms that together hold all names of initial machines, each within `value_bytes`."""
     max_bytes = int(value_bytes) - INITIAL_MACHINES_OVERHEAD_BYTES
     parts: list[list[str]] = [[]]
     part_bytes = 0
@@ -260,7 +263,7 @@
 
 
 def feature_level_value(level: int) -> dict[str, Any]:
-    """The stored form of the feature level that every controller has reached."""
+    """The stored form of a feature level: see `leadership.feature_level`."""
     return {"level": level}
 
 
--- a/spoolcourse/control/store/retry.py
+++ b/spoolcourse/control/store/retry.py
@@ -19,7 +19,7 @@
         self._delay_s = MIN_DELAY_S
 
     def reset(self) -> None:
-        """Return to the shortest delay, after a success."""
+        """Set the next delay to the shortest one, after a success."""
         self._delay_s = MIN_DELAY_S
 
     async def wait(self) -> None:
--- a/spoolcourse/control/store/watch_cache.py
+++ b/spoolcourse/control/store/watch_cache.py
@@ -1,14 +1,17 @@
-"""A cache of the live keys, kept current by a watch.
+"""The watch cache: a copy of the store's live keys in memory, kept current by a watch.
+
+The live keys are those below `live/`: all but the final states of jobs. A watch is a request to the
+key-value store that returns the changes after a revision.
 
 Ways to update the cache:
 
-- `run` polls the watch: each poll waits for changes and applies them.
+- `run` polls: each poll sends a watch request, waits for changes and applies them.
 - `read_barrier` returns once the cache holds every change that was made before the call. One
   request serves all callers that are waiting.
-- `catch_up_to` polls at once, for a caller that knows the revision it needs.
+- `catch_up_to` polls at once, for a caller that knows the revision that it needs.
 - `reload` reads all keys; needed if changes since the last poll are not available.
 
-Source: PROTOCOL, GET /watch.
+Source: PROTOCOL (the specification of the network interfaces), GET /watch.
 """
 
 from __future__ import annotations
@@ -31,11 +34,12 @@
 
 log = logging.getLogger(__name__)
 
-FOLLOWER_WATCH_PAUSE_S = 0.25  # only elections and starts of new jobs wait for this pause
+# Pauses between two polls. On a follower, only elections and starts of new jobs wait for it.
+FOLLOWER_WATCH_PAUSE_S = 0.25
 LEADER_WATCH_PAUSE_S = 0.05
 WATCH_BLOCK_S = 10.0  # a poll without changes returns after this time
 BARRIER_PAUSE_S = 0.1  # between requests for read barriers, so that each serves more callers
-BARRIER_TIMEOUT_S = 1.5
+BARRIER_TIMEOUT_S = 1.5  # then a read barrier has failed
 # A watch response holds all missed changes and has no size limit: after a network partition of two
 # minutes at 37 changes per second it took 55 MB. A controller that was disconnected therefore asks
 # for the store's revision first.
@@ -48,7 +52,7 @@
 
 
 class WatchGap(Enum):
-    """Why changes since the last response are missing or unreliable."""
+    """Why the cache can't rely on the changes that the watch delivers."""
 
     COMPACTED = "the state service no longer keeps the changes"
     FAR_BEHIND = "too many changes to be taken in one by one"
@@ -56,21 +60,21 @@
 
 
 class WatchObserver(Protocol):
-    """Is notified when changes were missed and when all keys were read again."""
+    """Callbacks for the times when the cache missed changes and when it read all keys again."""
 
     def on_watch_gap(self, gap: WatchGap) -> None:
-        """Changes were missed. A reload follows, except after `REVISION_DECREASED`."""
+        """Handle missed changes. A reload follows, except after `REVISION_DECREASED`."""
 
     def on_reload(self) -> None:
-        """All keys were read again; listeners were called with the differences."""
+        """Handle a reload: all keys were read, and listeners were called with the differences."""
 
 
 class WatchCache:
-    """Keys below `prefix + "live/"`; changes elsewhere below `prefix` go to listeners only.
+    """A copy of the keys below `prefix + "live/"`; listeners get every change below `prefix`.
 
     Attributes:
         store_revision: The revision up to which the cache holds every change; -1 at first.
-        synced_at: Loop time; the cache holds every change that was made before it.
+        synced_at: The cache holds every change that was made before this (event loop) time.
         loaded: Set while the cache is usable: all keys were read, and no change was missed since.
         watch_pause_s: Pause between two polls of the watch.
         barrier_pause_s: Pause between two requests for read barriers.
@@ -114,7 +118,7 @@
     # -- the entries ----------------------------------------------------------------------
 
     def get(self, key: str) -> Entry | None:
-        """The entry of a key; None if it does not exist."""
+        """The cached entry of a key; None if the key does not exist."""
         return self._entries.get(key)
 
     def entries_below(self, prefix: str) -> list[Entry]:
@@ -122,12 +126,15 @@
         return [e for k, e in self._entries.items() if k.startswith(prefix)]
 
     def revision(self, key: str) -> int:
-        """The revision of a key's last change; 0 if it does not exist."""
+        """The revision of a key's last change; 0 if the key does not exist."""
         entry = self._entries.get(key)
         return entry.revision if entry else 0
 
     def apply(self, key: str, value: Any, revision: int) -> None:
-        """Apply one change (`value` None: deleted); one that was applied before has no effect."""
+        """Apply one change of a key and call the listeners; `value` is None for a deletion.
+
+        Has no effect if this change or a later one of the key was applied before.
+        """
         entry = self._entries.get(key)
         if revision <= max(entry.revision if entry else 0, self._deletion_revisions.get(key, 0)):
             return
@@ -212,10 +219,10 @@
                 await retry.wait()
 
     async def catch_up_to(self, store_revision: int) -> bool:
-        """Poll at once to reach a revision; returns whether the cache has reached it.
+        """Poll at once if the cache is behind a revision; return whether it has reached it.
 
-        A read barrier makes callers wait for one another to save requests; a failover must not
-        wait.
+        A failover uses this instead of a read barrier, which makes callers wait for one another to
+        save requests.
         """
         if self.store_revision < store_revision and self.loaded.is_set():
             try:
@@ -227,7 +234,7 @@
         return self.loaded.is_set() and self.store_revision >= store_revision
 
     async def _poll_watch(self, block_s: float, urgent: bool = False) -> None:
-        """Wait for changes, for `block_s` at most, and apply them.
+        """Send one watch request, which blocks for `block_s` at most, and apply the changes.
 
         Raises:
             RevisionCompactedError: All keys must be read instead.
@@ -246,6 +253,7 @@
         self.synced_at = max(self.synced_at, started_at)
 
     def _invalidate(self, error: RevisionCompactedError) -> None:
+        """Mark the cache as not loaded, so that `run` reloads it."""
         self.loaded.clear()
         far_behind = isinstance(error, TooFarBehindError)
         self._notify_gap(WatchGap.FAR_BEHIND if far_behind else WatchGap.COMPACTED)
@@ -277,6 +285,7 @@
         return True
 
     async def _serve_barriers(self) -> None:
+        """Poll until no caller waits for a read barrier; each poll serves all waiting callers."""
         while self._barrier_waiters:
             waiters, self._barrier_waiters = self._barrier_waiters, []
             error = await self._poll_for_barrier()
