--- a/spoolcourse/control/jobs/model.py
+++ b/spoolcourse/control/jobs/model.py
@@ -57,7 +57,8 @@
     # known not to have arrived.
     start_heartbeat_id: HeartbeatId | None = None
     sent_directly: bool = False  # the start was sent to the machine's address
-    # The machine's incarnation to which a directly sent start may still be on its way.
+    # The machine's incarnation to which a directly sent start may still be on its way; None if no
+    # such start is.
     in_flight_incarnation: int | None = None
     # The first task of a starved job, placed before all ranks: it is not preempted.
     exempt_from_preemption: bool = False
--- a/spoolcourse/control/leadership/candidate.py
+++ b/spoolcourse/control/leadership/candidate.py
@@ -1,4 +1,7 @@
-"""Claims the next term with one conditional write of the leader key and the term key."""
+"""The claim of a term: one conditional write of the leader key and the term key.
+
+A controller whose claim is carried out is elected for the term.
+"""
 
 from __future__ import annotations
 
@@ -20,11 +23,15 @@
     """A won election: the claim of the term was carried out."""
 
     term: Term
-    lease_requested_at: float  # monotonic, in seconds; the lease lasts its TTL from here at least
+    # Monotonic time in seconds; the lease of the leader key lasts for its TTL from here at least.
+    lease_requested_at: float
 
 
 class Candidate:
-    """Stands for election on behalf of one controller process (`run_id`)."""
+    """Stands for election on behalf of one controller process.
+
+    The controller's name in the settings is `label`; `run_id` identifies the process.
+    """
 
     def __init__(
         self,
@@ -41,7 +48,7 @@
         self._lease_ttl_s = lease_ttl_s
 
     def may_stand_for_election(self) -> bool:
-        """Whether no leader is known, or only an earlier process of this controller."""
+        """Whether the watch cache shows no leader, or an earlier process of this controller."""
         # A restarted controller need not wait for its old lease to expire: the process that held
         # it is dead, and the new term fences the requests that it may still have in flight.
         entry = self._watch_cache.get(LEADER_KEY)
@@ -79,12 +86,13 @@
         return WonElection(Term(number, revision, lease_id), lease_requested_at)
 
     def _expected_revisions(self) -> dict[str, int]:
+        """Return the revisions of the leader key and the term key in the watch cache."""
         return {key: self._watch_cache.revision(key) for key in (LEADER_KEY, TERM_KEY)}
 
     async def _write_claim(
         self, record: TermRecord, expected_revisions: dict[str, int]
     ) -> int | None:
-        """Write the claim; return its revision, or None if a condition did not hold."""
+        """Write the claim; return its revision, or None if a key has another revision by now."""
         leader_value = LeaderRecord(record, self._label).value()
         term_value = record.value()
         try:
@@ -106,6 +114,6 @@
         return revision
 
     async def _read_back(self, term_value: dict[str, Any]) -> int | None:
-        """Return the revision of a claim of unknown outcome; None if the term key differs."""
+        """Return the revision of a claim of unknown outcome; None if the store does not hold it."""
         entry = await self._client.get(TERM_KEY)
         return entry.revision if entry is not None and entry.value == term_value else None
--- a/spoolcourse/control/leadership/election.py
+++ b/spoolcourse/control/leadership/election.py
@@ -3,7 +3,7 @@
 The term number is the workers' fencing token. Every write of a leader is conditional on the
 revision that the term key got when it was elected, so a deposed leader's writes fail however late
 they arrive. The lease only decides when others may stand for election; safety does not depend on
-the lease.
+the lease. Standing for election means trying to claim the next term: see `candidate`.
 """
 
 from __future__ import annotations
@@ -27,9 +27,11 @@
 log = logging.getLogger(__name__)
 
 LEASE_TTL_S = 2.5  # of the leader key's lease; until it expires no other controller can lead
+# Pauses in lease TTLs.
 RENEW_PERIOD_TTL_FRACTION = 1 / 4  # between renewals
 RENEW_RETRY_TTL_FRACTION = 1 / 12  # after a failed renewal
-RELEASE_CANDIDACY_DELAY_S = 5.0  # a leader that released its lease lets others stand first
+# How long a leader that released its lease lets other controllers stand for election first.
+RELEASE_CANDIDACY_DELAY_S = 5.0
 ELECTION_RETRY_DELAY_RANGE_S = (0.1, 0.4)  # random, so that candidates don't retry in step
 RECENT_WATCH_CACHE_MAX_TTLS = 2  # maximum age of a recent watch cache, in lease TTLs
 
@@ -50,7 +52,10 @@
 
 
 class Leadership:
-    """Stands for election when there is no leader, and renews the lease while leading."""
+    """This controller's part in elections.
+
+    It stands for election when there is no leader, and renews the leader key's lease while leading.
+    """
 
     def __init__(
         self,
@@ -62,7 +67,11 @@
         listener: LeadershipListener | None = None,
         candidacy_delay_s: Callable[[], float] = no_candidacy_delay_s,
     ) -> None:
-        """`candidacy_delay_s` returns how long to let others stand first while behind them."""
+        """Start as a follower; `run` stands for election.
+
+        `candidacy_delay_s` returns for how long this controller lets the others stand for election
+        first; it is positive while this controller is not ready to lead.
+        """
         self._client = client
         self._watch_cache = watch_cache
         self._label = label
@@ -71,9 +80,10 @@
         self._listener = listener
         self._candidacy_delay_s = candidacy_delay_s
         self._candidate = Candidate(client, watch_cache, label, run_id, lease_ttl_s)
-        self.term: Term | None = None
+        self.term: Term | None = None  # the term that this controller leads, if any
         self.elections_won = 0
-        # When this controller saw that there is no leader, in seconds of the monotonic clock.
+        # When this controller saw that the leader key was deleted, in seconds of the monotonic
+        # clock; None once another controller leads.
         self.leaderless_since: float | None = None
         self._lease_expires_at = float("-inf")
         self._candidacy_allowed_at = float("-inf")
@@ -91,14 +101,20 @@
 
     @property
     def watch_cache_is_recent(self) -> bool:
-        """Whether the watch cache is recent enough to show any change of leader."""
+        """Whether the watch cache was synced recently enough to be trusted on who leads.
+
+        Its age must be below `RECENT_WATCH_CACHE_MAX_TTLS` lease TTLs.
+        """
         return self._watch_cache_age_s() < RECENT_WATCH_CACHE_MAX_TTLS * self._lease_ttl_s
 
     def _watch_cache_age_s(self) -> float:
         return asyncio.get_running_loop().time() - self._watch_cache.synced_at
 
     def holds_lease(self) -> bool:
-        """Whether this controller leads and no other can have been elected."""
+        """Whether this controller leads and its lease has certainly not expired.
+
+        While it holds the lease, no other controller can be elected.
+        """
         return self.term is not None and (
             asyncio.get_running_loop().time() < self._lease_expires_at
             and not self._stepped_down.is_set()
@@ -107,7 +123,7 @@
     # -- stepping down ------------------------------------------------------------------
 
     def step_down(self, reason: str) -> None:
-        """Step down at once."""
+        """End this controller's leadership at once, if it leads; `reason` is logged."""
         if self.term is None:
             return
         log.info("stepping down, term=%d: %s", self.term.number, reason)
@@ -119,7 +135,7 @@
             self._listener.on_stepped_down()
 
     async def step_down_and_release_lease(self, reason: str) -> None:
-        """Step down and revoke the lease, so that others need not wait until it expires."""
+        """Step down and revoke the lease, so that others can be elected before it expires."""
         term = self.term
         if term is None:
             return
@@ -167,16 +183,20 @@
                 await asyncio.sleep(random.uniform(*ELECTION_RETRY_DELAY_RANGE_S))
 
     async def _follow(self) -> None:
-        """Wait for a change of leader; read the store if the watch seems to hang."""
+        """Wait until the leader changes or a lease TTL has passed.
+
+        If the watch cache was not synced in that time, the watch seems to hang: read the store.
+        """
         changed = await wait_for_event(self._leader_changed, self._lease_ttl_s)
         if not changed and self._watch_cache_age_s() > self._lease_ttl_s:
             await self._watch_cache.read_barrier()
 
     async def _leader_changed_during_delay(self) -> bool:
-        """Let others stand first if this controller is behind or released its lease recently.
+        """Wait, to let others stand for election first, if they are preferred as leaders.
 
-        Returns whether the leader changed. The wait is bounded, so that a leader is elected even
-        if all controllers are behind.
+        They are if this controller is not ready to lead or released its lease recently. Returns
+        whether the leader changed during the wait. The wait is bounded, so that a leader is elected
+        even if every controller waits for the others.
         """
         release_delay_s = self._candidacy_allowed_at - asyncio.get_running_loop().time()
         delay_s = max(self._candidacy_delay_s(), release_delay_s)
@@ -203,7 +223,10 @@
     # -- leading ------------------------------------------------------------------------
 
     async def _lead(self) -> None:
-        """Renew the lease until deposed. If renewals fail, the term continues without the lease."""
+        """Renew the lease until this controller steps down.
+
+        If renewals get no answer, the term continues without the lease.
+        """
         while self.term is not None:
             pause_s = await self._renew_lease(self.term)
             await wait_for_event(self._stepped_down, pause_s)
@@ -226,9 +249,10 @@
         return self._lease_ttl_s * RENEW_PERIOD_TTL_FRACTION
 
     async def _is_latest(self, term: Term) -> bool:
-        """Whether the term key is unchanged; after a gap between renewals another may lead."""
+        """Whether the term key shows no later claim: after a late renewal, another may lead."""
         entry = await self._client.get(TERM_KEY)
         return entry is not None and entry.revision == term.revision
 
     def _extend_lease(self, requested_at: float) -> None:
+        """Record a lease that was granted or renewed by a request sent at `requested_at`."""
         self._lease_expires_at = requested_at + self._lease_ttl_s * (1 - MAX_RELATIVE_CLOCK_DRIFT)
--- a/spoolcourse/control/leadership/failover_proof.py
+++ b/spoolcourse/control/leadership/failover_proof.py
@@ -1,10 +1,10 @@
 """The proof that a new leader has seen every placement of earlier leaders.
 
-The claim of a term is a write at some revision of the key-value store that changes the revision of
-the term key. Every write of an earlier leader is conditional on the revision of the term key that
-it got at its own election, so none is carried out after the claim. A placement is written before
-its start is sent. A controller that has applied every change up to the claim has therefore seen
-every placement whose start can have been sent.
+The claim of a term is the write that elected its leader: at some revision of the key-value store
+it changes the revision of the term key. Every write of an earlier leader is conditional on the
+revision of the term key at its own election, so none is carried out after the claim. A placement is
+written before its start is sent. A controller that has applied every change up to the claim has
+therefore seen every placement whose start can have been sent.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 class ProofSource(Enum):
     """The source of a new leader's job queue."""
 
-    RECORDS = "records"  # rebuilt from the records after a read barrier
-    SHADOW = "shadow"  # the standby's shadow, updated by the watch and caught up to the claim
+    RECORDS = "records"  # rebuilt from the records in the watch cache, after a read barrier
+    SHADOW = "shadow"  # the copy that it kept as a standby, caught up to the claim by the watch
 
 
 class FailoverUnprovenError(Exception):
-    """The failover to a term is not proven."""
+    """It is not proven that the leader of a term has seen every placement of earlier leaders."""
 
 
 class WatchCacheBehindError(FailoverUnprovenError):
-    """The watch cache may lack changes before the claim; retry after it has caught up."""
+    """The watch cache may lack changes before the term's claim; retry once it has caught up."""
 
     def __init__(self, term: Term, applied_revision: int) -> None:
         super().__init__(
@@ -41,7 +41,7 @@
 
 
 class TermSupersededError(FailoverUnprovenError):
-    """A later claim is known; this term can never be proven."""
+    """Another term was claimed later, so this term can never be proven."""
 
     def __init__(self, term: Term, latest_claim_revision: int) -> None:
         super().__init__(
@@ -63,7 +63,10 @@
     __slots__ = ("_applied_revision", "_source", "_term")
 
     def __init__(self, term: Term, watch_cache: WatchCache, source: ProofSource) -> None:
-        """Raises `WatchCacheBehindError` or `TermSupersededError` if there is no proof."""
+        """Check that the watch cache has reached the term's claim and shows no later claim.
+
+        Raises `WatchCacheBehindError` or `TermSupersededError` otherwise.
+        """
         applied_revision = watch_cache.store_revision
         if applied_revision < term.revision:
             raise WatchCacheBehindError(term, applied_revision)
@@ -91,10 +94,13 @@
 
     @property
     def applied_revision(self) -> int:
-        """The revision up to which all changes had been applied; at least that of the claim."""
+        """The revision up to which the watch cache had applied all changes at the proof.
+
+        It is at least that of the claim.
+        """
         return self._applied_revision
 
     @property
     def source(self) -> ProofSource:
-        """The source of the job queue."""
+        """What the new leader's job queue was built from."""
         return self._source
--- a/spoolcourse/control/leadership/failover_timeline.py
+++ b/spoolcourse/control/leadership/failover_timeline.py
@@ -14,14 +14,14 @@
 
 
 class FailoverPhase(Enum):
-    """The phases of a failover, in this order."""
+    """The phases of a failover in this order; each is reached at one event."""
 
     VACANT = "vacant"  # this controller saw that there is no leader
     ELECTED = "elected"  # this controller's claim was carried out
     PROVEN = "proven"  # every change up to the claim is applied, and the job queue is built
-    FIRST_WORKER = "first_worker"  # a worker has reported the new fencing token
+    FIRST_WORKER = "first_worker"  # the first worker reported the new fencing token
     FIRST_PASS = "first_pass"  # the first placement pass after that
-    FIRST_START = "first_start"  # the first start of a task was passed to the network
+    FIRST_START = "first_start"  # the first command to start a task was passed to the network
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
 
 
 class FailoverTimeline:
-    """The phases of one failover, each recorded once."""
+    """Records when each phase of one failover was reached, and logs the durations at the end."""
 
     def __init__(
         self, clock: Callable[[], float], on_complete: Callable[[FailoverTimeline], None]
@@ -51,7 +51,7 @@
         self.proof: FailoverProof | None = None
 
     def record(self, phase: FailoverPhase, at: float | None = None) -> None:
-        """Record that a phase was reached, now or at time `at`; later calls are ignored."""
+        """Record that a phase was reached, now or at `at`; only its first call counts."""
         if phase in self._reached_at:
             return
         self._reached_at[phase] = self._clock() if at is None else at
@@ -64,7 +64,7 @@
         self.record(FailoverPhase.PROVEN)
 
     def intervals(self) -> list[PhaseInterval]:
-        """Return the intervals between the phases reached so far, in order of time."""
+        """Return the intervals between consecutive phases reached so far, in order of time."""
         reached = sorted(self._reached_at.items(), key=lambda item: item[1])
         return [
             PhaseInterval(phase, began_at, ended_at)
--- a/spoolcourse/control/leadership/feature_level.py
+++ b/spoolcourse/control/leadership/feature_level.py
@@ -1,8 +1,9 @@
-"""The feature level: which stored formats all controllers can read during a rolling upgrade.
+"""The feature level: a number that says which stored formats every controller can read.
 
-A controller that exits before its upgrade restarts with the old version. So a format that the old
-version can't read is written only once every controller has reported support for it. The leader
-queries the peers and records the level in the key-value store. A recorded level stays valid, since
+It matters during a rolling upgrade, when controllers of two versions run. A controller that exits
+before its upgrade restarts with the old version. So a format that the old version can't read is
+written only once every controller has reported support for it. The leader queries the peers (the
+other controllers) and records the level in the key-value store. A recorded level stays valid, since
 an upgraded controller restarts with the new version.
 """
 
@@ -23,12 +24,12 @@
 
 log = logging.getLogger(__name__)
 
-SERVICES_LEVEL = 2  # 1: arrays only
+SERVICES_LEVEL = 2  # stored formats of services; level 1: those of arrays (batch jobs) only
 QUERY_PERIOD_S = 1.0
 
 
 def level_response() -> dict[str, int]:
-    """Return this version's response to the level query."""
+    """Return this controller's response to a leader's query for its feature level."""
     return feature_level_value(SERVICES_LEVEL)
 
 
--- a/spoolcourse/control/leadership/fenced_write.py
+++ b/spoolcourse/control/leadership/fenced_write.py
@@ -25,8 +25,8 @@
 ) -> bool:
     """Write a value if the term is the latest one and the keys have the expected revisions.
 
-    Returns whether it is known to be written. After False it may still be written, now or later;
-    the watch cache then shows it.
+    Returns whether the value is known to be written. After False it may have been written, or may
+    be later; the watch cache then shows it.
     """
     expected_revisions = expected_revisions | {TERM_KEY: term.revision}
     try:
--- a/spoolcourse/control/leadership/peers.py
+++ b/spoolcourse/control/leadership/peers.py
@@ -1,4 +1,4 @@
-"""Queries that are sent to all other controllers concurrently."""
+"""Queries that a controller sends to all other controllers (its peers) concurrently."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def cancellations_query(since_revision: int) -> PeerQuery[CancellationsResponse]:
-    """Return the query for the cancellations that a peer knows of since a revision."""
+    """Return the query for the cancellations after a store revision that a peer knows of."""
     return PeerQuery(cancellations_path(since_revision), CancellationsResponse)
 
 
@@ -47,7 +47,7 @@
 ) -> list[ResponseT | None]:
     """Query all peers concurrently; return their responses in the order of the peers.
 
-    The response is None if a peer does not answer in time or its version does not know the query.
+    None stands for a peer that does not answer in time, or whose version does not know the query.
     """
     return await asyncio.gather(*(_query_peer(http_client, peer, query) for peer in peers))
 
--- a/spoolcourse/control/leadership/term.py
+++ b/spoolcourse/control/leadership/term.py
@@ -1,4 +1,4 @@
-"""Terms, each led by the one controller that was elected for it."""
+"""Terms: numbered periods, each led by the one controller that was elected for it."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     """A term that this controller was elected for."""
 
     number: int  # the fencing token for workers
-    revision: int  # of the term key; every write of the leader is conditional on it
-    lease_id: int
+    revision: int  # of the term key at the claim; every write of the leader is conditional on it
+    lease_id: int  # of the lease that the leader key is attached to
 
 
 def known_term_number(watch_cache: WatchCache) -> int:
--- a/spoolcourse/control/placement/model.py
+++ b/spoolcourse/control/placement/model.py
@@ -63,7 +63,9 @@
     # CPU seconds lost if the task is stopped; used only if `unsaved_since` is None.
     checkpoint_loss_cpu_s: float = 0.0
     stopping: bool = False  # the leader has already decided to stop it
-    within_guarantee: bool = False  # or exempt: no job of the same rank preempts it
+    # Its job is within the team's guarantee, or it is exempt from preemption: no job of the same
+    # rank may preempt it.
+    within_guarantee: bool = False
     unsaved_since: float | None = None  # if stopped, all work since then is lost
 
     def loss_cpu_s(self, now: float) -> float:
@@ -216,6 +218,6 @@
 
     placements: list[Placement] = field(default_factory=list)
     head: int | None = None  # the head of the queue; None if no job waits for machines
-    shadow_time: float | None = None  # None also if the head's start can't be predicted
+    shadow_time: float | None = None  # of the head; None if there is none or it can't be predicted
     unplaced_tasks: dict[int, int] = field(default_factory=dict)  # by job: tasks that need machines
     wait_reasons: dict[int, str] = field(default_factory=dict)  # by job: shown in /status
--- a/spoolcourse/control/placement/reservations.py
+++ b/spoolcourse/control/placement/reservations.py
@@ -19,7 +19,7 @@
     Snapshot,
 )
 
-MAX_RESERVED_TASKS = 64  # no more tasks of the head get reservations
+MAX_RESERVED_TASKS = 64  # the most tasks of the head that get a reservation
 
 
 class Reservation(FreeResources):
--- a/spoolcourse/control/scheduling/estimates.py
+++ b/spoolcourse/control/scheduling/estimates.py
@@ -9,7 +9,10 @@
 
 
 def run_estimate_s(job_state: JobState, policy: Policy) -> float:
-    """Return the expected run time of a task of the job; infinite for a service."""
+    """Return the expected run time of a task of the job; infinite for a service.
+
+    `default_estimate_s` (a policy key) is used for jobs submitted without an estimate.
+    """
     submission = job_state.record.submission
     if submission.is_service:
         return inf
--- a/spoolcourse/control/scheduling/job_order.py
+++ b/spoolcourse/control/scheduling/job_order.py
@@ -55,11 +55,11 @@
 
 
 def _is_starved(job_state: JobState, begin_s: float, now: float) -> bool:
-    """Whether the job has waited for longer than `begin_s` (a policy key) and no task has started.
+    """Whether the job has waited for longer than `begin_s` and no task of it is held or done.
 
-    This is the fourth exception to the arrival order (docs/design.md): a steady arrival of urgent
-    jobs must not starve a job forever. It applies only to the job's first task, which is then
-    placed before the tasks of all other jobs, whatever their rank.
+    `begin_s` is a policy key. This is the fourth exception to the arrival order (docs/design.md):
+    a steady arrival of urgent jobs must not starve a job forever. It applies only to the job's
+    first task, which is then placed before the tasks of all other jobs, whatever their rank.
     """
     return (
         not job_state.attempts
--- a/spoolcourse/control/scheduling/preemption.py
+++ b/spoolcourse/control/scheduling/preemption.py
@@ -28,7 +28,10 @@
         self._snapshot_builder = snapshot_builder
 
     def preempt(self, snapshot: Snapshot, plan: Plan) -> None:
-        """Preempt running tasks for the plan's unplaced tasks. Modifies the snapshot."""
+        """Preempt running tasks for the plan's unplaced tasks. Modifies the snapshot.
+
+        Tasks expected to end within `preempt_patience_s` (a policy key) are not preempted.
+        """
         victims = choose_victims(snapshot, plan, self._policy.preempt_patience_s)
         if not victims:
             return
