--- a/spoolcourse/wire/__init__.py
+++ b/spoolcourse/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages in the protocol's spelling, and the settings."""
+"""Messages between controllers, workers, users, the cloud and the store; and settings files."""
--- a/spoolcourse/wire/cloud.py
+++ b/spoolcourse/wire/cloud.py
@@ -1,4 +1,4 @@
-"""Requests to the cloud (PROTOCOL, "Controller nodes -> cloud")."""
+"""Requests that controllers send to the cloud (PROTOCOL, "Controller nodes -> cloud")."""
 
 from __future__ import annotations
 
@@ -42,5 +42,5 @@
 
 
 def list_path(after_name: str) -> str:
-    """Path to list the machines after a name; empty: from the first one on."""
+    """Path of the page of the machine list that follows a machine's name; empty: the first page."""
     return f"{paths.HOSTS}?page={LIST_PAGE_SIZE}" + (f"&since={after_name}" if after_name else "")
--- a/spoolcourse/wire/commands.py
+++ b/spoolcourse/wire/commands.py
@@ -1,5 +1,9 @@
 """Commands to workers, and the responses to their heartbeats.
 
+The fencing token is the number of the leader's term; a worker rejects tokens lower than the highest
+one it has seen. An incarnation is the numbered period in which a worker keeps its tasks: when its
+lease expires, it ends all of them and begins the next incarnation.
+
 Only the names and tags given to msgspec are in the protocol's spelling. A worker executes commands
 in order. Commands are idempotent, except that a start after an acknowledgement starts the attempt
 again (PROTOCOL, POST /v1/report).
@@ -15,8 +19,8 @@
 class Start(msgspec.Struct, frozen=True, tag_field="verb", tag="start"):
     """Start an attempt at a task. Has no effect while the worker knows the attempt."""
 
-    task: str = msgspec.field(name="piece")
-    attempt: int = msgspec.field(name="try")
+    task: str = msgspec.field(name="piece")  # "JOB/INDEX"; also in the next two
+    attempt: int = msgspec.field(name="try")  # the attempt's number
 
 
 class Stop(msgspec.Struct, frozen=True, tag_field="verb", tag="halt"):
@@ -54,7 +58,7 @@
 
 
 class HeartbeatResponse(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The response to a heartbeat. Without a fencing token it renews no lease (PROTOCOL, Tokens).
+    """The response to a heartbeat. With a fencing token it renews the lease (PROTOCOL, Tokens).
 
     `receives_no_heartbeats` is set only for a follower that forwarded the heartbeat: whether the
     leader receives no heartbeats directly, so that the worker should keep sending to the follower.
@@ -68,7 +72,7 @@
 class Redirect(msgspec.Struct, frozen=True, omit_defaults=True):
     """Redirects a worker to the leader or, without a label, to the next controller (status 421)."""
 
-    leader: str | None = msgspec.field(name="foreman", default=None)
+    leader: str | None = msgspec.field(name="foreman", default=None)  # the controller's label
 
 
 def to_json_object(message: msgspec.Struct) -> dict[str, Any]:
--- a/spoolcourse/wire/identities.py
+++ b/spoolcourse/wire/identities.py
@@ -16,7 +16,7 @@
 
 
 class AttemptId(NamedTuple):
-    """An attempt at a task. Its number is unique for the task (PROTOCOL, `try`)."""
+    """An attempt at a task. Its number is unique for the task (the field `try` in PROTOCOL)."""
 
     job: str
     task: int  # the task's index in the job
@@ -24,14 +24,17 @@
 
 
 class HeartbeatId(NamedTuple):
-    """A heartbeat of a machine; a newer one compares greater (PROTOCOL, `shift` and `tick`)."""
+    """A heartbeat of a machine; a newer one compares greater (`shift` and `tick` in PROTOCOL)."""
 
-    incarnation: int
-    sequence: int
+    incarnation: int  # number of the worker's incarnation (`wire.commands`)
+    sequence: int  # number of the heartbeat in its incarnation
 
 
 class ChunkId(NamedTuple):
-    """A part of a job's stored progress: its job, and its index in the job from 0."""
+    """A chunk: a range of a job's tasks whose progress is stored under one key.
+
+    Given by the job, and the index of the chunk in the job from 0.
+    """
 
     job: str
     index: int  # type: ignore[assignment]
--- a/spoolcourse/wire/key_value_store.py
+++ b/spoolcourse/wire/key_value_store.py
@@ -14,7 +14,7 @@
 
 from spoolcourse.wire import paths
 
-NO_SUCH_LEASE = "no such lease"
+NO_SUCH_LEASE = "no such lease"  # error text of the store
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
 
     key: str
     value: Any
-    lease: int | None = None
+    lease: int | None = None  # its ID; when the lease expires, the store deletes the key
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompareAndSwapResult:
-    """The known outcome of a transaction: committed, or rejected because of conflicts.
+    """The outcome of a transaction that the store answered: committed, or rejected for conflicts.
 
     Attributes:
         succeeded: Whether it was committed.
@@ -74,7 +74,7 @@
     """One page of the keys below a prefix, as of one revision of the store."""
 
     entries: list[Entry]
-    has_next: bool
+    has_next: bool  # whether another page follows
     store_revision: int
 
 
@@ -92,7 +92,7 @@
 
 
 def page_path(prefix: str, page_size: int, after_key: str) -> str:
-    """Path to read one page of the keys below a prefix, after a key; empty: from the first on."""
+    """Path to read the page of a prefix's keys that follows `after_key`; empty: the first page."""
     path = f"/kv?prefix={quote(prefix)}&page={page_size}"
     return path + f"&since={quote(after_key)}" if after_key else path
 
@@ -161,7 +161,7 @@
 
 
 def parse_lease(data: dict[str, Any]) -> int:
-    """The lease in the response to a request for one."""
+    """The ID of the lease in the response to a grant request."""
     return int(data["hold"])
 
 
--- a/spoolcourse/wire/messages.py
+++ b/spoolcourse/wire/messages.py
@@ -32,18 +32,19 @@
 class TaskStage(StrEnum):
     """The state of a task in a worker's heartbeat."""
 
-    FETCHING = "pulling"
+    FETCHING = "pulling"  # its image
     RUNNING = "running"
-    SAVING = "flushing"
+    SAVING = "flushing"  # a checkpoint, before it stops
     ENDED = "ended"
 
 
 class EndCause(StrEnum):
     """Why an attempt has ended; a worker may name causes that are not listed here."""
 
-    DONE = "done"
+    DONE = "done"  # the task finished with a result
     STOPPED = "halted"
-    ERROR = "error"
+    ERROR = "error"  # the task failed
+    # The worker refused the start:
     NO_ROOM = "no_room"
     OTHER_ATTEMPT_ON_MACHINE = "in_use"
     NO_SUCH_TASK = "no_such"
@@ -72,7 +73,7 @@
 
 
 class MalformedError(Exception):
-    """A message that does not follow the protocol."""
+    """A received message does not follow the protocol."""
 
 
 class Submission(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -81,34 +82,39 @@
     id: str
     job_class: Name = msgspec.field(name="lane")
     team: Name = msgspec.field(name="crew")
-    shape: Literal["array", "standing"]
+    shape: Literal["array", "standing"]  # an array of tasks that end, or a service
     rank: Literal["prod", "high", "standard", "best_effort"]
     task_count: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = msgspec.field(name="pieces")
+    # Needed by each task.
     cpus: Amount = msgspec.field(name="vcpus")
     gpus: Amount
     memory_gb: Amount = msgspec.field(name="memoryGb")
+    # Fetched by a machine before it runs a task.
     image: Name = msgspec.field(name="bundle")
     image_gb: Amount = msgspec.field(name="pullGb")
-    one_zone: bool = msgspec.field(name="oneZone")
+    one_zone: bool = msgspec.field(name="oneZone")  # all tasks run in the same zone
+    # At most half of the tasks, rounded up, run in one zone.
     spread_over_zones: bool = msgspec.field(name="scatter")
     spot_allowed: bool = msgspec.field(name="loaners")
-    expected_run_s: Seconds = msgspec.field(name="expectS")
-    checkpoint_every_s: Seconds = msgspec.field(name="markEveryS")
-    checkpoint_cost_s: Seconds = msgspec.field(name="markCostS")
+    expected_run_s: Seconds = msgspec.field(name="expectS")  # of one task; 0: unknown
+    checkpoint_every_s: Seconds = msgspec.field(name="markEveryS")  # 0: no checkpoints
+    checkpoint_cost_s: Seconds = msgspec.field(name="markCostS")  # time to save one
+    # The only types and the only zone allowed; None: any.
     machine_types: Annotated[list[Name], msgspec.Meta(max_length=50)] | None = msgspec.field(
         name="builds", default=None
     )
     zone: Name | None = msgspec.field(name="yard", default=None)
+    # The deadline, counted from the acceptance; None: no deadline of its own.
     due_s: Seconds | None = msgspec.field(name="dueS", default=None)
 
     @property
     def rank_number(self) -> int:
-        """0 for the highest rank."""
+        """The rank as a number, 0 for the highest."""
         return RANKS.index(self.rank)
 
     @property
     def is_service(self) -> bool:
-        """Whether its tasks, the replicas, run until the job is cancelled."""
+        """Whether the job is a service: its tasks, the replicas, run until it is cancelled."""
         return self.shape == "standing"
 
 
@@ -134,22 +140,22 @@
 
     id: str
     stage: JobStage
-    done: int = 0
+    done: int = 0  # tasks with a result
     running: int = 0
 
 
 class TaskStatus(msgspec.Struct, frozen=True):
-    """One task in a worker's heartbeat."""
+    """The state of one attempt in a worker's heartbeat."""
 
     task: str = msgspec.field(name="piece")
-    attempt: Count = msgspec.field(name="try")
+    attempt: Count = msgspec.field(name="try")  # the attempt's number
     stage: TaskStage
-    cause: str | None = None
-    stored: bool = False
+    cause: str | None = None  # an `EndCause` or another text; set if the attempt has ended
+    stored: bool = False  # not used by the controllers
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """The state of a worker and its machine: a heartbeat, and the response to any request.
+    """The state of a worker and its machine: sent as a heartbeat, and in response to any request.
 
     Of two heartbeats, the one with the larger (incarnation, sequence) is newer. `tasks` lists all
     attempts on the machine, ended ones until they are acknowledged.
@@ -162,8 +168,9 @@
     spot: bool = msgspec.field(name="loaners")
     incarnation: Count = msgspec.field(name="shift")
     sequence: Count = msgspec.field(name="tick")
-    fencing_token: Count = msgspec.field(name="baton")
+    fencing_token: Count = msgspec.field(name="baton")  # the highest that the worker has seen
     tasks: list[TaskStatus] = msgspec.field(name="pieces")
+    # Time until the cloud reclaims the spot machine; None: no termination notice.
     terminates_in_s: float | None = msgspec.field(name="recallS", default=None)
 
 
@@ -174,9 +181,9 @@
     cpus: Amount = msgspec.field(name="vcpus")
     gpus: Amount
     memory_gb: Amount = msgspec.field(name="memoryGb")
-    disk_gb: Amount = msgspec.field(name="localGb")
-    fetch_gb_per_s: Amount = msgspec.field(name="pullGbPerS")
-    hourly_price: Amount = msgspec.field(name="hourly")
+    disk_gb: Amount = msgspec.field(name="localGb")  # disk space for cached images
+    fetch_gb_per_s: Amount = msgspec.field(name="pullGbPerS")  # speed of image fetches
+    hourly_price: Amount = msgspec.field(name="hourly")  # on demand
     spot_price: Amount = msgspec.field(name="marketPrice")
     boot_s: Amount = msgspec.field(name="startupS")
     zones: list[str] = msgspec.field(name="yards")
@@ -196,8 +203,8 @@
     zone: Name = msgspec.field(name="yard")
     spot: bool = msgspec.field(name="loaners")
     stage: ListedMachineStage
-    age_s: float = msgspec.field(name="ageS")
-    address: str = ""
+    age_s: float = msgspec.field(name="ageS")  # since it was provisioned
+    address: str = ""  # of its worker; empty if not known yet
 
 
 class MachineListPage(msgspec.Struct, frozen=True):
@@ -239,7 +246,7 @@
 
 
 def parse(data: Any, message_type: type[T]) -> T:
-    """Check decoded JSON against a message type; raises `MalformedError`."""
+    """Convert decoded JSON to a message type; raises `MalformedError` if it does not conform."""
     try:
         return msgspec.convert(data, message_type)
     except msgspec.ValidationError as exc:
@@ -247,7 +254,7 @@
 
 
 def parse_submission(raw: bytes) -> Submission:
-    """Check a user's submission; raises `MalformedError`."""
+    """Parse a user's submission; raises `MalformedError`."""
     data = decode(raw)
     if not isinstance(data, dict):
         raise MalformedError("not an object")
@@ -272,7 +279,7 @@
 
 
 def parse_heartbeat(raw: bytes) -> Heartbeat:
-    """Check a worker's heartbeat, by far the most frequent message; raises `MalformedError`."""
+    """Parse a worker's heartbeat, by far the most frequent message; raises `MalformedError`."""
     heartbeat = parse(_decode_json(raw), Heartbeat)
     if heartbeat.terminates_in_s is not None and not math.isfinite(heartbeat.terminates_in_s):
         raise MalformedError("recallS: a number is not finite")
--- a/spoolcourse/wire/paths.py
+++ b/spoolcourse/wire/paths.py
@@ -8,18 +8,18 @@
 # Served at a controller's peer address only.
 CANCELLATIONS = "/cancellations"
 FEATURE_LEVEL = "/level"
-HINTS = "/hints"
-STANDBY = "/standby"
-HANDOVER = "/handover"
+HINTS = "/hints"  # what the leader knows of workers, for followers
+STANDBY = "/standby"  # whether a follower is caught up
+HANDOVER = "/handover"  # transfers leadership
 STATUS = "/status"
 METRICS = "/metrics"
 # Served by a worker.
 COMMANDS = "/orders"
-WORKER_STATE = "/show"
+WORKER_STATE = "/show"  # returns a heartbeat
 # Served by the cloud.
 CATALOG = "/catalog"
-HOSTS = "/hosts"
+HOSTS = "/hosts"  # GET lists machines, POST provisions them
 HOSTS_DELETE = "/hosts/delete"
 # Served by the key-value store.
 TRANSACTION = "/multi"
-LEASES = "/holds"
+LEASES = "/holds"  # the store's leases, not those of workers
--- a/spoolcourse/wire/peers.py
+++ b/spoolcourse/wire/peers.py
@@ -1,4 +1,7 @@
-"""Messages between controllers. Other versions may run beside this one, so the forms stay."""
+"""Messages between controllers.
+
+Controllers of other versions may run beside this one, so the encoded forms must not change.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 
 
 class Cancellation(msgspec.Struct, frozen=True):
-    """A cancellation, with the time and the revision of its record."""
+    """The cancellation of a job, with its time and the revision of the job's record."""
 
     job: str
     at: float  # wall-clock time in seconds
@@ -25,7 +28,7 @@
     whether it has read the key-value store since its process started.
     """
 
-    term: int
+    term: int  # the latest that the controller knows
     has_read_store: bool = msgspec.field(name="informed")
     cancelled: list[Cancellation] | None
 
@@ -44,13 +47,13 @@
 
 
 class FeatureLevelResponse(msgspec.Struct, frozen=True):
-    """The feature level of a controller."""
+    """The feature level of a controller: which stored formats its version can read."""
 
     level: int
 
 
 class Hint(msgspec.Struct, frozen=True):
-    """What a leader knows of one incarnation of a worker, which may have changed since."""
+    """A hint: what a leader knows of one incarnation of a worker, which may have changed since."""
 
     machine: str
     address: str
@@ -59,10 +62,10 @@
 
 
 class HintPage(msgspec.Struct, frozen=True):
-    """Hints ordered by machine name, with the leader's term and revision."""
+    """A page of hints ordered by machine name, with the leader's term and revision."""
 
     term: int
-    leader: str
+    leader: str  # its label
     revision: int  # store revision up to which the leader has applied every change
     hints: list[Hint]
     has_next: bool = False
@@ -72,13 +75,13 @@
     """Whether a controller could lead without a restore of the job queue, or the reason why not."""
 
     caught_up: bool
-    term: int
-    revision: int
-    reason: str = ""
+    term: int  # the latest that the controller knows
+    revision: int  # store revision up to which it has applied every change
+    reason: str = ""  # why it is not caught up
 
 
 class LeadershipTransferResponse(msgspec.Struct, frozen=True):
     """The leader has stepped down; `successors` are the controllers that were caught up."""
 
-    term: int
+    term: int  # the term that ended
     successors: list[str]
--- a/spoolcourse/wire/settings.py
+++ b/spoolcourse/wire/settings.py
@@ -23,52 +23,56 @@
 
     label: str
     endpoint: str
-    site: str = ""
+    site: str = ""  # not used
 
 
 class ExternalServices(msgspec.Struct, frozen=True):
     """The addresses of the cloud and the key-value store."""
 
     cloud: str
-    state: str
+    state: str  # the key-value store
 
 
 class Team(msgspec.Struct, frozen=True):
     """A team, with its guaranteed resources and its limits; 0: no guarantee, or no limit."""
 
     name: str
-    cpus: Amount = 0.0
+    cpus: Amount = 0.0  # guaranteed
     cpus_max: Amount = 0.0
-    gpus: Amount = 0.0
+    gpus: Amount = 0.0  # guaranteed
     gpus_max: Amount = 0.0
 
     @property
     def cpu_limit(self) -> float:
-        """CPUs that its tasks may use at once; infinite without a limit."""
+        """CPUs that the team's tasks may use at once; infinite without a limit."""
         return self.cpus_max or inf
 
     @property
     def gpu_limit(self) -> float:
-        """GPUs that its tasks may use at once; infinite without a limit."""
+        """GPUs that the team's tasks may use at once; infinite without a limit."""
         return self.gpus_max or inf
 
 
 class Objective(msgspec.Struct, frozen=True):
-    """A service-level objective for a job class, or for work within a guarantee."""
+    """A service-level objective for a job class, or for work within a team's guarantee.
+
+    The scheduler uses the kinds `wait` (jobs start in time), `finished` (jobs complete in time) and
+    `up` (replicas run), and ignores others.
+    """
 
     kind: str
     job_class: str = msgspec.field(default="", name="class")
-    share: float = 0.0
-    within_s: float = 0.0
-    times: float = 0.0
+    share: float = 0.0  # not used by the scheduler
+    within_s: float = 0.0  # time limit; used for `finished` only
+    times: float = 0.0  # not used by the scheduler
 
 
 class WorkerSettings(msgspec.Struct, frozen=True):
     """Heartbeats and leases of workers, and the time within which cancelled work must end."""
 
     heartbeat_interval_s: Positive = msgspec.field(name="report_s")
-    lease_s: Positive
-    cancel_s: Positive
+    lease_s: Positive  # a worker without a renewal for so long ends its tasks
+    cancel_s: Positive  # no task may run longer after the cancellation of its job
 
     @property
     def max_heartbeat_interval_s(self) -> float:
@@ -82,7 +86,7 @@
 
 
 class NextLimits(msgspec.Struct, frozen=True):
-    """Limits of the key-value store that will apply from an unannounced time on."""
+    """Limits of the key-value store from an unannounced time on; None: the present one stays."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -91,12 +95,12 @@
 
 
 class StoreLimits(msgspec.Struct, frozen=True):
-    """The limits of the key-value store."""
+    """The limits of the key-value store, shared by all controllers."""
 
-    rps: Positive
-    write_rps: Positive
-    value_kb: Positive
-    txn_ops: Count
+    rps: Positive  # requests per second
+    write_rps: Positive  # puts and deletes per second
+    value_kb: Positive  # size of a value
+    txn_ops: Count  # puts and deletes in one transaction
     next: NextLimits | None = None
 
     @property
@@ -116,18 +120,19 @@
 class CloudLimits(msgspec.Struct, frozen=True):
     """The cloud's limits."""
 
-    rps: Positive
-    list_lag_s: Amount
+    rps: Positive  # requests per second
+    list_lag_s: Amount  # how outdated the machine list may be
 
 
 class MachineLimits(msgspec.Struct, frozen=True):
     """The limits of a controller's own machine; 0: unknown."""
 
+    # Sockets that the controller may have open.
     sockets: Annotated[int, msgspec.Meta(ge=0)] = 0
 
 
 class DeploymentSettings(msgspec.Struct, frozen=True):
-    """The parameters of the deployment."""
+    """The parameters of the deployment, the same for all controllers."""
 
     zones: list[str]
     teams: list[Team]
@@ -136,19 +141,19 @@
     cloud: CloudLimits
     objectives: list[Objective] = []
     machine_limits: MachineLimits = MachineLimits()
-    skew_ms: Amount = 0.0
+    skew_ms: Amount = 0.0  # difference between the wall clocks of controllers, at most
 
 
 class Settings(msgspec.Struct, frozen=True):
     """The settings file of one controller."""
 
-    label: str
-    listen: str
-    cluster_listen: str
-    seeds: list[Peer]
+    label: str  # the controller's name
+    listen: str  # public address, for users and workers
+    cluster_listen: str  # peer address, for controllers and operators
+    seeds: list[Peer]  # all other controllers
     outside: ExternalServices
     settings: DeploymentSettings
-    site: str = ""
+    site: str = ""  # not used
 
 
 def split_address(text: str, field: str) -> tuple[str, int]:
@@ -160,7 +165,10 @@
 
 
 def parse_settings(raw: bytes, source: str) -> Settings:
-    """Check the settings; the error names the first field that is missing or wrong."""
+    """Parse and check the settings; `source` is the file's name for errors.
+
+    Raises `UserError`, which names the first field that is missing or wrong.
+    """
     try:
         data = orjson.loads(raw)
     except orjson.JSONDecodeError as exc:
--- a/spoolcourse/wire/standby_settings.py
+++ b/spoolcourse/wire/standby_settings.py
@@ -14,6 +14,7 @@
 class StandbySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The table `[standby]`; keys that are left out have the defaults below."""
 
+    # Whether a follower keeps a shadow: a copy of the job queue from which it can start to lead.
     enabled: bool = False
     # Seconds for which a follower that is not caught up lets others stand for election first.
     defer_s: Annotated[float, msgspec.Meta(ge=0, le=5)] = 0.5
@@ -21,7 +22,7 @@
     behind_s: Annotated[float, msgspec.Meta(ge=2.5, le=60)] = 5.0
     # Compare the shadow with a restore from the records at each failover.
     verify: bool = False
-    # Seconds between a follower's requests for hints; 0: never.
+    # Seconds between a follower's requests for hints: what the leader knows of workers; 0: never.
     hint_period_s: Annotated[float, msgspec.Meta(ge=0, le=60)] = 1.0
     # Machines in one page of hints.
     hint_machines: Annotated[int, msgspec.Meta(ge=1, le=500)] = 200
