--- a/spoolcourse/policy/keys.py
+++ b/spoolcourse/policy/keys.py
@@ -1,5 +1,6 @@
 """The operators' policy: its keys, their ranges and defaults, and their current values.
 
+A key is a tuning parameter of the scheduler, such as the pause between two placement passes.
 A policy file is TOML with one table, `[policy]`; a value is a number or an expression
 (`lang`). Keys that a file omits keep their defaults.
 """
@@ -13,14 +14,15 @@
 from spoolcourse.errors import UserError
 from spoolcourse.policy.lang import Expression, Inputs, Range, compile_expression
 
+# Measured values and settings that expressions can use.
 INPUTS: dict[str, Range] = {
     "waiting_jobs": Range(0, 1e6),  # jobs with unplaced tasks
     "machines": Range(0, 1e5),  # machines that can take work
     "load": Range(0, 100),  # CPUs demanded, divided by the CPUs of all machines
     "pass_cost_s": Range(0, 10),  # processor time of the last scheduling pass
     "boot_s": Range(1, 3600),  # longest usual boot time in the catalog
-    "report_s": Range(0.01, 3600),
-    "lease_s": Range(0.01, 3600),
+    "report_s": Range(0.01, 3600),  # the workers' heartbeat interval
+    "lease_s": Range(0.01, 3600),  # the duration of a worker's lease
 }
 
 
@@ -28,13 +30,15 @@
 class Key:
     """A key that operators can set: its default, range and description."""
 
-    default: str
+    default: str  # an expression
     low: float
     high: float
     unit: str
     description: str
 
 
+# The descriptions are recorded and kept as they are; in them, "ordinary" means on-demand. `Policy`
+# repeats the meanings of the keys.
 KEYS: dict[str, Key] = {
     "node_fetches": Key("2", 1, 100, "fetches", "image fetches at once on a machine"),
     "zone_fetches": Key(
@@ -66,51 +70,62 @@
     "begin_s": Key("90", 1, 86_400, "s", "a job that waits longer has its first task put first"),
     "preempt_patience_s": Key("5", 0, 3600, "s", "a task that ends so soon is not stopped"),
 }
-INTEGER_KEYS = ("node_fetches", "zone_fetches")
+INTEGER_KEYS = ("node_fetches", "zone_fetches")  # their values are rounded
 
 
 @dataclass(slots=True)
 class Policy:
-    """The current values of all keys; refreshed before each scheduling pass."""
+    """The current values of all keys; refreshed in each scheduling pass."""
 
+    # Image fetches at once on a machine, and in a zone.
     node_fetches: float = 0.0
     zone_fetches: float = 0.0
+    # Pause after a placement pass, and how long the next one then waits for a change at most.
     pass_gap_s: float = 0.0
     pass_period_s: float = 0.0
-    default_estimate_s: float = 0.0
+    default_estimate_s: float = 0.0  # run time of a task whose job gives no estimate
+    # An idle machine is kept for `idle_boots` boot times of its type, and at least `idle_min_s`.
     idle_boots: float = 0.0
     idle_min_s: float = 0.0
-    surplus_idle_s: float = 0.0
+    surplus_idle_s: float = 0.0  # the same for a scale-in candidate
+    # CPUs kept: `headroom` times the peak demand of the last `keep_s`.
     keep_s: float = 0.0
     headroom: float = 0.0
+    # On-demand machines above `ordinary_headroom` times the peak demand of the last
+    # `ordinary_keep_s` become scale-in candidates.
     ordinary_keep_s: float = 0.0
     ordinary_headroom: float = 0.0
-    ordinary_wait_s: float = 0.0
+    ordinary_wait_s: float = 0.0  # a job waits so long for spot machines before on-demand ones
+    # A job with a deadline waits for spot machines until only so many of its estimated run times,
+    # and a boot time, are left.
     rescue_estimates: float = 0.0
-    refused_s: float = 0.0
-    silent_leases: float = 0.0
-    boot_patience: float = 0.0
+    refused_s: float = 0.0  # first backoff after the cloud refused a kind of machine
+    silent_leases: float = 0.0  # a machine out of contact for so many leases is deleted
+    boot_patience: float = 0.0  # a machine that boots for more boot times of its type is deleted
+    # An idle machine is kept for so long if its type is scarce: within so long, a job could use the
+    # type, but not all types.
     rare_s: float = 0.0
+    # On-demand machines kept in each zone beyond those that its services need.
     service_spares: float = 0.0
-    begin_s: float = 0.0
-    preempt_patience_s: float = 0.0
+    begin_s: float = 0.0  # the first task of a job that waits longer is scheduled before all ranks
+    preempt_patience_s: float = 0.0  # a task expected to end within this time is not preempted
 
 
 class CompiledPolicy:
-    """The checked expressions of all keys."""
+    """A policy whose expressions have been checked: computes the values of all keys."""
 
     def __init__(self, expressions: dict[str, Expression]) -> None:
         self._expressions = expressions
         self._input_dependent = {k: e for k, e in expressions.items() if not e.constant}
 
     def initial(self) -> Policy:
-        """The values with all inputs at their lowest."""
+        """The values before any measurement: computed with all inputs at their lowest."""
         policy = Policy()
         self._set_values(policy, self._expressions, {name: r.low for name, r in INPUTS.items()})
         return policy
 
     def refresh(self, policy: Policy, inputs: Inputs) -> None:
-        """Re-evaluate the keys that depend on inputs; checked expressions can't raise."""
+        """Update the keys that depend on inputs in `policy`; checked expressions can't raise."""
         self._set_values(policy, self._input_dependent, inputs)
 
     @staticmethod
@@ -121,7 +136,10 @@
 
 
 def compile_policy(table: dict[str, object], source: str) -> CompiledPolicy:
-    """Compile a policy; raises `UserError` with key, column and reason of every problem."""
+    """Compile the table `[policy]`; `source` is the file's name for errors.
+
+    Raises `UserError` with key, column and reason of every problem.
+    """
     problems = [f"{key}: column 1: unknown key" for key in table if key not in KEYS]
     expressions: dict[str, Expression] = {}
     for name, key in KEYS.items():
--- a/spoolcourse/policy/lang.py
+++ b/spoolcourse/policy/lang.py
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Diagnostic:
-    """A problem in an expression, with its column."""
+    """A problem that the checker found in an expression, with its column."""
 
     column: int  # counted from 1
     reason: str
@@ -44,12 +44,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Expression:
-    """A checked expression."""
+    """A checked expression, with the function that computes its value from the inputs."""
 
     text: str
     range: Range
     evaluate: Evaluate
-    constant: bool
+    constant: bool  # whether it depends on no input
 
 
 @dataclass(frozen=True, slots=True)
@@ -283,7 +283,10 @@
 def compile_expression(
     text: str, inputs: Mapping[str, Range], allowed: Range
 ) -> Expression | list[Diagnostic]:
-    """Check an expression; return it compiled, or all problems in it."""
+    """Check an expression; return it compiled, or the problems found in it.
+
+    `inputs` are the ranges of the inputs, `allowed` is the range that the value must stay in.
+    """
     if len(text) > MAX_EXPRESSION_CHARACTERS:
         return [
             Diagnostic(
