--- a/spoolcourse/control/workers/__init__.py
+++ b/spoolcourse/control/workers/__init__.py
@@ -1,1 +1,1 @@
-"""The worker registry: heartbeats, reconciliation, and commands to workers."""
+"""The worker registry: the leader's state of machines and workers, and the commands to workers."""
--- a/spoolcourse/control/workers/call_limit.py
+++ b/spoolcourse/control/workers/call_limit.py
@@ -1,8 +1,8 @@
-"""Limit on concurrent calls to machines."""
+"""The limit on concurrent calls to the addresses of machines."""
 
 from __future__ import annotations
 
-MACHINES_PER_CONCURRENT_CALL = 8
+MACHINES_PER_CONCURRENT_CALL = 8  # above the minimum, one call is allowed per so many machines
 CALL_SOCKET_FRACTION = 0.2  # of a controller's sockets, at most, for calls to machines
 
 
--- a/spoolcourse/control/workers/command_builder.py
+++ b/spoolcourse/control/workers/command_builder.py
@@ -17,7 +17,7 @@
 
 
 class CommandBuilder:
-    """Derives commands from the attempts assigned to a machine and the attempts it reports."""
+    """Derives a machine's commands from the attempts assigned to it and the attempts it reports."""
 
     def __init__(self, machines: MachineTable, leader: Leader, clock: Callable[[], float]) -> None:
         self._machines = machines
@@ -32,8 +32,9 @@
     ) -> list[Command]:
         """Return the commands for the response to a heartbeat, the urgent ones first.
 
-        A heartbeat under an older fencing token gets only stops of cancelled attempts, as older
-        commands may still reach the machine; its next heartbeat shows their effect.
+        `has_current_token`: the heartbeat reports this term's fencing token. Otherwise the response
+        contains only stops of cancelled attempts, as an earlier leader's commands may still reach
+        the machine; its next heartbeat shows their effect.
         The stops can't wait: this response renews the lease and may be the last that arrives.
         """
         urgent, others = self._commands_for_reported_attempts(machine, heartbeat, has_current_token)
@@ -105,8 +106,8 @@
     def machines_to_call(self, machines_being_called: Container[str]) -> list[Machine]:
         """Return the machines to send commands to now, without `machines_being_called`.
 
-        Machines whose commands must wait stay in `machines_with_unsent_commands`. Only the machines
-        in this set are examined, never the whole fleet.
+        Only the machines in `machines_with_unsent_commands` are examined, never the whole fleet.
+        Machines whose commands must wait stay in this set.
         """
         now, holds_lease = self._clock(), self._leader.holds_lease()
         machines: list[Machine] = []
@@ -135,7 +136,7 @@
         return machines
 
     def claim_stops(self, machine: Machine) -> list[Command]:
-        """Return the stops to send to the machine's address, and mark them as sent.
+        """Return the stops to send to the machine's address; mark them as sent.
 
         A stop names its attempt, so one that arrives late does no harm.
         """
@@ -203,7 +204,7 @@
 
 
 def _needs_direct_stop(attempt: Attempt) -> bool:
-    """Whether a stop is yet to be sent to the worker's address."""
+    """Whether the attempt's stop must still be sent to the worker's address."""
     return (
         attempt.stopping
         and not attempt.stop_sent
@@ -212,7 +213,7 @@
 
 
 def _needs_direct_start(attempt: Attempt) -> bool:
-    """Whether a start is yet to be sent to the worker's address, now or once it is durable."""
+    """Whether the attempt's start must still be sent, now or once its record is durable."""
     return attempt.stage is AttemptStage.ASSIGNED and not attempt.sent_directly
 
 
--- a/spoolcourse/control/workers/command_dispatcher.py
+++ b/spoolcourse/control/workers/command_dispatcher.py
@@ -1,4 +1,4 @@
-"""Sends starts and stops to workers at once instead of waiting for their next heartbeats.
+"""Sends starts and stops to workers' addresses without waiting for their next heartbeats.
 
 A command sent to a machine's address may be executed minutes late. A start without a response may
 therefore take effect until the worker's incarnation or this term ends
@@ -22,7 +22,7 @@
 log = logging.getLogger(__name__)
 
 UNREACHABLE_RETRY_DELAY_S = 10.0  # until a machine that did not respond is called again
-MIN_CONCURRENT_CALLS = 192  # lower bound; large fleets get more
+MIN_CONCURRENT_CALLS = 192  # lower bound of the limit on concurrent calls; it grows with the fleet
 RESERVED_SOCKET_FRACTION = 0.15  # of the sockets, for users, peers and calls in progress
 
 
@@ -34,7 +34,7 @@
         self._http_client = http_client
         self._registry = registry
         self._sockets = sockets
-        self.wake = asyncio.Event()
+        self.wake = asyncio.Event()  # set when there may be commands to send
         self._calls: dict[str, asyncio.Task[None]] = {}  # in progress, by machine
 
     async def run(self) -> None:
--- a/spoolcourse/control/workers/fencing_token_announcer.py
+++ b/spoolcourse/control/workers/fencing_token_announcer.py
@@ -1,4 +1,4 @@
-"""Announces this term's fencing token to workers that have not reported it yet."""
+"""Announces this term's fencing token to workers whose heartbeats do not report it yet."""
 
 from __future__ import annotations
 
@@ -15,8 +15,9 @@
 
 log = logging.getLogger(__name__)
 
-# Lower bound. Calls to workers behind a network partition time out, so with only a few concurrent
-# calls every few silent workers would add a second to a failover.
+# Lower bound of the limit on concurrent calls. Calls to workers behind a network partition time
+# out, so with only a few concurrent calls every few silent workers would add a second to a
+# failover.
 MIN_CONCURRENT_CALLS = 64
 
 
--- a/spoolcourse/control/workers/heartbeat_relay.py
+++ b/spoolcourse/control/workers/heartbeat_relay.py
@@ -23,12 +23,13 @@
 log = logging.getLogger(__name__)
 
 RELAY_TIMEOUT_S = 1.5
-LEADER_PROBE_PERIOD_S = 15.0  # one redirected worker per period, if the leader gets no heartbeats
-RECENT_HEARTBEAT_INTERVALS = 3  # during which a relayed heartbeat counts as recent
+# While the leader gets no heartbeats directly, one worker per period is redirected to it.
+LEADER_PROBE_PERIOD_S = 15.0
+RECENT_HEARTBEAT_INTERVALS = 3  # a heartbeat relayed within so many intervals is recent
 
 
 def redirect(leader: str | None) -> Response:
-    """Redirect a worker to the leader, or to the next controller if the leader is unknown."""
+    """The response that redirects a worker to the leader; None: to the next controller."""
     return Response(421, to_json_object(Redirect(leader)))
 
 
@@ -62,7 +63,7 @@
         Args:
             worker: The worker's machine.
             raw: The heartbeat as received.
-            leader_label: The leader as far as this controller knows.
+            leader_label: The label of the leader that this controller knows; None if it knows none.
             leader_is_recent: Whether this controller would know of a change of leader by now. If
                 it was cut off, it must not redirect workers to a leader replaced long ago.
         """
--- a/spoolcourse/control/workers/leader_interface.py
+++ b/spoolcourse/control/workers/leader_interface.py
@@ -11,15 +11,15 @@
     """The leader that a worker registry belongs to."""
 
     def holds_lease(self) -> bool:
-        """Whether no other controller can lead now, so that attempts may be started."""
+        """Whether this controller certainly still leads, so that it may start attempts."""
         ...
 
     def is_job_over(self, job: str) -> bool:
-        """Whether the job is certainly no longer live."""
+        """Whether the job certainly has a final state: done or cancelled."""
         ...
 
     def disk_gb(self, machine_type: str) -> float:
-        """Return the image cache size in GB of a machine type; 0 if the type is unknown."""
+        """Return the disk space of a machine type for cached images, in GB; 0 if unknown."""
         ...
 
     def on_capacity_change(self) -> None:
--- a/spoolcourse/control/workers/machine.py
+++ b/spoolcourse/control/workers/machine.py
@@ -1,7 +1,9 @@
 """A machine as the leader knows it, and the states it can be in.
 
 The states are described in `docs/machine-states.md`; each predicate on them is defined here once.
-Times are in seconds on the controller's monotonic clock.
+A machine is confirmed if its worker has reported this term's fencing token in its current
+incarnation, and unresponsive if its heartbeats arrive but the responses have no effect. Times are
+in seconds on the controller's monotonic clock.
 """
 
 from __future__ import annotations
@@ -51,12 +53,14 @@
     # The latest time at which its lease can have begun: the last response to it, or the time at
     # which its incarnation was confirmed, if that is later.
     lease_started_at: float | None = None
-    lease_expired: bool = False  # since its last heartbeat
+    lease_expired: bool = False  # and no newer heartbeat has arrived since
 
     # Ineffective responses: its heartbeats arrive, but the responses to it may be lost.
-    ineffective_responses: int = 0
-    responses_unproven_since: float = 0.0  # last ineffective response, or new incarnation
-    unresponsive_since: float | None = None
+    ineffective_responses: int = 0  # consecutive ones
+    # Since then, nothing has shown that responses have effect: the time of the last ineffective
+    # response, or of the start of the incarnation.
+    responses_unproven_since: float = 0.0
+    unresponsive_since: float | None = None  # None: it is not unresponsive
 
     # Reachability and free capacity.
     unreachable_until: float = 0.0  # a call to its address failed; no calls until then
@@ -64,15 +68,17 @@
 
     # State of the cloud instance.
     listed_stage: ListedMachineStage | None = None  # in the cloud's list
-    listed_running_since: float | None = None
+    listed_running_since: float | None = None  # when a list first showed it as running
     provisioned_at: float | None = None
-    expected_ready_at: float | None = None  # while it boots
+    expected_ready_at: float | None = None  # end of its boot; None after its first heartbeat
     terminates_at: float | None = None  # when the cloud reclaims the spot instance
     scale_in_candidate: bool = False  # cordoned: gets work only if no other machine fits
-    deletion_requested: bool = False
+    deletion_requested: bool = False  # and not confirmed by the cloud yet
+    # Since when it is known to have no attempts; None while it has some, or has not reported yet.
     idle_since: float | None = None
 
-    # Attempts that may be on it, and images.
+    # Attempts and images.
+    # Expected attempts, which may be on it: assigned by this leader, restored or adopted.
     attempts: dict[TaskId, Attempt] = field(default_factory=dict)
     # Attempts that run on the machine although the leader did not expect them there.
     unexpected_attempts: set[AttemptId] = field(default_factory=set)
@@ -81,7 +87,8 @@
     failed_jobs: set[str] = field(default_factory=set)  # jobs whose tasks failed here
     # Cached images and their sizes in GB, the least recently used first.
     images: OrderedDict[str, float] = field(default_factory=OrderedDict)
-    image_fetch_started_at: dict[str, float] = field(default_factory=dict)  # by image
+    # Images being fetched, with the time at which the leader first saw each fetch.
+    image_fetch_started_at: dict[str, float] = field(default_factory=dict)
     # Counts changes of attempts, unexpected attempts and images, for `snapshot_cache`.
     change_count: int = 0
 
@@ -104,7 +111,7 @@
 
     @property
     def is_unresponsive(self) -> bool:
-        """Whether the machine's heartbeats arrive but the responses have no effect."""
+        """Whether the machine has been marked as unresponsive (`count_ineffective_response`)."""
         return self.unresponsive_since is not None
 
     def is_overdue(self, now: float, limit_s: float) -> bool:
@@ -167,12 +174,15 @@
             self.unresponsive_since = now
 
     def reset_ineffective_responses(self) -> None:
-        """Reset the count: responses have effect again."""
+        """Reset the count of ineffective responses: responses have effect again."""
         self.ineffective_responses = 0
         self.unresponsive_since = None
 
     def add_cached_image(self, image: str, size_gb: float, disk_gb: float) -> None:
-        """Add an image that a task runs, or mark it as last used; evict the least recent ones."""
+        """Add an image that a task uses, or mark it as last used.
+
+        The least recently used images are evicted while the images together exceed `disk_gb`.
+        """
         if next(reversed(self.images), None) == image:
             return
         self.change_count += image not in self.images
--- a/spoolcourse/control/workers/machine_table.py
+++ b/spoolcourse/control/workers/machine_table.py
@@ -1,4 +1,8 @@
-"""The table of a term's machines and of the attempts that may be on each of them."""
+"""The table of a term's machines and of the attempts that may be on each of them.
+
+A machine is suspect if its own heartbeats have been missing for `suspect_after_s`. An attempt is
+proven gone if it certainly does not run and can no longer start.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +36,7 @@
         self._clock = clock
         self._on_capacity_change = on_capacity_change
         self.suspect_after_s = suspect_after_s
-        self.machines: dict[str, Machine] = {}
+        self.machines: dict[str, Machine] = {}  # by name
         # Deletion time by name, the earliest first; names are never reused.
         self.deleted_names: OrderedDict[str, float] = OrderedDict()
         # Names of machines that may have commands to send to their addresses.
--- a/spoolcourse/control/workers/reconciliation.py
+++ b/spoolcourse/control/workers/reconciliation.py
@@ -1,5 +1,9 @@
 """Reconciliation of the attempts expected on a machine with those that its heartbeat lists.
 
+The expected attempts are those in `Machine.attempts`. A listed attempt that is not among them is
+unexpected: its result is accepted; while it runs, it is adopted if its task has no other attempt,
+and else stopped.
+
 A worker has one heartbeat in flight, executes a response within its timeout or never, and discards
 responses to earlier incarnations. So the next newer heartbeat under this term's fencing token
 proves whether a start in a response arrived. A start sent to the worker's address may arrive late,
@@ -31,7 +35,8 @@
 # could run out of machines.
 FAILED_MACHINE_AVOIDANCE_S = 60.0
 HEALTHY_REPLICA_S = 20.0  # a replica that has run longer resets its service's failure count
-REFUSED_START_RETRY_DELAY_S = 2.0  # after the worker refused a start
+# After a worker refused a start: no starts on that machine or of that job, depending on the cause.
+REFUSED_START_RETRY_DELAY_S = 2.0
 
 
 class HeartbeatReconciler:
@@ -43,7 +48,7 @@
         self._leader = leader
 
     def reconcile(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
-        """Update the attempts and the image state of a machine from its heartbeat."""
+        """Update a machine's attempts, image fetches and idle time from its heartbeat."""
         listed_tasks = self._reconcile_reported(machine, heartbeat, now)
         if any(
             _is_start_unconfirmed(attempt) and task_id not in listed_tasks
@@ -64,7 +69,11 @@
     def _reconcile_reported(
         self, machine: Machine, heartbeat: Heartbeat, now: float
     ) -> set[TaskId]:
-        """Apply the listed attempts; return tasks whose expected or adopted attempt is listed."""
+        """Apply the statuses of the listed attempts.
+
+        Returns:
+            The tasks whose expected or adopted attempt the heartbeat lists.
+        """
         listed_tasks: set[TaskId] = set()
         unexpected_before = set(machine.unexpected_attempts)
         machine.unexpected_attempts.clear()
@@ -202,7 +211,8 @@
     def _reconcile_unlisted(self, machine: Machine, attempt: Attempt, heartbeat: Heartbeat) -> None:
         """Release an attempt that the heartbeat does not list, if it is thereby proven gone."""
         if attempt.in_flight_incarnation != heartbeat.incarnation:
-            attempt.in_flight_incarnation = None  # a start for another incarnation is refused
+            # The direct start was for another incarnation, so this worker rejects it.
+            attempt.in_flight_incarnation = None
         if attempt.stage is not AttemptStage.ASSIGNED:
             log.info(
                 "attempt gone: task=%s attempt=%d machine=%s",
--- a/spoolcourse/control/workers/worker_client.py
+++ b/spoolcourse/control/workers/worker_client.py
@@ -1,6 +1,7 @@
 """Calls to workers' addresses (PROTOCOL, Controller nodes -> workers).
 
-A worker responds to every call with its heartbeat. A call renews no lease.
+A worker responds to every call with its heartbeat. Unlike the response to a heartbeat, a call does
+not renew the worker's lease.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerIncarnation:
-    """The address and the incarnation number of a worker."""
+    """An incarnation of a worker, by its number, and the worker's address."""
 
     address: str
     number: int
--- a/spoolcourse/control/workers/worker_registry.py
+++ b/spoolcourse/control/workers/worker_registry.py
@@ -27,19 +27,20 @@
 log = logging.getLogger(__name__)
 
 LEASE_EXPIRY_MARGIN_S = 1.0  # beyond a lease and clock drift, for a worker to end its tasks
-RENEWED_LEASE_FRACTION = 0.8  # a response within this part of a lease should have renewed it
+# A lease should not expire within this part of its duration after a response.
+RENEWED_LEASE_FRACTION = 0.8
 
 
 @dataclass(frozen=True, slots=True)
 class AcceptedHeartbeat:
-    """A heartbeat newer than the latest one known, with the commands for its response."""
+    """The heartbeat is newer than the latest one known; `commands` are those for its response."""
 
     commands: list[Command]
 
 
 @dataclass(frozen=True, slots=True)
 class OutdatedHeartbeat:
-    """A heartbeat no newer than the latest one known, or of a deleted machine.
+    """The heartbeat is no newer than the latest one known, or its machine has been deleted.
 
     Such a heartbeat is a delayed copy: it doesn't show that the machine is alive. Its response must
     not renew a lease, or lease expiry would have to wait for every delayed copy.
@@ -65,7 +66,7 @@
         self.fencing_token = proof.fencing_token
         self.leader = leader
         self._lease_s = workers.lease_s
-        # A lease that began longer ago has certainly expired, and its tasks have ended.
+        # A lease that began longer ago has certainly expired, and the worker's tasks have ended.
         self._lease_expired_after_s = (
             workers.lease_s * (1 + MAX_RELATIVE_CLOCK_DRIFT) + LEASE_EXPIRY_MARGIN_S
         )
@@ -114,7 +115,7 @@
         )
 
     def observe_unanswered_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Process a machine's own heartbeat that is refused, so that no lease is renewed."""
+        """Process a machine's own heartbeat that is refused: the response renews no lease."""
         self.observe_heartbeat(heartbeat)
         machine = self.machines.get(heartbeat.machine)
         if machine is not None and (heartbeat.incarnation, heartbeat.sequence) == (
@@ -140,8 +141,8 @@
         ):
             self._begin_incarnation(machine, now)
         elif now - machine.responses_unproven_since > self._lease_expired_after_s:
-            # The incarnation has since outlived a lease, so responses do arrive. Commands that
-            # reach its address prove nothing of the kind: they renew no lease.
+            # The incarnation has outlived a lease since then, so responses do arrive. Commands that
+            # reach the worker's address don't prove that, because they renew no lease.
             machine.reset_ineffective_responses()
         if machine.last_heartbeat_at is None:
             # The machine was booting until now, so it could not have reported anything earlier.
@@ -167,7 +168,7 @@
         machine.responses_unproven_since = now
 
     def _confirm_incarnation(self, machine: Machine, now: float) -> None:
-        """Mark that the incarnation has this term's token: only this leader can renew its lease."""
+        """Mark the incarnation as confirmed: from now on, only this leader can renew its lease."""
         machine.confirmed = True
         # An incarnation known only from calls, because its machine reaches no controller, may have
         # begun just now. Counting its lease from an earlier response would release attempts that
