--- a/spoolcourse/control/leader/active_leader.py
+++ b/spoolcourse/control/leader/active_leader.py
@@ -1,4 +1,8 @@
-"""The leader's components that schedule and send commands, once the failover is proven."""
+"""The leader's components that schedule and send commands.
+
+They exist once the failover is proven: this controller has then seen every placement of earlier
+leaders (`leadership.failover_proof`).
+"""
 
 from __future__ import annotations
 
@@ -139,15 +143,19 @@
     # -- interface for the components -----------------------------------------------------
 
     def holds_lease(self) -> bool:
-        """Whether no other controller can lead now."""
+        """Whether this controller certainly still leads: no other can have been elected."""
         return self._leadership.holds_lease()
 
     def is_job_over(self, job: str) -> bool:
-        """Whether the job is certainly over: the record of a live job is known before any start."""
+        """Whether the job certainly has a final state: done or cancelled.
+
+        Every task that was ever started belongs to a job whose record this controller has read, so
+        a job that is not live any more is over.
+        """
         return job not in self._context.job_index.live and job not in self.job_queue.jobs
 
     def disk_gb(self, machine_type: str) -> float:
-        """Return the image cache size in GB of a machine type; 0 if the type is unknown."""
+        """Return the disk space of a machine type for cached images, in GB; 0 if unknown."""
         type_info = self._context.machine_types().get(machine_type)
         return type_info.disk_gb if type_info else 0.0
 
@@ -178,7 +186,7 @@
     # -- events ---------------------------------------------------------------------------
 
     def on_change(self, key: str) -> None:
-        """Process the change of a key in the key-value store."""
+        """Apply the change of a key in the key-value store to the job queue."""
         self._job_changes.on_change(key)
 
 
--- a/spoolcourse/control/leader/heartbeat_handler.py
+++ b/spoolcourse/control/leader/heartbeat_handler.py
@@ -31,8 +31,8 @@
 class HeartbeatHandler:
     """Answers heartbeats as the leader.
 
-    Refuses them, so that no lease is renewed, while a confirmed cancellation may have been unknown
-    to this controller for too long.
+    Refuses them, so that no lease is renewed, while this controller may lack a cancellation that
+    another controller confirmed too long ago (`RenewalDeadline`).
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         if heartbeat.fencing_token > self._registry.fencing_token:
             return step_down_for_higher_token(heartbeat, self._leadership)
         if not self._may_renew_leases():
-            # Other controllers may have confirmed cancellations that this one can't know of. The
+            # Other controllers may have confirmed cancellations that this one has not read. The
             # workers' leases must expire so that the cancelled attempts end in time.
             self._registry.observe_unanswered_heartbeat(heartbeat)
             return retry_later("confirmed cancellations may be unknown")
--- a/spoolcourse/control/leader/hinted_workers.py
+++ b/spoolcourse/control/leader/hinted_workers.py
@@ -1,8 +1,10 @@
 """A new leader's calls to the workers that the previous leader knew.
 
-Without these calls, the leader learns of workers from their heartbeats, within a heartbeat
-interval, or from the cloud's machine list. By calling the addresses in the hints, it learns of them
-a few milliseconds after the failover. A worker's state is taken only from its own response.
+The workers and their addresses come from hints: what the previous leader knew of each worker, read
+by this controller while it was a follower. Without these calls, the leader learns of workers from
+their heartbeats, within a heartbeat interval, or from the cloud's machine list; with them, it
+learns of them a few milliseconds after the failover. A worker's state is taken only from its own
+response.
 """
 
 from __future__ import annotations
@@ -17,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HintedWorker:
-    """A worker named by a hint, whether or not the registry has its machine."""
+    """A worker that a hint names; the registry may not have its machine yet."""
 
     hint: Hint
     registry: WorkerRegistry
--- a/spoolcourse/control/leader/job_changes.py
+++ b/spoolcourse/control/leader/job_changes.py
@@ -34,7 +34,7 @@
         self._clock = clock
 
     def on_change(self, key: str) -> None:
-        """Process the change of a key in the key-value store, which may be a job record."""
+        """Process the change of a key in the key-value store; only job records have an effect."""
         if not key.startswith(JOB_PREFIX):
             return
         job = key[len(JOB_PREFIX) :]
--- a/spoolcourse/control/leader/leader_term.py
+++ b/spoolcourse/control/leader/leader_term.py
@@ -1,4 +1,8 @@
-"""A leader's term: the failover, then the leader's loops until the term ends."""
+"""A leader's term: the failover, then the leader's loops until the term ends.
+
+The failover is proven when this controller has seen every placement of earlier leaders
+(`leadership.failover_proof`).
+"""
 
 from __future__ import annotations
 
@@ -83,7 +87,7 @@
     async def _run_failover(self) -> None:
         failover = await self._failover.run(self._term)
         self.timeline.record_proof(failover.proof)
-        # No await between the proof and this assignment, so that no key change is missed.
+        # No await between the proof and this assignment: no change of a key may come in between.
         self.active = ActiveLeader(
             failover, self._leadership, self._context, self._renewal_deadline, self.timeline
         )
@@ -109,6 +113,6 @@
         return retry_later("failover in progress")
 
     def on_change(self, key: str) -> None:
-        """Process the change of a key in the key-value store."""
+        """Process the change of a key in the key-value store; ignored until `active` is set."""
         if self.active is not None:
             self.active.on_change(key)
--- a/spoolcourse/control/leader/term_lifecycle.py
+++ b/spoolcourse/control/leader/term_lifecycle.py
@@ -29,8 +29,8 @@
         self._watch_cache = watch_cache
         self._build_term = build_term
         self._on_ended = on_ended
-        self.current: LeaderTerm | None = None
-        self.last_failover_timeline: FailoverTimeline | None = None
+        self.current: LeaderTerm | None = None  # None while this controller is a follower
+        self.last_failover_timeline: FailoverTimeline | None = None  # of the current or last term
 
     @property
     def active(self) -> ActiveLeader | None:
@@ -38,14 +38,14 @@
         return self.current.active if self.current is not None else None
 
     def on_elected(self, term: Term) -> None:
-        """Start the term immediately."""
+        """Start the term for which this controller was elected."""
         self._watch_cache.watch_pause_s = LEADER_WATCH_PAUSE_S
         self.current = self._build_term(term)
         self.last_failover_timeline = self.current.timeline
         self.current.start()
 
     def on_stepped_down(self) -> None:
-        """Stop the term immediately."""
+        """Stop the current term, because this controller has stepped down."""
         self._watch_cache.watch_pause_s = FOLLOWER_WATCH_PAUSE_S
         if self.current is not None:
             self.current.stop()
@@ -53,7 +53,7 @@
         self._on_ended()
 
     def on_change(self, key: str, value: Any, revision: int) -> None:
-        """Process the change of a key in the key-value store."""
+        """Pass the change of a key in the key-value store to the current term, if there is one."""
         if self.current is not None:
             self.current.on_change(key)
 
