--- a/spoolcourse/control/failover/comparison.py
+++ b/spoolcourse/control/failover/comparison.py
@@ -1,4 +1,4 @@
-"""Compares a shadow's job queue with one restored from the records."""
+"""Compares a shadow's job queue with one restored from the records in the key-value store."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 class ComparedChunk(NamedTuple):
-    """The fields of a chunk of tasks that must match."""
+    """The fields of a chunk that must match; see `Chunk` and `Progress`."""
 
-    done: int  # bit set of tasks
-    held: dict[int, Assignment]  # by task
+    done: int  # bit set of the tasks with a result
+    held: dict[int, Assignment]  # by task: the machine and number of its attempt
     revision: int
     version: int
     persisted_version: int
 
 
 class ComparedAttempt(NamedTuple):
-    """The fields of an attempt that must match."""
+    """The fields of an attempt that must match; see `Attempt`."""
 
     task: int
     number: int
     machine: str
-    version: int
+    version: int  # `Attempt.chunk_version`
     stage: AttemptStage
 
 
--- a/spoolcourse/control/failover/hint_cache.py
+++ b/spoolcourse/control/failover/hint_cache.py
@@ -17,12 +17,15 @@
 
     MALFORMED = "malformed"
     TOO_LARGE = "too large"
-    LOWER_TERM = "of a lower term"
+    LOWER_TERM = "of a lower term"  # than this controller knows
     NOT_THE_LEADER = "not from the leader that was asked"
 
 
 class HintPageRejectedError(Exception):
-    """A page of hints was rejected and nothing changed; names the expected and actual values."""
+    """A page of hints was rejected and the cache is unchanged.
+
+    The message names the expected and the actual value.
+    """
 
     def __init__(self, rejection: HintRejection, detail: str) -> None:
         super().__init__(f"{rejection.value}: {detail}")
@@ -35,8 +38,9 @@
     def __init__(self) -> None:
         self._hints: dict[str, Hint] = {}  # by machine
         self._term = 0
-        self.leader_revision = -1  # of the key-value store, from the latest page
-        self.rejections: Counter[HintRejection] = Counter()
+        # Store revision that the leader had applied, by the latest page; -1: no page yet.
+        self.leader_revision = -1
+        self.rejections: Counter[HintRejection] = Counter()  # pages rejected, by cause
 
     def __len__(self) -> int:
         """The number of workers with a hint."""
@@ -67,7 +71,7 @@
         self._replace_covered(page, query.after)
 
     def count_rejection(self, rejection: HintRejection) -> None:
-        """Count a rejected page."""
+        """Count a rejected page under its cause."""
         self.rejections[rejection] += 1
 
     def _replace_covered(self, page: HintPage, after: str) -> None:
--- a/spoolcourse/control/failover/hint_loop.py
+++ b/spoolcourse/control/failover/hint_loop.py
@@ -26,7 +26,7 @@
 
 log = logging.getLogger(__name__)
 
-NEXT_PAGE_DELAY_S = 0.2
+NEXT_PAGE_DELAY_S = 0.2  # between two pages, if shorter than `hint_period_s`
 UNSUPPORTED_DELAY_S = 30.0  # before a leader of a version without hints is asked again
 REQUEST_TIMEOUT_S = 1.0
 
@@ -48,7 +48,7 @@
         self._settings = settings
         self._hint_cache = hint_cache
         self._leader_label = leader_label
-        self._next_page_after = ""
+        self._next_page_after = ""  # the last machine of the previous page; "": the first page
 
     async def run(self) -> None:
         """Request pages periodically until cancelled; the leader itself requests none."""
--- a/spoolcourse/control/failover/hint_page.py
+++ b/spoolcourse/control/failover/hint_page.py
@@ -1,8 +1,8 @@
 """A leader's response to a query for hints.
 
-Hints describe the workers that a leader knows, which improves the next leader's first placement
-pass. A hint never proves that an attempt has ended, and it does not add its machine to the next
-leader's registry: the worker is asked for a heartbeat, which does.
+A hint describes a worker that the leader knows, which improves the next leader's first placement
+pass. It never proves that an attempt has ended, and it does not add its machine to the next
+leader's registry: that leader requests a heartbeat from the worker, and the heartbeat does.
 """
 
 from __future__ import annotations
--- a/spoolcourse/control/failover/hint_query.py
+++ b/spoolcourse/control/failover/hint_query.py
@@ -16,11 +16,11 @@
     """The range of the leader's machines that a page covers."""
 
     after: str  # the last machine of the previous page; "" for the first page
-    max_machines: int
+    max_machines: int  # in the page
 
     @property
     def path(self) -> str:
-        """The request's path with the query."""
+        """The path of the request for the page, with its query string."""
         return f"{paths.HINTS}?after={quote(self.after)}&most={self.max_machines}"
 
     @classmethod
--- a/spoolcourse/control/failover/leadership_transfer.py
+++ b/spoolcourse/control/failover/leadership_transfer.py
@@ -1,4 +1,8 @@
-"""Leadership transfer: on request, the leader steps down if another controller is caught up."""
+"""Leadership transfer: on request, the leader steps down if another controller is caught up.
+
+A controller is caught up if it could lead without a restore of the job queue: its shadow is usable
+and the key-value store has responded to it recently.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +17,7 @@
 
 
 class PeerIneligibility(Enum):
-    """Why a controller is not an eligible successor."""
+    """Why another controller is not eligible to succeed this leader."""
 
     NO_RESPONSE = "no reply"  # or a version without the standby query
     NOT_CAUGHT_UP = "not caught up"
@@ -22,11 +26,11 @@
 
 @dataclass(frozen=True, slots=True)
 class IneligiblePeer:
-    """A controller that is not an eligible successor, with its response if there was one."""
+    """A controller that is not eligible, with its response if there was one."""
 
     label: str
     ineligibility: PeerIneligibility
-    leader_term: int
+    leader_term: int  # the term of the leader that asked
     response: StandbyResponse | None = None
 
     def __str__(self) -> str:
--- a/spoolcourse/control/failover/restore.py
+++ b/spoolcourse/control/failover/restore.py
@@ -1,4 +1,4 @@
-"""Rebuilds the job queue from the records."""
+"""Rebuilds the job queue from the records in the key-value store."""
 
 from __future__ import annotations
 
--- a/spoolcourse/control/failover/shadow_job_queue.py
+++ b/spoolcourse/control/failover/shadow_job_queue.py
@@ -1,4 +1,4 @@
-"""A copy of the job queue, updated with each change of the records.
+"""The shadow: a follower's copy of the job queue, updated with each change of the records.
 
 The copy always equals what a restore from the records would build: the same jobs, progress and
 attempts. The cost of applying a change is bounded by the size of one chunk of tasks, whatever the
@@ -45,14 +45,14 @@
 
 
 class ShadowJobQueue:
-    """Jobs, progress, attempts and usage by team, from the changes applied so far."""
+    """The shadow's jobs, progress, attempts and usage by team, from the changes applied so far."""
 
     def __init__(self, context: ControllerContext) -> None:
         self._clock = context.clock
         self._job_queue = empty_job_queue(context)
         # Progress without a live job: left over from a finished job, or read before its job.
         self._orphaned_chunks: defaultdict[str, dict[int, Chunk]] = defaultdict(dict)
-        self._term = 0
+        self._term = 0  # the latest term in the records
         self.attempt_count = 0
         self.team_usage: defaultdict[str, TeamUsage] = defaultdict(TeamUsage)
 
--- a/spoolcourse/control/failover/shadow_status.py
+++ b/spoolcourse/control/failover/shadow_status.py
@@ -20,10 +20,11 @@
 
     state: ShadowState = ShadowState.STALE
     stale_reason: str = "the state service has not been read yet"
-    rebuilds: int = 0
-    mismatches: int = 0  # failovers whose shadow differed from a restore, if verified
+    rebuilds: int = 0  # times that the shadow was built from all records
+    # Failovers whose shadow differed from a restore; counted only if `verify` is on.
+    mismatches: int = 0
 
     def record_mismatch(self) -> None:
-        """Record that the shadow differed from a restore."""
+        """Record a failover whose shadow differed from a restore from the records."""
         self.mismatches += 1
         self.stale_reason = "it differs from the records"
--- a/spoolcourse/control/failover/standby_readiness.py
+++ b/spoolcourse/control/failover/standby_readiness.py
@@ -1,4 +1,4 @@
-"""A follower's readiness for a failover, for the election, operators and the leader."""
+"""A follower's readiness for a failover, as the election, operators and the leader use it."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 
     @property
     def caught_up(self) -> bool:
-        """Whether a failover to this follower would need no restore."""
+        """Whether a failover to this follower would need no restore of the job queue."""
         is_usable = self._shadow_status.state is ShadowState.USABLE
         return is_usable and self.store_response_age_s <= self._settings.behind_s
 
     def candidacy_delay_s(self) -> float:
-        """Seconds to wait before a candidacy, so that other controllers may stand first."""
+        """Seconds to wait before standing for election, so that others may stand first."""
         return 0.0 if self.caught_up else self._settings.defer_s
 
     def response(self) -> StandbyResponse:
--- a/spoolcourse/control/failover/strategies.py
+++ b/spoolcourse/control/failover/strategies.py
@@ -1,4 +1,9 @@
-"""Strategies by which a new leader proves its failover and obtains its job queue."""
+"""Strategies by which a new leader proves its failover and obtains its job queue.
+
+The claim of a term is the write by which this controller was elected. The failover is proven when
+the watch cache has every change up to the claim, and with it every placement of earlier leaders
+(`leadership.failover_proof`).
+"""
 
 from __future__ import annotations
 
@@ -27,7 +32,7 @@
 
 log = logging.getLogger(__name__)
 
-READ_BARRIER_RETRY_S = 0.1
+READ_BARRIER_RETRY_S = 0.1  # pause between two tries
 MAX_LOGGED_DIFFERENCES = 20
 
 
@@ -44,9 +49,10 @@
     """How a new leader obtains its failover proof and job queue."""
 
     async def run(self, term: Term) -> FailoverResult:
-        """Catch up to the term's claim and prove the failover; retried until the term ends.
+        """Wait until every change up to the term's claim is applied; return proof and job queue.
 
-        Raises `TermSupersededError` if the claim is not the latest known one.
+        Reads that fail are repeated until the term ends. Raises `TermSupersededError` if a later
+        term has been claimed.
         """
         ...
 
@@ -73,7 +79,7 @@
 
 
 class FailoverFromShadow:
-    """Catches up to the claim with one request, and uses the shadow, which then is current."""
+    """Reads the changes up to the claim with one request, and uses the shadow, then up to date."""
 
     def __init__(
         self, context: ControllerContext, standby: WarmStandby, settings: StandbySettings
@@ -105,7 +111,7 @@
         return _complete(self._context, proof, restored, hints)
 
     def _shadow_differences(self) -> list[str]:
-        """Differences from a restore; empty without a shadow or with verification off."""
+        """The shadow's differences from a restore; empty without a shadow or verification."""
         shadow = self._standby.shadow
         if shadow is None or not self._verifies_shadow:
             return []
--- a/spoolcourse/control/failover/warm_standby.py
+++ b/spoolcourse/control/failover/warm_standby.py
@@ -22,7 +22,7 @@
 
 
 class WarmStandby:
-    """Keeps a shadow while this controller is a follower, and detaches it once elected."""
+    """Keeps a shadow while this controller is a follower, and hands it over once it is elected."""
 
     def __init__(self, context: ControllerContext, settings: StandbySettings) -> None:
         self._context = context
@@ -37,7 +37,7 @@
 
     @property
     def shadow(self) -> ShadowJobQueue | None:
-        """The shadow, if it is usable."""
+        """The shadow; None if it is stale or this controller leads."""
         return self._shadow
 
     async def run(self) -> None:
