--- a/spoolcourse/control/autoscaling/autoscaler.py
+++ b/spoolcourse/control/autoscaling/autoscaler.py
@@ -34,8 +34,9 @@
 class FleetAutoscaler:
     """The parts of the autoscaler, and the loop that deletes machines.
 
-    `excess_capacity` gets the demand of each placement pass, `scale_out` the machines to provision;
-    `machine_list`, `scale_out` and `replica_probe` have loops of their own.
+    The scheduling loop reports the demand of each placement pass to `excess_capacity`, and the
+    machines to provision to `scale_out`. `machine_list`, `scale_out` and `replica_probe` have loops
+    of their own.
     """
 
     def __init__(
--- a/spoolcourse/control/autoscaling/cancelled_work.py
+++ b/spoolcourse/control/autoscaling/cancelled_work.py
@@ -1,7 +1,7 @@
 """Finds unreachable machines with cancelled work, which are deleted within `cancel_s`.
 
-The remaining time counts from the cancellation itself, not from when this leader learned of it.
 No task of a cancelled job may run after `cancel_s` (PROTOCOL, `POST /submissions/{id}/withdraw`).
+This time counts from the cancellation itself, not from when this leader learned of it.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 # Share of `cancel_s` after which tasks of a cancelled job should have ended. The rest of `cancel_s`
 # leaves time to retry a deletion.
 OVERDUE_SHARE = 0.4
-HEARTBEAT_TRANSIT_S = 0.5
+HEARTBEAT_TRANSIT_S = 0.5  # for a heartbeat to arrive
 DELETION_TIME_S = 5.0  # reserved for the deletion itself
 
 OverdueJobs = dict[str, float]  # job ID -> grace period of a machine, in seconds
 
 
 class CancelledWork:
-    """Finds machines that may hold tasks of cancelled jobs after their grace period."""
+    """Finds machines that may still have tasks of cancelled jobs after their grace period."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         self._wall_clock = wall_clock
 
     def overdue_jobs(self) -> OverdueJobs:
-        """Return the cancelled jobs whose tasks should have ended by now.
+        """Return the cancelled jobs whose tasks should have ended by now, with grace periods.
 
         The grace period of a machine counts from when this leader first learned of the machine.
         """
@@ -57,7 +57,7 @@
         return overdue
 
     def may_hold_overdue_tasks(self, machine: Machine, overdue: OverdueJobs) -> bool:
-        """Whether a task of the overdue jobs may be on the machine.
+        """Whether a task of the overdue jobs may be on the machine, after its grace period.
 
         The machine may be silent, or responses to its heartbeats may not reach it: in both cases no
         stop command reaches its tasks, so the machine is deleted.
@@ -71,7 +71,9 @@
         return any(known_for_s > overdue[job] for job in jobs if job in overdue)
 
     def _grace_period_s(self, age_when_learned_s: float) -> float:
-        """Return how long a machine has to stop the tasks.
+        """Return how long a machine has to stop the tasks of a cancelled job.
+
+        `age_when_learned_s`: how old the cancellation was when this leader learned of it.
 
         A leader that was elected after the cancellation, or learned of it late, has less time left.
         Each machine still gets the time of one more heartbeat, or a fleet about to receive the stop
--- a/spoolcourse/control/autoscaling/deletion_reason.py
+++ b/spoolcourse/control/autoscaling/deletion_reason.py
@@ -12,7 +12,7 @@
     FAILED = "failed in the cloud's list"
     CANCELLED_WORK = "cancelled work may be on it, and it can't be reached"
     BOOT_OVERDUE = "boot overdue"
-    SILENT = "silent"
+    SILENT = "silent"  # no heartbeat for too long
     UNRESPONSIVE = "unresponsive, answers have no effect"
     FENCING_TOKEN_NOT_SEEN = "our fencing token does not reach it"
     FAULTY = "faulty, tasks of several jobs fail on it"
--- a/spoolcourse/control/autoscaling/demand.py
+++ b/spoolcourse/control/autoscaling/demand.py
@@ -1,4 +1,4 @@
-"""History of recent demand, which determines how much capacity is kept."""
+"""History of the recent demand for CPUs, which determines how much capacity is kept."""
 
 from __future__ import annotations
 
--- a/spoolcourse/control/autoscaling/early_deletion.py
+++ b/spoolcourse/control/autoscaling/early_deletion.py
@@ -5,6 +5,9 @@
 confirmed by the cloud proves it sooner. A mistake costs a healthy machine and all work on it, so
 a machine qualifies only if it is late, answers no call, and nothing else explains its silence:
 docs/design.md, "A replica lost without a notice".
+
+A machine is late if its last own heartbeat is older than `ReplicaPlaces.late_after_s`. A zone or
+the fleet is disrupted while too many of its workers are late at once for all of them to be dead.
 """
 
 from __future__ import annotations
@@ -47,7 +50,7 @@
 
 
 class EarlyDeletion:
-    """Chooses machines to delete so that their replicas can restart sooner."""
+    """Chooses silent machines to delete so that their replicas can restart sooner."""
 
     def __init__(
         self,
@@ -67,7 +70,7 @@
         self._fleet_disrupted_at = float("-inf")
 
     def machines_to_delete(self) -> set[str]:
-        """Return the machines to delete now; a leader without a valid lease must not use them.
+        """Return the machines to delete now; a leader without a valid lease must not delete them.
 
         Must be called in every round, to record disruptions: a worker that is still late shortly
         after a disruption is not considered dead. On a recorded day, a leader that had been cut off
@@ -119,7 +122,10 @@
         return counts
 
     def _deletions_allowed(self) -> int:
-        """Return how many more deletions may be started; unconfirmed ones are in progress."""
+        """Return how many more deletions may be started.
+
+        Deletions that the cloud has not confirmed count as in progress.
+        """
         machines = self._registry.machines.values()
         in_progress = sum(
             1 for machine in machines if machine.deletion_requested and replicas_on(machine)
--- a/spoolcourse/control/autoscaling/excess_capacity.py
+++ b/spoolcourse/control/autoscaling/excess_capacity.py
@@ -1,4 +1,7 @@
-"""Excess capacity: compares the fleet with recent demand and marks machines above it."""
+"""Excess capacity: compares the fleet with recent demand, and marks machines beyond it.
+
+A marked machine is a scale-in candidate: it gets work only if no other machine fits.
+"""
 
 from __future__ import annotations
 
--- a/spoolcourse/control/autoscaling/fleet_summary.py
+++ b/spoolcourse/control/autoscaling/fleet_summary.py
@@ -1,4 +1,4 @@
-"""Logs a summary of the fleet: machines by type, and their total and used CPUs."""
+"""Logs a summary of the fleet: the machines of each type, with their total and used CPUs."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     machines: int = 0
     booting: int = 0  # no heartbeat yet
     scale_in_candidates: int = 0
-    empty: int = 0  # up, without an attempt
+    empty: int = 0  # machines that sent a heartbeat and have no attempt
     cpus: float = 0.0
     used_cpus: float = 0.0
 
--- a/spoolcourse/control/autoscaling/machine_faults.py
+++ b/spoolcourse/control/autoscaling/machine_faults.py
@@ -1,5 +1,8 @@
 """Detects machines that are silent, overdue to boot, unresponsive or faulty.
 
+Silent: no heartbeat arrives. Unresponsive: heartbeats arrive, but the responses have no effect.
+Faulty: tasks of several jobs failed on the machine.
+
 The reasons for deleting them: docs/design.md, "Machines" and "Machines that take no answers".
 """
 
@@ -37,8 +40,8 @@
     ) -> DeletionReason | None:
         """Return the fault of the machine, if any.
 
-        Without `treat_silence_as_fault`, neither silence nor an overdue boot counts, as this
-        controller may be isolated, or may no longer lead.
+        Without `treat_silence_as_fault`, only `FAULTY` counts, as this controller may be isolated
+        or may no longer lead.
         """
         if _is_booting(machine):
             overdue = treat_silence_as_fault and self._is_boot_overdue(machine, now)
@@ -50,7 +53,10 @@
         return DeletionReason.FAULTY if _is_faulty(machine) else None
 
     def _find_communication_fault(self, machine: Machine, now: float) -> DeletionReason | None:
-        """Return the fault if heartbeats, responses or the token were lost for `silent_leases`."""
+        """Return the fault if heartbeats, responses or the token were lost for too long.
+
+        The limit is `silent_leases` of the policy, in leases.
+        """
         timeout_s = self._policy.silent_leases * self._workers.lease_s
         if now - _last_contact_at(machine) > timeout_s:
             return DeletionReason.SILENT
@@ -68,7 +74,7 @@
         )
 
     def _is_boot_overdue(self, machine: Machine, now: float) -> bool:
-        """Whether the machine exceeds `boot_patience` and a heartbeat would have arrived."""
+        """Whether the boot exceeds `boot_patience`, and a heartbeat would have arrived by now."""
         if machine.expected_ready_at is None:
             return False
         boot_s = self._types.boot_s(machine)
--- a/spoolcourse/control/autoscaling/machine_list.py
+++ b/spoolcourse/control/autoscaling/machine_list.py
@@ -1,4 +1,4 @@
-"""Reads the cloud's machine list into the registry; announces the fencing token to new machines."""
+"""Reads the cloud's machine list into the registry; calls the machines that are not confirmed."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class MachineListLoop:
-    """Reads the machine list periodically."""
+    """Reads the machine list periodically; announces the fencing token to unconfirmed machines."""
 
     def __init__(
         self,
@@ -64,7 +64,10 @@
     def _update_machine(
         self, machine: Machine, listed_machine: ListedMachine, requested_at: float
     ) -> None:
-        """Update the stage; fill in unknown values only, as heartbeats are newer than the list."""
+        """Update the machine from its entry in the list that was requested at `requested_at`.
+
+        Apart from its stage, only unknown values are set, as heartbeats are newer than the list.
+        """
         if (
             listed_machine.stage is ListedMachineStage.RUNNING
             and machine.listed_stage is not ListedMachineStage.RUNNING
@@ -82,7 +85,7 @@
             machine.expected_ready_at = machine.provisioned_at + self._types.boot_s(machine)
 
     def _unconfirmed_machines(self, listed_machines: list[ListedMachine]) -> list[Machine]:
-        """Running machines that have sent no heartbeat under the leader's fencing token."""
+        """The listed, running machines that are not confirmed: they may not know the token."""
         running = [
             self._registry.machines.get(m.id)
             for m in listed_machines
@@ -94,5 +97,6 @@
             if machine is not None
             and machine.address
             and not machine.confirmed
-            and not machine.lease_expired  # it has reported the token before, and will again
+            # After its lease expired, the worker still knows the token that it reported before.
+            and not machine.lease_expired
         ]
--- a/spoolcourse/control/autoscaling/machine_type_lookup.py
+++ b/spoolcourse/control/autoscaling/machine_type_lookup.py
@@ -11,7 +11,7 @@
 
 
 class MachineTypeLookup:
-    """Looks up the types of machines; `machine_types` returns the current ones by name."""
+    """Looks up the types of machines; `machine_types` returns the current types by name."""
 
     def __init__(self, machine_types: Callable[[], dict[str, MachineType]]) -> None:
         self.machine_types = machine_types
--- a/spoolcourse/control/autoscaling/owner.py
+++ b/spoolcourse/control/autoscaling/owner.py
@@ -15,7 +15,10 @@
         ...
 
     def is_scarce_type(self, machine_type: str) -> bool:
-        """Whether jobs depend on the machine type, so that its idle machines are kept longer."""
+        """Whether a recent job could use the machine type, but not all types.
+
+        Idle machines of such a type are kept longer.
+        """
         ...
 
 
@@ -23,7 +26,7 @@
     """What the autoscaler asks the leader, and the events that it reports to the leader."""
 
     def holds_lease(self) -> bool:
-        """Whether no other controller can be leader yet, so that machines may be provisioned."""
+        """Whether this controller certainly still leads, so that it may provision machines."""
         ...
 
     async def on_machine_list(self, listed_machines: list[ListedMachine]) -> None:
--- a/spoolcourse/control/autoscaling/planner.py
+++ b/spoolcourse/control/autoscaling/planner.py
@@ -30,9 +30,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """A kind of machine that can be provisioned now."""
+    """An offer: a kind of machine that can be provisioned now."""
 
-    machine_type: int
+    machine_type: int  # index used in the pass instead of the name; `zone` likewise
     zone: int
     spot: bool
     cpus: float
@@ -46,7 +46,7 @@
     """The tasks of a job that the placement pass found no machine for."""
 
     job: PlacementJob
-    tasks: int
+    tasks: int  # their number
 
 
 @dataclass(slots=True)
@@ -58,7 +58,7 @@
 
 
 class _ZoneAllowance:
-    """How many more tasks of a job each zone may take, beside those planned for it."""
+    """Counts how many more tasks of a job each zone may take, beside those planned for it."""
 
     def __init__(self, job: PlacementJob) -> None:
         self._job = job
@@ -74,9 +74,9 @@
 
 
 class _SoonFreedCpus:
-    """CPUs that running tasks will free within a boot time, by kind of machine and zone.
+    """The CPUs that running tasks will free within a boot time, by kind of machine and zone.
 
-    A job counts only CPUs that it may use. With one sum for all machines, services that may not
+    A job gets only CPUs that it may use. With one sum for all machines, services that may not
     run on spot machines waited for minutes, because tasks kept ending on those.
     """
 
@@ -148,7 +148,7 @@
 def _pack(
     job: PlacementJob, allowance: _ZoneAllowance, task_count: int, machines: list[PlacementMachine]
 ) -> int:
-    """Book tasks on booting or planned machines; return how many tasks are left over."""
+    """Allocate tasks to booting or planned machines; return how many tasks are left over."""
     for machine in machines:
         if task_count <= 0:
             break
@@ -166,7 +166,7 @@
 def _cheapest_offer(
     job: PlacementJob, allowance: _ZoneAllowance, task_count: int, offers: list[Offer], now: float
 ) -> Offer | None:
-    """Return the cheapest offer per task, by price, boot time and tasks per machine."""
+    """Return the offer with the lowest price per task, boot time included; None if none fits."""
     cheapest: Offer | None = None
     lowest_cost = math.inf
     for offer in offers:
@@ -194,7 +194,10 @@
 def _full_machines(
     job: PlacementJob, allowance: _ZoneAllowance, task_count: int, offer: Offer
 ) -> int:
-    """Return how many machines the tasks fill: the offer is the cheapest for full ones only."""
+    """Return how many machines of the offer the tasks fill; at least 1.
+
+    A machine that would be only partly used is planned separately: another offer may be cheaper.
+    """
     return max(
         1, min(task_count, allowance.tasks_left(offer.zone)) // _tasks_per_machine(job, offer)
     )
--- a/spoolcourse/control/autoscaling/replica_places.py
+++ b/spoolcourse/control/autoscaling/replica_places.py
@@ -1,4 +1,4 @@
-"""Checks whether another machine can run a replica of a service in place of its present one.
+"""Checks whether a replica of a service could run on another machine than its present one.
 
 The check precedes actions that take the machine from a replica: an early deletion, or a move after
 a termination notice of the cloud.
@@ -35,7 +35,7 @@
         self.late_after_s = workers.max_heartbeat_interval_s + HEARTBEAT_TRANSIT_S
 
     def can_run_elsewhere(self, replica: Attempt) -> bool:
-        """Whether the rules for starting tasks allow the replica on some other machine.
+        """Whether the replica could be started on some other machine now.
 
         Work of lower rank does not count: it is preempted for a replica.
         """
@@ -80,7 +80,7 @@
 
 
 def _has_room_for(job_state: JobState, machine: Machine, machine_type: MachineType) -> bool:
-    """Whether the job may run there, and one task fits beside the work it does not preempt."""
+    """Whether the job may run on the machine, and one task fits beside work it can't preempt."""
     submission = job_state.record.submission
     if not task_fits(submission, machine_type) or (machine.spot and not submission.spot_allowed):
         return False
--- a/spoolcourse/control/autoscaling/replica_probe.py
+++ b/spoolcourse/control/autoscaling/replica_probe.py
@@ -27,14 +27,14 @@
 
 @dataclass(slots=True)
 class _FailedProbes:
-    """Number of failed probes since the heartbeat at `heartbeat_at`."""
+    """The number of failed probes of a machine since its last own heartbeat."""
 
-    heartbeat_at: float
+    heartbeat_at: float  # when that heartbeat arrived
     count: int = 0
 
 
 class ReplicaProbe:
-    """Probes late machines and records which of them don't answer."""
+    """Probes machines with replicas whose heartbeats are late; records which don't answer."""
 
     def __init__(
         self,
@@ -47,8 +47,8 @@
         self._registry = registry
         self._late_after_s = places.late_after_s
         self._clock = clock
-        self._failed_probes: dict[str, _FailedProbes] = {}
-        self._in_flight: dict[str, asyncio.Task[None]] = {}
+        self._failed_probes: dict[str, _FailedProbes] = {}  # by machine
+        self._in_flight: dict[str, asyncio.Task[None]] = {}  # probes in progress, by machine
 
     def is_unreachable(self, machine: Machine) -> bool:
         """Whether the machine answered none of the last probes and has sent no heartbeat since."""
--- a/spoolcourse/control/autoscaling/scale_in.py
+++ b/spoolcourse/control/autoscaling/scale_in.py
@@ -22,11 +22,11 @@
 
 @dataclass(slots=True)
 class _RoundContext:
-    """The values shared by all decisions of one round."""
+    """The values shared by all decisions of one call of `machines_to_delete`, a round."""
 
     now: float
-    holds_lease: bool
-    treat_silence_as_fault: bool
+    holds_lease: bool  # this controller certainly still leads
+    treat_silence_as_fault: bool  # it does, and is not cut off from most machines
     overdue_jobs: OverdueJobs
     early_deletions: set[str]  # machines chosen by `EarlyDeletion`
     protected: set[str]  # machines that are not deleted for being idle
@@ -143,7 +143,11 @@
         return now - machine.idle_since > self._idle_limit_s(machine)
 
     def _idle_limit_s(self, machine: Machine) -> float:
-        """Return how long an idle machine is retained, by its type, candidate mark or boot time."""
+        """Return how long an idle machine is retained.
+
+        It depends on whether its type is scarce, whether it is a scale-in candidate, and otherwise
+        on its boot time.
+        """
         if self._owner.is_scarce_type(machine.machine_type or ""):
             return self._policy.rare_s
         if machine.scale_in_candidate:
--- a/spoolcourse/control/autoscaling/scale_out.py
+++ b/spoolcourse/control/autoscaling/scale_out.py
@@ -1,4 +1,8 @@
-"""Scale out: provisions machines, with backoff for kinds that the cloud has refused."""
+"""Scale out: provisions machines, with backoff for kinds that the cloud has refused.
+
+A refusal is a response that the cloud has no machine of the kind, or fewer than requested. The kind
+is then not requested again until its backoff has passed.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +21,7 @@
 
 REQUEST_TRIES_MAX = 3  # the cloud executes a repeated request only once
 RETRY_PAUSE_S = 0.5
-BACKOFF_GROWTH_FACTOR = 1.5
+BACKOFF_GROWTH_FACTOR = 1.5  # after each further refusal
 BACKOFF_MAX_FACTOR = 4.0  # times the policy's `refused_s`
 
 
@@ -34,13 +38,13 @@
     """The backoff of a kind that the cloud has refused: not requested before `until`."""
 
     until: float
-    backoff_s: float
+    backoff_s: float  # its length
 
 
 class ScaleOut:
     """Provisions what the last placement pass requested; refused kinds wait for a backoff.
 
-    `holds_lease` tells whether no other controller can be leader yet; machines are provisioned
+    `holds_lease` returns whether this controller certainly still leads; machines are provisioned
     only then.
     """
 
@@ -64,7 +68,7 @@
 
     @property
     def is_in_progress(self) -> bool:
-        """Whether some requested machines are not registered yet."""
+        """Whether requests to the cloud are pending or in progress."""
         return bool(self._pending) or self._requesting
 
     def request(self, requests: list[ScaleOutRequest]) -> None:
@@ -136,7 +140,7 @@
             machine.expected_ready_at = requested_at + self._types.boot_s(machine)
 
     def _start_or_extend_backoff(self, kind: MachineKind) -> None:
-        """Start the backoff of a kind, or lengthen it."""
+        """Start the backoff of a kind after a refusal, longer than the previous one if any."""
         previous = self._backoffs.get(kind)
         backoff_s = self._policy.refused_s
         if previous is not None:
--- a/spoolcourse/control/autoscaling/service_reserve.py
+++ b/spoolcourse/control/autoscaling/service_reserve.py
@@ -54,7 +54,11 @@
         self._types = types
 
     def reserved_machines(self) -> set[str]:
-        """Return the names of the machines that fit the replicas and the policy's spare ones."""
+        """Return the names of the machines to keep in all zones.
+
+        In each zone, they have CPUs for the replicas and for `service_spares` more of the largest
+        machines with replicas.
+        """
         reserved: set[str] = set()
         for zone in self._capacity_by_zone().values():
             cpus_to_reserve = (
