--- a/spoolcourse/control/cloud/__init__.py
+++ b/spoolcourse/control/cloud/__init__.py
@@ -1,1 +1,1 @@
-"""The cloud's API: client and machine catalog."""
+"""The cloud's API: its client, and the catalog of machine types."""
--- a/spoolcourse/control/cloud/catalog.py
+++ b/spoolcourse/control/cloud/catalog.py
@@ -27,12 +27,12 @@
 LEADER_READ_PERIOD_S = 20.0
 FOLLOWER_READ_PERIOD_S = 60.0
 READ_RETRY_S = 1.0  # without the types no submission can be accepted
-WRITE_RETRY_S = 5.0  # for the stored copy
+WRITE_RETRY_S = 5.0  # after the stored copy could not be written
 PAUSE_JITTER_FACTORS = (0.8, 1.2)  # so that the controllers don't all read at the same time
 
 
 class CatalogLoop:
-    """Keeps the machine types current and, on the leader, their stored copy."""
+    """Keeps this controller's machine types current and, on the leader, their stored copy."""
 
     def __init__(
         self,
--- a/spoolcourse/control/cloud/client.py
+++ b/spoolcourse/control/cloud/client.py
@@ -29,7 +29,7 @@
 )
 
 REQUEST_TIMEOUT_S = 4.0
-LEADER_RATE_LIMIT_SHARE = 0.8  # of the request rate limit
+LEADER_RATE_LIMIT_SHARE = 0.8  # of the cloud's limit on requests per second
 BUDGET_WAIT_MAX_S = 10.0  # a request that would wait longer for the rate limit is not sent
 
 OK = 200
@@ -38,7 +38,7 @@
 
 
 def max_provisions(rps: float) -> int:
-    """Machines to request at a time: as many as one second of requests can provision.
+    """Return the machines to request at a time: as many as one second of requests can provision.
 
     `rps` is the request rate limit of the cloud, per second.
     """
@@ -46,7 +46,9 @@
 
 
 def max_deletions(rps: float) -> int:
-    """Machines to delete at a time: half a second of requests, to leave room for other requests.
+    """Return the machines to delete at a time: as many as half a second of requests can delete.
+
+    This leaves room for other requests.
 
     `rps` is the request rate limit of the cloud, per second.
     """
@@ -130,7 +132,7 @@
             last_name = page.machines[-1].id
 
     def provisioning(self, proof: FailoverProof) -> ProvisioningClient:
-        """Return the client that provisions and deletes machines, given the proof of a failover."""
+        """Return the client that provisions and deletes machines in the term of a proof."""
         return ProvisioningClient(self._request, proof)
 
 
--- a/spoolcourse/control/cloud/stored_catalog.py
+++ b/spoolcourse/control/cloud/stored_catalog.py
@@ -12,7 +12,7 @@
 
 
 class StoredCatalog:
-    """Writes the copy of the catalog, on the leader only.
+    """Writes the stored copy of the catalog, on the leader only.
 
     The prices in the copy may be outdated: it is written again only if the types' names change.
     """
--- a/spoolcourse/control/user_api/__init__.py
+++ b/spoolcourse/control/user_api/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP API for users."""
+"""The HTTP API for users: submissions, job states and cancellations."""
--- a/spoolcourse/control/user_api/api.py
+++ b/spoolcourse/control/user_api/api.py
@@ -30,7 +30,8 @@
 log = logging.getLogger(__name__)
 
 LOCAL_ANSWER_TIMEOUT_S = 3.0  # then peers are asked; users time out after 5 s
-MAX_CANCEL_TRIES = 4  # the leader may finish the job, or a peer cancel it, concurrently
+# The record may change during a try: the leader may finish the job, or a peer cancel it.
+MAX_CANCEL_TRIES = 4
 
 JOB_NOT_FOUND = error_response(404, "no such job")
 
--- a/spoolcourse/control/user_api/checks.py
+++ b/spoolcourse/control/user_api/checks.py
@@ -37,7 +37,7 @@
 
 
 def _service_rejection_reason(submission: Submission, team: Team, zones: set[str]) -> str | None:
-    """Why a service can never run; None if it can run.
+    """Why a service can never run, though one task fits; None if it can run.
 
     All replicas of a service run at once; an array may run one task after another. `zones`: those
     with usable machine types.
--- a/spoolcourse/control/user_api/job_states.py
+++ b/spoolcourse/control/user_api/job_states.py
@@ -1,9 +1,9 @@
-"""Consistent reads of job states: an answer must never be contradicted later (PROTOCOL, Rules).
+"""Consistent reads of job states: no later answer may contradict an earlier one (PROTOCOL, Rules).
 
 A final state never changes, so it may be answered from memory. Any other state needs a read
 barrier: after it, this controller has applied every write confirmed before the request arrived.
 A job that is still unknown after the barrier either was final by then or had never been accepted.
-Before a 404, a consistent read of the job's final state tells which.
+A consistent read of the job's final state shows which, before a 404 is returned.
 """
 
 from __future__ import annotations
--- a/spoolcourse/control/user_api/peer_fallback.py
+++ b/spoolcourse/control/user_api/peer_fallback.py
@@ -1,4 +1,4 @@
-"""Forwards users' requests to peers when only this controller lost the key-value store."""
+"""Forwards users' requests to peers when this controller can't answer them itself."""
 
 from __future__ import annotations
 
--- a/spoolcourse/control/user_api/submissions.py
+++ b/spoolcourse/control/user_api/submissions.py
@@ -123,7 +123,7 @@
         return msgspec.structs.replace(submission, machine_types=usable)
 
     async def _reject_unless_accepted(self, job: str | None, rejection: Response) -> Response:
-        """The rejection, or the job's state if the job was accepted before."""
+        """Return the rejection, or the job's state if the job was accepted before."""
         status = await self._job_states.read(job) if job is not None else None
         return rejection if status is None else job_response(200, status)
 
