--- a/spoolcourse/cli.py
+++ b/spoolcourse/cli.py
@@ -1,4 +1,4 @@
-"""The command line: a controller, and the commands of its users and operators.
+"""The command line: runs a controller, and sends the requests of users and operators.
 
 Each command imports the modules that it needs, to keep the start-up time short.
 """
@@ -47,7 +47,7 @@
 
 
 def _add_local_commands(commands: _Commands) -> None:
-    """The commands that read a settings file."""
+    """Add the commands that read a settings file."""
     for name, run, help_text in (
         ("serve", _run_serve, "run one controller until it is stopped"),
         ("check", _run_check, "check a settings file without running"),
@@ -60,7 +60,7 @@
 
 
 def _add_remote_commands(commands: _Commands) -> None:
-    """The commands that send a request to a controller."""
+    """Add the commands that send a request to a controller."""
     submit = commands.add_parser("submit", help="submit a job")
     submit.add_argument("file", metavar="FILE", help="the job as JSON; - for standard input")
     status = commands.add_parser("status", help="show a job's state")
--- a/spoolcourse/control/context.py
+++ b/spoolcourse/control/context.py
@@ -20,8 +20,9 @@
 class ControllerContext:
     """The clients, settings and clocks of one controller, shared by all of its leader terms.
 
-    `compiled_policy` is the operators' policy. `machine_types` returns the cloud's machine types
-    by name: none until the catalog has been read once.
+    `params` are the deployment's parameters from the settings file, `compiled_policy` is the
+    operators' policy. `machine_types` returns the cloud's machine types by name: none until the
+    catalog has been read once.
     """
 
     http_client: HttpClient
--- a/spoolcourse/control/controller.py
+++ b/spoolcourse/control/controller.py
@@ -42,7 +42,7 @@
 from spoolcourse.wire.settings import Settings
 from spoolcourse.wire.standby_settings import STANDBY_OFF, StandbySettings
 
-# After an unexpected error the loop is restarted, not the process.
+# After an unexpected error in a controller's loop, the loop is restarted, not the process.
 CONTROLLER_LOOP_POLICY = SupervisionPolicy(restart_after_s=1.0)
 
 
@@ -51,9 +51,9 @@
     """The failover strategy and its background loops, with or without the warm standby."""
 
     strategy: FailoverStrategy
-    standby: WarmStandby | None = None
+    standby: WarmStandby | None = None  # None: disabled in the settings
     loops: tuple[LoopFunction, ...] = ()
-    on_complete: Callable[[FailoverTimeline], None] = lambda _timeline: None
+    on_complete: Callable[[FailoverTimeline], None] = lambda _timeline: None  # after a failover
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -149,7 +149,7 @@
 
     @property
     def leader_term(self) -> LeaderTerm | None:
-        """The current term; None on a follower."""
+        """This controller's current term as leader; None on a follower."""
         return self._lifecycle.current
 
     @property
@@ -158,7 +158,7 @@
         return self._lifecycle.last_failover_timeline
 
     def start(self) -> None:
-        """Start all loops."""
+        """Start all loops of the controller."""
         for loop in (
             self.watch_cache.run,
             self.leadership.run,
@@ -175,7 +175,7 @@
         self._supervisor.cancel()
 
     async def run(self) -> None:
-        """Start, and run until an error that the supervisor does not handle."""
+        """Start the loops, and run until an error that the supervisor does not handle."""
         self.start()
         await self._supervisor.wait()
 
--- a/spoolcourse/control/health.py
+++ b/spoolcourse/control/health.py
@@ -12,7 +12,7 @@
 from spoolcourse.wire.settings import Peer
 
 CHECK_PERIOD_S = 1.0
-RECENT_SYNC_S = 2.0  # a watch that synced this recently needs no read barrier
+RECENT_SYNC_S = 2.0  # if the store has responded this recently, no read barrier is needed
 READ_BARRIER_TIMEOUT_S = 1.0
 PEER_TIMEOUT_S = 1.0
 
@@ -75,5 +75,8 @@
         return Response(200 if ok else 503, {"ok": ok})
 
     def handle_peer_check(self, request: Request) -> Response:
-        """200 if this controller is ready; `healthy` may itself depend on the asking peer."""
+        """200 if this controller is ready, else 503.
+
+        `healthy` is not considered, as it may depend on the response of the peer that asks.
+        """
         return Response(200 if self.ready else 503, {})
--- a/spoolcourse/control/http_client.py
+++ b/spoolcourse/control/http_client.py
@@ -36,11 +36,11 @@
 MAX_CONNECTIONS_PER_HOST = 24
 KEEP_ALIVE_TIMEOUT_S = 20.0
 DEFAULT_TIMEOUT_S = 1.0
-RETRY_AFTER_MAX_S = 30  # users wait no longer
+RETRY_AFTER_MAX_S = 30  # users wait no longer before they retry
 
 
 class NoResponseError(Exception):
-    """No response was received; the request may have been executed, or may still be.
+    """No response was received; the request may have been executed, or be executed later.
 
     The message contains the request and the reason.
     """
--- a/spoolcourse/control/http_connection.py
+++ b/spoolcourse/control/http_connection.py
@@ -42,7 +42,7 @@
 
 
 def encode_response(response: Response, close: bool = False) -> bytes:
-    """The bytes of a response; `close`: the connection ends after it."""
+    """Encode a response as HTTP; `close`: the connection is closed after it."""
     data = response.data
     body = data if isinstance(data, bytes) else orjson.dumps(data or {})
     head = _STATUS_LINES.get(response.status) or b"HTTP/1.1 %d Unknown\r\n" % response.status
@@ -100,7 +100,7 @@
             super().resume_reading(resume_parser)
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes, and answer the requests that they complete."""
+        """Parse received bytes, and answer the requests that they complete."""
         if self.transport is None or self.transport.is_closing():
             return
         self.last_active_at = self._loop.time()
--- a/spoolcourse/control/http_server.py
+++ b/spoolcourse/control/http_server.py
@@ -13,12 +13,13 @@
 
 IDLE_TIMEOUT_S = 30.0  # users and workers send every few seconds; peers close after 20 s
 IDLE_SWEEP_PERIOD_S = 5.0
-BACKLOG = 512
-KEEP_ALIVE_SOCKET_SHARE = 0.65  # of the process' sockets; above it connections serve one request
+BACKLOG = 512  # connections that wait to be accepted
+# Share of the process' sockets; with more open connections, each serves one request only.
+KEEP_ALIVE_SOCKET_SHARE = 0.65
 
 
 class HttpServer:
-    """A listening server and its task that closes idle connections."""
+    """A listening server, with the task that closes its idle connections."""
 
     def __init__(self, server: asyncio.Server, idle_sweep_task: asyncio.Task[None]) -> None:
         self._server = server
--- a/spoolcourse/control/leader_context.py
+++ b/spoolcourse/control/leader_context.py
@@ -1,4 +1,8 @@
-"""State shared by the components of a leader, which exists only with a failover proof."""
+"""State shared by the components of a leader, from the proof of its failover on.
+
+The proof shows that this controller has seen every placement of earlier leaders
+(`leadership.failover_proof`).
+"""
 
 from __future__ import annotations
 
@@ -17,6 +21,6 @@
 
     controller: ControllerContext
     proof: FailoverProof
-    policy: Policy
+    policy: Policy  # the current values, updated after each placement pass
     job_queue: JobQueue
     registry: WorkerRegistry
--- a/spoolcourse/control/metrics.py
+++ b/spoolcourse/control/metrics.py
@@ -20,13 +20,13 @@
 class MetricDefinition(Generic[StatusSection]):
     """A metric computed from one section of the status."""
 
-    name: str
+    name: str  # without `METRIC_PREFIX`
     help_text: str
     value: Callable[[StatusSection], float]
     is_counter: bool = False
 
     def build_family(self, section: StatusSection) -> Metric:
-        """The metric with its current value."""
+        """Build the metric with its current value in the section."""
         from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
         family_type = CounterMetricFamily if self.is_counter else GaugeMetricFamily
@@ -146,7 +146,7 @@
 
 
 def render_prometheus_text(status: Status) -> bytes:
-    """A status in the Prometheus text format.
+    """Render a status in the Prometheus text format.
 
     No state is kept between calls: each creates its own registry. The library is imported by the
     first call, because importing it earlier would delay the start of the process.
--- a/spoolcourse/control/peer_api.py
+++ b/spoolcourse/control/peer_api.py
@@ -68,13 +68,13 @@
         return Response(200, feature_level.level_response())
 
     def get_standby(self, request: Request) -> Response:
-        """Whether this controller's warm standby is caught up."""
+        """Whether this controller's warm standby is caught up; 404 if it is disabled."""
         if self._parts.standby is None:
             return _standby_disabled_response()
         return Response(200, to_json_object(self._parts.standby.readiness.response()))
 
     def get_hints(self, request: Request) -> Response:
-        """A page of the leader's hints for standbys."""
+        """A page of hints, what the leader knows of workers, for followers with a standby."""
         parts = self._parts
         if parts.standby is None:
             return _standby_disabled_response()
--- a/spoolcourse/control/process_load.py
+++ b/spoolcourse/control/process_load.py
@@ -1,7 +1,7 @@
-"""Measures a controller's processor time, by named block, and its event loop lag.
+"""Measures a controller's processor time, by named block of code, and its event loop lag.
 
-Long lag makes the leader's lease expire and workers time out; operators need to see its cause
-before that happens.
+The lag is how late the event loop resumes a sleeping task. Long lag makes the leader's lease expire
+and workers time out; operators need to see its cause before that happens.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 class BlockStats:
     """The runs of a named block in the current period, and their total time."""
 
-    calls: int = 0
+    calls: int = 0  # runs
     seconds: float = 0.0
 
 
@@ -31,7 +31,7 @@
     """Measures this process, in periods of `LOAD_SUMMARY_PERIOD_S`."""
 
     def __init__(self) -> None:
-        self.blocks: dict[str, BlockStats] = {}
+        self.blocks: dict[str, BlockStats] = {}  # of the current period, by name
         self.loop_lag_s = 0.0  # maximum of the last period
         self.processor_share = 0.0  # in cores, over the last period
 
@@ -49,7 +49,7 @@
             block.seconds += time.perf_counter() - started_at
 
     async def run(self) -> None:
-        """Measure period after period, until cancelled."""
+        """Measure and log one period after another, until cancelled."""
         while True:
             await self._measure_period()
             blocks, self.blocks = self.blocks, {}
--- a/spoolcourse/control/rate_limit.py
+++ b/spoolcourse/control/rate_limit.py
@@ -5,11 +5,12 @@
 import asyncio
 
 DEFAULT_MAX_WAIT_S = 1.0
-SPARE_TOKEN_SHARE = 0.5  # of a burst; work that is not urgent may proceed with this much left
+# Share of a burst; with at least so many tokens left, work that is not urgent may proceed.
+SPARE_TOKEN_SHARE = 0.5
 
 
 class RateLimitExceededError(Exception):
-    """The wait for tokens would exceed the limit.
+    """The caller would have to wait longer for tokens than the bucket allows.
 
     Attributes:
         retry_after_s: Seconds until the requested tokens are available.
@@ -48,7 +49,7 @@
         self.burst = max(rate, 1.0)
 
     async def acquire(self, tokens: float = 1.0, *, urgent: bool = False) -> None:
-        """Take tokens at once, which keeps callers in order, and wait until they are refilled.
+        """Take tokens at once, which keeps callers in order, and wait until they are available.
 
         Urgent calls don't wait; they leave a token debt that delays later calls.
 
--- a/spoolcourse/control/status.py
+++ b/spoolcourse/control/status.py
@@ -1,6 +1,7 @@
 """The status of a controller for operators; `metrics` derives Prometheus metrics from it.
 
-Durations are in seconds. Operators' tools depend on the encoded field names.
+Durations are in seconds. Operators' tools depend on the encoded field names. Fields without
+a comment are explained by the help texts in `metrics`.
 """
 
 from __future__ import annotations
@@ -20,7 +21,8 @@
 from spoolcourse.control.scheduling.waiting_jobs import WaitingJob
 
 MAX_WAITING_JOBS_SHOWN = 200
-MAX_SILENCE_SHOWN_S = 86_400.0  # silence is infinite until the first read of the store
+# The time since the store's last response is infinite until its first one.
+MAX_SILENCE_SHOWN_S = 86_400.0
 
 
 class WaitingJobStatus(msgspec.Struct, frozen=True):
@@ -29,75 +31,80 @@
     id: str
     job_class: str = msgspec.field(name="lane")
     team: str = msgspec.field(name="crew")
-    tasks: int = msgspec.field(name="pieces")
+    tasks: int = msgspec.field(name="pieces")  # waiting ones
     waits_s: float = msgspec.field(name="waitsS")
-    reason: str = msgspec.field(name="why")
+    reason: str = msgspec.field(name="why")  # why they wait
 
 
 class LeaderStatus(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
     """Status that only a leader has."""
 
-    jobs: int
-    waiting: list[WaitingJobStatus]
-    waiting_jobs: int
+    jobs: int  # live jobs
+    waiting: list[WaitingJobStatus]  # `MAX_WAITING_JOBS_SHOWN` at most
+    waiting_jobs: int  # all of them
     waiting_tasks: int = msgspec.field(name="waitingPieces")
     services: int
     replicas_missing: int
     attempts: int
+    # Adopted attempts whose stage is unknown, and attempts whose start may still be in flight.
     unproven_attempts: int
     image_fetches: int = msgspec.field(name="fetchesBooked")
     machines: int
     machines_confirmed: int
-    passes: int
-    pass_cost_s: float
-    unsaved_keys: int
+    passes: int  # placement passes of this term
+    pass_cost_s: float  # processor time of the last pass
+    unsaved_keys: int  # progress keys with changes that are not written yet
 
 
 class ControllerStatus(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
     """Status that every controller has."""
 
     label: str = msgspec.field(name="node")
-    role: str
-    leader: str | None
-    ready: bool
-    healthy: bool
+    role: str  # "leader" or "follower"
+    leader: str | None  # the leader's label, if known
+    ready: bool  # `HealthCheck.ready`
+    healthy: bool  # `HealthCheck.healthy`
     live_jobs: int
-    terms: int
+    terms: int  # elections that this process has won
     store_requests: int
-    store_failures: int
-    store_writes: int
-    loop_lag_s: float
-    processor_share: float
+    store_failures: int  # requests that the store refused, or with unknown outcome
+    store_writes: int  # puts and deletes
+    loop_lag_s: float  # longest event loop lag of the last period; see `process_load`
+    processor_share: float  # in cores, over the same period
+    # On a leader only.
     term: int | UnsetType = UNSET
-    lease: str | UnsetType = UNSET
+    lease: str | UnsetType = UNSET  # the leader's own: "valid" or "uncertain"
 
 
 class FailoverStatus(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
-    """The last failover of this process: its proof, and the duration of each phase."""
+    """The last failover of this process: its proof, and the duration of each phase.
+
+    Fields of the proof are null until the failover is proven.
+    """
 
     term: int | None
-    proof: str | None
-    claim_revision: int | None
-    applied_revision: int | None
-    phases_s: dict[str, float]
+    proof: str | None  # `FailoverProof.source`
+    claim_revision: int | None  # of the write that claimed the term
+    applied_revision: int | None  # up to which this controller had applied all changes
+    phases_s: dict[str, float]  # by `FailoverPhase`
 
 
 class StandbyStatus(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
     """The warm standby: whether a failover could skip the restore, and the shadow's state."""
 
-    state: str
+    state: str  # `ShadowState`
     stale_reason: str = msgspec.field(name="unfitReason")
     caught_up: bool
-    revision: int
+    revision: int  # store revision up to which this controller has applied every change
     revisions_behind: int  # behind the leader, by its last hints
-    silence_s: float
-    rebuilds: int
-    jobs: int
+    silence_s: float  # time since the store's last response
+    rebuilds: int  # times that the shadow was built from all records
+    jobs: int  # in the shadow; also the next two
     attempts: int
-    team_cpus: dict[str, float]
-    hints: int
-    hints_refused: dict[str, int]
-    mismatches: int
+    team_cpus: dict[str, float]  # CPUs used by each team's attempts
+    hints: int  # workers with a hint
+    hints_refused: dict[str, int]  # rejected pages of hints, by `HintRejection`
+    mismatches: int  # failovers whose shadow differed from a restore
 
 
 def _failover_status(timeline: FailoverTimeline) -> FailoverStatus:
@@ -213,7 +220,7 @@
 
 
 def collect_status(parts: ControllerParts) -> Status:
-    """The current status; a leader includes the waiting jobs and why they wait."""
+    """Return the current status; on a leader, it has the waiting jobs and why they wait."""
     active, standby = parts.lifecycle.active, parts.standby
     timeline = parts.lifecycle.last_failover_timeline
     revision = parts.context.watch_cache.store_revision
--- a/spoolcourse/control/supervisor.py
+++ b/spoolcourse/control/supervisor.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SupervisionPolicy:
-    """How the failure of a loop is handled, besides the controller's stepping down.
+    """How the failure of a loop is handled; in any case, the controller steps down.
 
     `restart_after_s`: the delay before a loop that failed or returned is restarted; None: never.
     `expected`: errors that are not faults. They are not logged as failures, and their message is
--- a/spoolcourse/control/worker_api.py
+++ b/spoolcourse/control/worker_api.py
@@ -1,4 +1,4 @@
-"""Handlers of heartbeats, sent by workers or relayed by a follower."""
+"""Handlers of heartbeats that workers send or followers relay."""
 
 from __future__ import annotations
 
