--- a/spoolcourse/control/failover/shadow_job_queue.py
+++ b/spoolcourse/control/failover/shadow_job_queue.py
@@ -183,7 +183,11 @@
 
 
 def _check_progress(job_state: JobState, chunk: Chunk) -> None:
-    """Raise `InconsistentChangeError` for tasks outside the chunk or lost results."""
+    """Raise `InconsistentChangeError` if the chunk's record contradicts the job or the shadow.
+
+    The chunk or a bit of `done` is outside the job's tasks, an attempt in `held` is at a task of
+    another chunk, or a task that was done is not done any more.
+    """
     record = job_state.record
     key = progress_key(job_state.id, chunk.index)
     first_task = chunk.index * record.tasks_per_chunk
