--- a/spoolcourse/control/autoscaling/machine_faults.py
+++ b/spoolcourse/control/autoscaling/machine_faults.py
@@ -3,7 +3,7 @@
 Silent: no heartbeat arrives. Unresponsive: heartbeats arrive, but the responses have no effect.
 Faulty: tasks of several jobs failed on the machine.
 
-The reasons for deleting them: docs/design.md, "Machines" and "Machines that take no answers".
+The reasons for deleting them: docs/design.md, "Machines" and "Machines that get no responses".
 """
 
 from __future__ import annotations
