--- a/spoolcourse/control/autoscaling/early_deletion.py
+++ b/spoolcourse/control/autoscaling/early_deletion.py
@@ -65,7 +65,7 @@
         self._probe = probe
         self._clock = clock
         self._lease_s = lease_s
-        # When too many workers were last late at once, by zone and in the whole fleet.
+        # Times of the last disruption of each zone and of the whole fleet.
         self._zone_disrupted_at: dict[str, float] = {}
         self._fleet_disrupted_at = float("-inf")
 
--- a/spoolcourse/control/autoscaling/planner.py
+++ b/spoolcourse/control/autoscaling/planner.py
@@ -58,7 +58,7 @@
 
 
 class _ZoneAllowance:
-    """Counts how many more tasks of a job each zone may take, beside those planned for it."""
+    """Counts how many more tasks of a job each zone may take, in addition to those planned."""
 
     def __init__(self, job: PlacementJob) -> None:
         self._job = job
@@ -76,8 +76,9 @@
 class _SoonFreedCpus:
     """The CPUs that running tasks will free within a boot time, by kind of machine and zone.
 
-    A job gets only CPUs that it may use. With one sum for all machines, services that may not
-    run on spot machines waited for minutes, because tasks kept ending on those.
+    A job is allocated only CPUs that it may use. With one sum for all machines, the CPUs that
+    tasks kept freeing on spot machines also counted for services that may not run there: no machine
+    was provisioned for these services, and they waited for minutes.
     """
 
     def __init__(self, machines: list[PlacementMachine], now: float, boot_s: float) -> None:
--- a/spoolcourse/control/autoscaling/replica_places.py
+++ b/spoolcourse/control/autoscaling/replica_places.py
@@ -1,4 +1,4 @@
-"""Checks whether a replica of a service could run on another machine than its present one.
+"""Checks whether a replica of a service could run on a machine other than its current one.
 
 The check precedes actions that take the machine from a replica: an early deletion, or a move after
 a termination notice of the cloud.
@@ -31,7 +31,7 @@
         self._registry = registry
         self._clock = clock
         self._machine_types = machine_types
-        # A machine whose last heartbeat is older is late.
+        # A machine is late if the age of its last heartbeat exceeds this.
         self.late_after_s = workers.max_heartbeat_interval_s + HEARTBEAT_TRANSIT_S
 
     def can_run_elsewhere(self, replica: Attempt) -> bool:
--- a/spoolcourse/control/cloud/client.py
+++ b/spoolcourse/control/cloud/client.py
@@ -38,7 +38,9 @@
 
 
 def max_provisions(rps: float) -> int:
-    """Return the machines to request at a time: as many as one second of requests can provision.
+    """Return how many machines to request at a time.
+
+    That is as many as one second of requests can provision.
 
     `rps` is the request rate limit of the cloud, per second.
     """
@@ -46,9 +48,9 @@
 
 
 def max_deletions(rps: float) -> int:
-    """Return the machines to delete at a time: as many as half a second of requests can delete.
+    """Return how many machines to delete at a time.
 
-    This leaves room for other requests.
+    That is as many as half a second of requests can delete, which leaves room for other requests.
 
     `rps` is the request rate limit of the cloud, per second.
     """
--- a/tests/recorded/forms/adapter.py
+++ b/tests/recorded/forms/adapter.py
@@ -1,6 +1,6 @@
 """Converts the product's records, messages, paths and settings to plain data and back.
 
-When the product renames a class or field, this module follows; the recorded data never does.
+When the product renames a class or field, adapt this module, never the recorded data.
 """
 
 from __future__ import annotations
@@ -266,7 +266,7 @@
 }
 
 MESSAGES: dict[str, CodecCase] = {
-    # Between controllers. Relayed heartbeats and their responses have the format for workers.
+    # Between controllers. Relayed heartbeats and responses have the format for workers.
     "cancellation": _message(peers.Cancellation(job="job-000001", at=1000.5, revision=18)),
     "cancellation reply": _message(
         peers.CancellationsResponse(
@@ -305,7 +305,7 @@
         peers.StandbyResponse(caught_up=False, term=3, revision=40, reason="its shadow is unfit")
     ),
     "handover reply": _message(peers.LeadershipTransferResponse(term=3, successors=["n0", "n2"])),
-    # From and to workers.
+    # Between controllers and workers.
     "report": _message(_heartbeat()),
     "report, spot, about to end": _message(_heartbeat(spot=True, terminates_in_s=12.5)),
     "report, tasks in every stage": _message(_heartbeat(tasks=TASK_STATUSES)),
@@ -328,7 +328,7 @@
     "command request, empty": _message(
         commands.CommandRequest(fencing_token=3, incarnation=1, commands=[])
     ),
-    # From and to users.
+    # Between controllers and users.
     "submission, array": _message(ARRAY),
     "submission, every field": _message(ARRAY_WITH_EVERY_FIELD),
     "submission, service": _message(SERVICE),
@@ -342,7 +342,7 @@
         )
         for stage in messages.JobStage
     },
-    # From and to the cloud.
+    # Between controllers and the cloud.
     "catalog": _message(messages.Catalog(machine_types=MACHINE_TYPES)),
     "machine type": _message(MACHINE_TYPES[0]),
     **{
@@ -380,7 +380,7 @@
 
 
 def requests() -> dict[str, str]:
-    """Request bodies that the product sends and never parses."""
+    """Return the request bodies that the product sends and never parses."""
     spot = cloud.MachineKind(machine_type="c8", zone="a", spot=True)
     put = key_value_store.Put(key="spoolcourse/live/term", value=TERM.value())
     put_with_lease = key_value_store.Put(
@@ -432,7 +432,7 @@
 
 
 def readings() -> dict[str, Any]:
-    """What the product parses from recorded responses and values, as plain data."""
+    """Return what the product parses from recorded responses and values, as plain data."""
     data = {name: orjson.loads(text) for name, text in STORE_RESPONSES.items()}
     watch_result = key_value_store.parse_watch(data["changes"])
     outcomes = (
@@ -493,7 +493,7 @@
 
 
 def paths_and_keys() -> dict[str, str]:
-    """Request paths and key-value store keys, both constant and computed ones."""
+    """Return request paths and key-value store keys, both constant and computed ones."""
     computed = {
         "hints": HintQuery("m-00 0000/&", 200).path,
         "hints, from the first on": HintQuery("", 200).path,
@@ -589,7 +589,7 @@
 
 
 def parsed_settings() -> dict[str, Any]:
-    """Every field of the parsed sample documents, and the values derived from them."""
+    """Return every field of the parsed sample settings, and the values derived from them."""
     parsed = parse_settings(orjson.dumps(SETTINGS), "sample")
     required = {k: v for k, v in SETTINGS["settings"].items() if k in ("zones", "workers", "cloud")}
     state = {k: v for k, v in SETTINGS["settings"]["state"].items() if k != "next"}
@@ -641,7 +641,11 @@
 
 
 def settings_errors() -> dict[str, str]:
-    """Errors for each field missing, of another type, negative or empty, and across fields."""
+    """Return the error text for each invalid variant of the settings, by a name of the variant.
+
+    Variants: each field missing, of another type, negative or empty; other invalid values, such as
+    a seed with the controller's own label; malformed documents; and invalid standby settings.
+    """
     errors: dict[str, str] = {}
 
     def assign(value: Any, inner: Any, step: Any) -> None:
@@ -709,7 +713,7 @@
 
 
 def message_errors() -> dict[str, str]:
-    """Error texts for messages that violate the protocol."""
+    """Return the error texts for messages that violate the protocol."""
     submission = commands.to_json_object(ARRAY_WITH_EVERY_FIELD)
     heartbeat = commands.to_json_object(_heartbeat(terminates_in_s=1.0))
     task = commands.to_json_object(TASK_STATUSES[0])
--- a/tests/scenarios/test_late_messages.py
+++ b/tests/scenarios/test_late_messages.py
@@ -32,9 +32,9 @@
 
 
 def test_tasks_of_a_machine_reached_only_by_direct_calls_start_nowhere_else() -> None:
-    # The machine's lease expires; replies to direct calls show its next incarnation. The time of
-    # the last reply was taken for the start of that incarnation's lease, so tasks started there
-    # were considered lost while they ran.
+    # The machine's lease expires; replies to direct calls show its next incarnation. That
+    # incarnation's lease was taken to start at the last reply, so tasks started there were
+    # considered lost while they ran.
     harness = RegistryHarness()
     harness.heartbeat()
     harness.assign()
@@ -94,8 +94,8 @@
 
 
 async def test_a_claim_executed_late_is_not_mistaken_for_the_next_claim() -> None:
-    # Both claims are of the same run and the same term, but each has its own lease. The key is
-    # attached to the lease of the first claim, which nobody renews.
+    # Both claims to leadership are of the same run and the same term, but each has its own lease.
+    # The leader key is attached to the lease of the first claim, which nobody renews.
     store, network = FakeKeyValueStore(), FakeNetwork()
     network.hosts["state:1"] = store.serve
     limits = StoreLimits(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
@@ -131,7 +131,7 @@
 
 
 def guard_keys(key: str) -> set[str]:
-    """Keys whose change makes a write of this key invalid."""
+    """Return the keys whose change makes an earlier write of this key invalid."""
     if key.startswith(PROGRESS_PREFIX):
         return {key, job_key(parse_progress_key(key)[0]), TERM_KEY}
     if key.startswith(FINAL_PREFIX):
@@ -140,10 +140,10 @@
 
 
 def delay_transactions(world: World, every: int) -> Any:
-    """Every n-th transaction gets no reply and is executed later.
+    """Return a network filter: every `every`-th transaction gets no reply and is executed later.
 
-    If a key that it depends on has changed since, or was deleted and created again, it must change
-    nothing.
+    The transaction must change nothing if a key that it depends on has changed since, or was
+    deleted and created again.
     """
     count = 0
     sent: dict[int, int] = {}
@@ -174,7 +174,7 @@
 
 
 @pytest.mark.parametrize("every", [2, 3])
-async def test_transactions_executed_late_change_nothing_newer(every: int) -> None:
+async def test_transactions_executed_late_do_not_overwrite_newer_values(every: int) -> None:
     world = World()
     world.cloud.run_s = lambda task: 6.0 + int(task[-1]) * 3.0
     await world.start_controllers()
@@ -211,7 +211,7 @@
     world.network.filters.append(hold)
     await asyncio.sleep(2)
     await restart_leader(world, 0.5)
-    await asyncio.sleep(20)  # its lease has expired, and its tasks run elsewhere
+    await asyncio.sleep(20)  # the machine's lease has expired, and its tasks run elsewhere
     for body in held:
         for label in LABELS:
             reply = await world.request(label, "POST", "/v1/report", body)
@@ -220,7 +220,7 @@
     await wait_until_jobs_end(world, (1,))
 
 
-async def test_commands_delivered_late_to_a_machine_that_hung_break_no_rule() -> None:
+async def test_commands_delivered_late_to_a_machine_that_hung_cause_no_violation() -> None:
     world = World()
     world.cloud.run_s = lambda task: 15.0
     world.cloud.capacity = 3
@@ -247,7 +247,7 @@
 async def test_a_write_in_flight_is_refused_once_a_key_it_depends_on_has_changed(
     meanwhile: str,
 ) -> None:
-    # The key itself has not changed, but another key that the write depends on has.
+    # The written key itself has not changed, but another key that the write depends on has.
     world = World()
     world.cloud.run_s = lambda task: 4.0
     await world.start_with_machine()
--- a/tests/scenarios/test_upgrade.py
+++ b/tests/scenarios/test_upgrade.py
@@ -132,7 +132,7 @@
 async def test_tasks_survive_leadership_moving_between_old_and_new_versions(
     replies_lost: bool,
 ) -> None:
-    # The writes of the old leaders in between have the stored form of their commit.
+    # The test itself makes the old leaders' writes, in the form that the old version stores.
     world = World()
     world.cloud.run_s = lambda task: 60.0
     await world.start_controllers()
--- a/tests/scenarios/test_upgrade_troubles.py
+++ b/tests/scenarios/test_upgrade_troubles.py
@@ -25,7 +25,10 @@
 async def world_with_one_old_follower(
     params: dict[str, Any] | None = None,
 ) -> tuple[World, Any, str]:
-    """Return a world with one follower of the old version, the filter for it, and its label."""
+    """Return a world with one follower of the old version, its network filter, and its label.
+
+    Removing the filter upgrades the follower.
+    """
     world = World(params=params)
     world.cloud.run_s = lambda task: 10_000.0
     old_peer_filter = make_peers_old(world, LABELS[2])
@@ -57,7 +60,7 @@
         await asyncio.sleep(1.0)
 
 
-async def test_a_service_waits_for_a_peer_cut_off_as_the_last_controller_is_upgraded() -> None:
+async def test_services_are_refused_until_the_version_of_an_unreachable_peer_is_known() -> None:
     world, old_peer_filter, _ = await world_with_one_old_follower()
     leader = str(world.leader)
     peer = next(n for n in LABELS[:2] if n != leader)
@@ -75,7 +78,7 @@
     assert world.cloud.violations == []
 
 
-async def test_a_service_is_accepted_as_the_store_refuses_the_leader_during_an_upgrade() -> None:
+async def test_a_service_is_accepted_although_the_store_refuses_the_leader_in_an_upgrade() -> None:
     world, old_peer_filter, _ = await world_with_one_old_follower()
     leader = str(world.leader)
     world.network.filters.append(
@@ -85,7 +88,7 @@
     world.network.filters.remove(old_peer_filter)
     other = next(n for n in LABELS if n != leader)
     await assert_refused_promptly(world, other)
-    # The others elect a leader, which queries all three again: the refused one still replies.
+    # Another controller is elected and queries all three: the refused leader still replies.
     await submit_until_accepted(world, other, 2 * ACCEPT_LIMIT_S)
     await wait_for_replicas(world)
     assert (
@@ -143,7 +146,10 @@
 
 @pytest.mark.parametrize("moment", ["before the note", "in an outage", "after a change of leader"])
 async def test_jobs_and_services_survive_lower_store_limits_during_an_upgrade(moment: str) -> None:
-    """A large job of the old version keeps running; new jobs and services run as well."""
+    """A large job of the old version keeps running; new jobs and services run as well.
+
+    The limits drop at the given moment. "The note" is the feature level in the key-value store.
+    """
 
     lower_limits = with_upcoming_limits(value_kb=1.0, txn_ops=3, write_rps=40.0)
     world = World(params=lower_limits)
--- a/tests/workers/test_worker_registry.py
+++ b/tests/workers/test_worker_registry.py
@@ -94,7 +94,7 @@
     harness.heartbeat(task_entry())
     harness.now += 10.5
     harness.registry.expire_leases()
-    assert harness.job_state.attempts, "expired within drift and margin"
+    assert harness.job_state.attempts, "expired although clock drift and margin have not passed yet"
     harness.now += 1.0
     harness.registry.expire_leases()
     assert not harness.job_state.attempts
@@ -154,14 +154,14 @@
     assert Progress.from_value(progress.value()) == progress
 
 
-def test_a_start_sent_to_the_address_may_arrive_until_the_incarnation_ends() -> None:
+def test_a_start_sent_by_a_direct_call_may_arrive_until_the_incarnation_ends() -> None:
     harness = RegistryHarness()
     harness.heartbeat()
     attempt = harness.assign()
     machine = harness.registry.machines["m-1"]
     assert harness.registry.command_builder.claim_starts(machine) == [attempt]
     assert harness.registry.command_builder.machines_to_call(()) == [], (
-        "the start would be sent to the address twice"
+        "the start would be sent by a direct call twice"
     )
     harness.job_state.record.cancelled_at = 100.0
     harness.heartbeat()
@@ -175,12 +175,14 @@
     harness = RegistryHarness()
     harness.heartbeat()
     attempt = harness.assign()
+    # The direct call that sends the start is answered, but the network may deliver a copy of it
+    # later.
     harness.registry.command_builder.claim_starts(harness.registry.machines["m-1"])
-    attempt.in_flight_incarnation = None  # it was answered, but a copy may arrive late
+    attempt.in_flight_incarnation = None
     harness.heartbeat(task_entry())
     assert harness.heartbeat(task_entry(stage="ended", cause="halted")) == []
     harness.mark_persisted()
     assert harness.heartbeat(task_entry(stage="ended", cause="halted")) == []
     assert harness.job_state.pending_count == 4, (
-        "the task is not free, although its attempt is proven ended"
+        "the task is not pending, although its attempt is proven to have ended"
     )
