--- a/tests/recorded/external_names.py
+++ b/tests/recorded/external_names.py
@@ -12,7 +12,7 @@
 import tomllib
 from collections.abc import Iterator
 from enum import Enum
-from pathlib import Path
+from functools import cache
 from typing import Any
 
 import msgspec
@@ -27,9 +27,8 @@
 from spoolcourse.policy import keys as policy_keys
 from spoolcourse.wire import commands, messages, paths, peers, settings, standby_settings
 from tests.recorded.forms.adapter import STORED_RECORDS, requests
-from tests.test_documented_names import documented_log_lines, is_logged
+from tests.test_documented_names import ROOT, documented_log_lines, is_logged
 
-ROOT = Path(__file__).parent.parent.parent
 SOURCE_DIRECTORY = ROOT / "spoolcourse"
 # Modules that build or read JSON objects by key.
 MESSAGE_KEY_MODULES = ("wire/key_value_store.py", "wire/cloud.py", "control/store/records.py")
@@ -59,6 +58,7 @@
 }
 
 
+@cache  # one test for each kind reads the result
 def collect_names() -> dict[str, set[str]]:
     """All external names, grouped by kind."""
     names_by_kind = {
